--- a/frostpost/canopy/asking.py
+++ b/frostpost/canopy/asking.py
@@ -1,4 +1,5 @@
 """Operations handed in to the ring by a leaf; all of them may be handed in again with the same effect."""
+
 from expression import Error, Ok
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
--- a/frostpost/canopy/assembly.py
+++ b/frostpost/canopy/assembly.py
@@ -1,4 +1,5 @@
 """Run one daemon: a leaf or a storage daemon, from its settings to its exit status."""
+
 import signal
 
 from frostpost.orchard.machine import Machine
@@ -28,6 +29,7 @@
 def run(settings, front):
     """Run one daemon until it is told to stop; -> its exit status."""
     from twisted.internet import reactor
+
     machine, status = Machine(), []
     reactor.seconds = machine.seconds
 
@@ -35,13 +37,16 @@
         status.append(code)
         if reactor.running:
             reactor.stop()
+
     if settings.role == RING:
         from . import ring
+
         owner = ring.assemble(settings, reactor, machine, stop)
         reactor.callWhenRunning(ring.start, owner)
         leave = lambda: ring.leave(owner)
     else:
         from .leaf import leave_leaf, make_leaf, start_leaf
+
         owner = make_leaf(settings, front, reactor, machine)
         reactor.callWhenRunning(start_leaf, owner, front, stop)
         leave = lambda: leave_leaf(owner, stop)
@@ -49,6 +54,7 @@
     def signals():
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
         signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reread, owner, front))
+
     reactor.addSystemEventTrigger("after", "startup", signals)
     reactor.run(installSignalHandlers=True)
     return max(status, default=0)
--- a/frostpost/canopy/context.py
+++ b/frostpost/canopy/context.py
@@ -1,12 +1,38 @@
 """The one context object of a daemon that is no member of the ring: an edge or a core daemon."""
+
 from frostpost.orchard.machine import Machine
 
 
 class Leaf:
     __slots__ = (
-        "settings", "reactor", "place", "machine", "links", "directory", "session", "routing",
-        "routing_body", "runners", "wire", "pools", "loads", "cache", "putting", "counts", "leaving",
-        "flights", "calls", "hook", "asking", "tasks", "charter", "life", "front", "lag_ms", "parts", "extras",
+        "settings",
+        "reactor",
+        "place",
+        "machine",
+        "links",
+        "directory",
+        "session",
+        "routing",
+        "routing_body",
+        "runners",
+        "wire",
+        "pools",
+        "loads",
+        "cache",
+        "putting",
+        "counts",
+        "leaving",
+        "flights",
+        "calls",
+        "hook",
+        "asking",
+        "tasks",
+        "charter",
+        "life",
+        "front",
+        "lag_ms",
+        "parts",
+        "extras",
     )
 
     def __init__(self, settings, reactor, place, machine=Machine()):
--- a/frostpost/canopy/founding.py
+++ b/frostpost/canopy/founding.py
@@ -1,4 +1,5 @@
 """The charter: the names of the founding voters, made once, by one seed, at the first start of the whole system."""
+
 from msgspec import Struct, msgpack
 
 from frostpost.furrow import disk as furrows
@@ -14,6 +15,7 @@
 
 class Founding(Struct):
     """waiting: storage daemons on empty disks at a first start, with when each was first heard."""
+
     furrow: object = None
     waiting: dict[str, int] = {}
     writing: bool = False
--- a/frostpost/canopy/leaf.py
+++ b/frostpost/canopy/leaf.py
@@ -1,4 +1,5 @@
 """An edge or core daemon put together, from its settings to its end."""
+
 from twisted.internet.task import LoopingCall
 
 from frostpost.hedgerow.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
@@ -86,6 +87,7 @@
     def broken(failure):
         say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         fail(70)
+
     task.start(every_s, now=False).addErrback(broken)
     return task
 
@@ -102,8 +104,10 @@
         leaf.tasks.append(loop(leaf, lambda: tend(leaf), TEND_S, stop))
         if leaf.settings.front and leaf.settings.list_host:
             from frostpost.drove import roster
+
             leaf.extras["stops"].append(roster.poll(leaf))
         say("started", name=leaf.settings.name, role=leaf.settings.role)
+
     listen(leaf, received).addCallback(lambda _: front.listen(leaf)).addCallbacks(up, fallen)
 
 
@@ -126,5 +130,6 @@
     def over(_):
         say("left", flights=leaf.flights)
         leaf.reactor.callLater(0.1, stop, 0)
+
     wait_ms = int(grace_ms * LISTEN_RATIO) if leaf.settings.front else 100
     until(leaf, lambda: False, wait_ms).addCallback(last_call).addCallback(over)
--- a/frostpost/canopy/lease.py
+++ b/frostpost/canopy/lease.py
@@ -1,4 +1,5 @@
 """A leaf's session with the ring: its lease, the ring's daemons, and the routing that it honours."""
+
 from msgspec import Struct
 
 from frostpost.hedgerow.outer import Hello, Renew, RoutingAsk
@@ -13,6 +14,7 @@
 
 class Session(Struct):
     """sequencer: name of the ring's daemon that granted last. until_ms: end of the lease, on this daemon's clock."""
+
     sequencer: str = ""
     until_ms: int = NEVER
     heard_ms: int = NEVER
--- a/frostpost/canopy/operating.py
+++ b/frostpost/canopy/operating.py
@@ -1,9 +1,16 @@
 """What control calls ask of the ring."""
+
 from expression import Error, Ok
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from frostpost.coppice.words import (
-    LookRetired, LookRouting, Retire, RoutingHeld, RoutingMoved, RoutingSet, SetRouting,
+    LookRetired,
+    LookRouting,
+    Retire,
+    RoutingHeld,
+    RoutingMoved,
+    RoutingSet,
+    SetRouting,
 )
 from frostpost.drove.failures import Unavailable
 
--- a/frostpost/canopy/peers.py
+++ b/frostpost/canopy/peers.py
@@ -1,4 +1,5 @@
 """Addresses of other daemons, kept on disk so that a start needs no seed."""
+
 from msgspec import Struct, msgpack
 
 from frostpost.furrow import disk as furrows
@@ -18,7 +19,7 @@
 
 
 def known(peers):
-    """"host:port" of those that were members last."""
+    """ "host:port" of those that were members last."""
     return peers.addresses
 
 
--- a/frostpost/canopy/ring.py
+++ b/frostpost/canopy/ring.py
@@ -1,4 +1,5 @@
 """A storage daemon: member of the ring, keeper of the ledger and of the bodies of turns."""
+
 from msgspec import Struct
 from twisted.internet.task import LoopingCall
 
@@ -29,8 +30,25 @@
 
 class House:
     """What a storage daemon holds beside its context."""
-    __slots__ = ("ctx", "settings", "sessions", "tending", "silo", "reactor", "machine", "send", "records",
-                 "waiting", "charter", "tasks", "stop", "peers", "leaves", "greeted")
+
+    __slots__ = (
+        "ctx",
+        "settings",
+        "sessions",
+        "tending",
+        "silo",
+        "reactor",
+        "machine",
+        "send",
+        "records",
+        "waiting",
+        "charter",
+        "tasks",
+        "stop",
+        "peers",
+        "leaves",
+        "greeted",
+    )
 
     def __init__(self, ctx, settings, stop):
         self.ctx, self.settings, self.stop = ctx, settings, stop
@@ -41,6 +59,7 @@
 
 class Crash(Struct):
     """Stands where a daemon's life is asked to end at once."""
+
     stop: object
 
     def crash(self):
@@ -49,10 +68,26 @@
 
 def ring_settings(settings):
     """The product's settings of a ring daemon."""
-    bounds = Bounds(detectMs=settings.detect_ms, proposalMs=settings.detect_ms, leaseMs=settings.lease_ms,
-                    window=WINDOW, rewriteEntries=LOG_ENTRIES)
-    return Settings(settings.name, ROLE, settings.zone, settings.host, settings.port, 0, list(settings.seeds),
-                    [], settings.data, bounds=bounds, tending=Pace(tickMs=settings.tick_ms))
+    bounds = Bounds(
+        detectMs=settings.detect_ms,
+        proposalMs=settings.detect_ms,
+        leaseMs=settings.lease_ms,
+        window=WINDOW,
+        rewriteEntries=LOG_ENTRIES,
+    )
+    return Settings(
+        settings.name,
+        ROLE,
+        settings.zone,
+        settings.host,
+        settings.port,
+        0,
+        list(settings.seeds),
+        [],
+        settings.data,
+        bounds=bounds,
+        tending=Pace(tickMs=settings.tick_ms),
+    )
 
 
 def assemble(settings, reactor, machine, stop):
@@ -68,10 +103,17 @@
     ctx.disk = disks.Keeper(ctx, furrow)
     house.peers = peers.open_(settings.data, machine)
     house.leaves, house.greeted = peers.open_(settings.data, machine, "leaves"), None
-    house.silo = store.open_(settings.data, machine, tell=lambda lost: told_by_disk(house, lost),
-                             disk_bytes=settings.disk_mb * 600000 or 1 << 30)
-    ctx.links = {"applied": lambda: serving.follow(ctx, house.sessions),
-                 "news": lambda frm, body: None, "heard": lambda frm, news: None}
+    house.silo = store.open_(
+        settings.data,
+        machine,
+        tell=lambda lost: told_by_disk(house, lost),
+        disk_bytes=settings.disk_mb * 600000 or 1 << 30,
+    )
+    ctx.links = {
+        "applied": lambda: serving.follow(ctx, house.sessions),
+        "news": lambda frm, body: None,
+        "heard": lambda frm, news: None,
+    }
     ctx.links["send"] = house.send = sender(ctx)
     return house
 
@@ -95,6 +137,7 @@
     def failed(failure):
         say("ListenFault", text=failure.getErrorMessage())
         house.stop(69)
+
     return failed
 
 
@@ -102,8 +145,9 @@
     ctx, settings = house.ctx, house.settings
     house.waiting, house.charter = False, charter
     seeds = dict.fromkeys((*settings.seeds, *peers.known(house.peers)))
-    ctx.core, out = cores.begin(ctx.place, ctx.settings.bounds, [f"@{s}" for s in seeds], charter,
-                                replay(house.records), nowMs(ctx))
+    ctx.core, out = cores.begin(
+        ctx.place, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(house.records), nowMs(ctx)
+    )
     house.records = []
     ctx.disk.write(out.writes)
     loop(house, lambda: heart.beat(ctx), heart.TICK_MS / 1000)
@@ -125,6 +169,7 @@
     def broken(failure):
         say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         house.stop(70)
+
     task.start(every_s, now=False).addErrback(broken)
     house.tasks.append(task)
 
@@ -137,8 +182,11 @@
 
 def repair(house):
     ctx = house.ctx
-    peers = [f"@{p.place.host}:{p.place.port}" for p in ctx.core.hedge.peers.values()
-             if p.place.role == ROLE and p.configuration == ctx.core.hedge.configuration.id]
+    peers = [
+        f"@{p.place.host}:{p.place.port}"
+        for p in ctx.core.hedge.peers.values()
+        if p.place.role == ROLE and p.configuration == ctx.core.hedge.configuration.id
+    ]
     silos.repair(house, ctx.core.granary.coppice.turns, peers)
     ctx.core.hedge.news = {tenders.MISSING: house.silo.missing}
 
@@ -150,7 +198,9 @@
     if not serving.sequencing(ctx) or house.greeted == hedge.configuration.id:
         return
     house.greeted = hedge.configuration.id
-    places = tuple(p for p in (hedge.place, *(hedge.peers[n].place for n in names(hedge.configuration) if n in hedge.peers)))
+    places = tuple(
+        p for p in (hedge.place, *(hedge.peers[n].place for n in names(hedge.configuration) if n in hedge.peers))
+    )
     known = {f"@{a}" for a in house.leaves.addresses} | {s.address for s in house.sessions.leaves.values()}
     for address in sorted(known):
         house.send(address, Directory(places))
--- a/frostpost/canopy/serving.py
+++ b/frostpost/canopy/serving.py
@@ -1,4 +1,5 @@
 """The ring's side of its leaves' sessions: leases, operations handed in, the routing."""
+
 from msgspec import DecodeError, Struct, msgpack
 
 from frostpost.granary.apply import decodeOp
@@ -17,6 +18,7 @@
 
 class LeafSeen(Struct):
     """until_ms: no lease granted to it runs longer, on this daemon's clock."""
+
     address: str
     boot: int
     version: int
@@ -25,6 +27,7 @@
 
 class Sessions(Struct):
     """version_ms: when the routing in force here became so. draining: runners, and until when that is told."""
+
     leaves: dict[str, LeafSeen] = {}
     working: set[tuple[str, int, int]] = set()
     version: int = 0
@@ -60,11 +63,25 @@
     lease_ms = left_ms if seen.version >= held or graced else 0
     seen.until_ms = max(seen.until_ms, now + lease_ms)
     epoch = hedge.configuration.id.epoch
-    places = () if message.epoch == epoch else tuple(
-        p for p in (hedge.place, *(hedge.peers[n].place for n in names(hedge.configuration) if n in hedge.peers)))
-    return Grant(message.sent_ms, lease_ms, hedge.name, tuple(voters_of(ctx)),
-                 held, honoured(ctx, sessions), epoch, places,
-                 sum(s.until_ms > now for s in sessions.leaves.values()), drained(sessions, message.draining, now))
+    places = (
+        ()
+        if message.epoch == epoch
+        else tuple(
+            p for p in (hedge.place, *(hedge.peers[n].place for n in names(hedge.configuration) if n in hedge.peers))
+        )
+    )
+    return Grant(
+        message.sent_ms,
+        lease_ms,
+        hedge.name,
+        tuple(voters_of(ctx)),
+        held,
+        honoured(ctx, sessions),
+        epoch,
+        places,
+        sum(s.until_ms > now for s in sessions.leaves.values()),
+        drained(sessions, message.draining, now),
+    )
 
 
 def forget(sessions, now):
@@ -141,4 +158,5 @@
         else:
             told = Told(message.boot, message.number, b"", type(result.error).__name__)
         ctx.links["send"](address, told)
+
     ask(ctx, op, ASK_MS).addCallback(decided)
--- a/frostpost/canopy/settings.py
+++ b/frostpost/canopy/settings.py
@@ -1,4 +1,5 @@
 """What a daemon is told at its start, and the front that it is handed; both free of any wire's names."""
+
 from typing import Callable
 
 from msgspec import Struct
@@ -10,6 +11,7 @@
 
 class DaemonSettings(Struct, frozen=True):
     """role: edge, core or storage. seeds: inner addresses (host:port) of the daemons that found the fleet."""
+
     name: str
     role: str
     zone: str
@@ -54,6 +56,7 @@
     """listen(leaf) -> Deferred[list of ports]; fetch_list(leaf) -> Deferred[list[Runner]];
     routing_from_body(bytes) -> Routing; reread() -> Result[DaemonSettings, SettingsInvalid].
     """
+
     listen: Callable
     wire: Wire
     fetch_list: Callable
--- a/frostpost/canopy/tenders.py
+++ b/frostpost/canopy/tenders.py
@@ -1,4 +1,5 @@
 """Voters that change by themselves, one at a time, and storage daemons that are emptied."""
+
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
 
@@ -17,6 +18,7 @@
 
 class Tending(Struct):
     """away: voters that aren't members, and since when. busy: a change is under way."""
+
     away: dict[str, int] = {}
     busy: bool = False
     left: bool = False
--- a/frostpost/canopy/tracing.py
+++ b/frostpost/canopy/tracing.py
@@ -1,4 +1,5 @@
 """Lines that follow one attempt through a daemon, where its settings ask for them."""
+
 from frostpost.orchard.news import say
 
 from .context import now_ms
@@ -18,9 +19,16 @@
 
     def decided(result):
         verdict = result.ok if result.is_ok() else result.error
-        say("trace", attempt=attempt, at="decided", operation=operation, verdict=type(verdict).__name__,
-            took_ms=now_ms(leaf) - from_ms)
+        say(
+            "trace",
+            attempt=attempt,
+            at="decided",
+            operation=operation,
+            verdict=type(verdict).__name__,
+            took_ms=now_ms(leaf) - from_ms,
+        )
         return result
+
     answer.addCallback(decided)
 
 
@@ -30,7 +38,14 @@
     say("trace", attempt=call.attempt, at="taken", host=call.host, program=call.program, key=call.key)
 
     def over(lost):
-        say("trace", attempt=call.attempt, at="answered", status=request.code if request.startedWriting else 0,
-            lost=lost, took_ms=now_ms(leaf) - from_ms)
+        say(
+            "trace",
+            attempt=call.attempt,
+            at="answered",
+            status=request.code if request.startedWriting else 0,
+            lost=lost,
+            took_ms=now_ms(leaf) - from_ms,
+        )
         ended(lost)
+
     request.on_over = over
--- a/frostpost/coppice/apply.py
+++ b/frostpost/coppice/apply.py
@@ -1,15 +1,34 @@
 """One step of the turn ledger: (coppice, clock, members, voters, op) -> verdict."""
+
 from heapq import heappop
 
 from . import keys, placement, settings, turns
 from .words import (
-    Abort, Begin, Claim, Disclaim, End, LookRetired, LookRouting, Move, Resolve, Retire, Retired, SetRouting,
+    Abort,
+    Begin,
+    Claim,
+    Disclaim,
+    End,
+    LookRetired,
+    LookRouting,
+    Move,
+    Resolve,
+    Retire,
+    Retired,
+    SetRouting,
 )
 
 STEPS = {
-    Begin: turns.begin, Move: turns.move, End: turns.end, Abort: turns.abort,
-    Claim: keys.claim, Resolve: keys.resolve, Disclaim: keys.disclaim,
-    SetRouting: settings.set_routing, LookRouting: settings.look_routing, Retired: settings.retired,
+    Begin: turns.begin,
+    Move: turns.move,
+    End: turns.end,
+    Abort: turns.abort,
+    Claim: keys.claim,
+    Resolve: keys.resolve,
+    Disclaim: keys.disclaim,
+    SetRouting: settings.set_routing,
+    LookRouting: settings.look_routing,
+    Retired: settings.retired,
 }
 NAMED = {Retire: settings.retire, LookRetired: settings.look_retired}
 
@@ -32,8 +51,11 @@
 
 
 EXPIRE = {
-    "attempt": turns.expire_attempt, "turn": turns.expire_turn, "account": turns.expire_account,
-    "key": keys.expire_key, "tomb": expire_tomb,
+    "attempt": turns.expire_attempt,
+    "turn": turns.expire_turn,
+    "account": turns.expire_account,
+    "key": keys.expire_key,
+    "tomb": expire_tomb,
 }
 
 
--- a/frostpost/coppice/keys.py
+++ b/frostpost/coppice/keys.py
@@ -1,4 +1,5 @@
 """Operation keys: the first try with a key runs, repeats get its answer, for a window from the claim."""
+
 from heapq import heappush
 
 from .state import Key
--- a/frostpost/coppice/placement.py
+++ b/frostpost/coppice/placement.py
@@ -3,6 +3,7 @@
 Costs are in prompt tokens: what the runner would have to read anew, and what its running attempts cost in slower
 steps. A runner with all slots taken takes nothing, so that what waits, waits where urgency is known.
 """
+
 from .state import RunnerUse
 
 ACTIVE_TOKENS = 1500
--- a/frostpost/coppice/settings.py
+++ b/frostpost/coppice/settings.py
@@ -1,4 +1,5 @@
 """The routing, one version after another, and storage daemons that are to be emptied."""
+
 from .words import NoAttempt, RetireState, RoutingHeld, RoutingMoved, RoutingSet
 
 
--- a/frostpost/coppice/state.py
+++ b/frostpost/coppice/state.py
@@ -1,4 +1,5 @@
 """The ledger of programs as trees of turns; a pure value that only `apply` changes."""
+
 from msgspec import Struct
 
 from .words import NoTurn, TokensSpent
@@ -6,6 +7,7 @@
 
 class Turn(Struct, array_like=True):
     """A turn that ended whole. tokens: its prompt and output, which its runner may still hold."""
+
     program: str
     previous: str
     kept_until_ms: int
@@ -26,6 +28,7 @@
 
 class Account(Struct, array_like=True):
     """What a program's attempts put out (spent) and may still put out at the most (reserved)."""
+
     budget: int
     spent: int = 0
     reserved: int = 0
@@ -42,6 +45,7 @@
 
 class RunnerUse(Struct, array_like=True):
     """parts: prompt parts this runner has read, least recently used first, with their tokens."""
+
     active: int = 0
     parts: dict[str, int] = {}
     tokens: int = 0
@@ -50,6 +54,7 @@
 
 class Coppice(Struct, array_like=True):
     """tombs: attempts that are over, until when; refused: what those that were refused were told."""
+
     turns: dict[str, Turn] = {}
     attempts: dict[str, Attempt] = {}
     accounts: dict[str, Account] = {}
--- a/frostpost/coppice/turns.py
+++ b/frostpost/coppice/turns.py
@@ -3,6 +3,7 @@
 A program's tokens put out never pass its budget plus the most of one turn: an attempt is begun only while what was
 spent and reserved is below the budget, and an attempt whose end nobody tells stays counted at its most.
 """
+
 from heapq import heappush
 
 from .placement import leave, place
@@ -54,8 +55,7 @@
     account.reserved += op.amount
     account.open += 1
     until_ms = now_ms + op.left_ms + PLACED_SLACK_MS
-    coppice.attempts[op.attempt] = Attempt(
-        op.program, op.amount, op.previous, runner, until_ms, op.prompt_tokens)
+    coppice.attempts[op.attempt] = Attempt(op.program, op.amount, op.previous, runner, until_ms, op.prompt_tokens)
     heappush(coppice.expiries, (until_ms, "attempt", op.attempt))
     keep_chain(coppice, op.previous, until_ms + CHAIN_SLACK_MS)
     return begun(coppice, op.attempt, coppice.attempts[op.attempt])
@@ -123,7 +123,8 @@
         return NoAttempt(op.attempt)
     until_ms = now_ms + op.keep_ms
     coppice.turns[op.attempt] = Turn(
-        attempt.program, attempt.previous, until_ms, attempt.runner, attempt.prompt_tokens + op.tokens)
+        attempt.program, attempt.previous, until_ms, attempt.runner, attempt.prompt_tokens + op.tokens
+    )
     heappush(coppice.expiries, (until_ms, "turn", op.attempt))
     keep_chain(coppice, attempt.previous, until_ms)
     return Ended()
--- a/frostpost/coppice/words.py
+++ b/frostpost/coppice/words.py
@@ -2,11 +2,13 @@
 
 Times are milliseconds of the ledger's own clock, tokens are whole numbers, ids are text.
 """
+
 from msgspec import Struct
 
 
 class Candidate(Struct, array_like=True, frozen=True):
     """A runner that the asking daemon may send to: its id, its slots, extra cost in tokens."""
+
     runner: str
     slots: int
     penalty: int = 0
@@ -14,6 +16,7 @@
 
 class Begin(Struct, array_like=True, frozen=True, tag="begin"):
     """Reserve `amount` tokens of a program's budget and a runner for one attempt at a turn."""
+
     attempt: str
     program: str
     budget: int
@@ -29,6 +32,7 @@
 
 class Move(Struct, array_like=True, frozen=True, tag="move"):
     """Give an open attempt that no runner has run another runner; number: 1 for its first move, and so on."""
+
     attempt: str
     candidates: tuple[Candidate, ...]
     number: int = 1
@@ -36,6 +40,7 @@
 
 class End(Struct, array_like=True, frozen=True, tag="end"):
     """An attempt put out `tokens`; with `keep_ms` above 0 it becomes a turn that others may follow."""
+
     attempt: str
     tokens: int
     keep_ms: int = 0
@@ -44,6 +49,7 @@
 
 class Abort(Struct, array_like=True, frozen=True, tag="abort"):
     """No runner ran the attempt and none will."""
+
     attempt: str
 
 
@@ -61,6 +67,7 @@
 
 class Disclaim(Struct, array_like=True, frozen=True, tag="disclaimKey"):
     """The claimed key's work was not run and never will be."""
+
     key: str
     attempt: str
 
@@ -90,13 +97,13 @@
 
 
 CoppiceOp = (
-    Begin | Move | End | Abort | Claim | Resolve | Disclaim | SetRouting | LookRouting | Retire | Retired
-    | LookRetired
+    Begin | Move | End | Abort | Claim | Resolve | Disclaim | SetRouting | LookRouting | Retire | Retired | LookRetired
 )
 
 
 class Begun(Struct, array_like=True, frozen=True, tag="begun"):
     """The runner, the turns whose bodies come first (oldest first), and what the program may still put out."""
+
     runner: str
     chain: tuple[str, ...]
 
@@ -116,6 +123,7 @@
 
 class NoPlace(Struct, array_like=True, frozen=True, tag="NoPlace"):
     """No candidate has room; `wait_ms` is when to come back."""
+
     wait_ms: int
 
 
@@ -150,10 +158,22 @@
 
 class RetireState(Struct, array_like=True, frozen=True, tag="retireState"):
     """state: unknown, few, in_service or completed."""
+
     state: str
 
 
 CoppiceVerdict = (
-    Begun | Ended | NoTurn | TokensSpent | NoPlace | NoAttempt | Claimed | KeyAtWork | KeyAnswered
-    | RoutingSet | RoutingMoved | RoutingHeld | RetireState
+    Begun
+    | Ended
+    | NoTurn
+    | TokensSpent
+    | NoPlace
+    | NoAttempt
+    | Claimed
+    | KeyAtWork
+    | KeyAnswered
+    | RoutingSet
+    | RoutingMoved
+    | RoutingHeld
+    | RetireState
 )
--- a/frostpost/drove/connection.py
+++ b/frostpost/drove/connection.py
@@ -1,4 +1,5 @@
 """One connection to a runner: one exchange at a time, dropped at the first doubt."""
+
 import socket
 
 from twisted.internet.protocol import Protocol
@@ -19,8 +20,7 @@
         try:
             self.transport.setTcpNoDelay(True)
             self.transport.setTcpKeepAlive(True)
-            self.transport.getHandle().setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+            self.transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         except (AttributeError, OSError):
             pass
 
--- a/frostpost/drove/events.py
+++ b/frostpost/drove/events.py
@@ -1,9 +1,11 @@
 """An incremental reader of server-sent events; whole events only leave it."""
+
 from msgspec import Struct
 
 
 class Event(Struct, frozen=True):
     """raw: the bytes as they came, the blank line included. data is None without a data line."""
+
     raw: bytes
     id: str | None
     data: bytes | None
--- a/frostpost/drove/exchange.py
+++ b/frostpost/drove/exchange.py
@@ -1,16 +1,30 @@
 """One request to one runner and what was heard of its answer."""
+
 from frostpost.canopy.context import now_ms
 
 from .outcomes import Broken, NotRun, NotSent, Whole
 
-HOP = frozenset((b"host", b"content-length", b"transfer-encoding", b"connection", b"keep-alive", b"te",
-                 b"trailer", b"upgrade", b"proxy-connection", b"expect"))
+HOP = frozenset(
+    (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"connection",
+        b"keep-alive",
+        b"te",
+        b"trailer",
+        b"upgrade",
+        b"proxy-connection",
+        b"expect",
+    )
+)
 PROMISES = (408, 429, 503)
 WITH_BODY = (b"POST", b"PUT", b"PATCH")
 
 
 class Exchange:
     """listener: head(RunnerHead), data(bytes), done(outcome); done comes once and last, unless stopped."""
+
     __slots__ = ("leaf", "runner", "call", "body", "until_ms", "listener", "connection", "over", "written", "head")
 
     def __init__(self, leaf, runner, call, body, until_ms, listener):
--- a/frostpost/drove/failures.py
+++ b/frostpost/drove/failures.py
@@ -1,4 +1,5 @@
 """Failures of a request; `promised` means that it has not run and never will."""
+
 from msgspec import Struct
 
 
@@ -21,11 +22,13 @@
 
 class AtWork(Struct, frozen=True, tag="AtWork"):
     """The key's first request is still running, or how it ended is not known."""
+
     promised = True
 
 
 class Unavailable(Struct, frozen=True, tag="Unavailable"):
     """No lease, no order, or a body out of reach; come back after retry_ms."""
+
     retry_ms: int
     why: str = ""
     promised = True
@@ -42,10 +45,12 @@
 
 class Unknown(Struct, frozen=True, tag="Unknown"):
     """It was sent and no whole answer came: it may have run."""
+
     why: str = ""
     promised = False
 
 
 class TimedOut(Struct, frozen=True, tag="TimedOut"):
     """It was sent and its time passed: it may have run."""
+
     promised = False
--- a/frostpost/drove/keyed.py
+++ b/frostpost/drove/keyed.py
@@ -1,4 +1,5 @@
 """Requests that carry a key: they run once for a key, and repeats get the first one's answer."""
+
 from msgspec import msgpack
 from twisted.internet.defer import inlineCallbacks
 
--- a/frostpost/drove/lookup.py
+++ b/frostpost/drove/lookup.py
@@ -1,4 +1,5 @@
 """Requests that need no order: safe ones, which may be repeated, and unsafe ones, which run once."""
+
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.canopy.context import count, now_ms
@@ -45,8 +46,11 @@
         if isinstance(outcome, NotRun):
             count(leaf, "turned_away")
             continue
-        if isinstance(outcome, ClientLeft) or isinstance(outcome, Answer) and not (
-                repeatable and outcome.status >= 500):
+        if (
+            isinstance(outcome, ClientLeft)
+            or isinstance(outcome, Answer)
+            and not (repeatable and outcome.status >= 500)
+        ):
             return outcome
         if isinstance(outcome, Answer):
             whole = outcome
--- a/frostpost/drove/outcomes.py
+++ b/frostpost/drove/outcomes.py
@@ -1,19 +1,23 @@
 """How one send to one runner ended."""
+
 from msgspec import Struct
 
 
 class NotSent(Struct, frozen=True, tag="NotSent"):
     """No byte of the request was written."""
+
     why: str
 
 
 class NotRun(Struct, frozen=True, tag="NotRun"):
     """The runner said that it did not run it."""
+
     status: int
 
 
 class Broken(Struct, frozen=True, tag="Broken"):
     """It was sent and no whole answer of its own came: it may have run."""
+
     why: str
 
 
@@ -23,6 +27,7 @@
 
 class Answer(Struct, frozen=True, tag="Answer"):
     """A whole answer whose body was held back until it was whole."""
+
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
--- a/frostpost/drove/parsing.py
+++ b/frostpost/drove/parsing.py
@@ -1,4 +1,5 @@
 """Reading a runner's answer: head, body and whatever comes after it."""
+
 from twisted.web.http import _ChunkedTransferDecoder, _IdentityTransferDecoder
 from twisted.web._newclient import HTTPParser, ParseError
 
--- a/frostpost/drove/picking.py
+++ b/frostpost/drove/picking.py
@@ -1,4 +1,5 @@
 """Which runner a request goes to, from what this daemon knows of their loads."""
+
 from zlib import crc32
 
 from msgspec import Struct
@@ -18,6 +19,7 @@
 
 class Load(Struct):
     """own: requests of this daemon there. others: requests of all others, as told at told_ms."""
+
     own: int = 0
     others: int = 0
     told_ms: int = 0
@@ -60,7 +62,7 @@
     resting = [r for r in known if r.id in leaf.loads and leaf.loads[r.id].resting_until_ms > now]
     if len(resting) > len(known) // 2:
         resting.sort(key=lambda r: -leaf.loads[r.id].resting_until_ms)
-        resting = resting[:len(known) // 2]
+        resting = resting[: len(known) // 2]
     out = {r.id for r in resting}
     return [r for r in known if r.id not in out and r.id not in tried]
 
--- a/frostpost/drove/pool.py
+++ b/frostpost/drove/pool.py
@@ -1,4 +1,5 @@
 """A daemon's own connections to each runner."""
+
 from collections import deque
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -71,8 +72,9 @@
     def connect(self):
         self.opening += 1
         count(self.leaf, "connects")
-        endpoint = TCP4ClientEndpoint(self.leaf.reactor, self.runner.host, self.runner.port,
-                                      timeout=setting(self.leaf, "connect_ms", 1000) / 1000)
+        endpoint = TCP4ClientEndpoint(
+            self.leaf.reactor, self.runner.host, self.runner.port, timeout=setting(self.leaf, "connect_ms", 1000) / 1000
+        )
         factory = Factory.forProtocol(lambda: Connection(self))
         factory.noisy = False
         endpoint.connect(factory).addCallbacks(self._connected, self._no_connection)
@@ -110,8 +112,7 @@
 def may_send(leaf, exchange):
     """Why nothing may be sent now, or empty."""
     runner = leaf.runners.get(exchange.runner.id)
-    if runner is None or runner.draining or (runner.host, runner.port) != (
-            exchange.runner.host, exchange.runner.port):
+    if runner is None or runner.draining or (runner.host, runner.port) != (exchange.runner.host, exchange.runner.port):
         return "gone"
     if exchange.until_ms <= now_ms(leaf):
         return "late"
--- a/frostpost/drove/roster.py
+++ b/frostpost/drove/roster.py
@@ -1,4 +1,5 @@
 """The list of runners, kept current; what one daemon's list shows as leaving, all daemons know."""
+
 from msgspec import structs
 from twisted.internet.defer import maybeDeferred
 
@@ -29,7 +30,8 @@
 def set_runners(leaf, runners):
     now, told = now_ms(leaf), leaf.extras.get("told_draining", {})
     leaf.runners = {
-        r.id: structs.replace(r, draining=True) if told.get(r.id, 0) > now and not r.draining else r for r in runners}
+        r.id: structs.replace(r, draining=True) if told.get(r.id, 0) > now and not r.draining else r for r in runners
+    }
     close_pools(leaf, [i for i in leaf.pools if i not in leaf.runners or leaf.runners[i].draining])
 
 
--- a/frostpost/drove/routing.py
+++ b/frostpost/drove/routing.py
@@ -1,4 +1,5 @@
 """Which route and which service a request belongs to."""
+
 from zlib import crc32
 
 
@@ -30,7 +31,7 @@
         return None
     end = path.rfind("/")
     while end >= 0:
-        route = prefixes.get(path[:end + 1])
+        route = prefixes.get(path[: end + 1])
         if route is not None:
             return route
         end = path.rfind("/", 0, end)
--- a/frostpost/drove/run.py
+++ b/frostpost/drove/run.py
@@ -1,4 +1,5 @@
 """One send of a call to one runner, until its outcome is known."""
+
 from twisted.internet.defer import Deferred
 
 from frostpost.canopy.context import now_ms
@@ -11,6 +12,7 @@
 
 class Watch:
     """What the client of one call does, told to whoever serves it at the moment."""
+
     __slots__ = ("left", "run", "paused")
 
     def __init__(self, sink):
@@ -37,8 +39,21 @@
 
 class Run:
     """A listener of one exchange. A 2xx answer goes to on_head and on_data if there are any, else it is held back."""
-    __slots__ = ("leaf", "runner", "watch", "on_head", "on_data", "handle", "timer", "ended", "answer_head",
-                 "chunks", "size", "streams")
+
+    __slots__ = (
+        "leaf",
+        "runner",
+        "watch",
+        "on_head",
+        "on_data",
+        "handle",
+        "timer",
+        "ended",
+        "answer_head",
+        "chunks",
+        "size",
+        "streams",
+    )
 
     def __init__(self, leaf, runner, watch, on_head, on_data):
         self.leaf, self.runner, self.watch, self.on_head, self.on_data = leaf, runner, watch, on_head, on_data
--- a/frostpost/drove/serve.py
+++ b/frostpost/drove/serve.py
@@ -1,4 +1,5 @@
 """The way of one request: filters in order, then the way of its route's kind."""
+
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.canopy.context import count, now_ms
--- a/frostpost/drove/stream.py
+++ b/frostpost/drove/stream.py
@@ -1,4 +1,5 @@
 """Streams: passed on event by event, never joined from two runs, never ended before they are whole."""
+
 from msgspec import structs
 from twisted.internet.defer import inlineCallbacks
 
@@ -16,8 +17,21 @@
 
 class Stream:
     """One answer under way. passed: events handed to the client. maybe: it may have run somewhere."""
-    __slots__ = ("call", "sink", "watch", "parser", "headed", "passed", "last_id", "data", "keeps", "maybe",
-                 "joined", "spliced")
+
+    __slots__ = (
+        "call",
+        "sink",
+        "watch",
+        "parser",
+        "headed",
+        "passed",
+        "last_id",
+        "data",
+        "keeps",
+        "maybe",
+        "joined",
+        "spliced",
+    )
 
     def __init__(self, call, sink, watch, keeps):
         self.call, self.sink, self.watch, self.keeps = call, sink, watch, keeps
--- a/frostpost/drove/turn.py
+++ b/frostpost/drove/turn.py
@@ -1,4 +1,5 @@
 """What the ledger is asked and told about one attempt at a stream, and the bodies that belong to it."""
+
 from msgspec import Struct
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 
@@ -19,6 +20,7 @@
 
 class Placed(Struct, frozen=True):
     """A runner, and the whole body that it is to get."""
+
     runner: object
     body: bytes
 
@@ -61,11 +63,20 @@
 @inlineCallbacks
 def begin(leaf, route, service, call, until_ms):
     """Placed, or a failure; after a failure the ledger holds nothing of the attempt."""
+
     def operation(offered, left_ms):
         return Begin(
-            attempt=call.attempt, program=call.program or call.attempt, budget=call.budget,
-            amount=call.most_tokens, previous=call.previous, left_ms=left_ms, candidates=offered,
-            parts=call.parts, line=call.line, prompt_tokens=call.prompt_tokens)
+            attempt=call.attempt,
+            program=call.program or call.attempt,
+            budget=call.budget,
+            amount=call.most_tokens,
+            previous=call.previous,
+            left_ms=left_ms,
+            candidates=offered,
+            parts=call.parts,
+            line=call.line,
+            prompt_tokens=call.prompt_tokens,
+        )
 
     verdict = yield decide(leaf, route, service, (), operation, until_ms)
     if isinstance(verdict, TokensSpent):
@@ -91,6 +102,7 @@
 @inlineCallbacks
 def move(leaf, route, service, call, tried, until_ms):
     """The id of another runner for an attempt that surely wasn't run, or a failure; the caller aborts it then."""
+
     def operation(offered, _left_ms):
         return Move(call.attempt, offered, len(tried))
 
--- a/frostpost/drove/words.py
+++ b/frostpost/drove/words.py
@@ -2,6 +2,7 @@
 
 Times are milliseconds, header names and values are bytes, ids are text.
 """
+
 from typing import Callable
 
 from msgspec import Struct
@@ -9,6 +10,7 @@
 
 class Route(Struct, frozen=True):
     """kind: safe, unsafe, idempotent or streaming. weights: (service, weight) pairs."""
+
     name: str
     host: str
     prefix: str
@@ -49,6 +51,7 @@
 
 class Runner(Struct, frozen=True):
     """One life of a runner, as the list of runners shows it."""
+
     id: str
     service: str
     host: str
@@ -60,6 +63,7 @@
 
 class Call(Struct):
     """One try of a client. uri: path and query as sent; headers: those to pass on, in order."""
+
     attempt: str
     method: bytes
     uri: bytes
@@ -82,6 +86,7 @@
 
 class RunnerHead(Struct, frozen=True):
     """The head of a runner's answer. headers: those to pass back, in order. load: running, waiting, slots."""
+
     status: int
     headers: list[tuple[bytes, bytes]]
     attempt: str = ""
@@ -99,6 +104,7 @@
     request_headers(call, runner, left_ms) -> list of (name, value) pairs, without Host, lengths and connection
     headers; read_head(status, headers) -> RunnerHead, from a status and (name, value) pairs.
     """
+
     request_headers: Callable
     read_head: Callable
 
@@ -108,6 +114,7 @@
     failed(failure) (a whole answer made from a product's failure), gone() -> bool (the client has left),
     on_gone(callback), set once by whoever wants to know. Backpressure: on_pause(callback), on_resume(callback).
     """
+
     head: Callable
     data: Callable
     end: Callable
--- a/frostpost/furrow/disk.py
+++ b/frostpost/furrow/disk.py
@@ -46,7 +46,7 @@
     end = offset + HEAD.size + length
     if magic != MAGIC or end > len(data):
         return None
-    payload = data[offset + HEAD.size:end]
+    payload = data[offset + HEAD.size : end]
     if crc32(payload, crc32(serial.to_bytes(8, "big"))) != sum:
         return None
     return serial, payload, end
@@ -112,7 +112,7 @@
     view = memoryview(data)
     try:
         while view:
-            view = view[furrow.files.write(furrow.fd, view):]
+            view = view[furrow.files.write(furrow.fd, view) :]
     except OSError:
         furrow.files.ftruncate(furrow.fd, furrow.size)
         raise
@@ -138,7 +138,7 @@
     try:
         view = memoryview(data)
         while view:
-            view = view[files.write(fd, view):]
+            view = view[files.write(fd, view) :]
         files.fsync(fd)
         files.replace(fresh, furrow.path)
     except OSError:
--- a/frostpost/gate/app.py
+++ b/frostpost/gate/app.py
@@ -36,6 +36,7 @@
         call.gone = True
         if call.stop:
             call.stop()
+
     call.request.notifyFinish().addErrback(gone)
 
 
@@ -55,8 +56,13 @@
     else:
         result = fault
     count(ctx, f"{call.kind}/{type(result).__name__ if result is not None else 'served'}")
-    say("call", request=call.id, lane=f"{call.tenant}/{call.laneName}", tookMs=nowMs(ctx) - call.startedMs,
-        verdict="served" if result is None else type(result).__name__)
+    say(
+        "call",
+        request=call.id,
+        lane=f"{call.tenant}/{call.laneName}",
+        tookMs=nowMs(ctx) - call.startedMs,
+        verdict="served" if result is None else type(result).__name__,
+    )
     return result
 
 
@@ -85,6 +91,7 @@
             return result.error
         box.append(result.ok)
         return None
+
     fault = yield serve(ctx, call, handler)
     if call.gone:
         return b""
@@ -136,6 +143,7 @@
         def connectionLost(reason):
             self.ctx.channels.pop(channel, None)
             return lost(reason)
+
         channel.connectionLost, channel.makeConnection = connectionLost, makeConnection
         return channel
 
--- a/frostpost/gate/calls.py
+++ b/frostpost/gate/calls.py
@@ -55,8 +55,7 @@
 
 
 FIELDS = {
-    "turns": {"program": (str, True), "input": (str, True), "limitMs": (int, False),
-              "maxOutput": (int, False)},
+    "turns": {"program": (str, True), "input": (str, True), "limitMs": (int, False), "maxOutput": (int, False)},
     "lookups": {"input": (str, True), "key": (str, False), "limitMs": (int, False)},
 }
 
@@ -134,8 +133,7 @@
     return None
 
 
-CHAIN = (
-    filterLeaving, filterServing, filterLane, filterCrowd, filterBody, filterKey, filterLimit)
+CHAIN = (filterLeaving, filterServing, filterLane, filterCrowd, filterBody, filterKey, filterLimit)
 
 
 def leftMs(ctx, call):
@@ -158,5 +156,11 @@
 def make(ctx, kind, tenant, lane, request):
     request.content.seek(0)
     return Call(
-        request.getHeader("x-request") or ctx.machine.token(8), kind, tenant, lane, nowMs(ctx),
-        raw=request.content.read(), request=request)
+        request.getHeader("x-request") or ctx.machine.token(8),
+        kind,
+        tenant,
+        lane,
+        nowMs(ctx),
+        raw=request.content.read(),
+        request=request,
+    )
--- a/frostpost/gate/carry.py
+++ b/frostpost/gate/carry.py
@@ -125,8 +125,7 @@
 
     def endpointForURI(self, uri):
         self.made += 1
-        return Numbered(self, TCP4ClientEndpoint(
-            self.reactor, uri.host.decode(), uri.port, timeout=self.waitS))
+        return Numbered(self, TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.waitS))
 
 
 class Numbered:
@@ -204,6 +203,7 @@
 
         def said(raw):
             over(TurnedAway(response.code) if away and neverRan(raw) else Broken(f"status {response.code}"))
+
         gather(response, SAID_BYTES).addCallbacks(said, lambda f: over(Broken(f.type.__name__)))
 
     def failed(failure):
@@ -220,10 +220,13 @@
             return over(NeverSent("given up"))
         pool.persistent = False
         go.request = client.request(
-            "POST", f"{base}{path}",
-            headers={"content-type": ["application/json"], "x-runner": [runner.name],
-                     "x-instance": [runner.instance]},
-            data=Guarded(ctx, go, json.encode(document)), unbuffered=True, allow_redirects=False)
+            "POST",
+            f"{base}{path}",
+            headers={"content-type": ["application/json"], "x-runner": [runner.name], "x-instance": [runner.instance]},
+            data=Guarded(ctx, go, json.encode(document)),
+            unbuffered=True,
+            allow_redirects=False,
+        )
         go.request.addCallbacks(responded, failed)
 
     def tidy(result):
--- a/frostpost/gate/control.py
+++ b/frostpost/gate/control.py
@@ -31,8 +31,10 @@
         return result, ((template, versionOf(ctx, template)),)
     path = f"templates/{name}"
     tenants = [
-        (p.split("/", 1)[1], d) for p, (_, d) in ctx.documents.items()
-        if p.startswith("tenants/") and d["template"] == name]
+        (p.split("/", 1)[1], d)
+        for p, (_, d) in ctx.documents.items()
+        if p.startswith("tenants/") and d["template"] == name
+    ]
     bases = tuple((f"tenants/{t}", versionOf(ctx, f"tenants/{t}")) for t, _ in tenants)
     return checkTemplate(document, tenants), (*bases, *(() if bases else ((path, versionOf(ctx, path)),)))
 
@@ -110,8 +112,14 @@
     item = yield shelves.put(ctx, body)
     if not (yield shelves.spread(ctx, item)):
         return Error(faults.Undecided())
-    result = taken(ConfigSet, (yield ask(ctx, SetConfig(
-        path, item.digest, item.size, version, item.source, item.number, bases), doors.ackMs)))
+    result = taken(
+        ConfigSet,
+        (
+            yield ask(
+                ctx, SetConfig(path, item.digest, item.size, version, item.source, item.number, bases), doors.ackMs
+            )
+        ),
+    )
     if result.is_error():
         return result
     index = result.ok.index
@@ -171,6 +179,7 @@
             if "version" in result.ok:
                 request.setHeader("etag", f'"{result.ok["version"]}"')
             return answer(request, result.ok)
+
         return finish
 
     @app.route("/v1/config/<kind>/<name>", methods=["PUT", "PATCH"])
--- a/frostpost/gate/lookups.py
+++ b/frostpost/gate/lookups.py
@@ -33,11 +33,25 @@
         run.data += data
         if len(run.data) > ctx.settings.doors.verdictBytes:
             stop(carry.TooMuch(ctx.settings.doors.verdictBytes))
-    ended, stop = carry.start(ctx, go, "/run", {
-        "runner": runner.name, "instance": runner.instance, "kind": "lookup", "request": call.id,
-        "lane": call.laneName, "tenant": call.tenant, "input": call.document["input"],
-        "key": call.document.get("key"), "config": dict(call.lane.marks),
-    }, hear, max(1, min(shareMs, leftMs(ctx, call))))
+
+    ended, stop = carry.start(
+        ctx,
+        go,
+        "/run",
+        {
+            "runner": runner.name,
+            "instance": runner.instance,
+            "kind": "lookup",
+            "request": call.id,
+            "lane": call.laneName,
+            "tenant": call.tenant,
+            "input": call.document["input"],
+            "key": call.document.get("key"),
+            "config": dict(call.lane.marks),
+        },
+        hear,
+        max(1, min(shareMs, leftMs(ctx, call))),
+    )
     if call.lane.repeat != "keyed":
         call.stop = lambda: stop(carry.Broken("caller gone"))
     run.reason = yield ended
@@ -101,8 +115,9 @@
     key = f"{call.tenant}/{call.laneName}/{call.document['key']}"
     digest = blake2b(call.document["input"].encode(), digest_size=16).hexdigest()
     while True:
-        result = yield ask(ctx, ClaimKey(key, digest, call.lane.keyWindowMs),
-                           min(ctx.settings.doors.askMs, max(1, leftMs(ctx, call))))
+        result = yield ask(
+            ctx, ClaimKey(key, digest, call.lane.keyWindowMs), min(ctx.settings.doors.askMs, max(1, leftMs(ctx, call)))
+        )
         if result.is_error():
             return result
         match result.ok:
@@ -155,6 +170,7 @@
     def expire():
         if not waiting.called:
             waiting.callback(None)
+
     timer = ctx.reactor.callLater(max(0.001, waitMs / 1000), expire)
 
     def tidy(result):
@@ -163,6 +179,7 @@
         if waiting in ctx.keyWaiters.get(key, []):
             ctx.keyWaiters[key].remove(waiting)
         return result
+
     return waiting.addBoth(tidy)
 
 
--- a/frostpost/gate/reads.py
+++ b/frostpost/gate/reads.py
@@ -18,26 +18,52 @@
 def status(ctx):
     hedge, granary = ctx.core.hedge, ctx.core.granary
     return {
-        "name": hedge.name, "boot": hedge.me.boot, "role": hedge.place.role,
-        "cell": hedge.place.cell, "serving": leaseOk(ctx.core, nowMs(ctx)) and not ctx.leaving,
-        "leaving": ctx.leaving, "upMs": nowMs(ctx) - ctx.startedMs,
+        "name": hedge.name,
+        "boot": hedge.me.boot,
+        "role": hedge.place.role,
+        "cell": hedge.place.cell,
+        "serving": leaseOk(ctx.core, nowMs(ctx)) and not ctx.leaving,
+        "leaving": ctx.leaving,
+        "upMs": nowMs(ctx) - ctx.startedMs,
         "configuration": {
-            "epoch": hedge.configuration.id.epoch, "proposer": hedge.configuration.id.proposer,
+            "epoch": hedge.configuration.id.epoch,
+            "proposer": hedge.configuration.id.proposer,
             "members": [m.name for m in hedge.configuration.members],
-            "sequencer": sequencer(hedge), "ageMs": hedge.nowMs - hedge.installedMs},
-        "recovering": hedge.recovery is not None, "voters": list(granary.voters),
-        "primary": hedge.primary.opened, "rules": granary.rules, "applied": hedge.applied,
-        "configIndex": granary.configIndex, "honoured": ctx.honoured,
-        "clockMs": granary.clockMs, "flights": ctx.flights, "lagMs": round(ctx.lagMs, 1), "unwell": ctx.disk.unwell,
-        "corrupt": ctx.corrupt, "syncs": ctx.disk.syncs,
-        "duties": {n: {"holder": d.holder.name if d.holder else None, "fence": d.fence}
-                   for n, d in granary.duties.items()},
-        "peers": {n: {"heardMs": min(hedge.nowMs - p.heardMs, 1 << 31), "applied": p.applied,
-                      "ready": p.ready, "unwell": p.unwell,
-                      "honoured": p.news.get("~honoured", 0)} for n, p in hedge.peers.items()},
-        "counts": {**hedge.counts, **ctx.counts}, "wallMs": int(ctx.machine.wallS() * 1000),
-        "listSet": bool(ctx.settings.list), "listAgeMs": nowMs(ctx) - ctx.listedMs if ctx.listedMs else None,
-        "diskFreePart": freePart(ctx.settings.data), "seeds": ctx.settings.seeds,
+            "sequencer": sequencer(hedge),
+            "ageMs": hedge.nowMs - hedge.installedMs,
+        },
+        "recovering": hedge.recovery is not None,
+        "voters": list(granary.voters),
+        "primary": hedge.primary.opened,
+        "rules": granary.rules,
+        "applied": hedge.applied,
+        "configIndex": granary.configIndex,
+        "honoured": ctx.honoured,
+        "clockMs": granary.clockMs,
+        "flights": ctx.flights,
+        "lagMs": round(ctx.lagMs, 1),
+        "unwell": ctx.disk.unwell,
+        "corrupt": ctx.corrupt,
+        "syncs": ctx.disk.syncs,
+        "duties": {
+            n: {"holder": d.holder.name if d.holder else None, "fence": d.fence} for n, d in granary.duties.items()
+        },
+        "peers": {
+            n: {
+                "heardMs": min(hedge.nowMs - p.heardMs, 1 << 31),
+                "applied": p.applied,
+                "ready": p.ready,
+                "unwell": p.unwell,
+                "honoured": p.news.get("~honoured", 0),
+            }
+            for n, p in hedge.peers.items()
+        },
+        "counts": {**hedge.counts, **ctx.counts},
+        "wallMs": int(ctx.machine.wallS() * 1000),
+        "listSet": bool(ctx.settings.list),
+        "listAgeMs": nowMs(ctx) - ctx.listedMs if ctx.listedMs else None,
+        "diskFreePart": freePart(ctx.settings.data),
+        "seeds": ctx.settings.seeds,
         "places": [placed(p) for p in (hedge.place, *(p.place for p in hedge.peers.values()))],
     }
 
@@ -50,8 +76,13 @@
 
 
 def placed(place):
-    return {"name": place.member.name, "role": place.role, "cell": place.cell,
-            "inner": f"{place.host}:{place.port}", "http": f"{place.host}:{place.httpPort}"}
+    return {
+        "name": place.member.name,
+        "role": place.role,
+        "cell": place.cell,
+        "inner": f"{place.host}:{place.port}",
+        "http": f"{place.host}:{place.httpPort}",
+    }
 
 
 def runners(ctx):
@@ -59,10 +90,15 @@
     found = []
     for runner in granary.runners.values():
         held = ctx.statuses.get(runner.name)
-        found.append({
-            **named(runner), "running": granary.running.get(runner.name, 0),
-            "leaving": f"{runner.name}/{runner.instance}" in granary.leaving,
-            "load": held.load if held else None, "prefixes": len(held.prefixes) if held else None})
+        found.append(
+            {
+                **named(runner),
+                "running": granary.running.get(runner.name, 0),
+                "leaving": f"{runner.name}/{runner.instance}" in granary.leaving,
+                "load": held.load if held else None,
+                "prefixes": len(held.prefixes) if held else None,
+            }
+        )
     return {"runners": found}
 
 
@@ -76,19 +112,27 @@
         return faults.NoSuch("this program has no history kept here")
     if not all(whole(line) for line in held.lines):
         return faults.Internal("kept history failed its checksum")
-    return {"program": name, "budget": held.budget, "spent": held.spent, "reserved": held.reserved,
-            "history": [{"input": line.input, "output": line.output} for line in held.lines]}
+    return {
+        "program": name,
+        "budget": held.budget,
+        "spent": held.spent,
+        "reserved": held.reserved,
+        "history": [{"input": line.input, "output": line.output} for line in held.lines],
+    }
 
 
 def explained(ctx, tenant, lane):
     found = ctx.lanes.get((tenant, lane))
     if found is None:
         return faults.NoLane(f"tenant {tenant} has no lane {lane}")
-    question = Question(found.pools, ctx.settings.cell, (), "explain", nowMs(ctx),
-                        leaving=frozenset(ctx.core.granary.leaving))
+    question = Question(
+        found.pools, ctx.settings.cell, (), "explain", nowMs(ctx), leaving=frozenset(ctx.core.granary.leaving)
+    )
     rows = explain(question, ctx.core.granary.runners.values(), ctx.statuses, ctx.settings.weights)
-    return {"lane": named(found), "runners": [
-        {"runner": r.name, "vetoes": v, "scores": s, "total": round(t, 4)} for r, v, s, t in rows]}
+    return {
+        "lane": named(found),
+        "runners": [{"runner": r.name, "vetoes": v, "scores": s, "total": round(t, 4)} for r, v, s, t in rows],
+    }
 
 
 def config(ctx, path):
@@ -102,9 +146,14 @@
 
 def configs(ctx):
     granary = ctx.core.granary
-    return {"index": granary.configIndex, "configs": {
-        p: {"version": m.version, "digest": m.digest, "size": m.size}
-        for p, m in granary.configs.items() if m.digest}}
+    return {
+        "index": granary.configIndex,
+        "configs": {
+            p: {"version": m.version, "digest": m.digest, "size": m.size}
+            for p, m in granary.configs.items()
+            if m.digest
+        },
+    }
 
 
 def routes(app, ctx, answer, turnAway):
@@ -136,6 +185,7 @@
             if result.is_error():
                 return turnAway(request, result.error, "")
             return leased(request, lambda: program(ctx, tenant, name))
+
         return ask(ctx, Look(), ctx.settings.doors.askMs).addCallback(look)
 
     @app.route("/v1/tenants/<tenant>/lanes/<lane>/explain", methods=["GET"])
--- a/frostpost/gate/sets.py
+++ b/frostpost/gate/sets.py
@@ -33,14 +33,16 @@
         if not path.startswith("templates/"):
             continue
         name = path.split("/", 1)[1]
-        tenants = [(p.split("/", 1)[1], d) for p, d in found.items()
-                   if p.startswith("tenants/") and isinstance(d, dict) and d.get("template") == name]
+        tenants = [
+            (p.split("/", 1)[1], d)
+            for p, d in found.items()
+            if p.startswith("tenants/") and isinstance(d, dict) and d.get("template") == name
+        ]
         used |= {f"tenants/{t}" for t, _ in tenants}
         result = checkTemplate(one, tenants)
         if result.is_error():
             wrong += [Fault(f"/{path}{f.path}", f.text) for f in result.error.faults]
-    wrong += [Fault(f"/{p}/template", "no such template") for p in found
-              if p.startswith("tenants/") and p not in used]
+    wrong += [Fault(f"/{p}/template", "no such template") for p in found if p.startswith("tenants/") and p not in used]
     return wrong, {p: json.encode(d) for p, d in found.items()}
 
 
@@ -128,9 +130,15 @@
     marks = ctx.core.granary.past.get(path)
     if not marks:
         return Error(faults.NoSuch(f"there is no history of {path}"))
-    return Ok({"path": path, "versions": [
-        {"version": m.version, "digest": m.digest, "size": m.size, "index": m.index, "removed": not m.digest}
-        for m in marks]})
+    return Ok(
+        {
+            "path": path,
+            "versions": [
+                {"version": m.version, "digest": m.digest, "size": m.size, "index": m.index, "removed": not m.digest}
+                for m in marks
+            ],
+        }
+    )
 
 
 def former(ctx, path, number):
--- a/frostpost/gate/turns.py
+++ b/frostpost/gate/turns.py
@@ -3,7 +3,15 @@
 
 from frostpost.granary import programs
 from frostpost.granary.words import (
-    BudgetSpent, Done, NoRunner, Release, Reserve, Reserved, Settle, StaleConfig, TurnOpen,
+    BudgetSpent,
+    Done,
+    NoRunner,
+    Release,
+    Reserve,
+    Reserved,
+    Settle,
+    StaleConfig,
+    TurnOpen,
 )
 from frostpost.harvest.judge import Question, Status, chainOf, rank
 from frostpost.orchard.context import count, nowMs
@@ -26,8 +34,14 @@
 
 def select(ctx, call, chain, tried):
     question = Question(
-        call.lane.pools, ctx.settings.cell, chain, call.id, nowMs(ctx), frozenset(tried),
-        frozenset(ctx.core.granary.leaving))
+        call.lane.pools,
+        ctx.settings.cell,
+        chain,
+        call.id,
+        nowMs(ctx),
+        frozenset(tried),
+        frozenset(ctx.core.granary.leaving),
+    )
     runners = ctx.core.granary.runners.values()
     return rank(question, runners, ctx.statuses, ctx.settings.weights)
 
@@ -58,11 +72,20 @@
         ranked = select(ctx, call, chain, tried)
         if not ranked or call.gone:
             return faults.RunnersFull()
-        result = yield ask(ctx, Reserve(
-            key, amount, call.lane.budget, call.lane.keepMs, call.lane.pools,
-            tuple((r.name, r.instance) for r in ranked[:CANDIDATES]), call.lane.marks,
-            max(call.lane.budgetKeepMs, call.lane.keepMs),
-        ), min(ctx.settings.doors.askMs, leftMs(ctx, call)))
+        result = yield ask(
+            ctx,
+            Reserve(
+                key,
+                amount,
+                call.lane.budget,
+                call.lane.keepMs,
+                call.lane.pools,
+                tuple((r.name, r.instance) for r in ranked[:CANDIDATES]),
+                call.lane.marks,
+                max(call.lane.budgetKeepMs, call.lane.keepMs),
+            ),
+            min(ctx.settings.doors.askMs, leftMs(ctx, call)),
+        )
         if result.is_error():
             return result.error
         if not isinstance(result.ok, Reserved):
@@ -83,8 +106,24 @@
 
 
 class Stream:
-    __slots__ = ("ctx", "call", "held", "reserved", "buffer", "next", "units", "handed", "texts",
-                 "ended", "go", "stop", "bad", "slow", "linked", "closed")
+    __slots__ = (
+        "ctx",
+        "call",
+        "held",
+        "reserved",
+        "buffer",
+        "next",
+        "units",
+        "handed",
+        "texts",
+        "ended",
+        "go",
+        "stop",
+        "bad",
+        "slow",
+        "linked",
+        "closed",
+    )
 
     def __init__(self, ctx, call, reserved):
         self.ctx, self.call, self.reserved = ctx, call, reserved
@@ -101,18 +140,32 @@
             return carry.NeverSent("history")
         status = statusOf(ctx, runner.name)
         status.inFlight += 1
-        ended, self.stop = carry.start(ctx, self.go, "/run", {
-            "runner": runner.name, "instance": runner.instance, "kind": "turn",
-            "request": self.call.id, "lane": self.call.laneName, "tenant": self.call.tenant,
-            "history": [[line.input, line.output] for line in lines],
-            "chain": chainOf(lines), "input": self.call.document["input"],
-            "maxOutput": self.reserved.amount, "config": dict(self.call.lane.marks),
-        }, self.hear, max(1, leftMs(ctx, self.call)))
+        ended, self.stop = carry.start(
+            ctx,
+            self.go,
+            "/run",
+            {
+                "runner": runner.name,
+                "instance": runner.instance,
+                "kind": "turn",
+                "request": self.call.id,
+                "lane": self.call.laneName,
+                "tenant": self.call.tenant,
+                "history": [[line.input, line.output] for line in lines],
+                "chain": chainOf(lines),
+                "input": self.call.document["input"],
+                "maxOutput": self.reserved.amount,
+                "config": dict(self.call.lane.marks),
+            },
+            self.hear,
+            max(1, leftMs(ctx, self.call)),
+        )
         self.call.stop = lambda: self.stop(carry.Broken("caller gone"))
 
         def free(reason):
             status.inFlight -= 1
             return reason
+
         return ended.addBoth(free)
 
     def hear(self, data):
@@ -127,7 +180,8 @@
     def pauseProducing(self):
         self.go.held = True
         self.slow = self.slow or self.ctx.reactor.callLater(
-            self.ctx.settings.doors.stallMs / 1000, self.cutShort, faults.TooSlow())
+            self.ctx.settings.doors.stallMs / 1000, self.cutShort, faults.TooSlow()
+        )
         if self.go.timer.active():
             self.go.timer.reset(self.ctx.settings.doors.stallMs * 2 / 1000)
         if self.go.protocol is not None and self.go.protocol.transport is not None:
@@ -214,7 +268,16 @@
             return faults.Unknown()
         self.emit(self.held)
         if not call.gone:
-            call.request.write(json.encode({
-                "end": True, "pieces": self.next - 1, "units": self.units,
-                "runner": self.go.runner.name, "request": call.id}) + b"\n")
+            call.request.write(
+                json.encode(
+                    {
+                        "end": True,
+                        "pieces": self.next - 1,
+                        "units": self.units,
+                        "runner": self.go.runner.name,
+                        "request": call.id,
+                    }
+                )
+                + b"\n"
+            )
         return None
--- a/frostpost/gate/voting.py
+++ b/frostpost/gate/voting.py
@@ -37,8 +37,11 @@
     if not majority(after, fulls(ctx)):
         return Error(faults.VotersTurnedAway("less than a majority of full copies would be left"))
     if len(after) < FEWEST and document.get("force") is not True:
-        return Error(faults.VotersTurnedAway(
-            f"with {len(after)} voters the loss of one machine can't be borne; add another first"))
+        return Error(
+            faults.VotersTurnedAway(
+                f"with {len(after)} voters the loss of one machine can't be borne; add another first"
+            )
+        )
     return Ok(after)
 
 
@@ -68,4 +71,5 @@
     @app.route("/v1/voters", methods=["POST"])
     def voters_(request):
         return change(ctx, request).addCallback(
-            lambda r: turnAway(request, r.error, "") if r.is_error() else answer(request, r.ok))
+            lambda r: turnAway(request, r.error, "") if r.is_error() else answer(request, r.ok)
+        )
--- a/frostpost/granary/apply.py
+++ b/frostpost/granary/apply.py
@@ -6,8 +6,29 @@
 from . import configs, duties, keys, programs
 from .state import Granary
 from .words import (
-    Ballot, ClaimKey, Done, Drain, Finish, Fire, Look, NotHeld, Op, Open, Release, Reserve, Rules,
-    Runners, SetConfig, SetMany, Settle, SetVoters, StaleConfig, Tick, Unclaim, Verdict, VotersSet,
+    Ballot,
+    ClaimKey,
+    Done,
+    Drain,
+    Finish,
+    Fire,
+    Look,
+    NotHeld,
+    Op,
+    Open,
+    Release,
+    Reserve,
+    Rules,
+    Runners,
+    SetConfig,
+    SetMany,
+    Settle,
+    SetVoters,
+    StaleConfig,
+    Tick,
+    Unclaim,
+    Verdict,
+    VotersSet,
 )
 
 ABSENT_MS = 600000
@@ -140,6 +161,5 @@
     return VotersSet(op.after)
 
 
-
 def config(granary, entry, op):
     return configs.one(granary, entry, op)
--- a/frostpost/granary/programs.py
+++ b/frostpost/granary/programs.py
@@ -2,7 +2,15 @@
 from zlib import crc32
 
 from .words import (
-    BudgetSpent, Done, Line, NoRunner, NotHeld, Program, Reservation, Reserved, StaleConfig,
+    BudgetSpent,
+    Done,
+    Line,
+    NoRunner,
+    NotHeld,
+    Program,
+    Reservation,
+    Reserved,
+    StaleConfig,
     TurnOpen,
 )
 
--- a/frostpost/granary/words.py
+++ b/frostpost/granary/words.py
@@ -165,8 +165,23 @@
 
 
 Op = (
-    Open | Tick | Reserve | Settle | Release | ClaimKey | Finish | Unclaim | Runners | Drain
-    | SetConfig | Fire | Look | Ballot | SetVoters | SetMany | Rules
+    Open
+    | Tick
+    | Reserve
+    | Settle
+    | Release
+    | ClaimKey
+    | Finish
+    | Unclaim
+    | Runners
+    | Drain
+    | SetConfig
+    | Fire
+    | Look
+    | Ballot
+    | SetVoters
+    | SetMany
+    | Rules
     | CoppiceOp
 )
 
@@ -236,7 +251,19 @@
 
 
 Verdict = (
-    Done | Reserved | Won | Shared | ConfigSet | BudgetSpent | TurnOpen | NoRunner | StaleConfig
-    | KeyReused | NotHeld | Fenced | VotersSet | ManySet
+    Done
+    | Reserved
+    | Won
+    | Shared
+    | ConfigSet
+    | BudgetSpent
+    | TurnOpen
+    | NoRunner
+    | StaleConfig
+    | KeyReused
+    | NotHeld
+    | Fenced
+    | VotersSet
+    | ManySet
     | CoppiceVerdict
 )
--- a/frostpost/hedgerow/membership.py
+++ b/frostpost/hedgerow/membership.py
@@ -70,8 +70,7 @@
 
 def promise(hedge, out, frm, message):
     hedge.promised = message.id
-    hedge.recovery = Recovery(
-        message.id, frm, message.members, message.sequencer, hedge.nowMs, hedge.nowMs)
+    hedge.recovery = Recovery(message.id, frm, message.members, message.sequencer, hedge.nowMs, hedge.nowMs)
     hedge.order.early = []
     write(hedge, out, Booted(hedge.me.boot, message.id.epoch))
     sayExchange(hedge, out)
@@ -81,9 +80,15 @@
     order, id = hedge.order, hedge.recovery.id
     extra = tuple(sorted(o for o in order.held if o > order.top))
     said = Exchange(
-        id, hedge.configuration.id, order.top, extra, order.safe,
-        tuple(sorted(hedge.obligations)), memory(hedge.log) if hedge.storage else None,
-        hedge.applied, hedge.voters or hedge.voters0,
+        id,
+        hedge.configuration.id,
+        order.top,
+        extra,
+        order.safe,
+        tuple(sorted(hedge.obligations)),
+        memory(hedge.log) if hedge.storage else None,
+        hedge.applied,
+        hedge.voters or hedge.voters0,
     )
     out.sends.append((hedge.recovery.proposer, said))
 
@@ -153,8 +158,7 @@
         else:
             for member in proposal.members:
                 if member.name not in proposal.exchanges:
-                    out.sends.append((member.name, Propose(
-                        proposal.id, proposal.members, proposal.sequencer)))
+                    out.sends.append((member.name, Propose(proposal.id, proposal.members, proposal.sequencer)))
 
 
 def shun(hedge, member):
--- a/frostpost/hedgerow/memory.py
+++ b/frostpost/hedgerow/memory.py
@@ -41,9 +41,9 @@
         case Installed(id, base, voters):
             log.primary, log.base, log.voters = id, base, voters
             log.epoch = max(log.epoch, id.epoch)
-            del log.entries[max(0, base - log.start):]
+            del log.entries[max(0, base - log.start) :]
         case Appended(entry, settled):
-            del log.entries[max(0, entry.index - log.start - 1):]
+            del log.entries[max(0, entry.index - log.start - 1) :]
             if entry.index == log.length + 1:
                 log.entries.append(entry)
             log.settled = max(log.settled, min(settled, log.length))
@@ -56,5 +56,5 @@
 
 
 def coming(log):
-    tail = log.entries[max(0, log.settled - log.start):]
+    tail = log.entries[max(0, log.settled - log.start) :]
     return tuple(decodeVoters(e.payload).after for e in tail if e.payload[:8] == VOTERS_HEAD)
--- a/frostpost/hedgerow/ordering.py
+++ b/frostpost/hedgerow/ordering.py
@@ -24,8 +24,7 @@
         if hedge.submitted < min(hedge.outbox):
             hedge.outboxMs = hedge.nowMs
         hedge.submitted = hedge.number
-        out.sends.append((sequencer(hedge), Submit(
-            hedge.configuration.id, min(hedge.outbox), first, payloads)))
+        out.sends.append((sequencer(hedge), Submit(hedge.configuration.id, min(hedge.outbox), first, payloads)))
 
 
 def submitted(hedge, out, frm, sender, message):
@@ -45,8 +44,9 @@
             count(hedge, "windowFull")
             break
         seen += 1
-        order.unsent.append(Entry(
-            message.id, order.next, hedge.primary.base + order.next, sender, seen, parked.pop(seen)))
+        order.unsent.append(
+            Entry(message.id, order.next, hedge.primary.base + order.next, sender, seen, parked.pop(seen))
+        )
         order.next += 1
     order.seen[sender] = seen
 
@@ -57,7 +57,7 @@
         return
     if order.fanned > order.safe and not force:
         return
-    entries, order.unsent = tuple(order.unsent[:hedge.bounds.batch]), order.unsent[hedge.bounds.batch:]
+    entries, order.unsent = tuple(order.unsent[: hedge.bounds.batch]), order.unsent[hedge.bounds.batch :]
     order.fanned = entries[-1].ordinal
     count(hedge, "batches")
     count(hedge, "ordered", len(entries))
@@ -166,6 +166,5 @@
         if top < order.fanned and hedge.nowMs - order.sentMs.get(name, 0) >= hedge.bounds.resendMs:
             order.sentMs[name] = hedge.nowMs
             entries = [order.held[o] for o in range(top + 1, order.fanned + 1) if o in order.held]
-            count(hedge, "resent", len(entries[:hedge.bounds.batch]))
-            out.sends.append((name, Batch(
-                hedge.configuration.id, tuple(entries[:hedge.bounds.batch]), order.safe)))
+            count(hedge, "resent", len(entries[: hedge.bounds.batch]))
+            out.sends.append((name, Batch(hedge.configuration.id, tuple(entries[: hedge.bounds.batch]), order.safe)))
--- a/frostpost/hedgerow/outer.py
+++ b/frostpost/hedgerow/outer.py
@@ -1,4 +1,5 @@
 """Messages between the ring's members and the leaves round it; the ring's own are in words.py."""
+
 from msgspec import Struct
 
 from .places import Place
@@ -10,6 +11,7 @@
 
 class Directory(Struct, frozen=True, array_like=True, tag=23):
     """places: the ring's daemons that the teller knows; charter: the founding voters, if it knows them."""
+
     places: tuple[Place, ...]
     charter: tuple[str, ...] = ()
 
@@ -17,6 +19,7 @@
 class Renew(Struct, frozen=True, array_like=True, tag=24):
     """A leaf asks for its lease and tells which routing it honours; sent_ms is on its own clock.
     epoch: the ring's configuration whose places it knows. draining: runners that its own list shows as leaving."""
+
     sent_ms: int
     version: int
     epoch: int = 0
@@ -25,6 +28,7 @@
 
 class Grant(Struct, frozen=True, array_like=True, tag=25):
     """lease_ms from sent_ms on the leaf's clock, 0 if the teller may grant none; sequencer: whom to ask."""
+
     sent_ms: int
     lease_ms: int
     sequencer: str
@@ -45,6 +49,7 @@
 
 class Told(Struct, frozen=True, array_like=True, tag=27):
     """fault is empty where the verdict stands."""
+
     boot: int
     number: int
     verdict: bytes
@@ -91,9 +96,23 @@
 
 class StatusTell(Struct, frozen=True, array_like=True, tag=35):
     """facts: a JSON object."""
+
     facts: bytes
 
 
 OUTER = (
-    Hello, Directory, Renew, Grant, AskRing, Told, RoutingAsk, RoutingTell, SiloPut, SiloDone, SiloGet, SiloGot,
-    StatusAsk, StatusTell)
+    Hello,
+    Directory,
+    Renew,
+    Grant,
+    AskRing,
+    Told,
+    RoutingAsk,
+    RoutingTell,
+    SiloPut,
+    SiloDone,
+    SiloGet,
+    SiloGot,
+    StatusAsk,
+    StatusTell,
+)
--- a/frostpost/hedgerow/recovery.py
+++ b/frostpost/hedgerow/recovery.py
@@ -19,9 +19,7 @@
             count(hedge, "foreign")
             return
         recovery.plan = message.exchanges
-        recovery.group = tuple(
-            m for m in recovery.members if message.exchanges[m.name].last == last
-        )
+        recovery.group = tuple(m for m in recovery.members if message.exchanges[m.name].last == last)
         said = {m.name: message.exchanges[m.name] for m in recovery.group}
         floor = min(e.top for e in said.values())
         union = set(range(floor + 1, max(e.top for e in said.values()) + 1))
@@ -52,7 +50,7 @@
     for name, ordinals in recovery.owed.items():
         entries = [held[o] for o in ordinals if o in held]
         for at in range(0, len(entries), hedge.bounds.batch):
-            part = tuple(entries[at:at + hedge.bounds.batch])
+            part = tuple(entries[at : at + hedge.bounds.batch])
             count(hedge, "rebroadcast", len(part))
             out.sends.append((name, Rebroadcast(recovery.id, part)))
 
@@ -107,8 +105,7 @@
         out.answers.append(Delivered(entry, False, acting))
         if acting:
             act(hedge, out, entry)
-    out.answers.append(Changed(
-        Configuration(hedge.configuration.id, recovery.group, sequencer(hedge)), True))
+    out.answers.append(Changed(Configuration(hedge.configuration.id, recovery.group, sequencer(hedge)), True))
     keeping = acting and majorities(hedge.primary, fullVoters(hedge, group))
     gap = False
     for ordinal in sorted(o for o in order.held if o > order.delivered):
--- a/frostpost/hedgerow/settling.py
+++ b/frostpost/hedgerow/settling.py
@@ -56,7 +56,7 @@
 def becomeReady(hedge, out):
     primary, log = hedge.primary, hedge.log
     log.primary, log.base, log.voters = hedge.configuration.id, primary.base, primary.voters
-    del log.entries[max(0, primary.base - log.start):]
+    del log.entries[max(0, primary.base - log.start) :]
     primary.readyAt = write(hedge, out, Installed(log.primary, log.base, log.voters))
     later = {**hedge.waiting}
     later.update({e.index: e for e in hedge.order.held.values() if e.ordinal <= hedge.order.top})
@@ -100,8 +100,7 @@
         primary.openOrdered = True
         cores = tuple(n for n in names(hedge.configuration) if role(hedge, n) == "core")
         payload = encode(Open(hedge.configuration.members, cores, primary.voters))
-        order.unsent.append(
-            Entry(hedge.configuration.id, 1, primary.base + 1, hedge.me, 0, payload))
+        order.unsent.append(Entry(hedge.configuration.id, 1, primary.base + 1, hedge.me, 0, payload))
         order.next = 2
 
 
@@ -161,15 +160,15 @@
         return
     hedge.primary.fetchMs = hedge.nowMs
     ready = sorted(
-        n for n in names(hedge.configuration)
-        if n in hedge.peers and hedge.peers[n].ready
-        and hedge.peers[n].configuration == hedge.configuration.id)
+        n
+        for n in names(hedge.configuration)
+        if n in hedge.peers and hedge.peers[n].ready and hedge.peers[n].configuration == hedge.configuration.id
+    )
     if hedge.primary.source not in ready:
         spot = sum(hedge.name.encode()) % len(ready) if ready else 0
         hedge.primary.source = ready[spot] if ready else hedge.primary.donor
         hedge.primary.piece = bytearray()
-    out.sends.append((hedge.primary.source,
-                      Fetch(hedge.configuration.id, first, len(hedge.primary.piece))))
+    out.sends.append((hedge.primary.source, Fetch(hedge.configuration.id, first, len(hedge.primary.piece))))
 
 
 def fetched(hedge, out, frm, message):
@@ -179,8 +178,8 @@
     if message.first <= log.start or message.offset:
         out.answers.append(SnapshotAsked(frm, message.id, message.offset))
         return
-    entries = log.entries[message.first - log.start - 1:primary.base - log.start]
-    out.sends.append((frm, Fill(message.id, tuple(entries[:hedge.bounds.batch]))))
+    entries = log.entries[message.first - log.start - 1 : primary.base - log.start]
+    out.sends.append((frm, Fill(message.id, tuple(entries[: hedge.bounds.batch]))))
 
 
 def filled(hedge, out, frm, message):
@@ -192,7 +191,7 @@
         relog(hedge, out, message.entries)
         if not primary.same:
             last = message.entries[-1].index if message.entries else primary.base
-            del log.entries[max(0, last - log.start):]
+            del log.entries[max(0, last - log.start) :]
             primary.same = True
         if log.length >= primary.base:
             becomeReady(hedge, out)
--- a/frostpost/hedgerow/state.py
+++ b/frostpost/hedgerow/state.py
@@ -201,10 +201,17 @@
     storage = place.role == "storage"
     single = ConfigurationId(log.epoch + 1, place.member.name, place.member.boot)
     hedge = Hedge(
-        place=place, bounds=bounds, seeds=tuple(seeds), voters0=tuple(voters), storage=storage,
-        log=log, configuration=Configuration(single, (place.member,), place.member.name),
+        place=place,
+        bounds=bounds,
+        seeds=tuple(seeds),
+        voters0=tuple(voters),
+        storage=storage,
+        log=log,
+        configuration=Configuration(single, (place.member,), place.member.name),
         promised=single,
-        nowMs=nowMs, installedMs=nowMs, applied=log.settled,
+        nowMs=nowMs,
+        installedMs=nowMs,
+        applied=log.settled,
     )
     out = Out()
     write(hedge, out, Booted(place.member.boot, single.epoch))
--- a/frostpost/hedgerow/step.py
+++ b/frostpost/hedgerow/step.py
@@ -2,8 +2,23 @@
 from .state import Peer, count
 from .events import Asked, Left, Out, Received, Stalled, Synced, Tick
 from .words import (
-    Ack, Batch, Beat, Complete, Exchange, Fetch, Fill, Install, Piece, Plan, Propose, Ready,
-    Rebroadcast, Roster, Safe, Submit, TurnAway,
+    Ack,
+    Batch,
+    Beat,
+    Complete,
+    Exchange,
+    Fetch,
+    Fill,
+    Install,
+    Piece,
+    Plan,
+    Propose,
+    Ready,
+    Rebroadcast,
+    Roster,
+    Safe,
+    Submit,
+    TurnAway,
 )
 
 EARLY = (Batch, Safe, Submit, Ready, Ack, Fetch)
--- a/frostpost/hedgerow/watch.py
+++ b/frostpost/hedgerow/watch.py
@@ -39,10 +39,22 @@
     hedge.beatMs = hedge.nowMs
     hears = tuple(p.place.member for p in hedge.peers.values() if alive(hedge, p))
     for name, peer in hedge.peers.items():
-        out.sends.append((name, Beat(
-            hedge.configuration.id, hedge.promised, hears, hedge.nowMs, peer.sentMs,
-            hedge.unwell or hedge.leaving, hedge.primary.ready, hedge.applied, dict(hedge.news),
-        )))
+        out.sends.append(
+            (
+                name,
+                Beat(
+                    hedge.configuration.id,
+                    hedge.promised,
+                    hears,
+                    hedge.nowMs,
+                    peer.sentMs,
+                    hedge.unwell or hedge.leaving,
+                    hedge.primary.ready,
+                    hedge.applied,
+                    dict(hedge.news),
+                ),
+            )
+        )
 
 
 def beaten(hedge, out, frm, message):
@@ -79,6 +91,8 @@
     if not leaseOk(hedge, nowMs):
         return 0
     voters = hedge.voters or hedge.voters0
-    granted = sorted((nowMs if v == hedge.name else hedge.peers[v].grantedMs if v in hedge.peers else -(1 << 40)
-                      for v in voters), reverse=True)
+    granted = sorted(
+        (nowMs if v == hedge.name else hedge.peers[v].grantedMs if v in hedge.peers else -(1 << 40) for v in voters),
+        reverse=True,
+    )
     return max(0, hedge.bounds.leaseMs - (nowMs - granted[len(voters) // 2]))
--- a/frostpost/hedgerow/words.py
+++ b/frostpost/hedgerow/words.py
@@ -1,8 +1,20 @@
 from msgspec import Struct
 
 from .outer import (
-    AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, SiloDone, SiloGet, SiloGot, SiloPut, StatusAsk,
-    StatusTell, Told,
+    AskRing,
+    Directory,
+    Grant,
+    Hello,
+    Renew,
+    RoutingAsk,
+    RoutingTell,
+    SiloDone,
+    SiloGet,
+    SiloGot,
+    SiloPut,
+    StatusAsk,
+    StatusTell,
+    Told,
 )
 from .places import Member, Place
 
@@ -164,11 +176,41 @@
 
 
 Message = (
-    Beat | Roster | Propose | TurnAway | Exchange | Plan | Rebroadcast | Complete | Install
-    | Submit | Batch | Ack | Safe | Ready | Fetch | Fill | Piece
-    | BodyAsk | BodyPiece | NewsAsk | NewsTell
-    | Hello | Directory | Renew | Grant | AskRing | Told | RoutingAsk | RoutingTell
-    | SiloPut | SiloDone | SiloGet | SiloGot | StatusAsk | StatusTell
+    Beat
+    | Roster
+    | Propose
+    | TurnAway
+    | Exchange
+    | Plan
+    | Rebroadcast
+    | Complete
+    | Install
+    | Submit
+    | Batch
+    | Ack
+    | Safe
+    | Ready
+    | Fetch
+    | Fill
+    | Piece
+    | BodyAsk
+    | BodyPiece
+    | NewsAsk
+    | NewsTell
+    | Hello
+    | Directory
+    | Renew
+    | Grant
+    | AskRing
+    | Told
+    | RoutingAsk
+    | RoutingTell
+    | SiloPut
+    | SiloDone
+    | SiloGet
+    | SiloGot
+    | StatusAsk
+    | StatusTell
 )
 
 
--- a/frostpost/orchard/assembly.py
+++ b/frostpost/orchard/assembly.py
@@ -34,26 +34,44 @@
 def loops(ctx):
     tending = ctx.settings.tending
     jobs = (
-        (beat, TICK_MS / 1000), (lambda c: c.disk.watch(), 0.1), (readHooks, 0.1),
-        (pollAll, tending.loadMs / 1000), (list_, tending.listMs / 4000),
-        (tickLedger, tending.tickMs / 1000), (calendars, tending.calendarMs / 1000), (shelves.honour, 0.1), (shelves.tidy, 30.0),
+        (beat, TICK_MS / 1000),
+        (lambda c: c.disk.watch(), 0.1),
+        (readHooks, 0.1),
+        (pollAll, tending.loadMs / 1000),
+        (list_, tending.listMs / 4000),
+        (tickLedger, tending.tickMs / 1000),
+        (calendars, tending.calendarMs / 1000),
+        (shelves.honour, 0.1),
+        (shelves.tidy, 30.0),
     )
     for job, everyS in jobs:
         loop = LoopingCall(job, ctx)
         loop.clock = ctx.reactor
 
         def broken(failure, job=job):
-            say("Internal", job=getattr(job, "__name__", "job"), type=failure.type.__name__,
-                text=failure.getTraceback()[-2000:])
+            say(
+                "Internal",
+                job=getattr(job, "__name__", "job"),
+                type=failure.type.__name__,
+                text=failure.getTraceback()[-2000:],
+            )
             ctx.life.crash()
+
         loop.start(everyS, now=True).addErrback(broken)
         ctx.tasks.append(loop)
 
 
 def assemble(settings, reactor, machine):
     boot = 1 + int(machine.token(6), 16)
-    place = Place(Member(settings.name, boot), settings.role, settings.cell, settings.host,
-                  settings.port, settings.httpPort, SPEAKS)
+    place = Place(
+        Member(settings.name, boot),
+        settings.role,
+        settings.cell,
+        settings.host,
+        settings.port,
+        settings.httpPort,
+        SPEAKS,
+    )
     ctx = Context(settings, reactor, place, machine)
     ctx.shelf = Shelf(f"{settings.name}.{boot}")
     records, ctx.disk = [], disks.Diskless()
@@ -69,10 +87,13 @@
         wake(ctx)
         if ctx.honoured < ctx.core.granary.configIndex:
             reactor.callLater(0, shelves.honour, ctx)
+
     ctx.links = {
-        "send": sender(ctx), "applied": applied,
+        "send": sender(ctx),
+        "applied": applied,
         "news": lambda frm, body: shelves.received(ctx, frm, body),
-        "heard": lambda frm, vector: shelves.heard(ctx, frm, vector)}
+        "heard": lambda frm, vector: shelves.heard(ctx, frm, vector),
+    }
     ctx.agent = agent(ctx)[1]
     seeds = [f"@{s}" for s in settings.seeds]
     ctx.core, out = begin(place, settings.bounds, seeds, settings.voters, replay(records), nowMs(ctx))
@@ -88,6 +109,8 @@
         ctx.life.started()
 
     def listenHttp(_):
-        return TCP4ServerEndpoint(
-            ctx.reactor, ctx.settings.httpPort, interface=ctx.settings.host, backlog=512).listen(site)
+        return TCP4ServerEndpoint(ctx.reactor, ctx.settings.httpPort, interface=ctx.settings.host, backlog=512).listen(
+            site
+        )
+
     return listen(ctx).addCallback(listenHttp).addCallbacks(up, fallen)
--- a/frostpost/orchard/core.py
+++ b/frostpost/orchard/core.py
@@ -10,8 +10,18 @@
 from frostpost.hedgerow import watch
 from frostpost.hedgerow.step import step as hedgeStep
 from frostpost.hedgerow.events import (
-    Appended, Applied, Asked, Booted, Filled, Installed, Numbered, Out, Overfull, Rewrite,
-    Snapshot, SnapshotAsked,
+    Appended,
+    Applied,
+    Asked,
+    Booted,
+    Filled,
+    Installed,
+    Numbered,
+    Out,
+    Overfull,
+    Rewrite,
+    Snapshot,
+    SnapshotAsked,
 )
 from frostpost.hedgerow.words import SPEAKS, Piece
 
@@ -33,7 +43,7 @@
 def begin(place, bounds, seeds, voters, log, nowMs):
     hedge, out = hedges.begin(place, bounds, seeds, voters, log, nowMs)
     granary = decodeState(log.snapshot) if log.snapshot else Granary()
-    for entry in log.entries[:max(0, log.settled - log.start)]:
+    for entry in log.entries[: max(0, log.settled - log.start)]:
         granary, _ = apply(granary, entry)
     log.snapshot = b""
     log.voters = granary.voters or log.voters
@@ -98,10 +108,9 @@
     hedge = core.hedge
     if core.cachedIndex < hedge.log.start or not asked.offset and core.cachedIndex < hedge.applied:
         core.cached, core.cachedIndex = encode(core.granary), hedge.applied
-    data = core.cached[asked.offset:asked.offset + hedge.bounds.pieceBytes]
+    data = core.cached[asked.offset : asked.offset + hedge.bounds.pieceBytes]
     digest = blake2b(core.cached, digest_size=16).hexdigest()
-    out.sends.append((asked.to, Piece(
-        asked.id, core.cachedIndex, asked.offset, len(core.cached), digest, data)))
+    out.sends.append((asked.to, Piece(asked.id, core.cachedIndex, asked.offset, len(core.cached), digest, data)))
 
 
 def ballots(core):
@@ -139,11 +148,16 @@
     log.start, log.entries, log.settled = hedge.applied, tail, hedge.applied
     hedge.wrote += 1
     hedges.count(hedge, "rewrites")
-    out.writes.append(Rewrite((
-        Booted(hedge.me.boot, log.epoch), Snapshot(log.start, encode(core.granary)),
-        Installed(log.primary, log.base, log.voters),
-        *(Appended(e, log.start) for e in tail),
-    )))
+    out.writes.append(
+        Rewrite(
+            (
+                Booted(hedge.me.boot, log.epoch),
+                Snapshot(log.start, encode(core.granary)),
+                Installed(log.primary, log.base, log.voters),
+                *(Appended(e, log.start) for e in tail),
+            )
+        )
+    )
 
 
 def leaseOk(core, nowMs):
--- a/frostpost/orchard/disk.py
+++ b/frostpost/orchard/disk.py
@@ -29,7 +29,8 @@
         self.busy, self.sinceMs = True, nowMs(self.ctx)
         delayMs = self.ctx.hook.get("syncDelayMs", 0)
         self.ctx.machine.inThread(store, self.ctx.machine, self.furrow, batch, delayMs).addCallbacks(
-            self.done, self.failed, callbackArgs=(self.upTo,), errbackArgs=(batch,))
+            self.done, self.failed, callbackArgs=(self.upTo,), errbackArgs=(batch,)
+        )
 
     def done(self, _, upTo):
         self.busy = False
@@ -37,6 +38,7 @@
         slow = nowMs(self.ctx) - self.sinceMs > self.ctx.core.hedge.bounds.detectMs
         self.good = 0 if slow else self.good + 1
         from .heart import feed
+
         feed(self.ctx, Synced(nowMs(self.ctx), upTo))
         if self.unwell and self.good >= 3:
             self.turn(False)
@@ -57,6 +59,7 @@
             self.unwell = unwell
             say("DiskUnwell" if unwell else "DiskWell")
             from .heart import feed
+
             feed(self.ctx, Stalled(nowMs(self.ctx), unwell))
 
     def watch(self):
@@ -88,7 +91,7 @@
     at = max((n for n, r in enumerate(batch) if isinstance(r, Rewrite)), default=-1)
     if at >= 0:
         furrows.rewrite(furrow, [encode(r) for r in batch[at].records])
-        batch = batch[at + 1:]
+        batch = batch[at + 1 :]
     if batch:
         furrows.append(furrow, [encode(r) for r in batch])
         furrows.sync(furrow)
--- a/frostpost/orchard/heart.py
+++ b/frostpost/orchard/heart.py
@@ -6,7 +6,14 @@
 from frostpost.gate.faults import NoPrimary, Overfilled, Undecided
 from frostpost.granary.words import Finish, Release, Reserved, Settle, Unclaim, Won
 from frostpost.hedgerow.events import (
-    Applied, Asked, Changed, Filled, Numbered, Overfull, Received, Tick,
+    Applied,
+    Asked,
+    Changed,
+    Filled,
+    Numbered,
+    Overfull,
+    Received,
+    Tick,
 )
 from frostpost.hedgerow.words import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
 from . import core as cores
@@ -61,9 +68,12 @@
             ctx.needConfig = ctx.core.granary.configIndex
             ctx.links["applied"]()
         case Changed(configuration, transitional):
-            say("configuration", id=list(configuration.id.__struct_fields__ and (
-                configuration.id.epoch, configuration.id.proposer)),
-                members=[m.name for m in configuration.members], transitional=transitional)
+            say(
+                "configuration",
+                id=list(configuration.id.__struct_fields__ and (configuration.id.epoch, configuration.id.proposer)),
+                members=[m.name for m in configuration.members],
+                transitional=transitional,
+            )
 
 
 def fire(waiter, result):
@@ -105,8 +115,7 @@
         answer.callback(Error(NoPrimary()))
         return answer
     waiter = Waiter(op, answer)
-    waiter.timer = ctx.reactor.callLater(
-        max(0.001, waitMs / 1000), lambda: fire(waiter, Error(Undecided())))
+    waiter.timer = ctx.reactor.callLater(max(0.001, waitMs / 1000), lambda: fire(waiter, Error(Undecided())))
     ctx.asking.append(waiter)
     feed(ctx, Asked(nowMs(ctx), encode(op), must))
     return answer
--- a/frostpost/orchard/life.py
+++ b/frostpost/orchard/life.py
@@ -50,8 +50,10 @@
         for transport in list(ctx.channels.values()):
             transport.loseConnection()
         return until(ctx, lambda: not ctx.channels, endMs - nowMs(ctx))
-    until(ctx, lambda: ctx.flights == ctx.calls == 0, ctx.settings.doors.graceMs).addCallback(
-        linger).addCallback(shut).addCallback(lambda _: life.emptied())
+
+    until(ctx, lambda: ctx.flights == ctx.calls == 0, ctx.settings.doors.graceMs).addCallback(linger).addCallback(
+        shut
+    ).addCallback(lambda _: life.emptied())
 
 
 @leaving.upon(Life.emptied).to(left)
--- a/frostpost/orchard/links.py
+++ b/frostpost/orchard/links.py
@@ -107,6 +107,7 @@
             mouth = Mouth()
             mouth.link = self
             return mouth
+
         factory.buildProtocol = build
         endpoint = TCP4ClientEndpoint(self.ctx.reactor, self.host, self.port, timeout=1)
         endpoint.connect(factory).addCallbacks(self.connected, self.failed)
@@ -136,8 +137,7 @@
     factory = Factory.forProtocol(Ear)
     factory.ctx, factory.hear = ctx, hear
     settings = ctx.settings
-    return TCP4ServerEndpoint(
-        ctx.reactor, settings.port, interface=settings.host).listen(factory)
+    return TCP4ServerEndpoint(ctx.reactor, settings.port, interface=settings.host).listen(factory)
 
 
 def sender(ctx):
@@ -158,4 +158,5 @@
         if link is None:
             link = links[key] = Link(ctx, host, int(port))
         link.send(encode(Frame(VERSION, ctx.place, name, body)))
+
     return send
--- a/frostpost/orchard/main.py
+++ b/frostpost/orchard/main.py
@@ -16,6 +16,7 @@
     import signal
 
     from twisted.internet import reactor
+
     reactor.seconds = Machine().seconds
     ctx, site = assemble(settings, reactor, Machine())
     hand = Hand(ctx, lambda: reactor.running and reactor.stop())
@@ -25,10 +26,11 @@
         say("ListenFault", text=failure.getErrorMessage())
         hand.status = 69
         hand.stop()
+
     reactor.callWhenRunning(raise_, ctx, site, hand, fallen)
     reactor.addSystemEventTrigger(
-        "after", "startup", lambda: signal.signal(
-            signal.SIGTERM, lambda *_: reactor.callFromThread(ctx.life.leave)))
+        "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(ctx.life.leave))
+    )
     reactor.run(installSignalHandlers=True)
     return hand.status
 
--- a/frostpost/orchard/waiting.py
+++ b/frostpost/orchard/waiting.py
@@ -14,5 +14,6 @@
             answer.callback(False)
         else:
             ctx.reactor.callLater(STEP_S, look)
+
     look()
     return answer
--- a/frostpost/platform/calls.py
+++ b/frostpost/platform/calls.py
@@ -1,4 +1,5 @@
 """A request of a client, read into `Call`."""
+
 from expression import Error, Ok
 
 from frostpost.drove.failures import BadRequest
@@ -52,13 +53,27 @@
     try:
         tokens = [int(part) for part in text(fields, names.TOKENS).split(",") if part.strip()]
         prompt, most = (*tokens, 0, 0)[:2]
-        return Ok(Call(
-            attempt=text(fields, names.ATTEMPT), method=request.method, uri=request.uri,
-            host=text(fields, b"host").partition(":")[0].lower(), headers=headers, body=request.body,
-            started_ms=started_ms, deadline_ms=started_ms + number(fields, names.LEFT, DEFAULT_LEFT_MS),
-            key=text(fields, names.KEY), program=text(fields, names.PROGRAM), line=text(fields, names.LINE),
-            budget=number(fields, names.BUDGET), previous=text(fields, names.PREVIOUS), prompt_tokens=prompt,
-            most_tokens=most, parts=parts_of(text(fields, names.PARTS)),
-            program_left_ms=number(fields, names.PROGRAM_LEFT), last_event=text(fields, names.LAST_EVENT)))
+        return Ok(
+            Call(
+                attempt=text(fields, names.ATTEMPT),
+                method=request.method,
+                uri=request.uri,
+                host=text(fields, b"host").partition(":")[0].lower(),
+                headers=headers,
+                body=request.body,
+                started_ms=started_ms,
+                deadline_ms=started_ms + number(fields, names.LEFT, DEFAULT_LEFT_MS),
+                key=text(fields, names.KEY),
+                program=text(fields, names.PROGRAM),
+                line=text(fields, names.LINE),
+                budget=number(fields, names.BUDGET),
+                previous=text(fields, names.PREVIOUS),
+                prompt_tokens=prompt,
+                most_tokens=most,
+                parts=parts_of(text(fields, names.PARTS)),
+                program_left_ms=number(fields, names.PROGRAM_LEFT),
+                last_event=text(fields, names.LAST_EVENT),
+            )
+        )
     except (ValueError, OverflowError):
         return Error(BAD_FIELD)
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -1,4 +1,5 @@
 """Calls of the platform's operator, translated into the product's own operations."""
+
 from importlib import import_module
 
 from expression import Error, Ok
@@ -21,6 +22,7 @@
 
 class Change(Struct):
     """One change as asked for. make(held document's bytes) -> Result[(document, Routing), RoutingInvalid]."""
+
     issue: int
     base: int
     digest: str
@@ -51,12 +53,17 @@
     if base is None:
         return Error(routing.RoutingInvalid("X-Base-Revision", "is missing or no number"))
     if kind == "replace":
-        return routing.parse(request.body).map(lambda found: Change(
-            found[0]["issue"], base, routing.digest(kind, found[0]), lambda _: Ok(found)))
-    return routing.parse_change(request.body).map(lambda change: Change(
-        change["issue"], base, routing.digest(kind, change),
-        lambda held: routing.read_json(held).bind(
-            lambda document: routing.check(routing.merge(document, change)))))
+        return routing.parse(request.body).map(
+            lambda found: Change(found[0]["issue"], base, routing.digest(kind, found[0]), lambda _: Ok(found))
+        )
+    return routing.parse_change(request.body).map(
+        lambda change: Change(
+            change["issue"],
+            base,
+            routing.digest(kind, change),
+            lambda held: routing.read_json(held).bind(lambda document: routing.check(routing.merge(document, change))),
+        )
+    )
 
 
 def wait_ms(leaf, until_ms):
@@ -133,7 +140,7 @@
     """The call that a method and a path name, or None."""
     if not request.path.startswith(ROOT):
         return None
-    what, _, node = request.path[len(ROOT):].decode("latin-1").partition("/")
+    what, _, node = request.path[len(ROOT) :].decode("latin-1").partition("/")
     calls = {
         ("POST", "Configuration.Replace", False): lambda: change_routing(leaf, request, "replace"),
         ("POST", "Configuration.Modify", False): lambda: change_routing(leaf, request, "modify"),
@@ -152,11 +159,17 @@
             return
 
         def broken(failure):
-            say("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200],
-                at=failure.getTraceback(detail="brief")[-400:])
+            say(
+                "Internal",
+                type=failure.type.__name__,
+                text=failure.getErrorMessage()[:200],
+                at=failure.getTraceback(detail="brief")[-400:],
+            )
             if not request.startedWriting:
                 reply(request, 500)
+
         call().addErrback(broken)
+
     return handle
 
 
--- a/frostpost/platform/documents.py
+++ b/frostpost/platform/documents.py
@@ -1,4 +1,5 @@
 """The parts of a configuration document that the product knows."""
+
 from msgspec import Struct, field
 
 
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -1,4 +1,5 @@
 """Requests of the platform's clients, translated into `Call`, and answers back."""
+
 from msgspec import json
 from twisted.internet.defer import maybeDeferred
 from twisted.internet.interfaces import IPushProducer
@@ -16,9 +17,16 @@
 
 LEAVING_RETRY_MS, CUT_S, CHANNEL_SHARE = 50, 2, 0.6
 STATUS = {
-    failures.NoRoute: 404, failures.BadRequest: 400, failures.UnknownTurn: 404, failures.BudgetSpent: 402,
-    failures.AtWork: 409, failures.Unavailable: 503, failures.Overloaded: 503, failures.Leaving: 503,
-    failures.Unknown: 502, failures.TimedOut: 504,
+    failures.NoRoute: 404,
+    failures.BadRequest: 400,
+    failures.UnknownTurn: 404,
+    failures.BudgetSpent: 402,
+    failures.AtWork: 409,
+    failures.Unavailable: 503,
+    failures.Overloaded: 503,
+    failures.Leaving: 503,
+    failures.Unknown: 502,
+    failures.TimedOut: 504,
 }
 
 
@@ -29,8 +37,21 @@
 @implementer(IPushProducer)
 class Answer:
     """The way of one answer to its client; a body that is whole within one turn of the reactor gets a length."""
-    __slots__ = ("leaf", "request", "status", "headers", "begun", "over", "held", "flushing", "length", "gone_",
-                 "paused", "resumed")
+
+    __slots__ = (
+        "leaf",
+        "request",
+        "status",
+        "headers",
+        "begun",
+        "over",
+        "held",
+        "flushing",
+        "length",
+        "gone_",
+        "paused",
+        "resumed",
+    )
 
     def __init__(self, leaf, request):
         self.leaf, self.request, self.status, self.headers = leaf, request, 0, ()
@@ -41,8 +62,17 @@
         request.on_over = self.ended
 
     def sink(self):
-        return Sink(self.head, self.data, self.end, self.cut, self.failed, self.gone, self.on_gone, self.on_pause,
-                    self.on_resume)
+        return Sink(
+            self.head,
+            self.data,
+            self.end,
+            self.cut,
+            self.failed,
+            self.gone,
+            self.on_gone,
+            self.on_pause,
+            self.on_resume,
+        )
 
     def ended(self, lost):
         self.leaf.calls -= 1
@@ -177,6 +207,7 @@
 
 def handler(leaf, serve):
     """handle(request) that passes every request to serve(leaf, call, sink)."""
+
     def handle(request):
         waited_ms = int((leaf.reactor.seconds() - request.started_s) * 1000)
         answer, result = Answer(leaf, request), call_of(request, now_ms(leaf) - waited_ms)
@@ -187,10 +218,16 @@
             taken(leaf, result.ok, request)
 
         def broken(failure):
-            say("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200],
-                at=failure.getTraceback(detail="brief")[-400:])
+            say(
+                "Internal",
+                type=failure.type.__name__,
+                text=failure.getErrorMessage()[:200],
+                at=failure.getTraceback(detail="brief")[-400:],
+            )
             answer.failed(failures.Unknown("internal"))
+
         maybeDeferred(serve, leaf, result.ok, answer.sink()).addErrback(broken)
+
     return handle
 
 
@@ -200,5 +237,6 @@
 
 def server(leaf, serve):
     """The server of the front address."""
-    return Server(leaf.reactor, handler(leaf, serve), lambda: bounds_of(leaf),
-                  max(64, int(leaf.settings.max_fds * CHANNEL_SHARE)))
+    return Server(
+        leaf.reactor, handler(leaf, serve), lambda: bounds_of(leaf), max(64, int(leaf.settings.max_fds * CHANNEL_SHARE))
+    )
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -1,4 +1,5 @@
 """The addresses that a role serves, and the front that the product is handed."""
+
 from twisted.internet.defer import maybeDeferred
 
 from frostpost.canopy.settings import Front
@@ -15,32 +16,43 @@
 
     def listen(address, server):
         ports.append(leaf.reactor.listenTCP(address[1], server, backlog=BACKLOG, interface=address[0]))
+
     if settings.front:
         if serve is None:
             from frostpost.drove.serve import serve
         from . import front
+
         leaf.front = front.server(leaf, serve)
         listen(settings.front, leaf.front)
     if settings.readiness:
         from . import readiness
+
         listen(settings.readiness, readiness.server(leaf))
     if settings.control:
         from . import control
+
         listen(settings.control, control.server(leaf))
     return ports
 
 
 def fetch_list(leaf):
     from .listing import fetch_list as fetch
+
     return fetch(leaf)
 
 
 def routing_from_body(body):
     from .routing import routing_from_body as routing
+
     return routing(body)
 
 
 def make_front(path=None, role=None):
     """The platform's `Front`."""
-    return Front(listen=lambda leaf: maybeDeferred(open_ports, leaf), wire=wire(), fetch_list=fetch_list,
-                 routing_from_body=routing_from_body, reread=lambda: read(path, role))
+    return Front(
+        listen=lambda leaf: maybeDeferred(open_ports, leaf),
+        wire=wire(),
+        fetch_list=fetch_list,
+        routing_from_body=routing_from_body,
+        reread=lambda: read(path, role),
+    )
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -1,4 +1,5 @@
 """The platform's list of runners."""
+
 from urllib.parse import quote
 
 from msgspec import DecodeError, json
@@ -38,8 +39,15 @@
     whole = isinstance(slots, int) and not isinstance(slots, bool) and slots >= 0
     if not (whole and isinstance(name, str) and name and isinstance(service, str) and service):
         return None
-    return Runner(id=name, service=service, host=host, port=port, zone=str(zone), slots=slots,
-                  draining=entry.get("state") == "draining")
+    return Runner(
+        id=name,
+        service=service,
+        host=host,
+        port=port,
+        zone=str(zone),
+        slots=slots,
+        draining=entry.get("state") == "draining",
+    )
 
 
 def read_page(body):
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -1,4 +1,5 @@
 """One daemon on the users' machines: `python3 -m frostpost.platform.main [ROLE] [--check] [--routing FILE]`."""
+
 import sys
 
 from msgspec import json
@@ -19,8 +20,10 @@
         role: Annotated[str | None, cappa.Arg(help="edge, core or storage; the settings tell it otherwise")] = None
         settings: Annotated[str | None, cappa.Arg(long=True, help="settings file, for that of the environment")] = None
         check: Annotated[bool, cappa.Arg(long=True, help="print what the settings become, and stop")] = False
-        routing: Annotated[str | None, cappa.Arg(
-            long=True, help="print what this configuration document becomes, and stop")] = None
+        routing: Annotated[
+            str | None, cappa.Arg(long=True, help="print what this configuration document becomes, and stop")
+        ] = None
+
     command = cappa.command(Flags, name="frostpost", help="Run one frostpost daemon on the users' machines.")
     flags = cappa.parse(command)
     return flags.role, flags.settings, flags.check, flags.routing
@@ -36,6 +39,7 @@
     from expression import Error
 
     from .routing import RoutingInvalid, parse
+
     try:
         with open(path, "rb") as file:
             result = parse(file.read())
@@ -64,6 +68,7 @@
     from frostpost.orchard.news import begin
 
     from .listening import make_front
+
     begin()
     return run(result.ok, make_front(path, role))
 
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -1,4 +1,5 @@
 """The platform's configuration document, checked, changed and translated into `Routing`."""
+
 import json
 from hashlib import sha256
 from math import isfinite
@@ -27,22 +28,29 @@
 
 class Stored(Struct):
     """What is kept under one version: the document, and the digests of the requests that led to it."""
+
     document: Raw
     taken: list[tuple[int, str]] = []
 
 
-WHOLE = Validator({
-    "issue": {"type": "integer", "required": True, "min": 1},
-    "route-table": {"type": "list", "required": True},
-    "service-table": {"type": "list", "required": True},
-    "limits": {"type": "dict", "nullable": True},
-}, allow_unknown=True)
-CHANGE = Validator({
-    "issue": {"type": "integer", "required": True, "min": 1},
-    "upsert": {"type": "dict", "nullable": True, "valuesrules": {"type": ["list", "dict"]}},
-    "remove": {"type": "dict", "nullable": True, "valuesrules": {"type": "list", "schema": {"type": "string"}}},
-    "limits": {"type": "dict", "nullable": True},
-}, allow_unknown=True)
+WHOLE = Validator(
+    {
+        "issue": {"type": "integer", "required": True, "min": 1},
+        "route-table": {"type": "list", "required": True},
+        "service-table": {"type": "list", "required": True},
+        "limits": {"type": "dict", "nullable": True},
+    },
+    allow_unknown=True,
+)
+CHANGE = Validator(
+    {
+        "issue": {"type": "integer", "required": True, "min": 1},
+        "upsert": {"type": "dict", "nullable": True, "valuesrules": {"type": ["list", "dict"]}},
+        "remove": {"type": "dict", "nullable": True, "valuesrules": {"type": "list", "schema": {"type": "string"}}},
+        "limits": {"type": "dict", "nullable": True},
+    },
+    allow_unknown=True,
+)
 
 
 def without_doubles(pairs):
@@ -121,33 +129,51 @@
 def route_of(item):
     timeout_ms = milliseconds(item.guard_ms)
     return Route(
-        name=item.name, host=item.host.lower(), prefix=item.path_prefix,
-        kind=item.route_class if item.route_class in KINDS else "unsafe", timeout_ms=timeout_ms,
-        aim_ms=milliseconds(item.target_latency_ms, timeout_ms), rank=item.precedence or 0, weights=weights_of(item),
-        attempts=max(1, item.max_attempts or 1), retained=bool(item.retained),
-        keep_ms=milliseconds((item.retention_s or 0) * 1000), resumable=bool(item.resumable),
-        gap_ms=milliseconds(item.gap_target_ms))
+        name=item.name,
+        host=item.host.lower(),
+        prefix=item.path_prefix,
+        kind=item.route_class if item.route_class in KINDS else "unsafe",
+        timeout_ms=timeout_ms,
+        aim_ms=milliseconds(item.target_latency_ms, timeout_ms),
+        rank=item.precedence or 0,
+        weights=weights_of(item),
+        attempts=max(1, item.max_attempts or 1),
+        retained=bool(item.retained),
+        keep_ms=milliseconds((item.retention_s or 0) * 1000),
+        resumable=bool(item.resumable),
+        gap_ms=milliseconds(item.gap_target_ms),
+    )
 
 
 def service_of(item):
     engine = item.engine or Engine()
-    return Service(name=item.name, max_connections=item.max_connections, dedupes=bool(item.self_dedup),
-                   event_tokens=engine.event_tokens or 0, slots=engine.capacity or 0,
-                   cache_tokens=engine.cache_tokens or 0)
+    return Service(
+        name=item.name,
+        max_connections=item.max_connections,
+        dedupes=bool(item.self_dedup),
+        event_tokens=engine.event_tokens or 0,
+        slots=engine.capacity or 0,
+        cache_tokens=engine.cache_tokens or 0,
+    )
 
 
 def bounds_of(item):
     item, default = item or BoundItem(), ClientBounds()
     return ClientBounds(
-        header_bytes=item.max_header_bytes or default.header_bytes, body_bytes=item.max_body_bytes or default.body_bytes,
+        header_bytes=item.max_header_bytes or default.header_bytes,
+        body_bytes=item.max_body_bytes or default.body_bytes,
         header_ms=milliseconds(item.header_guard_ms) or default.header_ms,
-        idle_ms=milliseconds(item.idle_ms) or default.idle_ms)
+        idle_ms=milliseconds(item.idle_ms) or default.idle_ms,
+    )
 
 
 def translate(document):
-    return Routing(version=document.issue, routes=tuple(map(route_of, document.route_table)),
-                   services={item.name: service_of(item) for item in document.service_table},
-                   bounds=bounds_of(document.limits))
+    return Routing(
+        version=document.issue,
+        routes=tuple(map(route_of, document.route_table)),
+        services={item.name: service_of(item) for item in document.service_table},
+        bounds=bounds_of(document.limits),
+    )
 
 
 def check(document):
--- a/frostpost/platform/server.py
+++ b/frostpost/platform/server.py
@@ -1,4 +1,5 @@
 """A bounded HTTP/1.1 server that the front, the readiness and the control address share."""
+
 from socket import IPPROTO_TCP, TCP_USER_TIMEOUT
 
 from twisted.protocols.basic import LineReceiver
@@ -29,6 +30,7 @@
 
 class Exchange(Request):
     """One request, handed to the server's `handle` once it is read whole; `on_over(lost)` is called once."""
+
     on_over, lost, size, body, started_s = None, False, 0, b"", 0.0
 
     def parseCookies(self):
@@ -144,8 +146,10 @@
         if self.turned:
             return
         self.turned, self.persistent = True, False
-        self.transport.write(b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n" % (
-            status, RESPONSES.get(status, b"Unknown Status")))
+        self.transport.write(
+            b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+            % (status, RESPONSES.get(status, b"Unknown Status"))
+        )
         self.lineReceived = self.rawDataReceived = lambda data: None
         self.setTimeout(LINGER_S)
         self.transport.loseWriteConnection()
@@ -161,6 +165,7 @@
 
 class Server(HTTPFactory):
     """bounds() -> ClientBounds; handle(request) answers one `Exchange`."""
+
     protocol, noisy = BoundedChannel, False
 
     def __init__(self, reactor, handle, bounds, most_channels=1000):
--- a/frostpost/platform/settings.py
+++ b/frostpost/platform/settings.py
@@ -1,4 +1,5 @@
 """The platform's settings file, read into `DaemonSettings`."""
+
 import os
 from ipaddress import IPv4Address
 from math import isfinite
@@ -51,8 +52,18 @@
 NUMBER = {"type": "number", "check_with": check_finite, "min": 0, "max": 1e9, "nullable": True}
 COUNT = {"type": "integer", "min": 0, "nullable": True}
 ADDRESS = {"type": "string", "check_with": check_address, "nullable": True}
-TIMERS = ("contact-ms", "ack-ms", "catch-up-s", "drain-ms", "grace-s", "loss-slack-ms", "apply-ms", "key-window-s",
-          "recovery-s", "transit-ms")
+TIMERS = (
+    "contact-ms",
+    "ack-ms",
+    "catch-up-s",
+    "drain-ms",
+    "grace-s",
+    "loss-slack-ms",
+    "apply-ms",
+    "key-window-s",
+    "recovery-s",
+    "transit-ms",
+)
 
 
 def table(**fields):
@@ -66,8 +77,12 @@
     "ip": {"type": "string", "required": True, "check_with": check_ip},
     "zone": {"type": "string", "nullable": True},
     "bind-addresses": table(front=ADDRESS, readiness=ADDRESS, control=ADDRESS),
-    "port-range": {"type": "list", "required": True, "minlength": 1,
-                   "schema": {"type": "integer", "min": 1, "max": 65535}},
+    "port-range": {
+        "type": "list",
+        "required": True,
+        "minlength": 1,
+        "schema": {"type": "integer", "min": 1, "max": 65535},
+    },
     "seeds": {"type": "list", "schema": {"type": "string", "check_with": check_address}, "nullable": True},
     "initial-start": {"type": "boolean", "nullable": True},
     "limits": table(memory_mb=NUMBER, max_fds=NUMBER, disk_mb=NUMBER),
@@ -127,19 +142,31 @@
     seeds = tuple(f"{address_of(seed)[0]}:{port}" for seed in document.get("seeds") or ())
     fields = timers_of(document.get("timers") or {})
     fields |= whole(document.get("limits") or {}, memory_mb="memory-mb", max_fds="max-fds", disk_mb="disk-mb")
-    fields |= whole(document.get("tolerance") or {}, tolerated="machines", tolerated_zones="zones",
-                    tolerated_regions="regions")
+    fields |= whole(
+        document.get("tolerance") or {}, tolerated="machines", tolerated_zones="zones", tolerated_regions="regions"
+    )
     if api.get("address"):
         fields["list_host"], fields["list_port"] = address_of(api["address"])
     if api.get("rate-per-s") is not None:
         fields["list_rate_per_s"] = float(api["rate-per-s"])
     places = {name: address_of(bound[name]) for name in ("front", "readiness", "control") if bound.get(name)}
     drain_ms = fields.setdefault("drain_ms", DRAIN_MS)
-    return Ok(DaemonSettings(
-        name=document.get("node-name") or f"{role}-{host}", role=role, zone=document.get("zone") or "", host=host,
-        port=port, seeds=seeds, first_start=bool(document.get("initial-start")), data=data,
-        trace=bool(document.get("frostpost-trace")),
-        list_ms=max(50, int(min(LIST_MS, drain_ms * LIST_SHARE_OF_DRAIN))), **places, **fields))
+    return Ok(
+        DaemonSettings(
+            name=document.get("node-name") or f"{role}-{host}",
+            role=role,
+            zone=document.get("zone") or "",
+            host=host,
+            port=port,
+            seeds=seeds,
+            first_start=bool(document.get("initial-start")),
+            data=data,
+            trace=bool(document.get("frostpost-trace")),
+            list_ms=max(50, int(min(LIST_MS, drain_ms * LIST_SHARE_OF_DRAIN))),
+            **places,
+            **fields,
+        )
+    )
 
 
 def read(path=None, role=None):
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -1,4 +1,5 @@
 """How runners are spoken to: headers of a request sent to one, and the head of its answer."""
+
 from frostpost.drove.words import RunnerHead, Wire
 
 from .names import ATTEMPT, HOP_BY_HOP, INSTANCE, LAST_EVENT, LEFT, LOAD, NOT_RUN, SEAL, TARGET, connection_names
@@ -10,7 +11,8 @@
     """The call's headers with the time left, the runner's id and the last event put in."""
     resumed = bool(call.last_event)
     headers = [
-        (name, value) for name, value in call.headers
+        (name, value)
+        for name, value in call.headers
         if (low := name.lower()) not in REPLACED and not (resumed and low == LAST_EVENT)
     ]
     headers.append((b"X-Time-Remaining", b"%d" % max(0, int(left_ms))))
--- a/frostpost/pruner/asking.py
+++ b/frostpost/pruner/asking.py
@@ -25,8 +25,11 @@
 def ask(door, path, method="GET", document=None, headers=None, waitS=30):
     data = None if document is None else json.encode(document)
     request = urllib.request.Request(
-        f"http://{door.address}{path}", data=data, method=method,
-        headers={"content-type": "application/json", **(headers or {})})
+        f"http://{door.address}{path}",
+        data=data,
+        method=method,
+        headers={"content-type": "application/json", **(headers or {})},
+    )
     try:
         with urllib.request.urlopen(request, timeout=waitS) as response:
             return Ok(json.decode(response.read()))
--- a/frostpost/pruner/configs.py
+++ b/frostpost/pruner/configs.py
@@ -104,10 +104,13 @@
     if result.is_error():
         return fail(command, result.error)
     if command.path:
-        text = f"{command.path} version {result.ok['version']}\n" + json.format(
-            json.encode(result.ok["document"]), indent=2).decode()
+        text = (
+            f"{command.path} version {result.ok['version']}\n"
+            + json.format(json.encode(result.ok["document"]), indent=2).decode()
+        )
     else:
-        text = "\n".join(f"{p} version {c['version']} ({c['size']} bytes)"
-                         for p, c in sorted(result.ok["configs"].items()))
+        text = "\n".join(
+            f"{p} version {c['version']} ({c['size']} bytes)" for p, c in sorted(result.ok["configs"].items())
+        )
     say(command, result.ok, text)
     return DONE
--- a/frostpost/pruner/doctor.py
+++ b/frostpost/pruner/doctor.py
@@ -16,6 +16,7 @@
 def reach(places):
     def one(place):
         return ask(Door(place["http"]), "/v1/status", waitS=3)
+
     with ThreadPoolExecutor(16) as pool:
         return dict(zip((p["name"] for p in places), pool.map(one, places)))
 
@@ -27,37 +28,73 @@
 
 def ofDaemon(name, said):
     if not said["primary"] or not said["serving"] and not said["leaving"]:
-        yield Finding("NoMajority", name, "it is not with the majority of the voters, or just changing",
-                      "raise the missing storage daemons, or mend the network between the zones")
+        yield Finding(
+            "NoMajority",
+            name,
+            "it is not with the majority of the voters, or just changing",
+            "raise the missing storage daemons, or mend the network between the zones",
+        )
     if said["unwell"]:
-        yield Finding("DiskUnwell", name, "a sync overran its bound or the disk is full",
-                      "look at the disk; it is taken back by itself once it is well")
+        yield Finding(
+            "DiskUnwell",
+            name,
+            "a sync overran its bound or the disk is full",
+            "look at the disk; it is taken back by itself once it is well",
+        )
     if said["diskFreePart"] is not None and said["diskFreePart"] < 0.1:
-        yield Finding("DiskNearlyFull", name, f"{said['diskFreePart']:.0%} of the disk is free",
-                      "make room, or give the data folder a larger disk")
+        yield Finding(
+            "DiskNearlyFull",
+            name,
+            f"{said['diskFreePart']:.0%} of the disk is free",
+            "make room, or give the data folder a larger disk",
+        )
     if said["corrupt"]:
-        yield Finding("DiskDamaged", name, said["corrupt"],
-                      "it refills by itself from the others; replace the disk if it comes again")
+        yield Finding(
+            "DiskDamaged",
+            name,
+            said["corrupt"],
+            "it refills by itself from the others; replace the disk if it comes again",
+        )
     if said["honoured"] < said["configIndex"]:
-        yield Finding("ConfigLag", name, f"honours {said['honoured']} of {said['configIndex']}",
-                      "see that it can reach a storage daemon; large bodies take a while")
+        yield Finding(
+            "ConfigLag",
+            name,
+            f"honours {said['honoured']} of {said['configIndex']}",
+            "see that it can reach a storage daemon; large bodies take a while",
+        )
     if said["counts"].get("otherVersions"):
-        yield Finding("MixedVersions", name, f"{said['counts']['otherVersions']} frames of another version",
-                      "finish the roll-out; no two inner versions can share a configuration")
+        yield Finding(
+            "MixedVersions",
+            name,
+            f"{said['counts']['otherVersions']} frames of another version",
+            "finish the roll-out; no two inner versions can share a configuration",
+        )
     if said["primary"] and said.get("rules", 1) < SPEAKS:
-        yield Finding("OlderRules", name, "the ledger still goes by the rules of the version before",
-                      "restart the daemons that are still of that version; it changes by itself then")
+        yield Finding(
+            "OlderRules",
+            name,
+            "the ledger still goes by the rules of the version before",
+            "restart the daemons that are still of that version; it changes by itself then",
+        )
     if said["counts"].get("overslept", 0) > 3:
-        yield Finding("Overslept", name, f"it stood still {said['counts']['overslept']} times",
-                      "the machine is overloaded or was suspended")
+        yield Finding(
+            "Overslept",
+            name,
+            f"it stood still {said['counts']['overslept']} times",
+            "the machine is overloaded or was suspended",
+        )
 
 
 def together(found):
     statuses = {n: s for n, s in found.items()}
     ids = {(s["configuration"]["epoch"], s["configuration"]["proposer"]) for s in statuses.values()}
     if len(ids) > 1:
-        yield Finding("Split", ", ".join(f"{e} by {p}" for e, p in sorted(ids)),
-                      "daemons are in several configurations", "see which links between them are cut")
+        yield Finding(
+            "Split",
+            ", ".join(f"{e} by {p}" for e, p in sorted(ids)),
+            "daemons are in several configurations",
+            "see which links between them are cut",
+        )
     top = max(s["applied"] for s in statuses.values())
     for name, said in statuses.items():
         if top - said["applied"] > 1000:
@@ -66,18 +103,30 @@
     if clocks[-1] - clocks[0] > 5000:
         for name, said in statuses.items():
             if abs(said["wallMs"] - clocks[len(clocks) // 2]) > 5000:
-                yield Finding("ClockOff", name, "its wall clock differs by seconds from the others'",
-                              "nothing here relies on it but log times: set the clock")
+                yield Finding(
+                    "ClockOff",
+                    name,
+                    "its wall clock differs by seconds from the others'",
+                    "nothing here relies on it but log times: set the clock",
+                )
     voters = next(iter(statuses.values()))["voters"]
     lost = [v for v in voters if v not in statuses]
     if lost:
-        yield Finding("VoterMissing", ", ".join(lost), "a storage voter can't be reached",
-                      "raise it, or replace the machine under the same name with an empty data folder")
+        yield Finding(
+            "VoterMissing",
+            ", ".join(lost),
+            "a storage voter can't be reached",
+            "raise it, or replace the machine under the same name with an empty data folder",
+        )
     holder = next((s["duties"].get("list", {}).get("holder") for s in statuses.values()), None)
     said = statuses.get(holder)
     if said is not None and said["listSet"] and (said["listAgeMs"] is None or said["listAgeMs"] > 15000):
-        yield Finding("ListStale", holder, "the platform's runner list was not read for 15 s",
-                      "see whether the platform answers, and the count listTurnedAway")
+        yield Finding(
+            "ListStale",
+            holder,
+            "the platform's runner list was not read for 15 s",
+            "see whether the platform answers, and the count listTurnedAway",
+        )
     for duty in ("list", "ticks"):
         if not any(s["duties"].get(duty, {}).get("holder") for s in statuses.values()):
             yield Finding("DutyVacant", duty, "nobody holds this duty", "see that core daemons are up")
@@ -95,8 +144,15 @@
         findings += ofDaemon(name, said)
     findings += together(found)
     unknown = [s for s in first.ok["seeds"] if s not in {p["inner"] for p in places}]
-    findings += [Finding("SeedUnreached", s, "no daemon was met at this seed address",
-                         "mend the settings file's seeds, or raise that daemon") for s in unknown]
+    findings += [
+        Finding(
+            "SeedUnreached",
+            s,
+            "no daemon was met at this seed address",
+            "mend the settings file's seeds, or raise that daemon",
+        )
+        for s in unknown
+    ]
     text = "\n".join(f"{f.fault} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
     say(command, to_builtins(findings), text or f"{len(found)} daemons are in order")
     return FOUND if findings else DONE
--- a/frostpost/pruner/fleet.py
+++ b/frostpost/pruner/fleet.py
@@ -1,4 +1,5 @@
 """The whole fleet on the users' machines, asked daemon by daemon."""
+
 import sys
 
 from msgspec import DecodeError, Struct, json, to_builtins
@@ -16,6 +17,7 @@
     """ring, leaves: name -> facts of those that answered. silent: name -> address of those that didn't.
     zones: name -> zone of the ring's daemons. listed: the leaves as the ring sees them.
     """
+
     seeds_silent: list[str] = []
     ring: dict[str, dict] = {}
     leaves: dict[str, dict] = {}
@@ -103,18 +105,32 @@
 
 def ring_row(name, facts):
     id, silo = facts.get("configuration", {}), facts["silo"]
-    return [name, facts["zone"], state_of(facts), f"{id.get('epoch', '-')} by {id.get('proposer', '-')}",
-            f"{len(facts.get('members', ()))} members", f"applied {facts.get('applied', 0)}",
-            f"routing {facts.get('routing', {}).get('version', 0)}",
-            f"bodies {silo['bodies']}, missing {silo['missing']}", "DISK UNWELL" if facts["disk_unwell"] else "disk well"]
+    return [
+        name,
+        facts["zone"],
+        state_of(facts),
+        f"{id.get('epoch', '-')} by {id.get('proposer', '-')}",
+        f"{len(facts.get('members', ()))} members",
+        f"applied {facts.get('applied', 0)}",
+        f"routing {facts.get('routing', {}).get('version', 0)}",
+        f"bodies {silo['bodies']}, missing {silo['missing']}",
+        "DISK UNWELL" if facts["disk_unwell"] else "disk well",
+    ]
 
 
 def leaf_row(name, facts):
     routing, runners = facts["routing"], facts["runners"]
-    return [name, facts["zone"], facts["role"], f"lease {facts['lease_left_ms']} ms of {facts['sequencer'] or '-'}",
-            f"routing {routing['held']}/{routing['known']}", f"open {facts['open_asks']}",
-            f"flights {facts['flights']}", f"runners {runners['known']}, draining {runners['draining']}, "
-            f"resting {runners['resting']}", "leaving" if facts["leaving"] else ""]
+    return [
+        name,
+        facts["zone"],
+        facts["role"],
+        f"lease {facts['lease_left_ms']} ms of {facts['sequencer'] or '-'}",
+        f"routing {routing['held']}/{routing['known']}",
+        f"open {facts['open_asks']}",
+        f"flights {facts['flights']}",
+        f"runners {runners['known']}, draining {runners['draining']}, resting {runners['resting']}",
+        "leaving" if facts["leaving"] else "",
+    ]
 
 
 def table(rows):
--- a/frostpost/pruner/inner.py
+++ b/frostpost/pruner/inner.py
@@ -1,4 +1,5 @@
 """Questions to daemons over their inner addresses, from a command that is none; they answer to the port it listens on."""
+
 import selectors
 import socket
 import struct
@@ -20,13 +21,14 @@
 
 class Hearing(Struct):
     """buffers: what each open connection has brought of its next frames."""
+
     listener: object
     selector: object
     buffers: dict = {}
 
 
 def resolved(address):
-    """"IP:port" of "HOST:PORT", or None."""
+    """ "IP:port" of "HOST:PORT", or None."""
     host, _, port = address.rpartition(":")
     try:
         return f"{socket.gethostbyname(host)}:{int(port)}"
@@ -76,8 +78,8 @@
             raise ValueError(length)
         if len(buffer) < 4 + length:
             return
-        data = bytes(buffer[4:4 + length])
-        del buffer[:4 + length]
+        data = bytes(buffer[4 : 4 + length])
+        del buffer[: 4 + length]
         yield decode(data)
 
 
--- a/frostpost/pruner/main.py
+++ b/frostpost/pruner/main.py
@@ -103,7 +103,9 @@
     json: TEXT = False
 
 
-@cappa.command(name="fleet", help="Print every daemon of a fleet on the users' machines, asked over the inner addresses.")
+@cappa.command(
+    name="fleet", help="Print every daemon of a fleet on the users' machines, asked over the inner addresses."
+)
 class Fleet(Struct, kw_only=True):
     seed: Annotated[list[str], cappa.Arg(long="--seed", required=True, help="IP:port, the inner address of any daemon")]
     doctor: Annotated[bool, cappa.Arg(long=True, help="look for common faults; exit status 1 if any is found")] = False
@@ -113,15 +115,38 @@
 @cappa.command(name="pruner", help="The operators' command for frostpost.")
 class Pruner(Struct):
     command: cappa.Subcommands[
-        Apply | Diff | Get | History | Rollback | Remove | Drain | Status | Members | Runners | Explain | Voters | Doctor
-        | Fleet]
+        Apply
+        | Diff
+        | Get
+        | History
+        | Rollback
+        | Remove
+        | Drain
+        | Status
+        | Members
+        | Runners
+        | Explain
+        | Voters
+        | Doctor
+        | Fleet
+    ]
 
 
 ACTS = {
-    Apply: configs.apply, Diff: configs.diff, Get: configs.get,
-    History: pasts.history, Rollback: pasts.rollback, Remove: pasts.remove, Drain: sights.drain,
-    Status: sights.status, Members: sights.members, Runners: sights.runners,
-    Explain: sights.explain, Voters: sights.voters, Doctor: doctor.run, Fleet: fleet.run,
+    Apply: configs.apply,
+    Diff: configs.diff,
+    Get: configs.get,
+    History: pasts.history,
+    Rollback: pasts.rollback,
+    Remove: pasts.remove,
+    Drain: sights.drain,
+    Status: sights.status,
+    Members: sights.members,
+    Runners: sights.runners,
+    Explain: sights.explain,
+    Voters: sights.voters,
+    Doctor: doctor.run,
+    Fleet: fleet.run,
 }
 
 
--- a/frostpost/pruner/sights.py
+++ b/frostpost/pruner/sights.py
@@ -11,23 +11,31 @@
 
 def drain(command, door):
     return shown(
-        command, door, f"/v1/runners/{command.runner}/drain",
+        command,
+        door,
+        f"/v1/runners/{command.runner}/drain",
         lambda said: f"{said['runner']} is {'leaving' if said['leaving'] else 'staying'}",
-        "POST", {"leaving": not command.stay})
+        "POST",
+        {"leaving": not command.stay},
+    )
 
 
 def status(command, door):
     def text(said):
         held = said["configuration"]
-        return "\n".join([
-            f"{said['name']} ({said['role']}, cell {said['cell']}): "
-            + ("serving" if said["serving"] else "not serving"),
-            f"configuration {held['epoch']} by {held['proposer']}, {held['ageMs']} ms old, "
-            f"sequencer {held['sequencer']}",
-            f"members: {', '.join(held['members'])}",
-            f"voters: {', '.join(said['voters'])}",
-            f"applied {said['applied']}, configuration index {said['configIndex']}, honoured {said['honoured']}",
-            "duties: " + ", ".join(f"{n}: {d['holder']}" for n, d in said["duties"].items())])
+        return "\n".join(
+            [
+                f"{said['name']} ({said['role']}, cell {said['cell']}): "
+                + ("serving" if said["serving"] else "not serving"),
+                f"configuration {held['epoch']} by {held['proposer']}, {held['ageMs']} ms old, "
+                f"sequencer {held['sequencer']}",
+                f"members: {', '.join(held['members'])}",
+                f"voters: {', '.join(said['voters'])}",
+                f"applied {said['applied']}, configuration index {said['configIndex']}, honoured {said['honoured']}",
+                "duties: " + ", ".join(f"{n}: {d['holder']}" for n, d in said["duties"].items()),
+            ]
+        )
+
     return shown(command, door, "/v1/status", text)
 
 
@@ -36,30 +44,42 @@
         rows = [f"{said['name']:8} itself      applied {said['applied']}"]
         for name, peer in sorted(said["peers"].items()):
             inside = "member" if name in said["configuration"]["members"] else "outside"
-            rows.append(f"{name:8} {inside:8} heard {peer['heardMs']} ms ago, applied {peer['applied']}"
-                        + (", disk unwell" if peer["unwell"] else ""))
+            rows.append(
+                f"{name:8} {inside:8} heard {peer['heardMs']} ms ago, applied {peer['applied']}"
+                + (", disk unwell" if peer["unwell"] else "")
+            )
         return "\n".join(rows)
+
     return shown(command, door, "/v1/status", text)
 
 
 def runners(command, door):
-    return shown(command, door, "/v1/runners", lambda said: "\n".join(
-        f"{r['name']:12} {r['pool']:10} cell {r['cell']} {r['host']}:{r['port']} "
-        f"running {r['running']}/{r['room']} load {r['load']}" + (" leaving" if r["leaving"] else "")
-        for r in said["runners"]))
+    return shown(
+        command,
+        door,
+        "/v1/runners",
+        lambda said: "\n".join(
+            f"{r['name']:12} {r['pool']:10} cell {r['cell']} {r['host']}:{r['port']} "
+            f"running {r['running']}/{r['room']} load {r['load']}" + (" leaving" if r["leaving"] else "")
+            for r in said["runners"]
+        ),
+    )
 
 
 def explain(command, door):
-    return shown(command, door, f"/v1/tenants/{command.tenant}/lanes/{command.lane}/explain",
-                 lambda said: "\n".join(
-                     f"{r['runner']:12} "
-                     f"{r['total']:8} " + (", ".join(r["vetoes"]) or str(r["scores"]))
-                     for r in sorted(said["runners"], key=lambda r: (bool(r["vetoes"]), -r["total"]))))
+    return shown(
+        command,
+        door,
+        f"/v1/tenants/{command.tenant}/lanes/{command.lane}/explain",
+        lambda said: "\n".join(
+            f"{r['runner']:12} {r['total']:8} " + (", ".join(r["vetoes"]) or str(r["scores"]))
+            for r in sorted(said["runners"], key=lambda r: (bool(r["vetoes"]), -r["total"]))
+        ),
+    )
 
 
 def voters(command, door):
     if command.add or command.remove:
         document = {k: v for k, v in (("add", command.add), ("remove", command.remove)) if v}
-        return shown(command, door, "/v1/voters", lambda said: f"voters: {', '.join(said['voters'])}",
-                     "POST", document)
+        return shown(command, door, "/v1/voters", lambda said: f"voters: {', '.join(said['voters'])}", "POST", document)
     return shown(command, door, "/v1/status", lambda said: f"voters: {', '.join(said['voters'])}")
--- a/frostpost/scarecrow/backs.py
+++ b/frostpost/scarecrow/backs.py
@@ -17,8 +17,15 @@
 
 
 def rowOf(runner, port):
-    return {"name": runner.name, "instance": runner.instance, "host": "127.0.0.1", "port": port,
-            "pool": runner.pool, "cell": runner.cell, "room": runner.room}
+    return {
+        "name": runner.name,
+        "instance": runner.instance,
+        "host": "127.0.0.1",
+        "port": port,
+        "pool": runner.pool,
+        "cell": runner.cell,
+        "room": runner.room,
+    }
 
 
 def raise_(seed, notes, ready):
@@ -26,6 +33,7 @@
 
     def listening(port, runner):
         rows.append(rowOf(runner, port.getHost().port))
+
     number = 0
     for pools in POOLS.values():
         for pool, many, room in pools:
@@ -39,6 +47,7 @@
     def up(port):
         platforms.show(platform, sorted(rows, key=lambda r: r["name"]))
         ready(port.getHost().port, rows)
+
     endpoint.listen(platforms.build(platform)).addCallback(up)
 
 
@@ -54,6 +63,7 @@
     def ready(port, rows):
         sys.stdout.buffer.write(json.encode({"list": port, "runners": rows}) + b"\n")
         sys.stdout.flush()
+
     raise_(command.seed, Notes(command.notes), ready)
     reactor.run()
     return 0
--- a/frostpost/scarecrow/callers.py
+++ b/frostpost/scarecrow/callers.py
@@ -60,8 +60,11 @@
     status, whole, raw, retry = 0, False, b"", None
     try:
         response = yield crowd.client.post(
-            f"http://{door}{path}", bodyOf(crowd.reactor, json.encode(document)),
-            headers={"x-request": [request], "content-type": ["application/json"]}, unbuffered=True)
+            f"http://{door}{path}",
+            bodyOf(crowd.reactor, json.encode(document)),
+            headers={"x-request": [request], "content-type": ["application/json"]},
+            unbuffered=True,
+        )
         status = response.code
         retry = (response.headers.getRawHeaders("retry-after") or [None])[0]
         reading = Reading()
@@ -77,8 +80,9 @@
         except DecodeError:
             whole = False
     tookMs = round((crowd.reactor.seconds() - startS) * 1000, 1)
-    crowd.notes.say("answered", request=request, status=status, whole=whole, lines=lines,
-                    retryAfter=retry, tookMs=tookMs)
+    crowd.notes.say(
+        "answered", request=request, status=status, whole=whole, lines=lines, retryAfter=retry, tookMs=tookMs
+    )
     return status, whole, lines, retry
 
 
@@ -115,8 +119,11 @@
         crowd.serial += 1
         name = f"{crowd.tag}-{lane}-{crowd.serial}"
         for turn in range(1 + crowd.random.randrange(3)):
-            yield insist(crowd, f"/v1/tenants/{tenant}/lanes/{lane}/turns",
-                         {"program": name, "input": f"{name} turn {turn} of the shared prompt"})
+            yield insist(
+                crowd,
+                f"/v1/tenants/{tenant}/lanes/{lane}/turns",
+                {"program": name, "input": f"{name} turn {turn} of the shared prompt"},
+            )
             kind = crowd.random.choice(lookups)
             document = {"input": f"{name}/{turn}"}
             if kind in ("claims", "notices"):
@@ -142,6 +149,7 @@
             return
         running.append(program(crowd, tenant, lane, lookups))
         reactor.callLater(crowd.random.expovariate(rate * factor), arrive, tenant, lane, rate, lookups)
+
     for tenant, shape in DEPLOYMENTS.items():
         for lane, rate in shape.items():
             if lane != "lookups":
@@ -153,6 +161,7 @@
             done()
         else:
             reactor.callLater(0.1, check)
+
     check()
 
 
@@ -168,13 +177,16 @@
 
 def main():
     from twisted.internet import reactor
+
     command = cappa.parse(Callers)
     crowd = Crowd(reactor, command.doors, command.seed, Notes(command.notes), command.tag)
 
     def over():
         crowd.endS = min(crowd.endS, reactor.seconds())
-    reactor.addSystemEventTrigger("after", "startup", lambda: signal.signal(
-        signal.SIGTERM, lambda *_: reactor.callFromThread(over)))
+
+    reactor.addSystemEventTrigger(
+        "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(over))
+    )
     reactor.callWhenRunning(arrivals, crowd, command.seconds, command.factor, reactor.stop)
     reactor.run()
     return 0
--- a/frostpost/scarecrow/contests.py
+++ b/frostpost/scarecrow/contests.py
@@ -16,9 +16,19 @@
 def race(fleet, pool, doors, n):
     path = "/v1/config/tenants/tamar"
     version = insist(fleet, doors, path, "GET", None)[1].get("version", 0)
-    jobs = [pool.submit(call, fleet, door, path, "PUT",
-                        {"template": "kitchens", "parameters": {"keepMs": 600000 + 2 * n + k}},
-                        15, {"if-match": str(version)}) for k, door in enumerate(doors)]
+    jobs = [
+        pool.submit(
+            call,
+            fleet,
+            door,
+            path,
+            "PUT",
+            {"template": "kitchens", "parameters": {"keepMs": 600000 + 2 * n + k}},
+            15,
+            {"if-match": str(version)},
+        )
+        for k, door in enumerate(doors)
+    ]
     return sorted(j.result()[0] for j in jobs)
 
 
@@ -34,6 +44,11 @@
     facts["invalid"] = insist(fleet, doors, "/v1/config/tenants/tamar", "PUT", {"template": "none"})[0]
     notes = {f"n{i}": "x" * 1000 for i in range(20000)}
     startS = time.monotonic()
-    facts["large"] = insist(fleet, doors, "/v1/config/templates/large", "PUT", {
-        "lanes": {"one": {"kind": "turn", "pools": ["hmodel"]}}, "notes": notes})
+    facts["large"] = insist(
+        fleet,
+        doors,
+        "/v1/config/templates/large",
+        "PUT",
+        {"lanes": {"one": {"kind": "turn", "pools": ["hmodel"]}}, "notes": notes},
+    )
     facts["largeMs"] = round((time.monotonic() - startS) * 1000)
--- a/frostpost/scarecrow/fleet.py
+++ b/frostpost/scarecrow/fleet.py
@@ -58,7 +58,8 @@
         for n in range(many):
             name = f"{letter}{n + 1}"
             fleet.daemons[name] = Daemon(
-                name, role, "abc"[n % 3], next(free), next(free), os.path.join(fleet.folder, f"{name}.toml"))
+                name, role, "abc"[n % 3], next(free), next(free), os.path.join(fleet.folder, f"{name}.toml")
+            )
     cores_ = [d for d in fleet.daemons.values() if d.role != "edge"]
     fleet.seeds = [f"127.0.0.1:{d.port}" for d in cores_[:3]]
     return fleet
@@ -70,8 +71,9 @@
     return (
         f'name = "{daemon.name}"\nrole = "{daemon.role}"\ncell = "{daemon.cell}"\n'
         f'host = "127.0.0.1"\nport = {daemon.port}\nhttpPort = {daemon.httpPort}\n'
-        f'seeds = {json.encode(fleet.seeds).decode()}\nvoters = {json.encode(voters).decode()}\n{data}'
-        f'list = "http://127.0.0.1:{fleet.listPort}/runners"\nhooks = "{fleet.folder}/{daemon.name}.hooks"\n{extra}')
+        f"seeds = {json.encode(fleet.seeds).decode()}\nvoters = {json.encode(voters).decode()}\n{data}"
+        f'list = "http://127.0.0.1:{fleet.listPort}/runners"\nhooks = "{fleet.folder}/{daemon.name}.hooks"\n{extra}'
+    )
 
 
 def extend(fleet, name, role, cell):
@@ -82,7 +84,8 @@
 def raiseBacks(fleet, seed=1):
     fleet.backs = subprocess.Popen(
         [fleet.python, "-m", "frostpost.scarecrow.backs", f"{fleet.folder}/runners.notes", "--seed", str(seed)],
-        stdout=subprocess.PIPE)
+        stdout=subprocess.PIPE,
+    )
     said = json.decode(fleet.backs.stdout.readline())
     fleet.listPort, fleet.runners = said["list"], said["runners"]
 
@@ -93,17 +96,25 @@
         file.write(settingsOf(fleet, daemon, extra))
     log = open(f"{fleet.folder}/{name}.log", "ab")
     daemon.process = subprocess.Popen(
-        [fleet.python, "-m", fleet.program, daemon.path], stdout=log, stderr=log, cwd=fleet.before or None,
-        env={**os.environ, **({"PYTHONPATH": fleet.before} if fleet.before else {}), "FROSTPOST_SKEW": f"{fleet.folder}/{name}.skew"})
+        [fleet.python, "-m", fleet.program, daemon.path],
+        stdout=log,
+        stderr=log,
+        cwd=fleet.before or None,
+        env={
+            **os.environ,
+            **({"PYTHONPATH": fleet.before} if fleet.before else {}),
+            "FROSTPOST_SKEW": f"{fleet.folder}/{name}.skew",
+        },
+    )
     log.close()
 
 
 def call(fleet, name, path, method="GET", document=None, timeout=15, headers=None):
     daemon = fleet.daemons[name]
-    data = document if isinstance(document, bytes) else (
-        json.encode(document) if document is not None else None)
+    data = document if isinstance(document, bytes) else (json.encode(document) if document is not None else None)
     request = urllib.request.Request(
-        f"http://127.0.0.1:{daemon.httpPort}{path}", data=data, method=method, headers=headers or {})
+        f"http://127.0.0.1:{daemon.httpPort}{path}", data=data, method=method, headers=headers or {}
+    )
     try:
         with urllib.request.urlopen(request, timeout=timeout) as response:
             raw = response.read()
@@ -149,8 +160,22 @@
     edges = doors or [n for n, d in fleet.daemons.items() if d.role == "edge"]
     words = [w for n in edges for w in ("--door", f"127.0.0.1:{fleet.daemons[n].httpPort}")]
     return subprocess.Popen(
-        [fleet.python, "-m", "frostpost.scarecrow.callers", f"{fleet.folder}/callers.notes", *words,
-         "--seconds", str(seconds), "--factor", str(factor), "--seed", str(seed), "--tag", tag])
+        [
+            fleet.python,
+            "-m",
+            "frostpost.scarecrow.callers",
+            f"{fleet.folder}/callers.notes",
+            *words,
+            "--seconds",
+            str(seconds),
+            "--factor",
+            str(factor),
+            "--seed",
+            str(seed),
+            "--tag",
+            tag,
+        ]
+    )
 
 
 def send(fleet, name, signal_):
--- a/frostpost/scarecrow/judge.py
+++ b/frostpost/scarecrow/judge.py
@@ -105,10 +105,16 @@
     found = asks(callerNotes)
     runs, byRun = ranBy(runnerNotes)
     return [
-        *doubled(found, runs), *keysOnce(found, runs), *lookupsRight(found),
-        *streamsRight(found, byRun), *histories(callerNotes, found, runs), *budgets(found, runs),
-        *leaving(runnerNotes, [*drains, *drained(callerNotes)]), *configured(callerNotes, byRun),
-        *(cutMidAnswer(found, runs) if planned else ())]
+        *doubled(found, runs),
+        *keysOnce(found, runs),
+        *lookupsRight(found),
+        *streamsRight(found, byRun),
+        *histories(callerNotes, found, runs),
+        *budgets(found, runs),
+        *leaving(runnerNotes, [*drains, *drained(callerNotes)]),
+        *configured(callerNotes, byRun),
+        *(cutMidAnswer(found, runs) if planned else ()),
+    ]
 
 
 def summary(callerNotes):
--- a/frostpost/scarecrow/main.py
+++ b/frostpost/scarecrow/main.py
@@ -63,11 +63,16 @@
     finally:
         fleets.end(fleet)
     notes = read(f"{folder}/callers.notes")
-    breaches = judge(notes, read(f"{folder}/runners.notes"), facts.get("drains", {}).items(),
-                     planned=name in PLANNED)
+    breaches = judge(notes, read(f"{folder}/runners.notes"), facts.get("drains", {}).items(), planned=name in PLANNED)
     late = [n for n in notes if n.get("request", "").startswith("z")]
-    return {"proof": name, "breaches": breaches, "facts": facts, "callers": summary(notes),
-            "after": summary(late), "seconds": round(time.monotonic() - startS, 1)}
+    return {
+        "proof": name,
+        "breaches": breaches,
+        "facts": facts,
+        "callers": summary(notes),
+        "after": summary(late),
+        "seconds": round(time.monotonic() - startS, 1),
+    }
 
 
 def proofs(command):
--- a/frostpost/scarecrow/memories.py
+++ b/frostpost/scarecrow/memories.py
@@ -45,8 +45,7 @@
     for request, notes in runs.items():
         ask = found.get(request)
         if ask is not None and ask.kind == "turns":
-            lines[(ask.tenant, ask.document["program"])] += [
-                (n["atMs"], [n["input"], textOf(n)]) for n in notes]
+            lines[(ask.tenant, ask.document["program"])] += [(n["atMs"], [n["input"], textOf(n)]) for n in notes]
     return lines
 
 
@@ -62,5 +61,5 @@
                 if atMs < one.fromMs and line not in one.lines:
                     yield Breach("history", f"{key} {one.what}: lacks what was answered")
             for other in seen:
-                if other.toMs < one.fromMs and one.lines[:len(other.lines)] != other.lines:
+                if other.toMs < one.fromMs and one.lines[: len(other.lines)] != other.lines:
                     yield Breach("history", f"{key} {one.what}: doesn't go on from {other.what}")
--- a/frostpost/scarecrow/platform.py
+++ b/frostpost/scarecrow/platform.py
@@ -47,4 +47,5 @@
     def change(request):
         show(platform, json.decode(request.content.read())["runners"])
         return b"{}"
+
     return Site(app.resource(), reactor=reactor)
--- a/frostpost/scarecrow/proofs.py
+++ b/frostpost/scarecrow/proofs.py
@@ -101,8 +101,7 @@
     other = one(fleet, "storage", (name,))
     facts["refilled"] = waitFor(lambda: statusOf(fleet, other)["peers"][name]["ready"], 20)
     kill(fleet, other)
-    facts["servedWithoutOther"] = waitFor(
-        lambda: ready(fleet, [n for n in fleet.daemons if n != other]), 10)
+    facts["servedWithoutOther"] = waitFor(lambda: ready(fleet, [n for n in fleet.daemons if n != other]), 10)
     facts["otherBack"] = again(fleet, other)
 
 
@@ -118,6 +117,7 @@
 
 def runners(fleet, facts):
     import urllib.request
+
     rows = list(fleet.runners)
     for pool in ("hmodel", "tlookup"):
         row = next(r for r in rows if r["pool"] == pool)
@@ -128,7 +128,8 @@
         time.sleep(1)
         rows = [r for r in rows if r != row]
         request = urllib.request.Request(
-            f"http://127.0.0.1:{fleet.listPort}/runners", json.encode({"runners": rows}), method="PUT")
+            f"http://127.0.0.1:{fleet.listPort}/runners", json.encode({"runners": rows}), method="PUT"
+        )
         urllib.request.urlopen(request).read()
         time.sleep(2)
     facts["listed"] = len(rows)
@@ -136,8 +137,8 @@
 
 def change(row, **facts):
     import urllib.request
-    request = urllib.request.Request(
-        f"http://127.0.0.1:{row['port']}/stand-in", json.encode(facts), method="POST")
+
+    request = urllib.request.Request(f"http://127.0.0.1:{row['port']}/stand-in", json.encode(facts), method="POST")
     return json.decode(urllib.request.urlopen(request).read())
 
 
@@ -158,8 +159,9 @@
             with open(f"{fleet.folder}/{name}.skew", "w") as file:
                 file.write(str(jumpS))
         before = statusOf(fleet, one(fleet, "storage"))["applied"]
-        facts.setdefault("goesOn", []).append(waitFor(
-            lambda: ready(fleet) and statusOf(fleet, one(fleet, "storage"))["applied"] > before + 50, 20))
+        facts.setdefault("goesOn", []).append(
+            waitFor(lambda: ready(fleet) and statusOf(fleet, one(fleet, "storage"))["applied"] > before + 50, 20)
+        )
 
 
 def upgrade(fleet, facts):
@@ -209,7 +211,19 @@
 
 
 PROOFS = {
-    "calm": calm, "kill": killEach, "freeze": freezeEach, "cuts": cuts, "roll": roll,
-    "allDown": allDown, "loseDisk": loseDisk, "slowDisk": slowDisk, "runners": runners,
-    "drains": drains, "crowd": crowd, "races": races, "grow": grow, "clocks": clocks, "upgrade": upgrade,
+    "calm": calm,
+    "kill": killEach,
+    "freeze": freezeEach,
+    "cuts": cuts,
+    "roll": roll,
+    "allDown": allDown,
+    "loseDisk": loseDisk,
+    "slowDisk": slowDisk,
+    "runners": runners,
+    "drains": drains,
+    "crowd": crowd,
+    "races": races,
+    "grow": grow,
+    "clocks": clocks,
+    "upgrade": upgrade,
 }
--- a/frostpost/scarecrow/runner.py
+++ b/frostpost/scarecrow/runner.py
@@ -76,6 +76,7 @@
         def gone(_):
             state["gone"] = True
             finish("callerGone")
+
         request.notifyFinish().addErrback(gone)
 
         def finish(how):
@@ -103,12 +104,13 @@
                 return finish("whole")
             raw = json.encode({"n": n, "text": f"{runId}:{n} " + "x" * runner.flood, "units": 1}) + b"\n"
             if runner.mode == "inPiece" and n == 2:
-                request.write(raw[:len(raw) // 2])
+                request.write(raw[: len(raw) // 2])
                 return later(1, cut)
             if runner.mode == "endless" and n == 2:
                 return endless(request, state)
             request.write(raw)
             later(runner.pieceMs, piece, n + 1)
+
         later(runner.startMs + runner.lineMs * (len(chain) - held), piece, 1)
         return done
 
@@ -131,11 +133,12 @@
                 request.setResponseCode(503)
                 return done.callback(b"{}")
             if runner.mode in ("inPiece", "beforeEnd"):
-                request.write(body[:len(body) // 2 if runner.mode == "inPiece" else -1])
+                request.write(body[: len(body) // 2 if runner.mode == "inPiece" else -1])
                 return later(1, cutOff, request)
             if runner.mode == "endless":
                 return endless(request, {"gone": False})
             done.callback(body)
+
         later(runner.lookupMs, finish)
         return done
 
@@ -161,19 +164,39 @@
         runner.running += 1
         runId = f"{runner.name}.{runner.instance}.{runner.serial}"
         total = min(asked.get("maxOutput", 0), 100 if runner.flood else 3 + random.randrange(6))
-        notes.say("ran", runner=runner.name, run=runId, request=asked["request"], of=asked["kind"],
-                  tenant=asked["tenant"], lane=asked["lane"], key=asked.get("key"), total=total,
-                  pool=runner.pool, input=asked["input"], history=asked.get("history"),
-                  maxOutput=asked.get("maxOutput"), config=asked.get("config"), heldMs=heldMs(runner, notes))
+        notes.say(
+            "ran",
+            runner=runner.name,
+            run=runId,
+            request=asked["request"],
+            of=asked["kind"],
+            tenant=asked["tenant"],
+            lane=asked["lane"],
+            key=asked.get("key"),
+            total=total,
+            pool=runner.pool,
+            input=asked["input"],
+            history=asked.get("history"),
+            maxOutput=asked.get("maxOutput"),
+            config=asked.get("config"),
+            heldMs=heldMs(runner, notes),
+        )
         request.notifyFinish().addErrback(lambda _: None)
         return turn(request, asked, runId, total) if asked["kind"] == "turn" else lookup(request, asked, runId)
 
     @app.route("/load", methods=["GET"])
     def load(request):
         request.setHeader("content-type", "application/json")
-        return json.encode({
-            "runner": runner.name, "instance": runner.instance, "load": float(runner.running),
-            "room": runner.room, "prefixes": list(runner.prefixes), "leaving": runner.leaving})
+        return json.encode(
+            {
+                "runner": runner.name,
+                "instance": runner.instance,
+                "load": float(runner.running),
+                "room": runner.room,
+                "prefixes": list(runner.prefixes),
+                "leaving": runner.leaving,
+            }
+        )
 
     @app.route("/stand-in", methods=["POST"])
     def change(request):
@@ -181,4 +204,5 @@
             setattr(runner, key, value)
         notes.say("changed", runner=runner.name, mode=runner.mode, leaving=runner.leaving)
         return json.encode({"hits": runner.hits, "misses": runner.misses})
+
     return Site(app.resource(), reactor=reactor)
--- a/frostpost/scarecrow/scale_counts.py
+++ b/frostpost/scarecrow/scale_counts.py
@@ -1,4 +1,5 @@
 """What a daemon of a scale run costs: messages and bytes on its links, processor time, memory."""
+
 from resource import RUSAGE_SELF, getrusage
 
 from frostpost.orchard import links
@@ -18,6 +19,7 @@
         count(ear.factory.ctx, "wire/heard")
         count(ear.factory.ctx, "wire/heard_bytes", len(data) + 4)
         hear(ear, data)
+
     links.Mouth.sendString, links.Ear.stringReceived = sent, heard
 
 
@@ -28,6 +30,7 @@
     def sender(to, body):
         count(ctx, f"kind/{type(body).__name__}")
         send(to, body)
+
     ctx.links["send"] = sender
     return sender
 
@@ -45,8 +48,11 @@
 
 def rates(before, after, seconds):
     """Per-second rates of all counters that grew."""
-    return {name: round((value - before.get(name, 0)) / seconds, 2)
-            for name, value in sorted(after.items()) if value != before.get(name, 0)}
+    return {
+        name: round((value - before.get(name, 0)) / seconds, 2)
+        for name, value in sorted(after.items())
+        if value != before.get(name, 0)
+    }
 
 
 def quantile(values, share):
--- a/frostpost/scarecrow/scale_leaves.py
+++ b/frostpost/scarecrow/scale_leaves.py
@@ -1,4 +1,5 @@
 """Hollow leaves: real sessions with the ring, sharing one process, without an HTTP front."""
+
 from types import SimpleNamespace
 
 from msgspec import Struct, field
@@ -20,6 +21,7 @@
 
 class Load(Struct):
     """What the leaves hand in; latencies in milliseconds, kept only while `measuring`."""
+
     rate_per_s: float
     candidates: tuple[Candidate, ...]
     body: bytes
@@ -37,14 +39,29 @@
 
 
 def hollow_front():
-    return SimpleNamespace(wire=None, routing_from_body=lambda body: body, fetch_list=lambda leaf: succeed([]),
-                           listen=lambda leaf: succeed([]), close_idle=lambda: None)
+    return SimpleNamespace(
+        wire=None,
+        routing_from_body=lambda body: body,
+        fetch_list=lambda leaf: succeed([]),
+        listen=lambda leaf: succeed([]),
+        close_idle=lambda: None,
+    )
 
 
 def leaf_settings(name, role, host, port, seed, data=""):
     control = (host, port) if data else None
-    return DaemonSettings(name=name, role=role, zone="z", host=host, port=port, control=control, seeds=(seed,),
-                          first_start=True, data=data, cache_bytes=1 << 18)
+    return DaemonSettings(
+        name=name,
+        role=role,
+        zone="z",
+        host=host,
+        port=port,
+        control=control,
+        seeds=(seed,),
+        first_start=True,
+        data=data,
+        cache_bytes=1 << 18,
+    )
 
 
 def start_leaf(settings, reactor, stop):
@@ -64,6 +81,7 @@
             if held.get(name) and not now:
                 gaps[name] = gaps.get(name, 0) + 1
             held[name] = now
+
     task = LoopingCall(look)
     task.start(WATCH_S)
     return task
@@ -85,6 +103,7 @@
             way = turn if load.started % 2 else keyed
             load.under_way += 1
             way(leaf, load, reactor, load.started).addErrback(broken, load).addBoth(lambda _: finished(load))
+
     task = LoopingCall(start_due)
     task.start(FEED_S)
     return task
@@ -124,8 +143,18 @@
         chain = []
     this = f"{name}-{leaf.place.member.boot:013x}-{number:010d}"
     program = chain[0] if chain else this
-    begin = Begin(this, program, 1 << 30, 400, chain[-1] if chain else "", WAIT_MS, load.candidates,
-                  (("part-of-tenant", 2000),), "", 4000)
+    begin = Begin(
+        this,
+        program,
+        1 << 30,
+        400,
+        chain[-1] if chain else "",
+        WAIT_MS,
+        load.candidates,
+        (("part-of-tenant", 2000),),
+        "",
+        4000,
+    )
     ok = yield timed(load, reactor, load.begun_ms, asking.ask(leaf, begin, WAIT_MS), Begun)
     if not ok:
         return
--- a/frostpost/scarecrow/scale_ring.py
+++ b/frostpost/scarecrow/scale_ring.py
@@ -1,4 +1,5 @@
 """One real storage daemon of a scale run; each line on its input is answered with what it has cost so far."""
+
 import signal
 import sys
 
@@ -19,8 +20,10 @@
 def ledger(house, whole):
     granary = house.ctx.core.granary
     coppice = granary.coppice
-    sizes = {name: len(getattr(coppice, name))
-             for name in ("turns", "attempts", "accounts", "keys", "runners", "tombs", "expiries")}
+    sizes = {
+        name: len(getattr(coppice, name))
+        for name in ("turns", "attempts", "accounts", "keys", "runners", "tombs", "expiries")
+    }
     return sizes | ({"bytes": len(encode(granary))} if whole else {})
 
 
@@ -29,10 +32,18 @@
     if house.waiting:
         return {"waiting": True}
     return {
-        "name": house.settings.name, "cpu_s": cpu_s(), "memory_mb": round(memory_mb(), 1), "at_s": reactor.seconds(),
-        "sequencing": serving.sequencing(ctx), "lag_ms": round(ctx.lagMs, 1), "counts": dict(ctx.counts),
-        "ordered": dict(ctx.core.hedge.counts), "syncs": ctx.disk.syncs, "silo_syncs": house.silo.syncs,
-        "epoch": ctx.core.hedge.configuration.id.epoch, "sessions": len(house.sessions.leaves),
+        "name": house.settings.name,
+        "cpu_s": cpu_s(),
+        "memory_mb": round(memory_mb(), 1),
+        "at_s": reactor.seconds(),
+        "sequencing": serving.sequencing(ctx),
+        "lag_ms": round(ctx.lagMs, 1),
+        "counts": dict(ctx.counts),
+        "ordered": dict(ctx.core.hedge.counts),
+        "syncs": ctx.disk.syncs,
+        "silo_syncs": house.silo.syncs,
+        "epoch": ctx.core.hedge.configuration.id.epoch,
+        "sessions": len(house.sessions.leaves),
         "ledger": ledger(house, whole),
     }
 
@@ -62,6 +73,7 @@
         status.append(code)
         if reactor.running:
             reactor.stop()
+
     house = ring.assemble(settings, reactor, Machine(), stop)
     house.send = count_kinds(house.ctx)
     reactor.callWhenRunning(ring.start, house)
--- a/frostpost/scarecrow/scale_run.py
+++ b/frostpost/scarecrow/scale_run.py
@@ -1,4 +1,5 @@
 """A scale run: three real storage daemons, a seed and many hollow leaves on loopback; prints what they cost."""
+
 import os
 import signal
 import sys
@@ -49,14 +50,24 @@
 
 def start_ring(number, port, seed, folder):
     name = f"ring-{number}"
-    settings = DaemonSettings(name=name, role="storage", zone="z", host=f"127.77.0.{number}", port=port,
-                              seeds=(seed,), first_start=True, data=os.path.join(folder, name), disk_mb=512)
+    settings = DaemonSettings(
+        name=name,
+        role="storage",
+        zone="z",
+        host=f"127.77.0.{number}",
+        port=port,
+        seeds=(seed,),
+        first_start=True,
+        data=os.path.join(folder, name),
+        disk_mb=512,
+    )
     path = os.path.join(folder, f"{name}.json")
     with open(path, "wb") as file:
         file.write(json.encode(settings))
     protocol = Ring(open(os.path.join(folder, f"{name}.log"), "wb"))
-    reactor.spawnProcess(protocol, sys.executable, [sys.executable, "-m", "frostpost.scarecrow.scale_ring", path],
-                         env=os.environ)
+    reactor.spawnProcess(
+        protocol, sys.executable, [sys.executable, "-m", "frostpost.scarecrow.scale_ring", path], env=os.environ
+    )
     return protocol
 
 
@@ -90,9 +101,13 @@
 def ring_report(before, after):
     seconds = after["at_s"] - before["at_s"]
     return {
-        "name": after["name"], "sequencing": after["sequencing"], "epoch": after["epoch"],
-        "cpu_cores": round((after["cpu_s"] - before["cpu_s"]) / seconds, 4), "memory_mb": after["memory_mb"],
-        "lag_ms": after["lag_ms"], "sessions": after["sessions"],
+        "name": after["name"],
+        "sequencing": after["sequencing"],
+        "epoch": after["epoch"],
+        "cpu_cores": round((after["cpu_s"] - before["cpu_s"]) / seconds, 4),
+        "memory_mb": after["memory_mb"],
+        "lag_ms": after["lag_ms"],
+        "sessions": after["sessions"],
         "per_s": rates(before["counts"], after["counts"], seconds),
         "ordering_per_s": rates(before["ordered"], after["ordered"], seconds),
         "syncs_per_s": round((after["syncs"] - before["syncs"]) / seconds, 1),
@@ -118,14 +133,17 @@
     def stop(code):
         report["fault"] = f"a leaf stopped: {code}"
         reactor.stop()
+
     seed = leaves_.start_leaf(
-        leaves_.leaf_settings("seed", "core", "127.77.1.1", port, seed_at, os.path.join(folder, "seed")), reactor, stop)
+        leaves_.leaf_settings("seed", "core", "127.77.1.1", port, seed_at, os.path.join(folder, "seed")), reactor, stop
+    )
     yield until(lambda: lease.lease_ok(seed), START_S, "the ring did not open")
     leaves, gaps = [], {}
     for n in range(options.leaves):
         host = f"127.77.{2 + n // 250}.{1 + n % 250}"
-        leaves.append(leaves_.start_leaf(
-            leaves_.leaf_settings(f"leaf-{n}", "edge", host, port, seed_at), reactor, stop))
+        leaves.append(
+            leaves_.start_leaf(leaves_.leaf_settings(f"leaf-{n}", "edge", host, port, seed_at), reactor, stop)
+        )
         yield pause(1 / STARTS_PER_S)
     yield until(lambda: all(map(lease.lease_ok, leaves)), START_S, "not all leaves have a lease")
     leaves_.watch(leaves, gaps)
@@ -148,19 +166,30 @@
         report["fault"] = load.fault
     decided = sum(map(len, (load.begun_ms, load.claimed_ms, load.ended_ms)))
     report.update(
-        leaves=options.leaves, rate_per_s=options.rate, seconds=round(seconds, 2), body_bytes=options.body,
-        candidates=options.candidates, load_average=os.getloadavg()[0],
+        leaves=options.leaves,
+        rate_per_s=options.rate,
+        seconds=round(seconds, 2),
+        body_bytes=options.body,
+        candidates=options.candidates,
+        load_average=os.getloadavg()[0],
         rings=[ring_report(b, a) for b, a in zip(before, after)],
-        leaf={"per_s": per_leaf(counts, counts_after, seconds, options.leaves),
-              "cpu_cores": round(used_s / seconds / options.leaves, 6),
-              "process_cpu_cores": round(used_s / seconds, 4), "process_memory_mb": round(memory_mb(), 1)},
-        routing_bytes=options.routing, routing_ms=routing_ms,
+        leaf={
+            "per_s": per_leaf(counts, counts_after, seconds, options.leaves),
+            "cpu_cores": round(used_s / seconds / options.leaves, 6),
+            "process_cpu_cores": round(used_s / seconds, 4),
+            "process_memory_mb": round(memory_mb(), 1),
+        },
+        routing_bytes=options.routing,
+        routing_ms=routing_ms,
         seed={"per_s": rates(seed_counts, seed_after, seconds)},
-        decided_per_s=round(decided / seconds, 1), outcomes=load.outcomes, under_way=load.under_way,
+        decided_per_s=round(decided / seconds, 1),
+        outcomes=load.outcomes,
+        under_way=load.under_way,
         begin_ms={"p50": quantile(load.begun_ms, 0.5), "p99": quantile(load.begun_ms, 0.99)},
         claim_ms={"p50": quantile(load.claimed_ms, 0.5), "p99": quantile(load.claimed_ms, 0.99)},
         put_ms={"p50": quantile(load.put_ms, 0.5), "p99": quantile(load.put_ms, 0.99)},
-        lease_gaps={"times": sum(gaps.values()), "leaves": len(gaps)})
+        lease_gaps={"times": sum(gaps.values()), "leaves": len(gaps)},
+    )
 
 
 def options_of(words):
@@ -181,6 +210,7 @@
     count_links()
     signal.alarm(int(options.seconds) + 180)
     with TemporaryDirectory(prefix="scale-") as folder:
+
         def failed(failure):
             report["fault"] = failure.getErrorMessage()
 
@@ -191,6 +221,7 @@
                 ring.transport.loseConnection()
             yield gatherResults([ring.ended.addErrback(lambda _: None) for ring in rings])
             reactor.stop()
+
         reactor.callWhenRunning(whole)
         reactor.run()
         for ring in rings:
--- a/frostpost/scarecrow/scale_slopes.py
+++ b/frostpost/scarecrow/scale_slopes.py
@@ -1,4 +1,5 @@
 """What state costs by its size, measured in this process: the ledger, its snapshot, the silo."""
+
 import os
 import sys
 from argparse import ArgumentParser
@@ -31,8 +32,12 @@
 
 def turn_ops(program, number, candidates):
     this, previous = name_of(program, number), name_of(program, number - 1) if number else ""
-    return (Begin(this, name_of(program, 0), 1 << 30, 400, previous, 5000, candidates,
-                  (("part-of-tenant", 2000),), "", 4000), End(this, 360, KEEP_MS, 2000))
+    return (
+        Begin(
+            this, name_of(program, 0), 1 << 30, 400, previous, 5000, candidates, (("part-of-tenant", 2000),), "", 4000
+        ),
+        End(this, 360, KEEP_MS, 2000),
+    )
 
 
 def each_us(count, job):
@@ -74,8 +79,11 @@
     encode_s, begun_s = process_time() - begun_s, process_time()
     msgpack.decode(snapshot, type=Coppice)
     return {
-        "programs": programs, "turns": count, "memory_bytes_per_turn": memory_bytes,
-        "snapshot_bytes_per_turn": round(len(snapshot) / count), "begin_and_end_us": round(grown_s / count * 1e6, 1),
+        "programs": programs,
+        "turns": count,
+        "memory_bytes_per_turn": memory_bytes,
+        "snapshot_bytes_per_turn": round(len(snapshot) / count),
+        "begin_and_end_us": round(grown_s / count * 1e6, 1),
         "encode_us_per_turn": round(encode_s / count * 1e6, 3),
         "decode_us_per_turn": round((process_time() - begun_s) / count * 1e6, 3),
     }, coppice
@@ -84,8 +92,11 @@
 def measure_accounts(count):
     """Programs of one turn each: what a program costs beside its turns."""
     coppice, memory_bytes = held_bytes(count, lambda: grown(count, 1, runners(1)))
-    return {"programs": count, "memory_bytes_per_program_of_one_turn": memory_bytes,
-            "snapshot_bytes_per_program_of_one_turn": round(len(encode(coppice)) / count)}
+    return {
+        "programs": count,
+        "memory_bytes_per_program_of_one_turn": memory_bytes,
+        "snapshot_bytes_per_program_of_one_turn": round(len(encode(coppice)) / count),
+    }
 
 
 def claimed(count):
@@ -98,8 +109,12 @@
 
 def measure_keys(count):
     coppice, memory_bytes = held_bytes(count, lambda: claimed(count))
-    return {"keys": count, "answer_bytes": ANSWER_BYTES, "memory_bytes_per_key": memory_bytes,
-            "snapshot_bytes_per_key": round(len(encode(coppice)) / count)}
+    return {
+        "keys": count,
+        "answer_bytes": ANSWER_BYTES,
+        "memory_bytes_per_key": memory_bytes,
+        "snapshot_bytes_per_key": round(len(encode(coppice)) / count),
+    }
 
 
 def measure_index(count):
@@ -118,6 +133,7 @@
         def deliver():
             for pair in payloads:
                 apply_all(coppice, map(decodeOp, pair))
+
         found[str(count)] = {"begin_bytes": len(payloads[0][0]), "begin_and_end_us": each_us(ROUNDS, deliver)}
     return found
 
@@ -133,10 +149,15 @@
         def job():
             for n in range(ROUNDS):
                 act(coppice, 0, (), (), op)
+
         return job
-    return {"turns_before": last + 1, "begin_us": each_us(ROUNDS, often(begin)),
-            "begin_of_a_first_turn_us": each_us(ROUNDS, often(first)),
-            "verdict_bytes": len(encode(act(coppice, 0, (), (), begin)))}
+
+    return {
+        "turns_before": last + 1,
+        "begin_us": each_us(ROUNDS, often(begin)),
+        "begin_of_a_first_turn_us": each_us(ROUNDS, often(first)),
+        "verdict_bytes": len(encode(act(coppice, 0, (), (), begin))),
+    }
 
 
 def measure_repair(coppice):
@@ -155,14 +176,19 @@
     bodies = [(name_of(n, body_bytes), os.urandom(body_bytes)) for n in range(count)]
     used_s, begun_s = process_time(), perf_counter()
     for at in range(0, count, batch):
-        index.update(write_batch(log, bodies[at:at + batch]).spots)
+        index.update(write_batch(log, bodies[at : at + batch]).spots)
     put_cpu_s, put_s = process_time() - used_s, perf_counter() - begun_s
     used_s = process_time()
     for turn, _ in bodies:
         read_spot(log, index[turn])
-    return {"body_bytes": body_bytes, "bodies": count, "batch": batch,
-            "put_cpu_us": round(put_cpu_s / count * 1e6, 1), "sync_ms": round(put_s / count * batch * 1000, 2),
-            "get_cpu_us": round((process_time() - used_s) / count * 1e6, 1)}
+    return {
+        "body_bytes": body_bytes,
+        "bodies": count,
+        "batch": batch,
+        "put_cpu_us": round(put_cpu_s / count * 1e6, 1),
+        "sync_ms": round(put_s / count * batch * 1000, 2),
+        "get_cpu_us": round((process_time() - used_s) / count * 1e6, 1),
+    }
 
 
 def main(words=None):
@@ -174,11 +200,17 @@
         keys = measure_keys(20000)
         accounts = measure_accounts(20000)
         ledger, coppice = measure_ledger(options.programs, options.turns)
-        found = {"ledger": ledger, "accounts": accounts, "keys": keys, "index": measure_index(50000),
-                 "repair": measure_repair(coppice),
-                 "candidates": measure_candidates((8, 32, 200)), "chain": measure_chain(options.turns),
-                 "silo": [measure_silo(folder, 2000, 4000, 10), measure_silo(folder, 16000, 2000, 10)],
-                 "peak_memory_mb": round(getrusage(RUSAGE_SELF).ru_maxrss / 1024)}
+        found = {
+            "ledger": ledger,
+            "accounts": accounts,
+            "keys": keys,
+            "index": measure_index(50000),
+            "repair": measure_repair(coppice),
+            "candidates": measure_candidates((8, 32, 200)),
+            "chain": measure_chain(options.turns),
+            "silo": [measure_silo(folder, 2000, 4000, 10), measure_silo(folder, 16000, 2000, 10)],
+            "peak_memory_mb": round(getrusage(RUSAGE_SELF).ru_maxrss / 1024),
+        }
     print(json.format(json.encode(found), indent=1).decode())
     return 0
 
--- a/frostpost/scarecrow/skewed.py
+++ b/frostpost/scarecrow/skewed.py
@@ -15,6 +15,7 @@
 def main():
     time.time = jumped
     from frostpost.orchard.main import main as orchard
+
     return orchard()
 
 
--- a/frostpost/scarecrow/told.py
+++ b/frostpost/scarecrow/told.py
@@ -4,8 +4,21 @@
 
 
 NOT_RUN = {
-    "Overfilled", "NoPrimary", "Undecided", "Leaving", "Crowded", "RunnersFull", "LimitPassed",
-    "BadBody", "TooLong", "NoLane", "BudgetGone", "TurnRunning", "ConfigChanging", "KeyMismatch"}
+    "Overfilled",
+    "NoPrimary",
+    "Undecided",
+    "Leaving",
+    "Crowded",
+    "RunnersFull",
+    "LimitPassed",
+    "BadBody",
+    "TooLong",
+    "NoLane",
+    "BudgetGone",
+    "TurnRunning",
+    "ConfigChanging",
+    "KeyMismatch",
+}
 
 
 class Breach(Struct, frozen=True):
@@ -33,6 +46,7 @@
     def value(said):
         name = said.get("$param") if isinstance(said, dict) else None
         return given.get(name, template["parameters"][name]["default"]) if name else said
+
     return {k: value(v) for k, v in template["lanes"][lane].items()}
 
 
@@ -41,8 +55,7 @@
     for note in notes:
         if note["kind"] == "asked":
             _, _, _, tenant, _, lane, kind = note["path"].split("/")
-            found[note["request"]] = Ask(
-                note["request"], tenant, lane, kind, note["document"], note["atMs"])
+            found[note["request"]] = Ask(note["request"], tenant, lane, kind, note["document"], note["atMs"])
         elif note["kind"] == "answered":
             ask = found[note["request"]]
             ask.answeredMs, ask.status = note["atMs"], note["status"]
--- a/frostpost/silo/cache.py
+++ b/frostpost/silo/cache.py
@@ -1,4 +1,5 @@
 """Bodies of turns kept in an edge's memory: the least recently used leave first."""
+
 from collections import OrderedDict
 
 from msgspec import Struct
--- a/frostpost/silo/client.py
+++ b/frostpost/silo/client.py
@@ -1,4 +1,5 @@
 """An edge's side of the silo: bodies put on a majority of the voters, and fetched from any ring daemon."""
+
 from expression import Error, Ok
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
@@ -26,6 +27,7 @@
 
 class Fetch(Struct):
     """exhausted: the daemons that have said that they lack all of what is still wanted."""
+
     number: int
     turns: tuple[str, ...]
     found: dict[str, bytes]
@@ -54,8 +56,13 @@
     state.number += 1
     job = Put(state.number, turn, data, Deferred(lambda _: drop(state.puts, job)))
     state.puts[job.number] = job
-    later(leaf, job, "end", wait_ms, lambda: end(
-        state.puts, job, Error(Unavailable(RETRY_MS, "body not synced by a majority of the voters"))))
+    later(
+        leaf,
+        job,
+        "end",
+        wait_ms,
+        lambda: end(state.puts, job, Error(Unavailable(RETRY_MS, "body not synced by a majority of the voters"))),
+    )
     send_puts(leaf, job)
     return job.result
 
--- a/frostpost/silo/segments.py
+++ b/frostpost/silo/segments.py
@@ -1,4 +1,5 @@
 """Segment files of the silo: scanned when opened, written in a thread, read at an offset."""
+
 import os
 from contextlib import suppress
 from typing import Callable
@@ -20,6 +21,7 @@
 
 class Log(Struct):
     """The open segment; once opened, touched only by the one batch under way."""
+
     folder: str
     files: SiloFiles
     segment_bytes: int
@@ -29,6 +31,7 @@
 
 class Written(Struct):
     """What of a batch is synced, the sizes of the segments touched, and what stopped the rest."""
+
     spots: dict[str, tuple[int, int, int]]
     sizes: dict[int, int]
     fault: OSError | None = None
--- a/frostpost/silo/serving.py
+++ b/frostpost/silo/serving.py
@@ -1,4 +1,5 @@
 """A storage daemon's side: bodies put and got by others, and those it lacks fetched from its peers."""
+
 from zlib import crc32
 
 from msgspec import Struct
@@ -20,6 +21,7 @@
 
 class Tried(Struct):
     """How many peers were asked for a turn, and when the next one may be."""
+
     count: int = 0
     again_ms: int = 0
 
@@ -35,7 +37,8 @@
     """Takes SiloPut, SiloGet and SiloGot; -> whether it was one of them."""
     if isinstance(body, SiloPut):
         store.put(house.silo, body.turn, body.data).addCallback(
-            lambda synced: house.send(frm_address, SiloDone(body.boot, body.number, synced)))
+            lambda synced: house.send(frm_address, SiloDone(body.boot, body.number, synced))
+        )
     elif isinstance(body, SiloGet):
         house.send(frm_address, SiloGot(body.boot, body.number, found(house.silo, body.turns)))
     elif isinstance(body, SiloGot):
--- a/frostpost/silo/store.py
+++ b/frostpost/silo/store.py
@@ -1,4 +1,5 @@
 """Bodies of turns on a storage daemon's disk; in memory only where each one lies."""
+
 import os
 from typing import Callable
 
@@ -16,6 +17,7 @@
 
 class Silo(Struct):
     """index: turn -> (segment, offset, length); young: when turns that may not expire yet were put."""
+
     machine: object
     log: Log
     tell: Callable
@@ -42,13 +44,18 @@
 
 
 def open_(
-    data_folder, machine, files=SiloFiles(), tell=lambda fault: None, segment_bytes=SEGMENT_BYTES,
-    disk_bytes=DISK_BYTES, queue_bytes=QUEUE_BYTES, min_age_ms=MIN_AGE_MS,
+    data_folder,
+    machine,
+    files=SiloFiles(),
+    tell=lambda fault: None,
+    segment_bytes=SEGMENT_BYTES,
+    disk_bytes=DISK_BYTES,
+    queue_bytes=QUEUE_BYTES,
+    min_age_ms=MIN_AGE_MS,
 ):
     """Scans <data_folder>/silo; `tell` hears Torn and Corrupt now, each OSError (SyncLost too) later."""
     log, index, sizes, faults = open_log(os.path.join(data_folder, "silo"), files, segment_bytes)
-    silo = Silo(
-        machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000))
+    silo = Silo(machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000))
     for fault in faults:
         tell(fault)
     return silo
@@ -63,8 +70,11 @@
 
 
 def has_room(silo, count_bytes=0):
-    return (not silo.lost and used_bytes(silo) + count_bytes <= silo.disk_bytes
-            and silo.queued_bytes + count_bytes <= silo.queue_bytes)
+    return (
+        not silo.lost
+        and used_bytes(silo) + count_bytes <= silo.disk_bytes
+        and silo.queued_bytes + count_bytes <= silo.queue_bytes
+    )
 
 
 def put(silo, turn, data):
@@ -99,8 +109,8 @@
     batch, silo.queue = silo.queue, []
     silo.busy, silo.guarded = True, silo.log.number
     silo.machine.inThread(write_batch, silo.log, batch).addCallbacks(
-        lambda written: settle(silo, batch, written),
-        lambda failure: settle(silo, batch, None, failure.value))
+        lambda written: settle(silo, batch, written), lambda failure: settle(silo, batch, None, failure.value)
+    )
 
 
 def settle(silo, batch, written, fault=None):
--- a/frostpost/tending/calendars.py
+++ b/frostpost/tending/calendars.py
@@ -19,8 +19,7 @@
 
 
 def amended(tenant, sinceS, nowS):
-    due = sorted(
-        (dueS(c["cron"], nowS + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
+    due = sorted((dueS(c["cron"], nowS + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
     late = [(atS, n) for atS, n in due if sinceS < atS <= nowS]
     if not late:
         return 0, None
@@ -46,8 +45,9 @@
         return
     base = f"templates/{tenant['template']}"
     item = yield shelves.put(ctx, json.encode(document))
-    change = SetConfig(path, item.digest, item.size, version, item.source, item.number,
-                       ((base, ctx.documents[base][0]),))
+    change = SetConfig(
+        path, item.digest, item.size, version, item.source, item.number, ((base, ctx.documents[base][0]),)
+    )
     if (yield shelves.spread(ctx, item)):
         result = yield ask(ctx, Fire(fence, path, atS, change), askMs)
         if result.is_ok() and isinstance(result.ok, ConfigSet):
--- a/frostpost/tending/listing.py
+++ b/frostpost/tending/listing.py
@@ -45,9 +45,12 @@
         count(ctx, f"listFault/{type(fault).__name__}")
         return
     ctx.listedMs = nowMs(ctx)
-    entries = tuple(sorted(
-        (Runner(r.name, r.instance, r.host, r.port, r.pool, r.cell, r.room) for r in page.runners),
-        key=lambda r: r.name))
+    entries = tuple(
+        sorted(
+            (Runner(r.name, r.instance, r.host, r.port, r.pool, r.cell, r.room) for r in page.runners),
+            key=lambda r: r.name,
+        )
+    )
     held = ctx.core.granary.runners
     if {r.name: r for r in entries} != held:
         count(ctx, "listChanges")
--- a/frostpost/tending/meters.py
+++ b/frostpost/tending/meters.py
@@ -14,10 +14,15 @@
     def collect(self):
         ctx, hedge = self.ctx, self.ctx.core.hedge
         gauges = {
-            "serving": int(leaseOk(ctx.core, nowMs(ctx))), "flights": ctx.flights, "lag_ms": ctx.lagMs,
-            "applied_index": hedge.applied, "members": len(hedge.configuration.members),
-            "programs": len(ctx.core.granary.programs), "keys": len(ctx.core.granary.keys),
-            "waiting": len(hedge.waiting), "outbox": len(hedge.outbox),
+            "serving": int(leaseOk(ctx.core, nowMs(ctx))),
+            "flights": ctx.flights,
+            "lag_ms": ctx.lagMs,
+            "applied_index": hedge.applied,
+            "members": len(hedge.configuration.members),
+            "programs": len(ctx.core.granary.programs),
+            "keys": len(ctx.core.granary.keys),
+            "waiting": len(hedge.waiting),
+            "outbox": len(hedge.outbox),
             "disk_unwell": int(ctx.disk.unwell),
         }
         for name, value in gauges.items():
--- a/frostpost/tending/runners.py
+++ b/frostpost/tending/runners.py
@@ -23,8 +23,11 @@
     status = ctx.statuses.setdefault(runner.name, Status())
     try:
         response = yield ctx.agent.get(
-            f"http://{runner.host}:{runner.port}/load", timeout=ctx.settings.tending.loadMs / 1000, unbuffered=True,
-            reactor=ctx.reactor)
+            f"http://{runner.host}:{runner.port}/load",
+            timeout=ctx.settings.tending.loadMs / 1000,
+            unbuffered=True,
+            reactor=ctx.reactor,
+        )
         raw = yield gather(response, ctx.settings.doors.verdictBytes)
         report = json.decode(raw, type=Report)
     except Exception as fault:
--- a/frostpost/tending/shelves.py
+++ b/frostpost/tending/shelves.py
@@ -88,6 +88,7 @@
         ctx.disk.turn(True)
         bodies.queue = batch + bodies.queue
         ctx.reactor.callLater(1, flush, ctx)
+
     ctx.machine.inThread(write, bodies.furrow, [encode(s) for s, _ in batch]).addCallbacks(done, failed)
 
 
@@ -106,11 +107,11 @@
 
 def spread(ctx, item):
     def held():
-        holders = {n for n, p in ctx.core.hedge.peers.items()
-                   if p.news.get(item.source, 0) >= item.number}
+        holders = {n for n, p in ctx.core.hedge.peers.items() if p.news.get(item.source, 0) >= item.number}
         if ctx.shelf.vector.get(item.source, 0) >= item.number:
             holders.add(ctx.place.member.name)
         return majority(ctx.core.granary.voters, holders)
+
     return until(ctx, held, ctx.settings.doors.ackMs)
 
 
@@ -174,10 +175,8 @@
         return
     ctx.stamping = True
     try:
-        documents = {p: d for p, d in ctx.documents.items()
-                     if p in marks and d[0] == marks[p].version}
-        fresh = [(p, m.version, ctx.shelf.bodies[m.digest]) for p, m in marks.items()
-                 if p not in documents]
+        documents = {p: d for p, d in ctx.documents.items() if p in marks and d[0] == marks[p].version}
+        fresh = [(p, m.version, ctx.shelf.bodies[m.digest]) for p, m in marks.items() if p not in documents]
         big = sum(len(b) for _, _, b in fresh) > 262144
         parsed = (yield ctx.machine.inThread(parseAll, fresh)) if big else parseAll(fresh)
         documents.update(parsed)
@@ -206,4 +205,5 @@
         def done(_):
             bodies.busy = False
             flush(ctx)
+
         ctx.machine.inThread(furrows.rewrite, bodies.furrow, payloads).addBoth(done)
--- a/frostpost/trellis/shapes.py
+++ b/frostpost/trellis/shapes.py
@@ -33,8 +33,7 @@
 
 LANE = {
     "kind": {"type": "string", "allowed": ["turn", "lookup"], "required": True},
-    "pools": {"type": "list", "minlength": 1, "required": True,
-              "schema": {"type": "string", "regex": WORD.pattern}},
+    "pools": {"type": "list", "minlength": 1, "required": True, "schema": {"type": "string", "regex": WORD.pattern}},
     "repeat": either({"type": "string", "allowed": ["free", "once", "keyed"]}),
     "urgency": either({"type": "string", "allowed": ["urgent", "normal", "batch"]}),
     "limitMs": either(whole(1, 600000)),
@@ -45,29 +44,62 @@
     "keyWindowMs": either(whole(60000, 3600000)),
 }
 TEMPLATE = {
-    "parameters": {"type": "dict", "keysrules": {"type": "string", "regex": WORD.pattern},
-                   "valuesrules": {"type": "dict", "schema": {
-                       "default": {"required": True, "type": ["integer", "string"]},
-                       "allowed": {"type": "list"},
-                       "min": {"type": "integer"}, "max": {"type": "integer"}}}},
-    "lanes": {"type": "dict", "required": True, "minlength": 1,
-              "keysrules": {"type": "string", "regex": WORD.pattern},
-              "valuesrules": {"type": "dict", "schema": LANE}},
+    "parameters": {
+        "type": "dict",
+        "keysrules": {"type": "string", "regex": WORD.pattern},
+        "valuesrules": {
+            "type": "dict",
+            "schema": {
+                "default": {"required": True, "type": ["integer", "string"]},
+                "allowed": {"type": "list"},
+                "min": {"type": "integer"},
+                "max": {"type": "integer"},
+            },
+        },
+    },
+    "lanes": {
+        "type": "dict",
+        "required": True,
+        "minlength": 1,
+        "keysrules": {"type": "string", "regex": WORD.pattern},
+        "valuesrules": {"type": "dict", "schema": LANE},
+    },
 }
 TENANT = {
     "template": {"type": "string", "required": True, "regex": WORD.pattern},
-    "parameters": {"type": "dict", "keysrules": {"type": "string", "regex": WORD.pattern},
-                   "valuesrules": {"type": ["integer", "string"]}},
-    "calendars": {"type": "list", "maxlength": 50, "schema": {"type": "dict", "schema": {
-        "cron": {"type": "string", "required": True, "check_with": cron},
-        "set": {"type": "dict", "required": True, "minlength": 1,
-                "keysrules": {"type": "string", "regex": WORD.pattern},
-                "valuesrules": {"type": ["integer", "string"]}}}}},
+    "parameters": {
+        "type": "dict",
+        "keysrules": {"type": "string", "regex": WORD.pattern},
+        "valuesrules": {"type": ["integer", "string"]},
+    },
+    "calendars": {
+        "type": "list",
+        "maxlength": 50,
+        "schema": {
+            "type": "dict",
+            "schema": {
+                "cron": {"type": "string", "required": True, "check_with": cron},
+                "set": {
+                    "type": "dict",
+                    "required": True,
+                    "minlength": 1,
+                    "keysrules": {"type": "string", "regex": WORD.pattern},
+                    "valuesrules": {"type": ["integer", "string"]},
+                },
+            },
+        },
+    },
 }
 SHAPES = {"templates": TEMPLATE, "tenants": TENANT}
 DEFAULTS = {
-    "repeat": "once", "urgency": "normal", "limitMs": 30000, "keepMs": 3600000,
-    "budget": 10000, "budgetKeepMs": 7200000, "maxOutput": 256, "keyWindowMs": 60000,
+    "repeat": "once",
+    "urgency": "normal",
+    "limitMs": 30000,
+    "keepMs": 3600000,
+    "budget": 10000,
+    "budgetKeepMs": 7200000,
+    "maxOutput": 256,
+    "keyWindowMs": 60000,
 }
 
 
--- a/frostpost/trellis/shelf.py
+++ b/frostpost/trellis/shelf.py
@@ -68,8 +68,11 @@
     found = []
     for source, held in shelf.items.items():
         known = message.vector.get(source, 0)
-        found += [(i.source, i.number, i.digest, i.size) for n, i in sorted(held.items())
-                  if n > known and (not i.digest or i.digest in shelf.bodies)]
+        found += [
+            (i.source, i.number, i.digest, i.size)
+            for n, i in sorted(held.items())
+            if n > known and (not i.digest or i.digest in shelf.bodies)
+        ]
     return [(frm, NewsTell(tuple(found)))] if found else []
 
 
@@ -96,7 +99,7 @@
     body = shelf.bodies.get(message.digest)
     if body is None:
         return []
-    data = body[message.offset:message.offset + shelf.chunk]
+    data = body[message.offset : message.offset + shelf.chunk]
     return [(frm, BodyPiece(message.digest, message.offset, len(body), data))]
 
 
@@ -128,5 +131,4 @@
 
 
 def records(shelf):
-    return [Store(i, shelf.bodies.get(i.digest, b""))
-            for held in shelf.items.values() for _, i in sorted(held.items())]
+    return [Store(i, shelf.bodies.get(i.digest, b"")) for held in shelf.items.values() for _, i in sorted(held.items())]
--- a/frostpost/trellis/stamp.py
+++ b/frostpost/trellis/stamp.py
@@ -89,9 +89,11 @@
             amended = {**document, "parameters": {**document.get("parameters", {}), **calendar["set"]}}
             stamped = stamp(name, template, amended)
             if stamped.is_error():
-                return Error(ConfigInvalid(tuple(
-                    Fault(f"/calendars/{n}{f.path}", f.text) for f in stamped.error.faults)))
+                return Error(
+                    ConfigInvalid(tuple(Fault(f"/calendars/{n}{f.path}", f.text) for f in stamped.error.faults))
+                )
         return stamp(name, template, document)
+
     return check("tenants", tenant).bind(withTemplate)
 
 
@@ -104,4 +106,5 @@
                 where = f"/tenants/{name}" if name else ""
                 faults += [Fault(where + f.path, f.text) for f in stamped.error.faults]
         return Error(ConfigInvalid(tuple(faults))) if faults else Ok(document)
+
     return check("templates", template).bind(withTenants)
--- a/frostpost/weather/blows.py
+++ b/frostpost/weather/blows.py
@@ -101,8 +101,13 @@
 
 
 def loseDisk(world, random):
-    full = [n for n in storages(world) if world.nodes[n].core is not None
-            and world.nodes[n].core.hedge.primary.ready and world.nodes[n].core.hedge.primary.opened]
+    full = [
+        n
+        for n in storages(world)
+        if world.nodes[n].core is not None
+        and world.nodes[n].core.hedge.primary.ready
+        and world.nodes[n].core.hedge.primary.opened
+    ]
     if len(full) < len(storages(world)):
         return
     name = random.choice(full)
@@ -112,8 +117,17 @@
 
 
 FAULTS = {
-    "kill": killOne, "power": powerOne, "allDown": allDown, "freeze": freezeOne, "cut": cutSome,
-    "pairs": cutPairs, "three": cutThree, "zone": cutZone, "lossy": lossy, "slowDisk": slowDisk, "loseDisk": loseDisk,
+    "kill": killOne,
+    "power": powerOne,
+    "allDown": allDown,
+    "freeze": freezeOne,
+    "cut": cutSome,
+    "pairs": cutPairs,
+    "three": cutThree,
+    "zone": cutZone,
+    "lossy": lossy,
+    "slowDisk": slowDisk,
+    "loseDisk": loseDisk,
     "ackPower": powerAfterAck,
 }
 
--- a/frostpost/weather/checks.py
+++ b/frostpost/weather/checks.py
@@ -132,8 +132,11 @@
             top = stage.delivered[-1].ordinal
             for member in stage.configuration.members:
                 other = found.get(member)
-                groups = [] if other is None else [
-                    g for g in regulars(other) if g[0].configuration.id == stage.configuration.id]
+                groups = (
+                    []
+                    if other is None
+                    else [g for g in regulars(other) if g[0].configuration.id == stage.configuration.id]
+                )
                 if not groups:
                     if not stage.transitional and (other is None or not other.failed):
                         yield Broken("7.2", f"{member} never installed {idOf(stage)}")
@@ -155,5 +158,11 @@
 def evs(history, sent):
     found = lives(history)
     return [
-        *basics(found), *order(found), *causal(found), *selfDelivery(found, sent),
-        *atomicity(found), *safety(found), *settled(found)]
+        *basics(found),
+        *order(found),
+        *causal(found),
+        *selfDelivery(found, sent),
+        *atomicity(found),
+        *safety(found),
+        *settled(found),
+    ]
--- a/frostpost/weather/chores.py
+++ b/frostpost/weather/chores.py
@@ -61,7 +61,9 @@
     if sum(r.pool == runner.pool and not r.away for r in valley.backs.values()) < 2:
         return
     runner.away = True
-    operator(valley, random, f"/v1/runners/{runner.name}/drain", "POST", {"leaving": True}, "drained", runner=runner.name)
+    operator(
+        valley, random, f"/v1/runners/{runner.name}/drain", "POST", {"leaving": True}, "drained", runner=runner.name
+    )
     later(valley, 6000, stay, valley, runner)
 
 
@@ -75,8 +77,16 @@
             return later(valley, 5, look)
         status, raw = box[0]
         said = json.decode(raw) if raw[:1] == b"{" else {}
-        valley.notes.say(kind, status=status, askedMs=askedMs, version=said.get("version"),
-                         fault=said.get("fault"), door=door, **facts)
+        valley.notes.say(
+            kind,
+            status=status,
+            askedMs=askedMs,
+            version=said.get("version"),
+            fault=said.get("fault"),
+            door=door,
+            **facts,
+        )
+
     look()
     return box
 
@@ -94,19 +104,42 @@
         value = valueOf(valley)
         parameters = {**TENANTS["hlidar"]["parameters"], "checkOutput": value}
         if random.random() < 0.5:
-            operator(valley, random, "/v1/config/tenants/hlidar", "PUT",
-                     {**TENANTS["hlidar"], "parameters": parameters}, "configured", headers,
-                     value=value, ifMatch=ifMatch)
+            operator(
+                valley,
+                random,
+                "/v1/config/tenants/hlidar",
+                "PUT",
+                {**TENANTS["hlidar"], "parameters": parameters},
+                "configured",
+                headers,
+                value=value,
+                ifMatch=ifMatch,
+            )
         else:
-            operator(valley, random, "/v1/config/tenants/hlidar", "PATCH",
-                     {"parameters": {"checkOutput": value}}, "configured", headers,
-                     value=value, ifMatch=ifMatch)
+            operator(
+                valley,
+                random,
+                "/v1/config/tenants/hlidar",
+                "PATCH",
+                {"parameters": {"checkOutput": value}},
+                "configured",
+                headers,
+                value=value,
+                ifMatch=ifMatch,
+            )
 
 
 def wrong(valley, random):
     value = valueOf(valley)
-    operator(valley, random, "/v1/config/tenants/hlidar", "PATCH",
-             {"parameters": {"checkOutput": value, "keepMs": 1}}, "configured", value=value)
+    operator(
+        valley,
+        random,
+        "/v1/config/tenants/hlidar",
+        "PATCH",
+        {"parameters": {"checkOutput": value, "keepMs": 1}},
+        "configured",
+        value=value,
+    )
 
 
 def large(valley, random):
@@ -117,8 +150,13 @@
 def wholeSet(valley, random):
     value, askedMs = valueOf(valley), valleys.nowMs(valley)
     parameters = {**TENANTS["hlidar"]["parameters"], "checkOutput": value}
-    box = valleys.call(valley, random.choice(list(valley.daemons)), "/v1/config", "PUT", {
-        "templates": TEMPLATES, "tenants": {**TENANTS, "hlidar": {**TENANTS["hlidar"], "parameters": parameters}}})
+    box = valleys.call(
+        valley,
+        random.choice(list(valley.daemons)),
+        "/v1/config",
+        "PUT",
+        {"templates": TEMPLATES, "tenants": {**TENANTS, "hlidar": {**TENANTS["hlidar"], "parameters": parameters}}},
+    )
 
     def look():
         if not box:
@@ -126,6 +164,7 @@
         status, raw = box[0]
         version = json.decode(raw).get("versions", {}).get("tenants/hlidar") if status == 200 else None
         valley.notes.say("configured", status=status, askedMs=int(askedMs), version=version, value=value, ifMatch=None)
+
     look()
 
 
@@ -138,7 +177,13 @@
 
 
 CHORES = {
-    "wholeSet": wholeSet, "voters": voters,
-    "misbehave": misbehave, "replace": replace, "runnerLeaves": leave, "drain": drain, "amend": amend,
-    "wrongConfig": wrong, "largeConfig": large,
+    "wholeSet": wholeSet,
+    "voters": voters,
+    "misbehave": misbehave,
+    "replace": replace,
+    "runnerLeaves": leave,
+    "drain": drain,
+    "amend": amend,
+    "wrongConfig": wrong,
+    "largeConfig": large,
 }
--- a/frostpost/weather/costs.py
+++ b/frostpost/weather/costs.py
@@ -24,6 +24,7 @@
         quiet = isinstance(body, (Beat, Roster))
         tally["beats" if quiet else "messages"] += 1
         send(world, node, target, body)
+
     return counted
 
 
@@ -44,6 +45,7 @@
     def heard(world, node, answer):
         if isinstance(answer, Decided):
             took.append(world.nowMs - asked[(node.place.member, answer.number)])
+
     world.tap = heard
     kept, worlds.send = worlds.send, count(world, tally)
     syncs = sum(n.disk.syncs for n in world.nodes.values())
@@ -60,12 +62,16 @@
     took.sort()
     many = len(took)
     return {
-        "members": members, "perSecond": perSecond, "ordered": many,
-        "messagesEach": round(tally["messages"] / many, 2), "batches": counts["batches"],
+        "members": members,
+        "perSecond": perSecond,
+        "ordered": many,
+        "messagesEach": round(tally["messages"] / many, 2),
+        "batches": counts["batches"],
         "entriesABatch": round(many / counts["batches"], 2),
         "syncsEach": round((sum(n.disk.syncs for n in world.nodes.values()) - syncs) / many, 2),
         "beatsASecond": round(tally["beats"] / (SPAN_MS + 500) * 1000),
-        "virtualMs": {"median": round(took[many // 2], 1), "99": round(took[int(many * 0.99)], 1)}}
+        "virtualMs": {"median": round(took[many // 2], 1), "99": round(took[int(many * 0.99)], 1)},
+    }
 
 
 def whole(world):
@@ -84,11 +90,16 @@
     def heard(world, node, answer):
         if isinstance(answer, Changed) and not answer.transitional:
             done.append(world.nowMs)
+
     world.tap = heard
     while not done or not whole(world):
         worlds.run(world, world.nowMs + 1)
-    return {"members": members, "killed": victim, "installedMs": round(done[0] - fromMs),
-            "servedMs": round(world.nowMs - fromMs)}
+    return {
+        "members": members,
+        "killed": victim,
+        "installedMs": round(done[0] - fromMs),
+        "servedMs": round(world.nowMs - fromMs),
+    }
 
 
 @cappa.command(name="costs", help="Count what ordering costs, by members and rate, under the virtual clock.")
