--- a/frostpost/canopy/leaf.py
+++ b/frostpost/canopy/leaf.py
@@ -2,8 +2,8 @@
 
 from twisted.internet.task import LoopingCall
 
-from frostpost.hedgerow.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
-from frostpost.hedgerow.words import SPEAKS, Member, Place, Roster
+from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
+from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 from frostpost.orchard.links import listen, sender
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
--- a/frostpost/canopy/lease.py
+++ b/frostpost/canopy/lease.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.hedgerow.outer import Hello, Renew, RoutingAsk
+from frostpost.virtual_synchrony.outer import Hello, Renew, RoutingAsk
 from frostpost.orchard.news import say
 
 from .context import count, now_ms
--- a/frostpost/canopy/peers.py
+++ b/frostpost/canopy/peers.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.furrow import disk as furrows
-from frostpost.hedgerow.state import names
+from frostpost.virtual_synchrony.state import names
 
 
 class Peers(Struct):
--- a/frostpost/canopy/ring.py
+++ b/frostpost/canopy/ring.py
@@ -4,11 +4,11 @@
 from twisted.internet.task import LoopingCall
 
 from frostpost.furrow import disk as furrows
-from frostpost.hedgerow.events import Left, Received
-from frostpost.hedgerow.memory import NOWHERE, replay
-from frostpost.hedgerow.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.hedgerow.state import Bounds, names
-from frostpost.hedgerow.words import SPEAKS, Member, Place, Roster
+from frostpost.virtual_synchrony.events import Left, Received
+from frostpost.virtual_synchrony.memory import NOWHERE, replay
+from frostpost.virtual_synchrony.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.state import Bounds, names
+from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 from frostpost.orchard import core as cores
 from frostpost.orchard import disk as disks
 from frostpost.orchard import heart
--- a/frostpost/canopy/serving.py
+++ b/frostpost/canopy/serving.py
@@ -3,9 +3,9 @@
 from msgspec import DecodeError, Struct, msgpack
 
 from frostpost.granary.apply import decodeOp
-from frostpost.hedgerow.outer import AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, Told
-from frostpost.hedgerow.state import names, sequencer
-from frostpost.hedgerow.watch import leaseLeftMs
+from frostpost.virtual_synchrony.outer import AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, Told
+from frostpost.virtual_synchrony.state import names, sequencer
+from frostpost.virtual_synchrony.watch import leaseLeftMs
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.heart import ask
 
--- a/frostpost/canopy/status.py
+++ b/frostpost/canopy/status.py
@@ -2,9 +2,9 @@
 
 from msgspec import json
 
-from frostpost.hedgerow.outer import Directory, Hello, StatusAsk, StatusTell
-from frostpost.hedgerow.state import names, sequencer
-from frostpost.hedgerow.watch import leaseLeftMs
+from frostpost.virtual_synchrony.outer import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.state import names, sequencer
+from frostpost.virtual_synchrony.watch import leaseLeftMs
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.links import sender
 from frostpost.silo.store import used_bytes
--- a/frostpost/canopy/tenders.py
+++ b/frostpost/canopy/tenders.py
@@ -4,8 +4,8 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.coppice.words import Retired
-from frostpost.hedgerow.events import Left, SetVoters
-from frostpost.hedgerow.state import names
+from frostpost.virtual_synchrony.events import Left, SetVoters
+from frostpost.virtual_synchrony.state import names
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.heart import ask, feed
 from frostpost.orchard.news import say
--- a/frostpost/gate/reads.py
+++ b/frostpost/gate/reads.py
@@ -6,7 +6,7 @@
 from frostpost.granary.programs import whole
 from frostpost.granary.words import Look
 from frostpost.harvest.judge import Question, explain
-from frostpost.hedgerow.state import sequencer
+from frostpost.virtual_synchrony.state import sequencer
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
--- a/frostpost/gate/voting.py
+++ b/frostpost/gate/voting.py
@@ -2,8 +2,8 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.granary.words import VotersSet
-from frostpost.hedgerow.events import SetVoters
-from frostpost.hedgerow.state import majority
+from frostpost.virtual_synchrony.events import SetVoters
+from frostpost.virtual_synchrony.state import majority
 from frostpost.orchard.heart import ask
 from frostpost.orchard.news import say
 from . import calls, faults
--- a/frostpost/granary/state.py
+++ b/frostpost/granary/state.py
@@ -1,7 +1,7 @@
 from msgspec import Struct, field
 
 from frostpost.coppice.state import Coppice
-from frostpost.hedgerow.words import Member
+from frostpost.virtual_synchrony.words import Member
 from .words import Claim, Duty, Mark, Program, Reservation, Runner
 
 
--- a/frostpost/granary/words.py
+++ b/frostpost/granary/words.py
@@ -1,8 +1,8 @@
 from msgspec import Struct
 
 from frostpost.coppice.words import CoppiceOp, CoppiceVerdict
-from frostpost.hedgerow.events import Open, SetVoters
-from frostpost.hedgerow.words import Member
+from frostpost.virtual_synchrony.events import Open, SetVoters
+from frostpost.virtual_synchrony.words import Member
 
 
 class Line(Struct, array_like=True, frozen=True):
--- a/frostpost/orchard/assembly.py
+++ b/frostpost/orchard/assembly.py
@@ -5,8 +5,8 @@
 from frostpost.gate.app import build
 from frostpost.gate.carry import agent
 from frostpost.gate.lookups import wake
-from frostpost.hedgerow.memory import replay
-from frostpost.hedgerow.words import SPEAKS, Member, Place
+from frostpost.virtual_synchrony.memory import replay
+from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
 from frostpost.tending import shelves
 from frostpost.tending.calendars import calendars
 from frostpost.tending.listing import list_
--- a/frostpost/orchard/core.py
+++ b/frostpost/orchard/core.py
@@ -6,10 +6,10 @@
 from frostpost.granary.apply import apply, decodeState, encode
 from frostpost.granary.state import Granary
 from frostpost.granary.words import Ballot, Rules, Verdict
-from frostpost.hedgerow import state as hedges
-from frostpost.hedgerow import watch
-from frostpost.hedgerow.step import step as hedgeStep
-from frostpost.hedgerow.events import (
+from frostpost.virtual_synchrony import state as hedges
+from frostpost.virtual_synchrony import watch
+from frostpost.virtual_synchrony.step import step as hedgeStep
+from frostpost.virtual_synchrony.events import (
     Appended,
     Applied,
     Asked,
@@ -23,7 +23,7 @@
     Snapshot,
     SnapshotAsked,
 )
-from frostpost.hedgerow.words import SPEAKS, Piece
+from frostpost.virtual_synchrony.words import SPEAKS, Piece
 
 
 class Decided(Struct, frozen=True, tag=20):
--- a/frostpost/orchard/disk.py
+++ b/frostpost/orchard/disk.py
@@ -1,7 +1,7 @@
 from msgspec import msgpack
 
 from frostpost.furrow import disk as furrows
-from frostpost.hedgerow.events import Probe, Record, Rewrite, Stalled, Synced
+from frostpost.virtual_synchrony.events import Probe, Record, Rewrite, Stalled, Synced
 from .context import count, nowMs
 from .news import say
 
--- a/frostpost/orchard/heart.py
+++ b/frostpost/orchard/heart.py
@@ -5,7 +5,7 @@
 from frostpost.coppice.words import Abort, Disclaim, End, Resolve
 from frostpost.gate.faults import NoPrimary, Overfilled, Undecided
 from frostpost.granary.words import Finish, Release, Reserved, Settle, Unclaim, Won
-from frostpost.hedgerow.events import (
+from frostpost.virtual_synchrony.events import (
     Applied,
     Asked,
     Changed,
@@ -15,7 +15,7 @@
     Received,
     Tick,
 )
-from frostpost.hedgerow.words import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.words import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
 from . import core as cores
 from .context import count, nowMs
 from .news import say
--- a/frostpost/orchard/life.py
+++ b/frostpost/orchard/life.py
@@ -1,7 +1,7 @@
 from automat import TypeMachineBuilder
 from typing import Protocol
 
-from frostpost.hedgerow.events import Left
+from frostpost.virtual_synchrony.events import Left
 from .context import nowMs
 from .heart import feed
 from .news import say
--- a/frostpost/orchard/links.py
+++ b/frostpost/orchard/links.py
@@ -6,8 +6,8 @@
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.protocols.basic import Int32StringReceiver
 
-from frostpost.hedgerow.outer import RoutingTell, SiloGot, SiloPut
-from frostpost.hedgerow.words import BodyPiece, Frame, Piece, VERSION
+from frostpost.virtual_synchrony.outer import RoutingTell, SiloGot, SiloPut
+from frostpost.virtual_synchrony.words import BodyPiece, Frame, Piece, VERSION
 from .context import count
 from .heart import received
 from .news import say
--- a/frostpost/orchard/settings.py
+++ b/frostpost/orchard/settings.py
@@ -4,7 +4,7 @@
 from msgspec import Struct, ValidationError, convert, field, structs
 
 from frostpost.harvest.judge import Weights
-from frostpost.hedgerow.state import Bounds
+from frostpost.virtual_synchrony.state import Bounds
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
--- a/frostpost/pruner/doctor.py
+++ b/frostpost/pruner/doctor.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, to_builtins
 
-from frostpost.hedgerow.words import SPEAKS
+from frostpost.virtual_synchrony.words import SPEAKS
 from .asking import DONE, FOUND, Door, TurnedAway, ask, fail, say
 
 
--- a/frostpost/silo/client.py
+++ b/frostpost/silo/client.py
@@ -6,7 +6,7 @@
 
 from frostpost.canopy import lease
 from frostpost.drove.failures import Unavailable
-from frostpost.hedgerow.outer import SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
 from .cache import cache_of, cached, remember
 from .serving import cut_short
 
--- a/frostpost/silo/serving.py
+++ b/frostpost/silo/serving.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.hedgerow.outer import SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
 from . import store
 
 MESSAGE_BYTES = 1_500_000
--- a/frostpost/tending/shelves.py
+++ b/frostpost/tending/shelves.py
@@ -2,8 +2,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from frostpost.furrow import disk as furrows
-from frostpost.hedgerow.state import majority
-from frostpost.hedgerow.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.heart import tick
 from frostpost.orchard.news import say
--- a/frostpost/weather/checks.py
+++ b/frostpost/weather/checks.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.hedgerow.events import Changed, Delivered
+from frostpost.virtual_synchrony.events import Changed, Delivered
 
 
 class Broken(Struct, frozen=True):
--- a/frostpost/weather/costs.py
+++ b/frostpost/weather/costs.py
@@ -7,8 +7,8 @@
 from msgspec import Struct, json
 
 from frostpost.granary.words import Look
-from frostpost.hedgerow.events import Asked, Changed
-from frostpost.hedgerow.words import Beat, Roster
+from frostpost.virtual_synchrony.events import Asked, Changed
+from frostpost.virtual_synchrony.words import Beat, Roster
 from frostpost.orchard.core import Decided
 from . import world as worlds
 from .storm import encode, serves
--- a/frostpost/weather/ledger.py
+++ b/frostpost/weather/ledger.py
@@ -13,8 +13,8 @@
     Unclaim,
     Won,
 )
-from frostpost.hedgerow.events import Applied
-from frostpost.hedgerow.state import majority
+from frostpost.virtual_synchrony.events import Applied
+from frostpost.virtual_synchrony.state import majority
 from frostpost.orchard.core import Decided
 from .checks import Broken
 
--- a/frostpost/weather/plants.py
+++ b/frostpost/weather/plants.py
@@ -2,8 +2,8 @@
 
 from frostpost.granary import apply as applying
 from frostpost.granary import keys, programs
-from frostpost.hedgerow import membership, ordering, recovery, settling, watch
-from frostpost.hedgerow.events import Delivered
+from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
+from frostpost.virtual_synchrony.events import Delivered
 from frostpost.granary.words import ConfigSet, Mark, Won
 
 
--- a/frostpost/weather/play.py
+++ b/frostpost/weather/play.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.hedgerow.state import Bounds
+from frostpost.virtual_synchrony.state import Bounds
 from . import world as worlds
 from .blows import FAULTS, heal
 from .checks import Broken, evs
--- a/frostpost/weather/storm.py
+++ b/frostpost/weather/storm.py
@@ -19,8 +19,8 @@
     Unclaim,
     Won,
 )
-from frostpost.hedgerow.events import Asked, SetVoters
-from frostpost.hedgerow.state import majority
+from frostpost.virtual_synchrony.events import Asked, SetVoters
+from frostpost.virtual_synchrony.state import majority
 from frostpost.orchard.core import Decided, leaseOk
 from . import world as worlds
 from .blows import FAULTS, votersDown
--- a/frostpost/weather/traces.py
+++ b/frostpost/weather/traces.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field, msgpack
 
-from frostpost.hedgerow.events import (
+from frostpost.virtual_synchrony.events import (
     Applied,
     Changed,
     Delivered,
@@ -12,9 +12,9 @@
     Rewrite,
     Synced,
 )
-from frostpost.hedgerow.memory import Log, replay, replayOne
-from frostpost.hedgerow.state import Bounds
-from frostpost.hedgerow.words import Ack, Complete, Place
+from frostpost.virtual_synchrony.memory import Log, replay, replayOne
+from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.words import Ack, Complete, Place
 from frostpost.orchard import core as cores
 from . import world as worlds
 from .checks import Broken
--- a/frostpost/weather/world.py
+++ b/frostpost/weather/world.py
@@ -3,11 +3,11 @@
 
 from msgspec import Struct, field
 
-from frostpost.hedgerow import events
-from frostpost.hedgerow.memory import replay
-from frostpost.hedgerow.state import Bounds
-from frostpost.hedgerow.events import Received, Rewrite, Synced, Tick
-from frostpost.hedgerow.words import SPEAKS, Batch, Member, Place
+from frostpost.virtual_synchrony import events
+from frostpost.virtual_synchrony.memory import replay
+from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
+from frostpost.virtual_synchrony.words import SPEAKS, Batch, Member, Place
 from frostpost.orchard import core as cores
 
 
--- a/tests/copse/plants.py
+++ b/tests/copse/plants.py
@@ -12,7 +12,7 @@
 from frostpost.drove import exchange, pool, serve, stream, turn
 from frostpost.drove.failures import TimedOut, Unknown
 from frostpost.drove.outcomes import Broken
-from frostpost.hedgerow import recovery, settling
+from frostpost.virtual_synchrony import recovery, settling
 from frostpost.platform import front, listing
 
 
--- a/tests/test_canopy_asking.py
+++ b/tests/test_canopy_asking.py
@@ -7,8 +7,8 @@
 from frostpost.coppice.words import Abort, Begin, End, Ended, LookRouting
 from frostpost.drove.failures import Unavailable
 from frostpost.granary.apply import decodeOp
-from frostpost.hedgerow.outer import AskRing, Grant, Told
-from frostpost.hedgerow.words import Frame
+from frostpost.virtual_synchrony.outer import AskRing, Grant, Told
+from frostpost.virtual_synchrony.words import Frame
 from test_canopy_lease import new_leaf, place_of, sent
 
 PLACES = (place_of("s1", port=7), place_of("s2", port=8))
--- a/tests/test_canopy_founding.py
+++ b/tests/test_canopy_founding.py
@@ -6,8 +6,8 @@
 from frostpost.canopy import leaf as assembly
 from frostpost.canopy.context import Leaf
 from frostpost.canopy.settings import DaemonSettings
-from frostpost.hedgerow.outer import Directory, Hello
-from frostpost.hedgerow.words import Frame, Roster
+from frostpost.virtual_synchrony.outer import Directory, Hello
+from frostpost.virtual_synchrony.words import Frame, Roster
 from frostpost.orchard.machine import Machine
 from frostpost.weather import drives
 from test_canopy_lease import place_of
--- a/tests/test_canopy_lease.py
+++ b/tests/test_canopy_lease.py
@@ -7,9 +7,9 @@
 from frostpost.canopy.context import Leaf
 from frostpost.canopy.settings import DaemonSettings
 from frostpost.granary.state import Granary
-from frostpost.hedgerow.outer import Grant, Hello, Renew, RoutingAsk, RoutingTell
-from frostpost.hedgerow.state import Bounds, Hedge, Peer
-from frostpost.hedgerow.words import Configuration, ConfigurationId, Member, Place
+from frostpost.virtual_synchrony.outer import Grant, Hello, Renew, RoutingAsk, RoutingTell
+from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
+from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member, Place
 from frostpost.orchard.machine import Machine
 
 LEASE_MS = 1200
--- a/tests/test_canopy_ring.py
+++ b/tests/test_canopy_ring.py
@@ -7,9 +7,9 @@
 from frostpost.canopy import assembly, ring, serving
 from frostpost.canopy.settings import DaemonSettings
 from frostpost.furrow import disk as furrows
-from frostpost.hedgerow.events import Booted, Installed
-from frostpost.hedgerow.outer import Directory, Hello, Renew
-from frostpost.hedgerow.words import ConfigurationId, Frame, Roster
+from frostpost.virtual_synchrony.events import Booted, Installed
+from frostpost.virtual_synchrony.outer import Directory, Hello, Renew
+from frostpost.virtual_synchrony.words import ConfigurationId, Frame, Roster
 from frostpost.orchard import disk as disks
 from frostpost.orchard.machine import Machine
 from frostpost.weather import drives
--- a/tests/test_canopy_tenders.py
+++ b/tests/test_canopy_tenders.py
@@ -8,9 +8,9 @@
 from frostpost.canopy import tenders
 from frostpost.coppice.words import Retired
 from frostpost.granary.state import Granary
-from frostpost.hedgerow.events import SetVoters
-from frostpost.hedgerow.state import Bounds, Hedge, Peer
-from frostpost.hedgerow.words import Configuration, ConfigurationId, Member
+from frostpost.virtual_synchrony.events import SetVoters
+from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
+from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member
 from frostpost.orchard.machine import Machine
 from test_canopy_lease import place_of
 
--- a/tests/test_drove_roster.py
+++ b/tests/test_drove_roster.py
@@ -10,7 +10,7 @@
 from frostpost.canopy.lease import session
 from frostpost.drove import roster
 from frostpost.drove.words import Runner
-from frostpost.hedgerow.places import Member, Place
+from frostpost.virtual_synchrony.places import Member, Place
 from frostpost.orchard.machine import Machine
 
 
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -12,8 +12,8 @@
 from frostpost.canopy import asking, ring, status
 from frostpost.canopy import leaf as assembly
 from frostpost.coppice.words import End
-from frostpost.hedgerow.outer import Directory, Hello, Renew, StatusAsk, StatusTell
-from frostpost.hedgerow.words import VERSION, Frame, Member, Place, Roster
+from frostpost.virtual_synchrony.outer import Directory, Hello, Renew, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.words import VERSION, Frame, Member, Place, Roster
 from frostpost.pruner import fleet as fleets
 from frostpost.pruner import inner
 from frostpost.pruner import main as pruner_main
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -14,8 +14,8 @@
     Settle,
     Tick,
 )
-from frostpost.hedgerow.events import Open
-from frostpost.hedgerow.words import ConfigurationId, Entry, Member
+from frostpost.virtual_synchrony.events import Open
+from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
 
 ID, ME = ConfigurationId(1, "s1", 1), Member("e1", 1)
 RUNNER = Runner("r1", "i", "127.0.0.1", 1, "pool", "a", 4)
@@ -119,7 +119,7 @@
 def test_the_version_before_reads_what_this_one_says():
     raw = msgpack.encode(Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 9))
     assert msgpack.decode(raw, type=OldReserve) == OldReserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),))
-    from frostpost.hedgerow.words import SPEAKS, Place
+    from frostpost.virtual_synchrony.words import SPEAKS, Place
 
     raw = msgpack.encode(Place(ME, "edge", "a", "h", 1, 2, SPEAKS))
     assert msgpack.decode(raw, type=OldPlace) == OldPlace(ME, "edge", "a", "h", 1, 2)
@@ -129,7 +129,7 @@
     from pathlib import Path
 
     from frostpost.granary.words import Op
-    from frostpost.hedgerow.words import Beat, Frame
+    from frostpost.virtual_synchrony.words import Beat, Frame
 
     types = {"frame": Frame, "op": Op, "state": Granary}
     rows = (Path(__file__).parent / "traces" / "wire1.frames").read_text().split("\n")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,8 +19,8 @@
     Shared,
     Tick,
 )
-from frostpost.hedgerow.events import Open
-from frostpost.hedgerow.words import ConfigurationId, Entry, Member
+from frostpost.virtual_synchrony.events import Open
+from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
 
 scenarios("features/ledger.feature")
 ID = ConfigurationId(1, "s1", 1)
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -7,7 +7,7 @@
 
 from frostpost.canopy import asking, tracing
 from frostpost.coppice.words import End, Ended, LookRouting
-from frostpost.hedgerow.outer import Told
+from frostpost.virtual_synchrony.outer import Told
 from frostpost.platform import main, settings
 from test_canopy_lease import new_leaf
 from test_platform_front import Fleet
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -1,7 +1,7 @@
-from frostpost.hedgerow.events import Out
-from frostpost.hedgerow.ordering import submitted
-from frostpost.hedgerow.state import sequencer
-from frostpost.hedgerow.words import Submit
+from frostpost.virtual_synchrony.events import Out
+from frostpost.virtual_synchrony.ordering import submitted
+from frostpost.virtual_synchrony.state import sequencer
+from frostpost.virtual_synchrony.words import Submit
 from frostpost.weather import world as worlds
 from frostpost.weather.play import back
 
--- a/tests/test_silo_client.py
+++ b/tests/test_silo_client.py
@@ -6,8 +6,8 @@
 
 from frostpost.canopy.context import Leaf
 from frostpost.drove.failures import Unavailable
-from frostpost.hedgerow.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.hedgerow.places import Member
+from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.places import Member
 from frostpost.silo import cache, client
 from test_silo_drive import machine_of, outcome
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from frostpost.hedgerow import settling
-from frostpost.hedgerow.state import Primary
+from frostpost.virtual_synchrony import settling
+from frostpost.virtual_synchrony.state import Primary
 from frostpost.weather.plants import planted
 from frostpost.weather.traces import load, play
 from frostpost.weather.world import make
