--- a/frostpost/canopy/peers.py
+++ b/frostpost/canopy/peers.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.furrow import disk as furrows
+from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.state import names
 
 
--- a/frostpost/canopy/ring.py
+++ b/frostpost/canopy/ring.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 from twisted.internet.task import LoopingCall
 
-from frostpost.furrow import disk as furrows
+from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.events import Left, Received
 from frostpost.virtual_synchrony.memory import NOWHERE, replay
 from frostpost.virtual_synchrony.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
--- a/frostpost/orchard/disk.py
+++ b/frostpost/orchard/disk.py
@@ -1,6 +1,6 @@
 from msgspec import msgpack
 
-from frostpost.furrow import disk as furrows
+from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.events import Probe, Record, Rewrite, Stalled, Synced
 from .context import count, nowMs
 from .news import say
@@ -10,7 +10,7 @@
 
 
 class Keeper:
-    __slots__ = ("ctx", "furrow", "queue", "upTo", "busy", "sinceMs", "unwell", "good", "probes", "syncs")
+    __slots__ = ("ctx", "write_ahead_log", "queue", "upTo", "busy", "sinceMs", "unwell", "good", "probes", "syncs")
 
     def __init__(self, ctx, furrow):
         self.ctx, self.furrow, self.queue = ctx, furrow, []
--- a/frostpost/silo/segments.py
+++ b/frostpost/silo/segments.py
@@ -6,7 +6,7 @@
 
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
-from frostpost.furrow import disk as furrows
+from frostpost.write_ahead_log import disk as furrows
 from frostpost.orchard.machine import Files
 
 encode = msgpack.Encoder().encode
--- a/frostpost/silo/store.py
+++ b/frostpost/silo/store.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
-from frostpost.furrow.disk import SyncLost
+from frostpost.write_ahead_log.disk import SyncLost
 from .segments import Log, SiloFiles, close_log, name_of, open_log, read_spot, write_batch
 
 SEGMENT_BYTES = 8 << 20
--- a/frostpost/tending/shelves.py
+++ b/frostpost/tending/shelves.py
@@ -1,7 +1,7 @@
 from msgspec import Raw, json, msgpack
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from frostpost.furrow import disk as furrows
+from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.state import majority
 from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
 from frostpost.orchard.context import nowMs
@@ -17,7 +17,7 @@
 
 
 class Bodies:
-    __slots__ = ("furrow", "queue", "busy")
+    __slots__ = ("write_ahead_log", "queue", "busy")
 
     def __init__(self, furrow):
         self.furrow, self.queue, self.busy = furrow, [], False
--- a/tests/test_canopy_ring.py
+++ b/tests/test_canopy_ring.py
@@ -6,7 +6,7 @@
 
 from frostpost.canopy import assembly, ring, serving
 from frostpost.canopy.settings import DaemonSettings
-from frostpost.furrow import disk as furrows
+from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.events import Booted, Installed
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew
 from frostpost.virtual_synchrony.words import ConfigurationId, Frame, Roster
--- a/tests/test_furrow.py
+++ b/tests/test_furrow.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from frostpost.furrow import disk
+from frostpost.write_ahead_log import disk
 from frostpost.orchard.machine import Files
 from frostpost.weather import drives
 
--- a/tests/test_silo_store.py
+++ b/tests/test_silo_store.py
@@ -1,6 +1,6 @@
 from twisted.internet.task import Clock
 
-from frostpost.furrow.disk import Corrupt, SyncLost, Torn
+from frostpost.write_ahead_log.disk import Corrupt, SyncLost, Torn
 from frostpost.silo import store
 from test_silo_drive import FOLDER, Threads, lose_unsynced, new_drive, opened, outcome
 
