--- a/frostpost/drove/exchange.py
+++ b/frostpost/drove/exchange.py
@@ -1,6 +1,6 @@
 """One request to one runner and what was heard of its answer."""
 
-from frostpost.canopy.context import now_ms
+from frostpost.cluster.context import now_ms
 
 from .outcomes import Broken, NotRun, NotSent, Whole
 
--- a/frostpost/drove/keyed.py
+++ b/frostpost/drove/keyed.py
@@ -3,8 +3,8 @@
 from msgspec import msgpack
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.canopy.asking import ask, tell
-from frostpost.canopy.context import now_ms
+from frostpost.cluster.asking import ask, tell
+from frostpost.cluster.context import now_ms
 from frostpost.coppice.words import Claim, Claimed, Disclaim, KeyAnswered, KeyAtWork, Resolve
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
--- a/frostpost/drove/lookup.py
+++ b/frostpost/drove/lookup.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.canopy.context import count, now_ms
+from frostpost.cluster.context import count, now_ms
 
 from . import picking
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
--- a/frostpost/drove/picking.py
+++ b/frostpost/drove/picking.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
-from frostpost.canopy.context import now_ms
+from frostpost.cluster.context import now_ms
 from frostpost.coppice.words import Candidate
 
 from .outcomes import Broken, Late, NotRun, NotSent
--- a/frostpost/drove/stream.py
+++ b/frostpost/drove/stream.py
@@ -3,7 +3,7 @@
 from msgspec import structs
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.canopy.context import count, now_ms
+from frostpost.cluster.context import count, now_ms
 
 from . import picking, turn
 from .events import EventParser
--- a/frostpost/drove/turn.py
+++ b/frostpost/drove/turn.py
@@ -3,8 +3,8 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 
-from frostpost.canopy.asking import ask, tell
-from frostpost.canopy.context import now_ms
+from frostpost.cluster.asking import ask, tell
+from frostpost.cluster.context import now_ms
 from frostpost.coppice.words import Abort, Begin, Begun, End, Ended, Move, NoPlace, NoTurn, TokensSpent
 from frostpost.silo.client import fetch, put
 
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -6,7 +6,7 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.canopy.context import now_ms
+from frostpost.cluster.context import now_ms
 from frostpost.drove.words import ClientBounds
 from frostpost.orchard.news import say
 
@@ -30,7 +30,7 @@
 
 
 def operating():
-    return import_module("frostpost.canopy.operating")
+    return import_module("frostpost.cluster.operating")
 
 
 def say_no(request, status, fault):
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -6,8 +6,8 @@
 from twisted.web.http import NO_BODY_CODES
 from zope.interface import implementer
 
-from frostpost.canopy.context import now_ms
-from frostpost.canopy.tracing import taken, traced
+from frostpost.cluster.context import now_ms
+from frostpost.cluster.tracing import taken, traced
 from frostpost.drove import failures
 from frostpost.drove.words import ClientBounds, Sink
 from frostpost.orchard.news import say
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import maybeDeferred
 
-from frostpost.canopy.settings import Front
+from frostpost.cluster.settings import Front
 
 from .settings import read
 from .wire import wire
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -64,7 +64,7 @@
     if check:
         print(json.format(json.encode(result.ok), indent=2).decode())
         return 0
-    from frostpost.canopy.assembly import run
+    from frostpost.cluster.assembly import run
     from frostpost.orchard.news import begin
 
     from .listening import make_front
--- a/frostpost/platform/settings.py
+++ b/frostpost/platform/settings.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok
 from msgspec import Struct
 
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster.settings import DaemonSettings
 
 VARIABLE = "FROSTPOST_BOOT"
 ROLES = ("edge", "core", "storage")
--- a/frostpost/scarecrow/scale_leaves.py
+++ b/frostpost/scarecrow/scale_leaves.py
@@ -6,9 +6,9 @@
 from twisted.internet.defer import inlineCallbacks, succeed
 from twisted.internet.task import LoopingCall
 
-from frostpost.canopy import asking, lease
-from frostpost.canopy import leaf as leaves
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster import asking, lease
+from frostpost.cluster import leaf as leaves
+from frostpost.cluster.settings import DaemonSettings
 from frostpost.coppice.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
 from frostpost.orchard.machine import Machine
 from frostpost.silo import client as silo
--- a/frostpost/scarecrow/scale_ring.py
+++ b/frostpost/scarecrow/scale_ring.py
@@ -8,8 +8,8 @@
 from twisted.internet.stdio import StandardIO
 from twisted.protocols.basic import LineReceiver
 
-from frostpost.canopy import ring, serving
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster import ring, serving
+from frostpost.cluster.settings import DaemonSettings
 from frostpost.granary.apply import encode
 from frostpost.orchard import news
 from frostpost.orchard.machine import Machine
--- a/frostpost/scarecrow/scale_run.py
+++ b/frostpost/scarecrow/scale_run.py
@@ -11,8 +11,8 @@
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 from twisted.internet.protocol import ProcessProtocol
 
-from frostpost.canopy import lease, operating
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster import lease, operating
+from frostpost.cluster.settings import DaemonSettings
 from frostpost.coppice.words import Candidate
 
 from . import scale_leaves as leaves_
--- a/frostpost/silo/client.py
+++ b/frostpost/silo/client.py
@@ -4,7 +4,7 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
-from frostpost.canopy import lease
+from frostpost.cluster import lease
 from frostpost.drove.failures import Unavailable
 from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
 from .cache import cache_of, cached, remember
--- a/tests/copse/plants.py
+++ b/tests/copse/plants.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 from twisted.internet.defer import succeed
 
-from frostpost.canopy import lease, operating
+from frostpost.cluster import lease, operating
 from frostpost.coppice import apply as ledger
 from frostpost.coppice import turns
 from frostpost.coppice.words import Claim, Claimed, End, RoutingSet, SetRouting
--- a/tests/copse/world.py
+++ b/tests/copse/world.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from frostpost.canopy import leaf as assembly
-from frostpost.canopy import ring
+from frostpost.cluster import leaf as assembly
+from frostpost.cluster import ring
 from frostpost.orchard.machine import Machine
 from frostpost.platform import listening, settings
 from frostpost.silo import store
--- a/tests/test_canopy_asking.py
+++ b/tests/test_canopy_asking.py
@@ -2,8 +2,8 @@
 from msgspec import msgpack
 from twisted.internet.task import Clock
 
-from frostpost.canopy import asking
-from frostpost.canopy import leaf as assembly
+from frostpost.cluster import asking
+from frostpost.cluster import leaf as assembly
 from frostpost.coppice.words import Abort, Begin, End, Ended, LookRouting
 from frostpost.drove.failures import Unavailable
 from frostpost.granary.apply import decodeOp
--- a/tests/test_canopy_founding.py
+++ b/tests/test_canopy_founding.py
@@ -2,10 +2,10 @@
 
 from twisted.internet.task import Clock
 
-from frostpost.canopy import founding
-from frostpost.canopy import leaf as assembly
-from frostpost.canopy.context import Leaf
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster import founding
+from frostpost.cluster import leaf as assembly
+from frostpost.cluster.context import Leaf
+from frostpost.cluster.settings import DaemonSettings
 from frostpost.virtual_synchrony.outer import Directory, Hello
 from frostpost.virtual_synchrony.words import Frame, Roster
 from frostpost.orchard.machine import Machine
--- a/tests/test_canopy_lease.py
+++ b/tests/test_canopy_lease.py
@@ -2,10 +2,10 @@
 
 from twisted.internet.task import Clock
 
-from frostpost.canopy import leaf as assembly
-from frostpost.canopy import lease, serving
-from frostpost.canopy.context import Leaf
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster import leaf as assembly
+from frostpost.cluster import lease, serving
+from frostpost.cluster.context import Leaf
+from frostpost.cluster.settings import DaemonSettings
 from frostpost.granary.state import Granary
 from frostpost.virtual_synchrony.outer import Grant, Hello, Renew, RoutingAsk, RoutingTell
 from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
--- a/tests/test_canopy_ring.py
+++ b/tests/test_canopy_ring.py
@@ -4,8 +4,8 @@
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from frostpost.canopy import assembly, ring, serving
-from frostpost.canopy.settings import DaemonSettings
+from frostpost.cluster import assembly, ring, serving
+from frostpost.cluster.settings import DaemonSettings
 from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.events import Booted, Installed
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew
--- a/tests/test_canopy_tenders.py
+++ b/tests/test_canopy_tenders.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from frostpost.canopy import tenders
+from frostpost.cluster import tenders
 from frostpost.coppice.words import Retired
 from frostpost.granary.state import Granary
 from frostpost.virtual_synchrony.events import SetVoters
--- a/tests/test_drove_roster.py
+++ b/tests/test_drove_roster.py
@@ -6,8 +6,8 @@
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock
 
-from frostpost.canopy.context import Leaf
-from frostpost.canopy.lease import session
+from frostpost.cluster.context import Leaf
+from frostpost.cluster.lease import session
 from frostpost.drove import roster
 from frostpost.drove.words import Runner
 from frostpost.virtual_synchrony.places import Member, Place
--- a/tests/test_drove_stage.py
+++ b/tests/test_drove_stage.py
@@ -8,12 +8,12 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-for absent, names in {"frostpost.canopy.asking": ("ask", "tell"), "frostpost.canopy.lease": ("lease_ok",)}.items():
+for absent, names in {"frostpost.cluster.asking": ("ask", "tell"), "frostpost.cluster.lease": ("lease_ok",)}.items():
     if find_spec(absent) is None:
         stub = sys.modules[absent] = ModuleType(absent)
         vars(stub).update(dict.fromkeys(names))
 
-from frostpost.canopy.context import Leaf
+from frostpost.cluster.context import Leaf
 from frostpost.coppice.words import Begin, Begun, Claim, Claimed, End, Ended
 from frostpost.drove import keyed, pool, serve, turn
 from frostpost.drove.failures import Unavailable
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -9,8 +9,8 @@
 
 from copse import stage as plays
 from copse import world as worlds
-from frostpost.canopy import asking, ring, status
-from frostpost.canopy import leaf as assembly
+from frostpost.cluster import asking, ring, status
+from frostpost.cluster import leaf as assembly
 from frostpost.coppice.words import End
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew, StatusAsk, StatusTell
 from frostpost.virtual_synchrony.words import VERSION, Frame, Member, Place, Roster
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -5,7 +5,7 @@
 from copse import stage as plays
 from copse import world as worlds
 from copse.crowd import MOST_TOKENS
-from frostpost.canopy import serving as sessions
+from frostpost.cluster import serving as sessions
 from frostpost.weather import net as nets
 from test_silo_serving import Net, hold
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -8,7 +8,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from frostpost.canopy.context import Leaf
+from frostpost.cluster.context import Leaf
 from frostpost.drove.failures import Unavailable
 from frostpost.orchard.machine import Machine
 from frostpost.platform import control, routing
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from frostpost.canopy.context import Leaf
+from frostpost.cluster.context import Leaf
 from frostpost.drove import failures
 from frostpost.drove.words import ClientBounds, Routing
 from frostpost.orchard.machine import Machine
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -5,7 +5,7 @@
 from msgspec import json, msgpack, structs
 from twisted.internet.task import Clock
 
-from frostpost.canopy import asking, tracing
+from frostpost.cluster import asking, tracing
 from frostpost.coppice.words import End, Ended, LookRouting
 from frostpost.virtual_synchrony.outer import Told
 from frostpost.platform import main, settings
--- a/tests/test_silo_client.py
+++ b/tests/test_silo_client.py
@@ -4,7 +4,7 @@
 from expression import Ok
 from twisted.internet.task import Clock
 
-from frostpost.canopy.context import Leaf
+from frostpost.cluster.context import Leaf
 from frostpost.drove.failures import Unavailable
 from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
 from frostpost.virtual_synchrony.places import Member
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -22,7 +22,7 @@
     "answers_",
 }
 HOUSE = {"carry", "lane", "limit", "go", "cell", "turnaway", "consumer", "limitms"}
-RENAMED = ("coppice", "canopy", "silo", "drove", "platform")
+RENAMED = ("coppice", "cluster", "silo", "drove", "platform")
 CAMEL = re.compile(r"[a-z0-9][A-Z]")
 
 
