--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -2,7 +2,7 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from frostpost.granary.apply import decodeOp
+from frostpost.ledger.apply import decodeOp
 from frostpost.virtual_synchrony.outer import AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, Told
 from frostpost.virtual_synchrony.state import names, sequencer
 from frostpost.virtual_synchrony.watch import leaseLeftMs
--- a/frostpost/gate/control.py
+++ b/frostpost/gate/control.py
@@ -2,8 +2,8 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.granary import configs
-from frostpost.granary.words import ConfigSet, Done, Drain, NotHeld, SetConfig, StaleConfig
+from frostpost.ledger import configs
+from frostpost.ledger.words import ConfigSet, Done, Drain, NotHeld, SetConfig, StaleConfig
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
--- a/frostpost/gate/lookups.py
+++ b/frostpost/gate/lookups.py
@@ -4,7 +4,7 @@
 from msgspec import DecodeError, json
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from frostpost.granary.words import ClaimKey, Done, Finish, KeyReused, Shared, Unclaim, Won
+from frostpost.ledger.words import ClaimKey, Done, Finish, KeyReused, Shared, Unclaim, Won
 from frostpost.orchard.context import count
 from frostpost.orchard.heart import ask
 from . import carry, faults
--- a/frostpost/gate/reads.py
+++ b/frostpost/gate/reads.py
@@ -3,8 +3,8 @@
 from msgspec import Raw
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
-from frostpost.granary.programs import whole
-from frostpost.granary.words import Look
+from frostpost.ledger.programs import whole
+from frostpost.ledger.words import Look
 from frostpost.harvest.judge import Question, explain
 from frostpost.virtual_synchrony.state import sequencer
 from frostpost.orchard.context import nowMs
--- a/frostpost/gate/sets.py
+++ b/frostpost/gate/sets.py
@@ -2,8 +2,8 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.granary import configs
-from frostpost.granary.words import Change, ManySet, SetMany
+from frostpost.ledger import configs
+from frostpost.ledger.words import Change, ManySet, SetMany
 from frostpost.orchard.heart import ask
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
--- a/frostpost/gate/turns.py
+++ b/frostpost/gate/turns.py
@@ -1,8 +1,8 @@
 from msgspec import DecodeError, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.granary import programs
-from frostpost.granary.words import (
+from frostpost.ledger import programs
+from frostpost.ledger.words import (
     BudgetSpent,
     Done,
     NoRunner,
--- a/frostpost/gate/voting.py
+++ b/frostpost/gate/voting.py
@@ -1,7 +1,7 @@
 from expression import Error, Ok
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.granary.words import VotersSet
+from frostpost.ledger.words import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import majority
 from frostpost.orchard.heart import ask
--- a/frostpost/orchard/core.py
+++ b/frostpost/orchard/core.py
@@ -2,10 +2,10 @@
 
 from msgspec import Struct
 
-from frostpost.granary import duties
-from frostpost.granary.apply import apply, decodeState, encode
-from frostpost.granary.state import Granary
-from frostpost.granary.words import Ballot, Rules, Verdict
+from frostpost.ledger import duties
+from frostpost.ledger.apply import apply, decodeState, encode
+from frostpost.ledger.state import Granary
+from frostpost.ledger.words import Ballot, Rules, Verdict
 from frostpost.virtual_synchrony import state as hedges
 from frostpost.virtual_synchrony import watch
 from frostpost.virtual_synchrony.step import step as hedgeStep
--- a/frostpost/orchard/heart.py
+++ b/frostpost/orchard/heart.py
@@ -4,7 +4,7 @@
 
 from frostpost.coppice.words import Abort, Disclaim, End, Resolve
 from frostpost.gate.faults import NoPrimary, Overfilled, Undecided
-from frostpost.granary.words import Finish, Release, Reserved, Settle, Unclaim, Won
+from frostpost.ledger.words import Finish, Release, Reserved, Settle, Unclaim, Won
 from frostpost.virtual_synchrony.events import (
     Applied,
     Asked,
--- a/frostpost/scarecrow/runner.py
+++ b/frostpost/scarecrow/runner.py
@@ -6,7 +6,7 @@
 from twisted.web.server import Site
 
 from frostpost.harvest.judge import chainOf
-from frostpost.granary.programs import line
+from frostpost.ledger.programs import line
 from .notes import Notes
 
 
--- a/frostpost/scarecrow/scale_ring.py
+++ b/frostpost/scarecrow/scale_ring.py
@@ -10,7 +10,7 @@
 
 from frostpost.cluster import ring, serving
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.granary.apply import encode
+from frostpost.ledger.apply import encode
 from frostpost.orchard import news
 from frostpost.orchard.machine import Machine
 
--- a/frostpost/scarecrow/scale_slopes.py
+++ b/frostpost/scarecrow/scale_slopes.py
@@ -14,7 +14,7 @@
 from frostpost.coppice.apply import act
 from frostpost.coppice.state import Coppice
 from frostpost.coppice.words import Begin, Candidate, Claim, End, Resolve
-from frostpost.granary.apply import decodeOp
+from frostpost.ledger.apply import decodeOp
 from frostpost.silo import serving
 from frostpost.silo.segments import SiloFiles, open_log, read_spot, write_batch
 
--- a/frostpost/tending/calendars.py
+++ b/frostpost/tending/calendars.py
@@ -4,8 +4,8 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.granary import duties
-from frostpost.granary.words import ConfigSet, Fire, SetConfig
+from frostpost.ledger import duties
+from frostpost.ledger.words import ConfigSet, Fire, SetConfig
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
--- a/frostpost/tending/listing.py
+++ b/frostpost/tending/listing.py
@@ -2,8 +2,8 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.gate.reading import gather
-from frostpost.granary import duties
-from frostpost.granary.words import Runner, Runners
+from frostpost.ledger import duties
+from frostpost.ledger.words import Runner, Runners
 from frostpost.orchard.context import count, nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
--- a/frostpost/tending/runners.py
+++ b/frostpost/tending/runners.py
@@ -2,7 +2,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.gate.reading import gather
-from frostpost.granary.words import Drain
+from frostpost.ledger.words import Drain
 from frostpost.harvest.judge import Status
 from frostpost.orchard.context import count, nowMs
 from frostpost.orchard.core import leaseOk
--- a/frostpost/tending/ticking.py
+++ b/frostpost/tending/ticking.py
@@ -1,5 +1,5 @@
-from frostpost.granary import duties
-from frostpost.granary.words import Tick
+from frostpost.ledger import duties
+from frostpost.ledger.words import Tick
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
--- a/frostpost/weather/costs.py
+++ b/frostpost/weather/costs.py
@@ -6,7 +6,7 @@
 import cappa
 from msgspec import Struct, json
 
-from frostpost.granary.words import Look
+from frostpost.ledger.words import Look
 from frostpost.virtual_synchrony.events import Asked, Changed
 from frostpost.virtual_synchrony.words import Beat, Roster
 from frostpost.orchard.core import Decided
--- a/frostpost/weather/doorplants.py
+++ b/frostpost/weather/doorplants.py
@@ -2,7 +2,7 @@
 from twisted.internet.defer import succeed
 
 from frostpost.gate import carry, control, faults, lookups, turns
-from frostpost.granary.words import Done, Settle, Unclaim
+from frostpost.ledger.words import Done, Settle, Unclaim
 from frostpost.harvest import judge
 from frostpost.orchard import life
 from frostpost.orchard.heart import ask
--- a/frostpost/weather/ledger.py
+++ b/frostpost/weather/ledger.py
@@ -1,8 +1,8 @@
 from collections import defaultdict
 
-from frostpost.granary.apply import apply, decodeOp, encode
-from frostpost.granary.state import Granary
-from frostpost.granary.words import (
+from frostpost.ledger.apply import apply, decodeOp, encode
+from frostpost.ledger.state import Granary
+from frostpost.ledger.words import (
     ClaimKey,
     ConfigSet,
     Done,
--- a/frostpost/weather/placing.py
+++ b/frostpost/weather/placing.py
@@ -6,8 +6,8 @@
 import cappa
 from msgspec import Struct, json
 
-from frostpost.granary.programs import line
-from frostpost.granary.words import Runner
+from frostpost.ledger.programs import line
+from frostpost.ledger.words import Runner
 from frostpost.harvest.judge import Question, Status, Weights, chainOf, rank
 
 POLICIES = {
--- a/frostpost/weather/plants.py
+++ b/frostpost/weather/plants.py
@@ -1,10 +1,10 @@
 from contextlib import contextmanager
 
-from frostpost.granary import apply as applying
-from frostpost.granary import keys, programs
+from frostpost.ledger import apply as applying
+from frostpost.ledger import keys, programs
 from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
 from frostpost.virtual_synchrony.events import Delivered
-from frostpost.granary.words import ConfigSet, Mark, Won
+from frostpost.ledger.words import ConfigSet, Mark, Won
 
 
 def ackUnsynced(hedge, out):
--- a/frostpost/weather/storm.py
+++ b/frostpost/weather/storm.py
@@ -2,9 +2,9 @@
 
 from msgspec import Struct, field, msgpack
 
-from frostpost.granary import duties
-from frostpost.granary.programs import line
-from frostpost.granary.words import (
+from frostpost.ledger import duties
+from frostpost.ledger.programs import line
+from frostpost.ledger.words import (
     ClaimKey,
     Drain,
     Finish,
--- a/tests/test_canopy_asking.py
+++ b/tests/test_canopy_asking.py
@@ -6,7 +6,7 @@
 from frostpost.cluster import leaf as assembly
 from frostpost.coppice.words import Abort, Begin, End, Ended, LookRouting
 from frostpost.drove.failures import Unavailable
-from frostpost.granary.apply import decodeOp
+from frostpost.ledger.apply import decodeOp
 from frostpost.virtual_synchrony.outer import AskRing, Grant, Told
 from frostpost.virtual_synchrony.words import Frame
 from test_canopy_lease import new_leaf, place_of, sent
--- a/tests/test_canopy_lease.py
+++ b/tests/test_canopy_lease.py
@@ -6,7 +6,7 @@
 from frostpost.cluster import lease, serving
 from frostpost.cluster.context import Leaf
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.granary.state import Granary
+from frostpost.ledger.state import Granary
 from frostpost.virtual_synchrony.outer import Grant, Hello, Renew, RoutingAsk, RoutingTell
 from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
 from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member, Place
--- a/tests/test_canopy_tenders.py
+++ b/tests/test_canopy_tenders.py
@@ -7,7 +7,7 @@
 
 from frostpost.cluster import tenders
 from frostpost.coppice.words import Retired
-from frostpost.granary.state import Granary
+from frostpost.ledger.state import Granary
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
 from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member
--- a/tests/test_coppice_model.py
+++ b/tests/test_coppice_model.py
@@ -25,8 +25,8 @@
     TokensSpent,
 )
 from frostpost.coppice.turns import CHAIN_SLACK_MS
-from frostpost.granary.apply import decodeState, encode
-from frostpost.granary.state import Granary
+from frostpost.ledger.apply import decodeState, encode
+from frostpost.ledger.state import Granary
 
 BUDGETS = {"p0": 150, "p1": 900, "p2": 0}
 SLOTS = {"r0": 2, "r1": 3, "r2": 4}
--- a/tests/test_judgement.py
+++ b/tests/test_judgement.py
@@ -1,4 +1,4 @@
-from frostpost.granary.words import Runner
+from frostpost.ledger.words import Runner
 from frostpost.harvest.judge import Question, Status, Weights, rank
 
 RUNNERS = [Runner(n, "i", "127.0.0.1", 1, "pool", "a", 4) for n in ("r1", "r2")]
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,9 +1,9 @@
 from msgspec import Struct, msgpack
 
-from frostpost.granary.apply import apply, decodeState, encode
-from frostpost.granary.programs import line
-from frostpost.granary.state import Granary
-from frostpost.granary.words import (
+from frostpost.ledger.apply import apply, decodeState, encode
+from frostpost.ledger.programs import line
+from frostpost.ledger.state import Granary
+from frostpost.ledger.words import (
     BudgetSpent,
     Done,
     Duty,
@@ -128,7 +128,7 @@
 def test_frames_recorded_of_the_version_before_are_understood():
     from pathlib import Path
 
-    from frostpost.granary.words import Op
+    from frostpost.ledger.words import Op
     from frostpost.virtual_synchrony.words import Beat, Frame
 
     types = {"frame": Frame, "op": Op, "state": Granary}
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -2,11 +2,11 @@
 from pytest import fixture
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from frostpost.granary.apply import apply, decodeState
-from frostpost.granary.apply import encode as encodeState
-from frostpost.granary.programs import line
-from frostpost.granary.state import Granary
-from frostpost.granary.words import (
+from frostpost.ledger.apply import apply, decodeState
+from frostpost.ledger.apply import encode as encodeState
+from frostpost.ledger.programs import line
+from frostpost.ledger.state import Granary
+from frostpost.ledger.words import (
     Ballot,
     ClaimKey,
     Drain,
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -5,7 +5,7 @@
 from expression import Error, Ok
 from frostpost.gate import carry, faults, turns
 from frostpost.gate.calls import SHARES, Call, filterCrowd
-from frostpost.granary.words import Done, Reserved, Runner, Settle
+from frostpost.ledger.words import Done, Reserved, Runner, Settle
 from frostpost.orchard.context import Context
 from frostpost.orchard.settings import Settings
 from frostpost.trellis.stamp import Lane
