--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/asking.py
@@ -4,7 +4,7 @@
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
 
-from frostpost.coppice.words import CoppiceVerdict
+from frostpost.program_ledger.words import CoppiceVerdict
 from frostpost.drove.failures import Unavailable
 from frostpost.virtual_synchrony.outer import AskRing
 
--- a/frostpost/cluster/operating.py
+++ b/frostpost/cluster/operating.py
@@ -3,7 +3,7 @@
 from expression import Error, Ok
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from frostpost.coppice.words import (
+from frostpost.program_ledger.words import (
     LookRetired,
     LookRouting,
     Retire,
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.coppice.words import Retired
+from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import Left, SetVoters
 from frostpost.virtual_synchrony.state import names
 from frostpost.orchard.context import nowMs
--- a/frostpost/drove/keyed.py
+++ b/frostpost/drove/keyed.py
@@ -5,7 +5,7 @@
 
 from frostpost.cluster.asking import ask, tell
 from frostpost.cluster.context import now_ms
-from frostpost.coppice.words import Claim, Claimed, Disclaim, KeyAnswered, KeyAtWork, Resolve
+from frostpost.program_ledger.words import Claim, Claimed, Disclaim, KeyAnswered, KeyAtWork, Resolve
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
 from .lookup import hand_over, retry_ms, settle
--- a/frostpost/drove/picking.py
+++ b/frostpost/drove/picking.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.cluster.context import now_ms
-from frostpost.coppice.words import Candidate
+from frostpost.program_ledger.words import Candidate
 
 from .outcomes import Broken, Late, NotRun, NotSent
 
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -2,7 +2,7 @@
 
 from msgspec import msgpack
 
-from frostpost.coppice import apply as coppices
+from frostpost.program_ledger import apply as coppices
 from . import configs, duties, keys, programs
 from .state import Granary
 from .words import (
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -1,6 +1,6 @@
 from msgspec import Struct, field
 
-from frostpost.coppice.state import Coppice
+from frostpost.program_ledger.state import Coppice
 from frostpost.virtual_synchrony.words import Member
 from .words import Claim, Duty, Mark, Program, Reservation, Runner
 
--- a/frostpost/ledger/words.py
+++ b/frostpost/ledger/words.py
@@ -1,6 +1,6 @@
 from msgspec import Struct
 
-from frostpost.coppice.words import CoppiceOp, CoppiceVerdict
+from frostpost.program_ledger.words import CoppiceOp, CoppiceVerdict
 from frostpost.virtual_synchrony.events import Open, SetVoters
 from frostpost.virtual_synchrony.words import Member
 
--- a/frostpost/scarecrow/scale_leaves.py
+++ b/frostpost/scarecrow/scale_leaves.py
@@ -9,7 +9,7 @@
 from frostpost.cluster import asking, lease
 from frostpost.cluster import leaf as leaves
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.coppice.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
+from frostpost.program_ledger.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
 from frostpost.orchard.machine import Machine
 from frostpost.silo import client as silo
 
--- a/frostpost/scarecrow/scale_run.py
+++ b/frostpost/scarecrow/scale_run.py
@@ -13,7 +13,7 @@
 
 from frostpost.cluster import lease, operating
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.coppice.words import Candidate
+from frostpost.program_ledger.words import Candidate
 
 from . import scale_leaves as leaves_
 from .scale_counts import count_links, cpu_s, memory_mb, quantile, rates
--- a/frostpost/scarecrow/scale_slopes.py
+++ b/frostpost/scarecrow/scale_slopes.py
@@ -11,9 +11,9 @@
 
 from msgspec import json, msgpack
 
-from frostpost.coppice.apply import act
-from frostpost.coppice.state import Coppice
-from frostpost.coppice.words import Begin, Candidate, Claim, End, Resolve
+from frostpost.program_ledger.apply import act
+from frostpost.program_ledger.state import Coppice
+from frostpost.program_ledger.words import Begin, Candidate, Claim, End, Resolve
 from frostpost.ledger.apply import decodeOp
 from frostpost.silo import serving
 from frostpost.silo.segments import SiloFiles, open_log, read_spot, write_batch
--- a/tests/copse/plants.py
+++ b/tests/copse/plants.py
@@ -6,9 +6,9 @@
 from twisted.internet.defer import succeed
 
 from frostpost.cluster import lease, operating
-from frostpost.coppice import apply as ledger
-from frostpost.coppice import turns
-from frostpost.coppice.words import Claim, Claimed, End, RoutingSet, SetRouting
+from frostpost.program_ledger import apply as ledger
+from frostpost.program_ledger import turns
+from frostpost.program_ledger.words import Claim, Claimed, End, RoutingSet, SetRouting
 from frostpost.drove import exchange, pool, serve, stream, turn
 from frostpost.drove.failures import TimedOut, Unknown
 from frostpost.drove.outcomes import Broken
--- a/tests/test_canopy_tenders.py
+++ b/tests/test_canopy_tenders.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.cluster import tenders
-from frostpost.coppice.words import Retired
+from frostpost.program_ledger.words import Retired
 from frostpost.ledger.state import Granary
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
--- a/tests/test_coppice_faults.py
+++ b/tests/test_coppice_faults.py
@@ -1,9 +1,9 @@
 """Cases at the edges of the turn ledger's times."""
 
-from frostpost.coppice import apply as coppices
-from frostpost.coppice.state import Coppice
-from frostpost.coppice.turns import CHAIN_SLACK_MS
-from frostpost.coppice.words import (
+from frostpost.program_ledger import apply as coppices
+from frostpost.program_ledger.state import Coppice
+from frostpost.program_ledger.turns import CHAIN_SLACK_MS
+from frostpost.program_ledger.words import (
     Abort,
     Begin,
     Begun,
--- a/tests/test_coppice_model.py
+++ b/tests/test_coppice_model.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from frostpost.coppice import apply as coppices
-from frostpost.coppice.words import (
+from frostpost.program_ledger import apply as coppices
+from frostpost.program_ledger.words import (
     Abort,
     Begin,
     Begun,
@@ -24,7 +24,7 @@
     Resolve,
     TokensSpent,
 )
-from frostpost.coppice.turns import CHAIN_SLACK_MS
+from frostpost.program_ledger.turns import CHAIN_SLACK_MS
 from frostpost.ledger.apply import decodeState, encode
 from frostpost.ledger.state import Granary
 
--- a/tests/test_coppice_placement.py
+++ b/tests/test_coppice_placement.py
@@ -1,8 +1,8 @@
 import pytest
 
-from frostpost.coppice import apply as coppices
-from frostpost.coppice.state import Coppice
-from frostpost.coppice.words import Abort, Begin, Begun, Candidate, End, Move, NoPlace
+from frostpost.program_ledger import apply as coppices
+from frostpost.program_ledger.state import Coppice
+from frostpost.program_ledger.words import Abort, Begin, Begun, Candidate, End, Move, NoPlace
 
 TWO = (Candidate("r0", 4), Candidate("r1", 4))
 PARTS = (("system", 5000), ("tools", 4000), ("first", 3000))
--- a/tests/test_copse_edges.py
+++ b/tests/test_copse_edges.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from frostpost.coppice.apply import act
-from frostpost.coppice.state import Coppice
-from frostpost.coppice.words import Begin, Begun, Candidate, End, Ended
+from frostpost.program_ledger.apply import act
+from frostpost.program_ledger.state import Coppice
+from frostpost.program_ledger.words import Begin, Begun, Candidate, End, Ended
 from copse import judge as judge
 from copse import stage as plays
 from copse import troubles as troubles
--- a/tests/test_drove_lookup.py
+++ b/tests/test_drove_lookup.py
@@ -6,7 +6,7 @@
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from frostpost.coppice.words import Claim, Disclaim, KeyAnswered, KeyAtWork, Resolve
+from frostpost.program_ledger.words import Claim, Disclaim, KeyAnswered, KeyAtWork, Resolve
 from frostpost.drove import failures, roster
 from frostpost.drove.keyed import pack, unpack
 from frostpost.drove.outcomes import Answer
--- a/tests/test_drove_stage.py
+++ b/tests/test_drove_stage.py
@@ -14,7 +14,7 @@
         vars(stub).update(dict.fromkeys(names))
 
 from frostpost.cluster.context import Leaf
-from frostpost.coppice.words import Begin, Begun, Claim, Claimed, End, Ended
+from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, End, Ended
 from frostpost.drove import keyed, pool, serve, turn
 from frostpost.drove.failures import Unavailable
 from frostpost.drove.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
--- a/tests/test_drove_stream.py
+++ b/tests/test_drove_stream.py
@@ -6,7 +6,18 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from frostpost.coppice.words import Abort, Begin, Begun, Candidate, End, Ended, Move, NoPlace, NoTurn, TokensSpent
+from frostpost.program_ledger.words import (
+    Abort,
+    Begin,
+    Begun,
+    Candidate,
+    End,
+    Ended,
+    Move,
+    NoPlace,
+    NoTurn,
+    TokensSpent,
+)
 from frostpost.drove import failures
 
 ONE, TWO = b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n"
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -11,7 +11,7 @@
 from copse import world as worlds
 from frostpost.cluster import asking, ring, status
 from frostpost.cluster import leaf as assembly
-from frostpost.coppice.words import End
+from frostpost.program_ledger.words import End
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew, StatusAsk, StatusTell
 from frostpost.virtual_synchrony.words import VERSION, Frame, Member, Place, Roster
 from frostpost.pruner import fleet as fleets
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.cluster import asking, tracing
-from frostpost.coppice.words import End, Ended, LookRouting
+from frostpost.program_ledger.words import End, Ended, LookRouting
 from frostpost.virtual_synchrony.outer import Told
 from frostpost.platform import main, settings
 from test_canopy_lease import new_leaf
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -7,7 +7,7 @@
 ROOT = Path(__file__).parent.parent
 CODE = sorted((ROOT / "frostpost").rglob("*.py"))
 TESTS = sorted((ROOT / "tests").rglob("*.py"))
-CORE = [p for p in CODE if p.parent.name in ("virtual_synchrony", "ledger", "harvest", "trellis", "coppice")]
+CORE = [p for p in CODE if p.parent.name in ("virtual_synchrony", "ledger", "harvest", "trellis", "program_ledger")]
 THEIRS = {
     "forward",
     "refuse",
@@ -22,7 +22,7 @@
     "answers_",
 }
 HOUSE = {"carry", "lane", "limit", "go", "cell", "turnaway", "consumer", "limitms"}
-RENAMED = ("coppice", "cluster", "silo", "drove", "platform")
+RENAMED = ("program_ledger", "cluster", "silo", "drove", "platform")
 CAMEL = re.compile(r"[a-z0-9][A-Z]")
 
 
