--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -7,7 +7,7 @@
 from frostpost.orchard.links import listen, sender
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
-from frostpost.silo import client as silo_client
+from frostpost.turn_store import client as silo_client
 
 from . import asking, founding, lease, peers, status
 from .context import Leaf, now_ms
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -16,8 +16,8 @@
 from frostpost.orchard.links import listen, sender
 from frostpost.orchard.news import say
 from frostpost.orchard.settings import Settings, Tending as Pace
-from frostpost.silo import serving as silos
-from frostpost.silo import store
+from frostpost.turn_store import serving as silos
+from frostpost.turn_store import store
 from frostpost.tending.ticking import tickLedger
 
 from . import peers, serving, status, tenders
@@ -36,7 +36,7 @@
         "settings",
         "sessions",
         "tending",
-        "silo",
+        "turn_store",
         "reactor",
         "machine",
         "send",
@@ -119,7 +119,7 @@
 
 
 def told_by_disk(house, lost):
-    say(type(lost).__name__, what="silo")
+    say(type(lost).__name__, what="turn_store")
     if isinstance(lost, furrows.SyncLost):
         house.stop(70)
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -7,7 +7,7 @@
 from frostpost.virtual_synchrony.watch import leaseLeftMs
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.links import sender
-from frostpost.silo.store import used_bytes
+from frostpost.turn_store.store import used_bytes
 
 from . import serving
 from .context import now_ms
@@ -94,7 +94,7 @@
         "charter": list(house.charter),
         "tolerated": house.settings.tolerated,
         "disk_unwell": bool(ctx.disk.unwell),
-        "silo": {
+        "turn_store": {
             "bodies": len(house.silo.index),
             "missing": house.silo.missing,
             "bytes": used_bytes(house.silo),
--- a/frostpost/drove/turn.py
+++ b/frostpost/drove/turn.py
@@ -6,7 +6,7 @@
 from frostpost.cluster.asking import ask, tell
 from frostpost.cluster.context import now_ms
 from frostpost.program_ledger.words import Abort, Begin, Begun, End, Ended, Move, NoPlace, NoTurn, TokensSpent
-from frostpost.silo.client import fetch, put
+from frostpost.turn_store.client import fetch, put
 
 from . import picking
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
--- a/frostpost/pruner/fleet.py
+++ b/frostpost/pruner/fleet.py
@@ -104,7 +104,7 @@
 
 
 def ring_row(name, facts):
-    id, silo = facts.get("configuration", {}), facts["silo"]
+    id, silo = facts.get("configuration", {}), facts["turn_store"]
     return [
         name,
         facts["zone"],
--- a/frostpost/pruner/remedies.py
+++ b/frostpost/pruner/remedies.py
@@ -104,14 +104,14 @@
 
 def ring_daemons(fleet):
     for name, facts in fleet.ring.items():
-        if facts["disk_unwell"] or facts["silo"]["lost"]:
+        if facts["disk_unwell"] or facts["turn_store"]["lost"]:
             yield Finding(
                 "DiskUnwell",
                 name,
                 "a sync overran its bound, or the disk is full",
                 "look at the disk; the daemon is taken back by itself once it is well",
             )
-        if facts["silo"]["missing"]:
+        if facts["turn_store"]["missing"]:
             yield Finding(
                 "BodiesMissing",
                 name,
@@ -126,7 +126,7 @@
     lacking = [
         n
         for n in staying
-        if n not in fleet.ring or fleet.ring[n]["silo"]["missing"] or not fleet.ring[n].get("refilled")
+        if n not in fleet.ring or fleet.ring[n]["turn_store"]["missing"] or not fleet.ring[n].get("refilled")
     ]
     for name, state in chief["retiring"].items():
         if state == "completed":
--- a/frostpost/scarecrow/scale_slopes.py
+++ b/frostpost/scarecrow/scale_slopes.py
@@ -15,8 +15,8 @@
 from frostpost.program_ledger.state import Coppice
 from frostpost.program_ledger.words import Begin, Candidate, Claim, End, Resolve
 from frostpost.ledger.apply import decodeOp
-from frostpost.silo import serving
-from frostpost.silo.segments import SiloFiles, open_log, read_spot, write_batch
+from frostpost.turn_store import serving
+from frostpost.turn_store.segments import SiloFiles, open_log, read_spot, write_batch
 
 KEEP_MS, ANSWER_BYTES, ROUNDS = 3600000, 400, 2000
 encode = msgpack.Encoder().encode
@@ -208,7 +208,7 @@
             "repair": measure_repair(coppice),
             "candidates": measure_candidates((8, 32, 200)),
             "chain": measure_chain(options.turns),
-            "silo": [measure_silo(folder, 2000, 4000, 10), measure_silo(folder, 16000, 2000, 10)],
+            "turn_store": [measure_silo(folder, 2000, 4000, 10), measure_silo(folder, 16000, 2000, 10)],
             "peak_memory_mb": round(getrusage(RUSAGE_SELF).ru_maxrss / 1024),
         }
     print(json.format(json.encode(found), indent=1).decode())
--- a/frostpost/silo/store.py
+++ b/frostpost/turn_store/store.py
@@ -54,7 +54,7 @@
     min_age_ms=MIN_AGE_MS,
 ):
     """Scans <data_folder>/silo; `tell` hears Torn and Corrupt now, each OSError (SyncLost too) later."""
-    log, index, sizes, faults = open_log(os.path.join(data_folder, "silo"), files, segment_bytes)
+    log, index, sizes, faults = open_log(os.path.join(data_folder, "turn_store"), files, segment_bytes)
     silo = Silo(machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000))
     for fault in faults:
         tell(fault)
--- a/tests/copse/world.py
+++ b/tests/copse/world.py
@@ -11,8 +11,8 @@
 from frostpost.cluster import ring
 from frostpost.orchard.machine import Machine
 from frostpost.platform import listening, settings
-from frostpost.silo import store
-from frostpost.silo.segments import SiloFiles
+from frostpost.turn_store import store
+from frostpost.turn_store.segments import SiloFiles
 
 from frostpost.weather import drives
 from .clock import Rig, Wheel
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -161,7 +161,7 @@
         "tolerated": 1,
         "disk_unwell": False,
         "refilled": True,
-        "silo": {"bodies": 1, "missing": 0, "bytes": 9, "lost": False},
+        "turn_store": {"bodies": 1, "missing": 0, "bytes": 9, "lost": False},
         "members": ["s1", "s2", "s3"],
         "configuration": {"epoch": 3, "proposer": "s1", "boot": 1},
         "sequencing": True,
--- a/tests/test_silo_client.py
+++ b/tests/test_silo_client.py
@@ -8,7 +8,7 @@
 from frostpost.drove.failures import Unavailable
 from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
 from frostpost.virtual_synchrony.places import Member
-from frostpost.silo import cache, client
+from frostpost.turn_store import cache, client
 from test_silo_drive import machine_of, outcome
 
 RING = {f"s{n}": f"@s{n}:1" for n in range(3)}
--- a/tests/test_silo_drive.py
+++ b/tests/test_silo_drive.py
@@ -4,8 +4,8 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 
 from frostpost.orchard.machine import Machine
-from frostpost.silo import store
-from frostpost.silo.segments import SiloFiles
+from frostpost.turn_store import store
+from frostpost.turn_store.segments import SiloFiles
 from frostpost.weather import drives
 
 FOLDER = "/data/silo"
--- a/tests/test_silo_serving.py
+++ b/tests/test_silo_serving.py
@@ -3,7 +3,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.silo import serving, store
+from frostpost.turn_store import serving, store
 from test_silo_drive import new_drive, opened
 
 
--- a/tests/test_silo_store.py
+++ b/tests/test_silo_store.py
@@ -1,7 +1,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.write_ahead_log.disk import Corrupt, SyncLost, Torn
-from frostpost.silo import store
+from frostpost.turn_store import store
 from test_silo_drive import FOLDER, Threads, lose_unsynced, new_drive, opened, outcome
 
 FIRST = f"{FOLDER}/00000001"
