--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/asking.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 
 from frostpost.program_ledger.words import CoppiceVerdict
-from frostpost.drove.failures import Unavailable
+from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.outer import AskRing
 
 from .context import count, now_ms
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -103,7 +103,7 @@
             leaf.links["send"](f"@{address}", Hello())
         leaf.tasks.append(loop(leaf, lambda: tend(leaf), TEND_S, stop))
         if leaf.settings.front and leaf.settings.list_host:
-            from frostpost.drove import roster
+            from frostpost.proxy import roster
 
             leaf.extras["stops"].append(roster.poll(leaf))
         say("started", name=leaf.settings.name, role=leaf.settings.role)
--- a/frostpost/cluster/operating.py
+++ b/frostpost/cluster/operating.py
@@ -12,7 +12,7 @@
     RoutingSet,
     SetRouting,
 )
-from frostpost.drove.failures import Unavailable
+from frostpost.proxy.failures import Unavailable
 
 from .asking import RETRY_MS, look
 from .context import now_ms
--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.drove.words import Wire
+from frostpost.proxy.words import Wire
 
 Address = tuple[str, int]
 
--- a/frostpost/platform/calls.py
+++ b/frostpost/platform/calls.py
@@ -2,8 +2,8 @@
 
 from expression import Error, Ok
 
-from frostpost.drove.failures import BadRequest
-from frostpost.drove.words import Call
+from frostpost.proxy.failures import BadRequest
+from frostpost.proxy.words import Call
 
 from . import names
 
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.context import now_ms
-from frostpost.drove.words import ClientBounds
+from frostpost.proxy.words import ClientBounds
 from frostpost.orchard.news import say
 
 from . import names, routing
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -8,8 +8,8 @@
 
 from frostpost.cluster.context import now_ms
 from frostpost.cluster.tracing import taken, traced
-from frostpost.drove import failures
-from frostpost.drove.words import ClientBounds, Sink
+from frostpost.proxy import failures
+from frostpost.proxy.words import ClientBounds, Sink
 from frostpost.orchard.news import say
 
 from .calls import call_of
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -19,7 +19,7 @@
 
     if settings.front:
         if serve is None:
-            from frostpost.drove.serve import serve
+            from frostpost.proxy.serve import serve
         from . import front
 
         leaf.front = front.server(leaf, serve)
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 
-from frostpost.drove.words import Runner
+from frostpost.proxy.words import Runner
 
 from .settings import address_of
 
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok
 from msgspec import Raw, Struct
 
-from frostpost.drove.words import ClientBounds, Route, Routing, Service
+from frostpost.proxy.words import ClientBounds, Route, Routing, Service
 
 from .documents import BoundItem, Document, Engine
 
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.cluster import lease
-from frostpost.drove.failures import Unavailable
+from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
 from .cache import cache_of, cached, remember
 from .serving import cut_short
--- a/tests/copse/plants.py
+++ b/tests/copse/plants.py
@@ -9,9 +9,9 @@
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import turns
 from frostpost.program_ledger.words import Claim, Claimed, End, RoutingSet, SetRouting
-from frostpost.drove import exchange, pool, serve, stream, turn
-from frostpost.drove.failures import TimedOut, Unknown
-from frostpost.drove.outcomes import Broken
+from frostpost.proxy import exchange, pool, serve, stream, turn
+from frostpost.proxy.failures import TimedOut, Unknown
+from frostpost.proxy.outcomes import Broken
 from frostpost.virtual_synchrony import recovery, settling
 from frostpost.platform import front, listing
 
--- a/tests/test_canopy_asking.py
+++ b/tests/test_canopy_asking.py
@@ -5,7 +5,7 @@
 from frostpost.cluster import asking
 from frostpost.cluster import leaf as assembly
 from frostpost.program_ledger.words import Abort, Begin, End, Ended, LookRouting
-from frostpost.drove.failures import Unavailable
+from frostpost.proxy.failures import Unavailable
 from frostpost.ledger.apply import decodeOp
 from frostpost.virtual_synchrony.outer import AskRing, Grant, Told
 from frostpost.virtual_synchrony.words import Frame
--- a/tests/test_drove_lookup.py
+++ b/tests/test_drove_lookup.py
@@ -7,9 +7,9 @@
 from twisted.python.failure import Failure
 
 from frostpost.program_ledger.words import Claim, Disclaim, KeyAnswered, KeyAtWork, Resolve
-from frostpost.drove import failures, roster
-from frostpost.drove.keyed import pack, unpack
-from frostpost.drove.outcomes import Answer
+from frostpost.proxy import failures, roster
+from frostpost.proxy.keyed import pack, unpack
+from frostpost.proxy.outcomes import Answer
 
 OK = [("head", 200), ("data", b"out"), "end"]
 RUNNERS = [a_runner("r1"), a_runner("r2")]
--- a/tests/test_drove_parts.py
+++ b/tests/test_drove_parts.py
@@ -2,11 +2,11 @@
 
 from test_drove_stage import Stage, a_route, a_runner
 
-from frostpost.drove.events import EventParser
-from frostpost.drove.outcomes import Broken, NotSent
-from frostpost.drove.parsing import ResponseParser
-from frostpost.drove.picking import candidates, ended, pick, sent, usable
-from frostpost.drove.routing import find_route, pick_service
+from frostpost.proxy.events import EventParser
+from frostpost.proxy.outcomes import Broken, NotSent
+from frostpost.proxy.parsing import ResponseParser
+from frostpost.proxy.picking import candidates, ended, pick, sent, usable
+from frostpost.proxy.routing import find_route, pick_service
 
 WIRE = b"id: 1\ndata: a\ndata:  b\n\n:note\r\n\r\nid: 2\r\ndata:c\r\n\r\ndata: part"
 
--- a/tests/test_drove_roster.py
+++ b/tests/test_drove_roster.py
@@ -8,8 +8,8 @@
 
 from frostpost.cluster.context import Leaf
 from frostpost.cluster.lease import session
-from frostpost.drove import roster
-from frostpost.drove.words import Runner
+from frostpost.proxy import roster
+from frostpost.proxy.words import Runner
 from frostpost.virtual_synchrony.places import Member, Place
 from frostpost.orchard.machine import Machine
 
--- a/tests/test_drove_stage.py
+++ b/tests/test_drove_stage.py
@@ -15,9 +15,9 @@
 
 from frostpost.cluster.context import Leaf
 from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, End, Ended
-from frostpost.drove import keyed, pool, serve, turn
-from frostpost.drove.failures import Unavailable
-from frostpost.drove.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
+from frostpost.proxy import keyed, pool, serve, turn
+from frostpost.proxy.failures import Unavailable
+from frostpost.proxy.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
 from frostpost.orchard.machine import Machine
 
 
--- a/tests/test_drove_stream.py
+++ b/tests/test_drove_stream.py
@@ -18,7 +18,7 @@
     NoTurn,
     TokensSpent,
 )
-from frostpost.drove import failures
+from frostpost.proxy import failures
 
 ONE, TWO = b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n"
 RUNNERS = [a_runner("r1"), a_runner("r2")]
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -9,7 +9,7 @@
 from twisted.internet.testing import StringTransport
 
 from frostpost.cluster.context import Leaf
-from frostpost.drove.failures import Unavailable
+from frostpost.proxy.failures import Unavailable
 from frostpost.orchard.machine import Machine
 from frostpost.platform import control, routing
 
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -5,8 +5,8 @@
 from twisted.internet.testing import StringTransport
 
 from frostpost.cluster.context import Leaf
-from frostpost.drove import failures
-from frostpost.drove.words import ClientBounds, Routing
+from frostpost.proxy import failures
+from frostpost.proxy.words import ClientBounds, Routing
 from frostpost.orchard.machine import Machine
 from frostpost.platform import front
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec import structs
 
-from frostpost.drove.words import Call, Runner
+from frostpost.proxy.words import Call, Runner
 from frostpost.platform import listing
 from frostpost.platform.wire import wire
 
--- a/tests/test_silo_client.py
+++ b/tests/test_silo_client.py
@@ -5,7 +5,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.cluster.context import Leaf
-from frostpost.drove.failures import Unavailable
+from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
 from frostpost.virtual_synchrony.places import Member
 from frostpost.turn_store import cache, client
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -22,7 +22,7 @@
     "answers_",
 }
 HOUSE = {"carry", "lane", "limit", "go", "cell", "turnaway", "consumer", "limitms"}
-RENAMED = ("program_ledger", "cluster", "turn_store", "drove", "platform")
+RENAMED = ("program_ledger", "cluster", "turn_store", "proxy", "platform")
 CAMEL = re.compile(r"[a-z0-9][A-Z]")
 
 
