--- a/frostpost/gate/reads.py
+++ b/frostpost/gate/reads.py
@@ -5,7 +5,7 @@
 
 from frostpost.ledger.programs import whole
 from frostpost.ledger.words import Look
-from frostpost.harvest.judge import Question, explain
+from frostpost.placement.judge import Question, explain
 from frostpost.virtual_synchrony.state import sequencer
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.core import leaseOk
--- a/frostpost/gate/turns.py
+++ b/frostpost/gate/turns.py
@@ -13,7 +13,7 @@
     StaleConfig,
     TurnOpen,
 )
-from frostpost.harvest.judge import Question, Status, chainOf, rank
+from frostpost.placement.judge import Question, Status, chainOf, rank
 from frostpost.orchard.context import count, nowMs
 from frostpost.orchard.heart import ask
 from . import carry, faults
--- a/frostpost/orchard/settings.py
+++ b/frostpost/orchard/settings.py
@@ -3,7 +3,7 @@
 from expression import Error, Ok
 from msgspec import Struct, ValidationError, convert, field, structs
 
-from frostpost.harvest.judge import Weights
+from frostpost.placement.judge import Weights
 from frostpost.virtual_synchrony.state import Bounds
 
 
--- a/frostpost/scarecrow/runner.py
+++ b/frostpost/scarecrow/runner.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Site
 
-from frostpost.harvest.judge import chainOf
+from frostpost.placement.judge import chainOf
 from frostpost.ledger.programs import line
 from .notes import Notes
 
--- a/frostpost/tending/runners.py
+++ b/frostpost/tending/runners.py
@@ -3,7 +3,7 @@
 
 from frostpost.gate.reading import gather
 from frostpost.ledger.words import Drain
-from frostpost.harvest.judge import Status
+from frostpost.placement.judge import Status
 from frostpost.orchard.context import count, nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
--- a/frostpost/weather/doorplants.py
+++ b/frostpost/weather/doorplants.py
@@ -3,7 +3,7 @@
 
 from frostpost.gate import carry, control, faults, lookups, turns
 from frostpost.ledger.words import Done, Settle, Unclaim
-from frostpost.harvest import judge
+from frostpost.placement import judge
 from frostpost.orchard import life
 from frostpost.orchard.heart import ask
 from frostpost.tending import shelves
--- a/frostpost/weather/placing.py
+++ b/frostpost/weather/placing.py
@@ -8,7 +8,7 @@
 
 from frostpost.ledger.programs import line
 from frostpost.ledger.words import Runner
-from frostpost.harvest.judge import Question, Status, Weights, chainOf, rank
+from frostpost.placement.judge import Question, Status, Weights, chainOf, rank
 
 POLICIES = {
     "ours": Weights(),
--- a/tests/test_judgement.py
+++ b/tests/test_judgement.py
@@ -1,5 +1,5 @@
 from frostpost.ledger.words import Runner
-from frostpost.harvest.judge import Question, Status, Weights, rank
+from frostpost.placement.judge import Question, Status, Weights, rank
 
 RUNNERS = [Runner(n, "i", "127.0.0.1", 1, "pool", "a", 4) for n in ("r1", "r2")]
 ASKED = Question(("pool",), "a", (), "salt", 1000)
