--- a/frostpost/orchard/assembly.py
+++ b/frostpost/orchard/assembly.py
@@ -2,9 +2,9 @@
 from twisted.internet.endpoints import TCP4ServerEndpoint
 from twisted.internet.task import LoopingCall
 
-from frostpost.gate.app import build
-from frostpost.gate.carry import agent
-from frostpost.gate.lookups import wake
+from frostpost.http_api.app import build
+from frostpost.http_api.carry import agent
+from frostpost.http_api.lookups import wake
 from frostpost.virtual_synchrony.memory import replay
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
 from frostpost.tending import shelves
--- a/frostpost/orchard/heart.py
+++ b/frostpost/orchard/heart.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import Deferred
 
 from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
-from frostpost.gate.faults import NoPrimary, Overfilled, Undecided
+from frostpost.http_api.faults import NoPrimary, Overfilled, Undecided
 from frostpost.ledger.words import Finish, Release, Reserved, Settle, Unclaim, Won
 from frostpost.virtual_synchrony.events import (
     Applied,
--- a/frostpost/scarecrow/callers.py
+++ b/frostpost/scarecrow/callers.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Cooperator
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 
-from frostpost.gate.carry import ByNumber
+from frostpost.http_api.carry import ByNumber
 from .notes import Notes
 from .templates import DEPLOYMENTS
 
--- a/frostpost/tending/listing.py
+++ b/frostpost/tending/listing.py
@@ -1,7 +1,7 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.gate.reading import gather
+from frostpost.http_api.reading import gather
 from frostpost.ledger import duties
 from frostpost.ledger.words import Runner, Runners
 from frostpost.orchard.context import count, nowMs
--- a/frostpost/tending/runners.py
+++ b/frostpost/tending/runners.py
@@ -1,7 +1,7 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.gate.reading import gather
+from frostpost.http_api.reading import gather
 from frostpost.ledger.words import Drain
 from frostpost.placement.judge import Status
 from frostpost.orchard.context import count, nowMs
--- a/frostpost/weather/doorplants.py
+++ b/frostpost/weather/doorplants.py
@@ -1,7 +1,7 @@
 from expression import Ok
 from twisted.internet.defer import succeed
 
-from frostpost.gate import carry, control, faults, lookups, turns
+from frostpost.http_api import carry, control, faults, lookups, turns
 from frostpost.ledger.words import Done, Settle, Unclaim
 from frostpost.placement import judge
 from frostpost.orchard import life
--- a/frostpost/weather/valley.py
+++ b/frostpost/weather/valley.py
@@ -252,7 +252,7 @@
     from treq.client import HTTPClient
     from twisted.web.client import Agent
 
-    from frostpost.gate.carry import ByNumber
+    from frostpost.http_api.carry import ByNumber
 
     host, box = valley.callers, []
     host.catchUp()
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -3,8 +3,8 @@
 from twisted.internet.defer import Deferred
 
 from expression import Error, Ok
-from frostpost.gate import carry, faults, turns
-from frostpost.gate.calls import SHARES, Call, filterCrowd
+from frostpost.http_api import carry, faults, turns
+from frostpost.http_api.calls import SHARES, Call, filterCrowd
 from frostpost.ledger.words import Done, Reserved, Runner, Settle
 from frostpost.orchard.context import Context
 from frostpost.orchard.settings import Settings
