--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -18,7 +18,7 @@
 from frostpost.orchard.settings import Settings, Tending as Pace
 from frostpost.turn_store import serving as silos
 from frostpost.turn_store import store
-from frostpost.tending.ticking import tickLedger
+from frostpost.background.ticking import tickLedger
 
 from . import peers, serving, status, tenders
 
@@ -35,7 +35,7 @@
         "ctx",
         "settings",
         "sessions",
-        "tending",
+        "background",
         "turn_store",
         "reactor",
         "machine",
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -9,7 +9,7 @@
 from frostpost.orchard.heart import ask
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
-from frostpost.tending import shelves
+from frostpost.background import shelves
 from frostpost.trellis.shapes import WORD
 from frostpost.trellis.stamp import checkTemplate, checkTenant, patch
 from . import calls, faults, sets
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -10,8 +10,8 @@
 from frostpost.orchard.context import nowMs
 from frostpost.orchard.core import leaseOk
 from frostpost.orchard.heart import ask
-from frostpost.tending.meters import gather
-from frostpost.tending.shelves import bodyOf
+from frostpost.background.meters import gather
+from frostpost.background.shelves import bodyOf
 from . import faults
 
 
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -7,7 +7,7 @@
 from frostpost.orchard.heart import ask
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
-from frostpost.tending import shelves
+from frostpost.background import shelves
 from frostpost.trellis.shapes import WORD, Fault
 from frostpost.trellis.shelf import digestOf
 from frostpost.trellis.stamp import checkTemplate
--- a/frostpost/orchard/assembly.py
+++ b/frostpost/orchard/assembly.py
@@ -7,11 +7,11 @@
 from frostpost.http_api.lookups import wake
 from frostpost.virtual_synchrony.memory import replay
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
-from frostpost.tending import shelves
-from frostpost.tending.calendars import calendars
-from frostpost.tending.listing import list_
-from frostpost.tending.runners import pollAll
-from frostpost.tending.ticking import tickLedger
+from frostpost.background import shelves
+from frostpost.background.calendars import calendars
+from frostpost.background.listing import list_
+from frostpost.background.runners import pollAll
+from frostpost.background.ticking import tickLedger
 from frostpost.trellis.shelf import Shelf
 from . import disk as disks
 from .context import Context, nowMs
--- a/frostpost/weather/doorplants.py
+++ b/frostpost/weather/doorplants.py
@@ -6,7 +6,7 @@
 from frostpost.placement import judge
 from frostpost.orchard import life
 from frostpost.orchard.heart import ask
-from frostpost.tending import shelves
+from frostpost.background import shelves
 from . import plants
 
 KEPT = {"close": turns.Stream.close, "read": lookups.read, "load": shelves.load}
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -3,7 +3,7 @@
 import pytest
 
 from frostpost.scarecrow.templates import TEMPLATES
-from frostpost.tending.calendars import amended, dueS
+from frostpost.background.calendars import amended, dueS
 from frostpost.trellis.stamp import checkTenant
 
 
