--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -8,8 +8,8 @@
 from frostpost.orchard.heart import tick
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
-from frostpost.trellis import shelf as shelves
-from frostpost.trellis.stamp import stamp
+from frostpost.tenant_config import shelf as shelves
+from frostpost.tenant_config.stamp import stamp
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(shelves.Store).decode
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -10,8 +10,8 @@
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
 from frostpost.background import shelves
-from frostpost.trellis.shapes import WORD
-from frostpost.trellis.stamp import checkTemplate, checkTenant, patch
+from frostpost.tenant_config.shapes import WORD
+from frostpost.tenant_config.stamp import checkTemplate, checkTenant, patch
 from . import calls, faults, sets
 
 
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -8,9 +8,9 @@
 from frostpost.orchard.news import say
 from frostpost.orchard.waiting import until
 from frostpost.background import shelves
-from frostpost.trellis.shapes import WORD, Fault
-from frostpost.trellis.shelf import digestOf
-from frostpost.trellis.stamp import checkTemplate
+from frostpost.tenant_config.shapes import WORD, Fault
+from frostpost.tenant_config.shelf import digestOf
+from frostpost.tenant_config.stamp import checkTemplate
 from . import calls, control, faults
 
 
--- a/frostpost/orchard/assembly.py
+++ b/frostpost/orchard/assembly.py
@@ -12,7 +12,7 @@
 from frostpost.background.listing import list_
 from frostpost.background.runners import pollAll
 from frostpost.background.ticking import tickLedger
-from frostpost.trellis.shelf import Shelf
+from frostpost.tenant_config.shelf import Shelf
 from . import disk as disks
 from .context import Context, nowMs
 from .core import begin
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -4,7 +4,7 @@
 
 from frostpost.scarecrow.templates import TEMPLATES
 from frostpost.background.calendars import amended, dueS
-from frostpost.trellis.stamp import checkTenant
+from frostpost.tenant_config.stamp import checkTenant
 
 
 def at(text):
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -8,7 +8,7 @@
 from frostpost.ledger.words import Done, Reserved, Runner, Settle
 from frostpost.orchard.context import Context
 from frostpost.orchard.settings import Settings
-from frostpost.trellis.stamp import Lane
+from frostpost.tenant_config.stamp import Lane
 
 RUNNER = Runner("r", "i", "127.0.0.1", 1, "pool", "a", 4)
 SETTINGS = Settings("e1", "edge", "a", "127.0.0.1", 1, 2, ["127.0.0.1:1"], ["s1"])
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -7,7 +7,9 @@
 ROOT = Path(__file__).parent.parent
 CODE = sorted((ROOT / "frostpost").rglob("*.py"))
 TESTS = sorted((ROOT / "tests").rglob("*.py"))
-CORE = [p for p in CODE if p.parent.name in ("virtual_synchrony", "ledger", "placement", "trellis", "program_ledger")]
+CORE = [
+    p for p in CODE if p.parent.name in ("virtual_synchrony", "ledger", "placement", "tenant_config", "program_ledger")
+]
 THEIRS = {
     "forward",
     "refuse",
--- a/tests/test_trellis.py
+++ b/tests/test_trellis.py
@@ -1,8 +1,8 @@
 import pytest
 
 from frostpost.scarecrow.templates import TEMPLATES, TENANTS
-from frostpost.trellis import shelf as shelves
-from frostpost.trellis.stamp import checkTemplate, checkTenant, patch
+from frostpost.tenant_config import shelf as shelves
+from frostpost.tenant_config.stamp import checkTemplate, checkTenant, patch
 
 
 def faultsOf(result):
