--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -6,10 +6,10 @@
 
 from frostpost.ledger import duties
 from frostpost.ledger.words import ConfigSet, Fire, SetConfig
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
-from frostpost.orchard.heart import ask
-from frostpost.orchard.news import say
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
+from frostpost.daemon.heart import ask
+from frostpost.daemon.news import say
 from . import shelves
 
 
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -4,10 +4,10 @@
 from frostpost.http_api.reading import gather
 from frostpost.ledger import duties
 from frostpost.ledger.words import Runner, Runners
-from frostpost.orchard.context import count, nowMs
-from frostpost.orchard.core import leaseOk
-from frostpost.orchard.heart import ask
-from frostpost.orchard.news import say
+from frostpost.daemon.context import count, nowMs
+from frostpost.daemon.core import leaseOk
+from frostpost.daemon.heart import ask
+from frostpost.daemon.news import say
 
 
 class Row(Struct):
--- a/frostpost/background/meters.py
+++ b/frostpost/background/meters.py
@@ -1,8 +1,8 @@
 from prometheus_client import CollectorRegistry
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
 
 
 class Meters:
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -4,9 +4,9 @@
 from frostpost.http_api.reading import gather
 from frostpost.ledger.words import Drain
 from frostpost.placement.judge import Status
-from frostpost.orchard.context import count, nowMs
-from frostpost.orchard.core import leaseOk
-from frostpost.orchard.heart import ask
+from frostpost.daemon.context import count, nowMs
+from frostpost.daemon.core import leaseOk
+from frostpost.daemon.heart import ask
 
 
 class Report(Struct):
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -4,10 +4,10 @@
 from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.state import majority
 from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.heart import tick
-from frostpost.orchard.news import say
-from frostpost.orchard.waiting import until
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.heart import tick
+from frostpost.daemon.news import say
+from frostpost.daemon.waiting import until
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import stamp
 
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -1,8 +1,8 @@
 from frostpost.ledger import duties
 from frostpost.ledger.words import Tick
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
-from frostpost.orchard.heart import ask
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
+from frostpost.daemon.heart import ask
 
 
 def tickLedger(ctx):
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -2,8 +2,8 @@
 
 import signal
 
-from frostpost.orchard.machine import Machine
-from frostpost.orchard.news import say
+from frostpost.daemon.machine import Machine
+from frostpost.daemon.news import say
 
 RING = "storage"
 
--- a/frostpost/cluster/context.py
+++ b/frostpost/cluster/context.py
@@ -1,6 +1,6 @@
 """The one context object of a daemon that is no member of the ring: an edge or a core daemon."""
 
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 
 
 class Leaf:
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.write_ahead_log import disk as furrows
-from frostpost.orchard.news import say
+from frostpost.daemon.news import say
 
 from .context import now_ms
 
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -4,9 +4,9 @@
 
 from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
-from frostpost.orchard.links import listen, sender
-from frostpost.orchard.news import say
-from frostpost.orchard.waiting import until
+from frostpost.daemon.links import listen, sender
+from frostpost.daemon.news import say
+from frostpost.daemon.waiting import until
 from frostpost.turn_store import client as silo_client
 
 from . import asking, founding, lease, peers, status
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from frostpost.virtual_synchrony.outer import Hello, Renew, RoutingAsk
-from frostpost.orchard.news import say
+from frostpost.daemon.news import say
 
 from .context import count, now_ms
 
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -9,13 +9,13 @@
 from frostpost.virtual_synchrony.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
 from frostpost.virtual_synchrony.state import Bounds, names
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
-from frostpost.orchard import core as cores
-from frostpost.orchard import disk as disks
-from frostpost.orchard import heart
-from frostpost.orchard.context import Context, nowMs
-from frostpost.orchard.links import listen, sender
-from frostpost.orchard.news import say
-from frostpost.orchard.settings import Settings, Tending as Pace
+from frostpost.daemon import core as cores
+from frostpost.daemon import disk as disks
+from frostpost.daemon import heart
+from frostpost.daemon.context import Context, nowMs
+from frostpost.daemon.links import listen, sender
+from frostpost.daemon.news import say
+from frostpost.daemon.settings import Settings, Tending as Pace
 from frostpost.turn_store import serving as silos
 from frostpost.turn_store import store
 from frostpost.background.ticking import tickLedger
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -6,8 +6,8 @@
 from frostpost.virtual_synchrony.outer import AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, Told
 from frostpost.virtual_synchrony.state import names, sequencer
 from frostpost.virtual_synchrony.watch import leaseLeftMs
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.heart import ask
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.heart import ask
 
 ASK_MS = 5000
 GRACE_RATIO = 0.5
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -5,8 +5,8 @@
 from frostpost.virtual_synchrony.outer import Directory, Hello, StatusAsk, StatusTell
 from frostpost.virtual_synchrony.state import names, sequencer
 from frostpost.virtual_synchrony.watch import leaseLeftMs
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.links import sender
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.links import sender
 from frostpost.turn_store.store import used_bytes
 
 from . import serving
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -6,9 +6,9 @@
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import Left, SetVoters
 from frostpost.virtual_synchrony.state import names
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.heart import ask, feed
-from frostpost.orchard.news import say
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.heart import ask, feed
+from frostpost.daemon.news import say
 
 from .serving import sequencing, voters_of
 
--- a/frostpost/cluster/tracing.py
+++ b/frostpost/cluster/tracing.py
@@ -1,6 +1,6 @@
 """Lines that follow one attempt through a daemon, where its settings ask for them."""
 
-from frostpost.orchard.news import say
+from frostpost.daemon.news import say
 
 from .context import now_ms
 
--- a/frostpost/orchard/main.py
+++ b/frostpost/daemon/main.py
@@ -35,7 +35,7 @@
     return hand.status
 
 
-@cappa.command(name="orchard", help="Run one frostpost daemon from a settings file.")
+@cappa.command(name="daemon", help="Run one frostpost daemon from a settings file.")
 class Orchard(Struct):
     settings: Annotated[str, cappa.Arg(help="path of the settings file (TOML)")]
     name: Annotated[str | None, cappa.Arg(long=True, help="the daemon's name")] = None
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -3,8 +3,8 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.web.server import Request, Site
 
-from frostpost.orchard.context import count, nowMs
-from frostpost.orchard.news import say
+from frostpost.daemon.context import count, nowMs
+from frostpost.daemon.news import say
 from . import calls, control, faults, reads, voting
 from .lookups import lookup
 from .turns import turn
--- a/frostpost/http_api/calls.py
+++ b/frostpost/http_api/calls.py
@@ -3,8 +3,8 @@
 from expression import Error, Ok
 from msgspec import Struct
 
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
 from . import faults
 
 SHARES = {"urgent": 1.0, "normal": 0.8, "batch": 0.6}
--- a/frostpost/http_api/carry.py
+++ b/frostpost/http_api/carry.py
@@ -10,8 +10,8 @@
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
 from zope.interface import implementer
 
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
 from .reading import gather
 
 SAID_BYTES = 4096
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -4,11 +4,11 @@
 
 from frostpost.ledger import configs
 from frostpost.ledger.words import ConfigSet, Done, Drain, NotHeld, SetConfig, StaleConfig
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
-from frostpost.orchard.heart import ask
-from frostpost.orchard.news import say
-from frostpost.orchard.waiting import until
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
+from frostpost.daemon.heart import ask
+from frostpost.daemon.news import say
+from frostpost.daemon.waiting import until
 from frostpost.background import shelves
 from frostpost.tenant_config.shapes import WORD
 from frostpost.tenant_config.stamp import checkTemplate, checkTenant, patch
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -5,8 +5,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from frostpost.ledger.words import ClaimKey, Done, Finish, KeyReused, Shared, Unclaim, Won
-from frostpost.orchard.context import count
-from frostpost.orchard.heart import ask
+from frostpost.daemon.context import count
+from frostpost.daemon.heart import ask
 from . import carry, faults
 from .calls import leftMs
 from .carry import unsent
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -7,9 +7,9 @@
 from frostpost.ledger.words import Look
 from frostpost.placement.judge import Question, explain
 from frostpost.virtual_synchrony.state import sequencer
-from frostpost.orchard.context import nowMs
-from frostpost.orchard.core import leaseOk
-from frostpost.orchard.heart import ask
+from frostpost.daemon.context import nowMs
+from frostpost.daemon.core import leaseOk
+from frostpost.daemon.heart import ask
 from frostpost.background.meters import gather
 from frostpost.background.shelves import bodyOf
 from . import faults
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -4,9 +4,9 @@
 
 from frostpost.ledger import configs
 from frostpost.ledger.words import Change, ManySet, SetMany
-from frostpost.orchard.heart import ask
-from frostpost.orchard.news import say
-from frostpost.orchard.waiting import until
+from frostpost.daemon.heart import ask
+from frostpost.daemon.news import say
+from frostpost.daemon.waiting import until
 from frostpost.background import shelves
 from frostpost.tenant_config.shapes import WORD, Fault
 from frostpost.tenant_config.shelf import digestOf
--- a/frostpost/http_api/turns.py
+++ b/frostpost/http_api/turns.py
@@ -14,8 +14,8 @@
     TurnOpen,
 )
 from frostpost.placement.judge import Question, Status, chainOf, rank
-from frostpost.orchard.context import count, nowMs
-from frostpost.orchard.heart import ask
+from frostpost.daemon.context import count, nowMs
+from frostpost.daemon.heart import ask
 from . import carry, faults
 from .calls import leftMs
 from .carry import unsent
--- a/frostpost/http_api/voting.py
+++ b/frostpost/http_api/voting.py
@@ -4,8 +4,8 @@
 from frostpost.ledger.words import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import majority
-from frostpost.orchard.heart import ask
-from frostpost.orchard.news import say
+from frostpost.daemon.heart import ask
+from frostpost.daemon.news import say
 from . import calls, faults
 from .control import ready
 
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -8,7 +8,7 @@
 
 from frostpost.cluster.context import now_ms
 from frostpost.proxy.words import ClientBounds
-from frostpost.orchard.news import say
+from frostpost.daemon.news import say
 
 from . import names, routing
 from .server import Server, reply
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -10,7 +10,7 @@
 from frostpost.cluster.tracing import taken, traced
 from frostpost.proxy import failures
 from frostpost.proxy.words import ClientBounds, Sink
-from frostpost.orchard.news import say
+from frostpost.daemon.news import say
 
 from .calls import call_of
 from .server import Server, close_after, reply
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -65,7 +65,7 @@
         print(json.format(json.encode(result.ok), indent=2).decode())
         return 0
     from frostpost.cluster.assembly import run
-    from frostpost.orchard.news import begin
+    from frostpost.daemon.news import begin
 
     from .listening import make_front
 
--- a/frostpost/scarecrow/fleet.py
+++ b/frostpost/scarecrow/fleet.py
@@ -33,7 +33,7 @@
     python: str = sys.executable
     seeds: list[str] = []
     held: list = []
-    program: str = "frostpost.orchard.main"
+    program: str = "frostpost.daemon.main"
     before: str = ""
 
 
--- a/frostpost/scarecrow/scale_counts.py
+++ b/frostpost/scarecrow/scale_counts.py
@@ -2,8 +2,8 @@
 
 from resource import RUSAGE_SELF, getrusage
 
-from frostpost.orchard import links
-from frostpost.orchard.context import count
+from frostpost.daemon import links
+from frostpost.daemon.context import count
 
 
 def count_links():
--- a/frostpost/scarecrow/scale_leaves.py
+++ b/frostpost/scarecrow/scale_leaves.py
@@ -10,7 +10,7 @@
 from frostpost.cluster import leaf as leaves
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.program_ledger.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 from frostpost.turn_store import client as silo
 
 from .scale_counts import count_kinds
--- a/frostpost/scarecrow/scale_ring.py
+++ b/frostpost/scarecrow/scale_ring.py
@@ -11,8 +11,8 @@
 from frostpost.cluster import ring, serving
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.ledger.apply import encode
-from frostpost.orchard import news
-from frostpost.orchard.machine import Machine
+from frostpost.daemon import news
+from frostpost.daemon.machine import Machine
 
 from .scale_counts import count_kinds, count_links, cpu_s, memory_mb
 
--- a/frostpost/scarecrow/skewed.py
+++ b/frostpost/scarecrow/skewed.py
@@ -14,7 +14,7 @@
 
 def main():
     time.time = jumped
-    from frostpost.orchard.main import main as orchard
+    from frostpost.daemon.main import main as orchard
 
     return orchard()
 
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -7,7 +7,7 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from frostpost.write_ahead_log import disk as furrows
-from frostpost.orchard.machine import Files
+from frostpost.daemon.machine import Files
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(tuple[str, bytes]).decode
--- a/frostpost/weather/costs.py
+++ b/frostpost/weather/costs.py
@@ -9,7 +9,7 @@
 from frostpost.ledger.words import Look
 from frostpost.virtual_synchrony.events import Asked, Changed
 from frostpost.virtual_synchrony.words import Beat, Roster
-from frostpost.orchard.core import Decided
+from frostpost.daemon.core import Decided
 from . import world as worlds
 from .storm import encode, serves
 
--- a/frostpost/weather/doorplants.py
+++ b/frostpost/weather/doorplants.py
@@ -4,8 +4,8 @@
 from frostpost.http_api import carry, control, faults, lookups, turns
 from frostpost.ledger.words import Done, Settle, Unclaim
 from frostpost.placement import judge
-from frostpost.orchard import life
-from frostpost.orchard.heart import ask
+from frostpost.daemon import life
+from frostpost.daemon.heart import ask
 from frostpost.background import shelves
 from . import plants
 
--- a/frostpost/weather/drives.py
+++ b/frostpost/weather/drives.py
@@ -3,7 +3,7 @@
 
 from msgspec import Struct
 
-from frostpost.orchard.machine import Files
+from frostpost.daemon.machine import Files
 
 
 class PowerCut(Exception):
--- a/frostpost/weather/ledger.py
+++ b/frostpost/weather/ledger.py
@@ -15,7 +15,7 @@
 )
 from frostpost.virtual_synchrony.events import Applied
 from frostpost.virtual_synchrony.state import majority
-from frostpost.orchard.core import Decided
+from frostpost.daemon.core import Decided
 from .checks import Broken
 
 
--- a/frostpost/weather/storm.py
+++ b/frostpost/weather/storm.py
@@ -21,7 +21,7 @@
 )
 from frostpost.virtual_synchrony.events import Asked, SetVoters
 from frostpost.virtual_synchrony.state import majority
-from frostpost.orchard.core import Decided, leaseOk
+from frostpost.daemon.core import Decided, leaseOk
 from . import world as worlds
 from .blows import FAULTS, votersDown
 from .checks import Broken
--- a/frostpost/weather/traces.py
+++ b/frostpost/weather/traces.py
@@ -15,7 +15,7 @@
 from frostpost.virtual_synchrony.memory import Log, replay, replayOne
 from frostpost.virtual_synchrony.state import Bounds
 from frostpost.virtual_synchrony.words import Ack, Complete, Place
-from frostpost.orchard import core as cores
+from frostpost.daemon import core as cores
 from . import world as worlds
 from .checks import Broken
 
--- a/frostpost/weather/valley.py
+++ b/frostpost/weather/valley.py
@@ -3,10 +3,10 @@
 from msgspec import Struct, convert, json
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
-from frostpost.orchard.assembly import assemble, raise_
-from frostpost.orchard.life import Hand, make as makeLife
-from frostpost.orchard.machine import Machine
-from frostpost.orchard.settings import Settings
+from frostpost.daemon.assembly import assemble, raise_
+from frostpost.daemon.life import Hand, make as makeLife
+from frostpost.daemon.machine import Machine
+from frostpost.daemon.settings import Settings
 from frostpost.scarecrow import callers, platform as platforms, runner as runners
 from frostpost.scarecrow.notes import Notes
 from . import drives
@@ -226,7 +226,7 @@
 
 
 def ready(valley, name):
-    from frostpost.orchard.core import leaseOk
+    from frostpost.daemon.core import leaseOk
 
     daemon = valley.daemons[name]
     ctx = daemon.ctx
--- a/frostpost/weather/world.py
+++ b/frostpost/weather/world.py
@@ -8,7 +8,7 @@
 from frostpost.virtual_synchrony.state import Bounds
 from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
 from frostpost.virtual_synchrony.words import SPEAKS, Batch, Member, Place
-from frostpost.orchard import core as cores
+from frostpost.daemon import core as cores
 
 
 class Disk(Struct):
--- a/frostpost/write_ahead_log/disk.py
+++ b/frostpost/write_ahead_log/disk.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.orchard.machine import Files
+from frostpost.daemon.machine import Files
 
 HEAD = Layout(">2sIQI")
 MAGIC = b"\xf0\x57"
--- a/tests/copse/world.py
+++ b/tests/copse/world.py
@@ -9,7 +9,7 @@
 
 from frostpost.cluster import leaf as assembly
 from frostpost.cluster import ring
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 from frostpost.platform import listening, settings
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import SiloFiles
--- a/tests/test_canopy_lease.py
+++ b/tests/test_canopy_lease.py
@@ -10,7 +10,7 @@
 from frostpost.virtual_synchrony.outer import Grant, Hello, Renew, RoutingAsk, RoutingTell
 from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
 from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member, Place
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 
 LEASE_MS = 1200
 IDS = ConfigurationId(3, "s1", 1)
--- a/tests/test_canopy_ring.py
+++ b/tests/test_canopy_ring.py
@@ -10,8 +10,8 @@
 from frostpost.virtual_synchrony.events import Booted, Installed
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew
 from frostpost.virtual_synchrony.words import ConfigurationId, Frame, Roster
-from frostpost.orchard import disk as disks
-from frostpost.orchard.machine import Machine
+from frostpost.daemon import disk as disks
+from frostpost.daemon.machine import Machine
 from frostpost.weather import drives
 from test_canopy_lease import place_of
 from test_silo_drive import Threads, files_of
--- a/tests/test_canopy_tenders.py
+++ b/tests/test_canopy_tenders.py
@@ -11,7 +11,7 @@
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, Hedge, Peer
 from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 from test_canopy_lease import place_of
 
 ID = ConfigurationId(3, "s1", 1)
--- a/tests/test_drove_roster.py
+++ b/tests/test_drove_roster.py
@@ -11,7 +11,7 @@
 from frostpost.proxy import roster
 from frostpost.proxy.words import Runner
 from frostpost.virtual_synchrony.places import Member, Place
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 
 
 def a_runner(name, **more):
--- a/tests/test_drove_stage.py
+++ b/tests/test_drove_stage.py
@@ -18,7 +18,7 @@
 from frostpost.proxy import keyed, pool, serve, turn
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 
 
 def a_route(**more):
--- a/tests/test_furrow.py
+++ b/tests/test_furrow.py
@@ -5,7 +5,7 @@
 import pytest
 
 from frostpost.write_ahead_log import disk
-from frostpost.orchard.machine import Files
+from frostpost.daemon.machine import Files
 from frostpost.weather import drives
 
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -10,7 +10,7 @@
 
 from frostpost.cluster.context import Leaf
 from frostpost.proxy.failures import Unavailable
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
 
 SERVICES = [{"name": "s1", "max-connections": 9}]
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -7,7 +7,7 @@
 from frostpost.cluster.context import Leaf
 from frostpost.proxy import failures
 from frostpost.proxy.words import ClientBounds, Routing
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 from frostpost.platform import front
 
 GET = b"GET /x/1?q=a%20b HTTP/1.1\r\nHost: A.Example:80\r\nX-Attempt-Id: a1\r\n"
--- a/tests/test_silo_drive.py
+++ b/tests/test_silo_drive.py
@@ -3,7 +3,7 @@
 
 from twisted.internet.defer import Deferred, maybeDeferred
 
-from frostpost.orchard.machine import Machine
+from frostpost.daemon.machine import Machine
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import SiloFiles
 from frostpost.weather import drives
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -6,8 +6,8 @@
 from frostpost.http_api import carry, faults, turns
 from frostpost.http_api.calls import SHARES, Call, filterCrowd
 from frostpost.ledger.words import Done, Reserved, Runner, Settle
-from frostpost.orchard.context import Context
-from frostpost.orchard.settings import Settings
+from frostpost.daemon.context import Context
+from frostpost.daemon.settings import Settings
 from frostpost.tenant_config.stamp import Lane
 
 RUNNER = Runner("r", "i", "127.0.0.1", 1, "pool", "a", 4)
