--- a/frostpost/pruner/main.py
+++ b/frostpost/admin/main.py
@@ -112,7 +112,7 @@
     json: TEXT = False
 
 
-@cappa.command(name="pruner", help="The operators' command for frostpost.")
+@cappa.command(name="admin", help="The operators' command for frostpost.")
 class Pruner(Struct):
     command: cappa.Subcommands[
         Apply
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -153,7 +153,7 @@
 
 
 def test_the_doctor_tells_of_daemons_that_hold_the_rules_back():
-    from frostpost.pruner.doctor import ofDaemon
+    from frostpost.admin.doctor import ofDaemon
 
     said = {
         "primary": True,
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -35,7 +35,7 @@
 def pruner(fleet, *words, door="e1"):
     address = f"127.0.0.1:{fleet.daemons[door].httpPort}"
     return subprocess.run(
-        [sys.executable, "-m", "frostpost.pruner.main", *words, "--door", address],
+        [sys.executable, "-m", "frostpost.admin.main", *words, "--door", address],
         capture_output=True,
         text=True,
         timeout=60,
