--- a/frostpost/scarecrow/fleet.py
+++ b/frostpost/testbed/fleet.py
@@ -83,7 +83,7 @@
 
 def raiseBacks(fleet, seed=1):
     fleet.backs = subprocess.Popen(
-        [fleet.python, "-m", "frostpost.scarecrow.backs", f"{fleet.folder}/runners.notes", "--seed", str(seed)],
+        [fleet.python, "-m", "frostpost.testbed.backs", f"{fleet.folder}/runners.notes", "--seed", str(seed)],
         stdout=subprocess.PIPE,
     )
     said = json.decode(fleet.backs.stdout.readline())
@@ -163,7 +163,7 @@
         [
             fleet.python,
             "-m",
-            "frostpost.scarecrow.callers",
+            "frostpost.testbed.callers",
             f"{fleet.folder}/callers.notes",
             *words,
             "--seconds",
--- a/frostpost/scarecrow/main.py
+++ b/frostpost/testbed/main.py
@@ -35,7 +35,7 @@
     keep: Annotated[str, cappa.Arg(long=True, help="keep the fleets' folders below this one")] = ""
 
 
-@cappa.command(name="scarecrow", help="Stand-ins, load, fleets and proofs for frostpost.")
+@cappa.command(name="testbed", help="Stand-ins, load, fleets and proofs for frostpost.")
 class Scarecrow(Struct):
     command: cappa.Subcommands[FleetCommand | ProofCommand]
 
--- a/frostpost/scarecrow/proofs.py
+++ b/frostpost/testbed/proofs.py
@@ -151,7 +151,7 @@
 
 
 def clocks(fleet, facts):
-    fleet.program = "frostpost.scarecrow.skewed"
+    fleet.program = "frostpost.testbed.skewed"
     for name in fleet.daemons:
         facts.setdefault("restarts", []).append(roundOne(fleet, name))
     for jumpS in (-3600, 7200):
--- a/frostpost/scarecrow/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -66,7 +66,7 @@
         file.write(json.encode(settings))
     protocol = Ring(open(os.path.join(folder, f"{name}.log"), "wb"))
     reactor.spawnProcess(
-        protocol, sys.executable, [sys.executable, "-m", "frostpost.scarecrow.scale_ring", path], env=os.environ
+        protocol, sys.executable, [sys.executable, "-m", "frostpost.testbed.scale_ring", path], env=os.environ
     )
     return protocol
 
@@ -193,7 +193,7 @@
 
 
 def options_of(words):
-    parser = ArgumentParser(prog="python -m frostpost.scarecrow.scale_run")
+    parser = ArgumentParser(prog="python -m frostpost.testbed.scale_run")
     parser.add_argument("--leaves", type=int, default=16)
     parser.add_argument("--rate", type=float, default=0, help="ordered operations a second, all leaves together")
     parser.add_argument("--seconds", type=float, default=5)
--- a/frostpost/scarecrow/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -192,7 +192,7 @@
 
 
 def main(words=None):
-    parser = ArgumentParser(prog="python -m frostpost.scarecrow.scale_slopes")
+    parser = ArgumentParser(prog="python -m frostpost.testbed.scale_slopes")
     parser.add_argument("--programs", type=int, default=2000)
     parser.add_argument("--turns", type=int, default=67)
     options = parser.parse_args(words)
--- a/frostpost/weather/chores.py
+++ b/frostpost/weather/chores.py
@@ -1,7 +1,7 @@
 from msgspec import json
 
-from frostpost.scarecrow.runner import CUTS
-from frostpost.scarecrow.templates import TEMPLATES, TENANTS
+from frostpost.testbed.runner import CUTS
+from frostpost.testbed.templates import TEMPLATES, TENANTS
 from . import valley as valleys
 from .gusts import show
 from .valley import later
--- a/frostpost/weather/gusts.py
+++ b/frostpost/weather/gusts.py
@@ -1,4 +1,4 @@
-from frostpost.scarecrow import platform as platforms
+from frostpost.testbed import platform as platforms
 from . import drives, valley as valleys
 from .valley import kill, later, revive, warn
 
--- a/frostpost/weather/valley.py
+++ b/frostpost/weather/valley.py
@@ -7,8 +7,8 @@
 from frostpost.daemon.life import Hand, make as makeLife
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.settings import Settings
-from frostpost.scarecrow import callers, platform as platforms, runner as runners
-from frostpost.scarecrow.notes import Notes
+from frostpost.testbed import callers, platform as platforms, runner as runners
+from frostpost.testbed.notes import Notes
 from . import drives
 from .hosts import Host
 from .net import Net
--- a/frostpost/weather/whole.py
+++ b/frostpost/weather/whole.py
@@ -2,9 +2,9 @@
 
 from msgspec import Struct
 
-from frostpost.scarecrow.judge import judge, summary
-from frostpost.scarecrow.told import Breach
-from frostpost.scarecrow.templates import TEMPLATES, TENANTS
+from frostpost.testbed.judge import judge, summary
+from frostpost.testbed.told import Breach
+from frostpost.testbed.templates import TEMPLATES, TENANTS
 from . import valley as valleys
 from .chores import CHORES
 from .gusts import CORE, PLATFORM, heal, roll
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from frostpost.scarecrow.templates import TEMPLATES
+from frostpost.testbed.templates import TEMPLATES
 from frostpost.background.calendars import amended, dueS
 from frostpost.tenant_config.stamp import checkTenant
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,5 +1,5 @@
-from frostpost.scarecrow.judge import judge
-from frostpost.scarecrow.told import asks, faultOf, laneOf
+from frostpost.testbed.judge import judge
+from frostpost.testbed.told import asks, faultOf, laneOf
 from frostpost.weather import valley as valleys
 from test_stories import later, raised
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
 import pytest
 
-from frostpost.scarecrow.main import prove
+from frostpost.testbed.main import prove
 
 
 @pytest.mark.parametrize("name", ("kill", "allDown", "races", "clocks"))
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,7 +1,7 @@
 import pytest
 
-from frostpost.scarecrow.judge import cutMidAnswer, judge
-from frostpost.scarecrow.told import asks
+from frostpost.testbed.judge import cutMidAnswer, judge
+from frostpost.testbed.told import asks
 
 PATH = "/v1/tenants/hlidar/lanes/{}/{}"
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -4,8 +4,8 @@
 import pytest
 from msgspec import json
 
-from frostpost.scarecrow import fleet as fleets
-from frostpost.scarecrow.templates import TEMPLATES, TENANTS
+from frostpost.testbed import fleet as fleets
+from frostpost.testbed.templates import TEMPLATES, TENANTS
 
 pytestmark = pytest.mark.xdist_group("operators")
 TURNS = "/v1/tenants/hlidar/lanes/check/turns"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,9 +6,9 @@
 import pytest
 from msgspec import json
 
-from frostpost.scarecrow import scale_slopes
+from frostpost.testbed import scale_slopes
 
-RUN = [sys.executable, "-m", "frostpost.scarecrow.scale_run"]
+RUN = [sys.executable, "-m", "frostpost.testbed.scale_run"]
 
 
 def scale_run(**options):
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -1,7 +1,7 @@
 import pytest
 from msgspec import json
 
-from frostpost.scarecrow.templates import TEMPLATES, TENANTS
+from frostpost.testbed.templates import TEMPLATES, TENANTS
 from frostpost.weather import valley as valleys
 from test_stories import asked, later, raised
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -2,7 +2,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from frostpost.scarecrow.templates import TEMPLATES
+from frostpost.testbed.templates import TEMPLATES
 from frostpost.weather import valley as valleys
 from frostpost.weather import whole
 from frostpost.weather.doorplants import planted
--- a/tests/test_trellis.py
+++ b/tests/test_trellis.py
@@ -1,6 +1,6 @@
 import pytest
 
-from frostpost.scarecrow.templates import TEMPLATES, TENANTS
+from frostpost.testbed.templates import TEMPLATES, TENANTS
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import checkTemplate, checkTenant, patch
 
