--- a/frostpost/weather/main.py
+++ b/frostpost/simulator/main.py
@@ -24,7 +24,7 @@
     return report
 
 
-@cappa.command(name="weather", help="Play seeded storms against the daemons' core under a virtual clock.")
+@cappa.command(name="simulator", help="Play seeded storms against the daemons' core under a virtual clock.")
 class Weather(Struct, kw_only=True):
     first: Annotated[int, cappa.Arg(long=True, help="first seed")] = 1
     seeds: Annotated[int, cappa.Arg(long=True, help="how many seeds")] = 100
--- a/tests/copse/clock.py
+++ b/tests/copse/clock.py
@@ -8,7 +8,7 @@
 from zope.interface import implementer
 
 from . import wires as copse_wires
-from frostpost.weather.hosts import Host
+from frostpost.simulator.hosts import Host
 
 
 class Wheel:
--- a/tests/copse/troubles.py
+++ b/tests/copse/troubles.py
@@ -1,7 +1,7 @@
 """Troubles that befall the machines, and work that is planned on them."""
 
 from . import world as worlds
-from frostpost.weather import drives
+from frostpost.simulator import drives
 from .notes import Trouble
 
 CATCH_UP_MS = 3000
--- a/tests/copse/wires.py
+++ b/tests/copse/wires.py
@@ -3,8 +3,8 @@
 from twisted.internet.error import ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from frostpost.weather import net as nets
-from frostpost.weather import wires
+from frostpost.simulator import net as nets
+from frostpost.simulator import wires
 
 
 class Strand(wires.Wire):
--- a/tests/copse/world.py
+++ b/tests/copse/world.py
@@ -14,12 +14,12 @@
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import SiloFiles
 
-from frostpost.weather import drives
+from frostpost.simulator import drives
 from .clock import Rig, Wheel
 from .list import raise_listing
 from .notes import Notes
 from .runners import Runner, raise_runner
-from frostpost.weather.net import Net
+from frostpost.simulator.net import Net
 
 FRONT, READINESS, CONTROL, INNER, RUNNER = 8149, 8141, 8144, 7380, 9000
 SHEET = {"contact": 3000, "ack": 4000, "drain": 3000, "apply": 2000, "recovery": 12000, "window": 8000, "keep": 20000}
--- a/tests/test_canopy_founding.py
+++ b/tests/test_canopy_founding.py
@@ -9,7 +9,7 @@
 from frostpost.virtual_synchrony.outer import Directory, Hello
 from frostpost.virtual_synchrony.words import Frame, Roster
 from frostpost.daemon.machine import Machine
-from frostpost.weather import drives
+from frostpost.simulator import drives
 from test_canopy_lease import place_of
 from test_silo_drive import Threads, lose_unsynced
 
--- a/tests/test_canopy_ring.py
+++ b/tests/test_canopy_ring.py
@@ -12,7 +12,7 @@
 from frostpost.virtual_synchrony.words import ConfigurationId, Frame, Roster
 from frostpost.daemon import disk as disks
 from frostpost.daemon.machine import Machine
-from frostpost.weather import drives
+from frostpost.simulator import drives
 from test_canopy_lease import place_of
 from test_silo_drive import Threads, files_of
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,6 +1,6 @@
 import time
 
-from frostpost.weather.play import play
+from frostpost.simulator.play import play
 
 
 def test_the_core_reads_no_clock_of_the_machine(monkeypatch):
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,6 +1,6 @@
 import pytest
 
-from frostpost.weather.costs import measure, viewChange
+from frostpost.simulator.costs import measure, viewChange
 
 
 @pytest.mark.parametrize("members,perSecond,messages", ((4, 200, 9), (8, 1000, 6), (16, 200, 36)))
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,6 +1,6 @@
 from frostpost.testbed.judge import judge
 from frostpost.testbed.told import asks, faultOf, laneOf
-from frostpost.weather import valley as valleys
+from frostpost.simulator import valley as valleys
 from test_stories import later, raised
 
 
--- a/tests/test_furrow.py
+++ b/tests/test_furrow.py
@@ -6,7 +6,7 @@
 
 from frostpost.write_ahead_log import disk
 from frostpost.daemon.machine import Files
-from frostpost.weather import drives
+from frostpost.simulator import drives
 
 
 def filled(folder, payloads):
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -6,7 +6,7 @@
 from copse import world as worlds
 from copse.crowd import MOST_TOKENS
 from frostpost.cluster import serving as sessions
-from frostpost.weather import net as nets
+from frostpost.simulator import net as nets
 from test_silo_serving import Net, hold
 
 CATCH_UP_MS = 4000
--- a/tests/test_plants.py
+++ b/tests/test_plants.py
@@ -1,7 +1,7 @@
 import pytest
 
-from frostpost.weather.plants import PLANTS, planted
-from frostpost.weather.play import play
+from frostpost.simulator.plants import PLANTS, planted
+from frostpost.simulator.play import play
 
 CAUGHT = {
     "ackUnsynced": {"ledger.kept", "ledger.order"},
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -2,7 +2,7 @@
 from msgspec import json
 
 from frostpost.testbed.templates import TEMPLATES, TENANTS
-from frostpost.weather import valley as valleys
+from frostpost.simulator import valley as valleys
 from test_stories import asked, later, raised
 
 WHOLE = {"templates": TEMPLATES, "tenants": TENANTS}
--- a/tests/test_silo_drive.py
+++ b/tests/test_silo_drive.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.machine import Machine
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import SiloFiles
-from frostpost.weather import drives
+from frostpost.simulator import drives
 
 FOLDER = "/data/silo"
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -3,9 +3,9 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from frostpost.testbed.templates import TEMPLATES
-from frostpost.weather import valley as valleys
-from frostpost.weather import whole
-from frostpost.weather.doorplants import planted
+from frostpost.simulator import valley as valleys
+from frostpost.simulator import whole
+from frostpost.simulator.doorplants import planted
 
 
 def raised(seed=1, **facts):
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -1,6 +1,6 @@
 import pytest
 
-from frostpost.weather.play import play
+from frostpost.simulator.play import play
 
 DENSE = 700
 
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -62,7 +62,7 @@
     held = {"time", "secrets", "random", "threading"}
     found = []
     for path, tree in trees(CODE):
-        if path.parent.name in ("weather", "testbed", "admin") or path.name == "machine.py":
+        if path.parent.name in ("simulator", "testbed", "admin") or path.name == "machine.py":
             continue
         for node in ast.walk(tree):
             names = (
@@ -77,7 +77,7 @@
 def test_daemons_start_no_processes():
     found = []
     for path, tree in trees(CODE):
-        if path.parent.name in ("weather", "testbed"):
+        if path.parent.name in ("simulator", "testbed"):
             continue
         for node in ast.walk(tree):
             names = [a.name for a in node.names] if isinstance(node, (ast.Import, ast.ImportFrom)) else []
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -5,9 +5,9 @@
 
 from frostpost.virtual_synchrony import settling
 from frostpost.virtual_synchrony.state import Primary
-from frostpost.weather.plants import planted
-from frostpost.weather.traces import load, play
-from frostpost.weather.world import make
+from frostpost.simulator.plants import planted
+from frostpost.simulator.traces import load, play
+from frostpost.simulator.world import make
 
 TRACES = sorted(glob(join(dirname(__file__), "traces", "*.trace")))
 
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -1,7 +1,7 @@
 import pytest
 
-from frostpost.weather import whole
-from frostpost.weather.doorplants import DOORS, planted
+from frostpost.simulator import whole
+from frostpost.simulator.doorplants import DOORS, planted
 
 SHORT = {"stormMs": 6000, "gapMs": 700, "factor": 0.25}
 PLANTED = {
