--- a/frostpost/admin/asking.py
+++ b/frostpost/admin/asking.py
@@ -22,7 +22,7 @@
     fault: dict
 
 
-def ask(door, path, method="GET", document=None, headers=None, waitS=30):
+def ask(door, path, method="GET", document=None, headers=None, wait_s=30):
     data = None if document is None else json.encode(document)
     request = urllib.request.Request(
         f"http://{door.address}{path}",
@@ -31,7 +31,7 @@
         headers={"content-type": "application/json", **(headers or {})},
     )
     try:
-        with urllib.request.urlopen(request, timeout=waitS) as response:
+        with urllib.request.urlopen(request, timeout=wait_s) as response:
             return Ok(json.decode(response.read()))
     except urllib.error.HTTPError as fault:
         try:
--- a/frostpost/admin/configs.py
+++ b/frostpost/admin/configs.py
@@ -62,7 +62,7 @@
     return FOUND if rows else DONE
 
 
-def applyWhole(command, door):
+def apply_whole(command, door):
     found = read(command)
     if found is None:
         return MISUSED
@@ -83,7 +83,7 @@
 
 def apply(command, door):
     if command.whole:
-        return applyWhole(command, door)
+        return apply_whole(command, door)
     status, plan = planned(command, door)
     if plan is None:
         return status
--- a/frostpost/admin/doctor.py
+++ b/frostpost/admin/doctor.py
@@ -3,6 +3,7 @@
 from msgspec import Struct, to_builtins
 
 from frostpost.virtual_synchrony.words import SPEAKS
+
 from .asking import DONE, FOUND, Door, TurnedAway, ask, fail, say
 
 
@@ -15,7 +16,7 @@
 
 def reach(places):
     def one(place):
-        return ask(Door(place["http"]), "/v1/status", waitS=3)
+        return ask(Door(place["http"]), "/v1/status", wait_s=3)
 
     with ThreadPoolExecutor(16) as pool:
         return dict(zip((p["name"] for p in places), pool.map(one, places)))
@@ -26,7 +27,7 @@
     return Finding("Silent", name, why, "see whether its process runs, and its log's last lines")
 
 
-def ofDaemon(name, said):
+def of_daemon(name, said):
     if not said["primary"] or not said["serving"] and not said["leaving"]:
         yield Finding(
             "NoMajority",
@@ -41,11 +42,11 @@
             "a sync overran its bound or the disk is full",
             "look at the disk; it is taken back by itself once it is well",
         )
-    if said["diskFreePart"] is not None and said["diskFreePart"] < 0.1:
+    if said["disk_free_part"] is not None and said["disk_free_part"] < 0.1:
         yield Finding(
             "DiskNearlyFull",
             name,
-            f"{said['diskFreePart']:.0%} of the disk is free",
+            f"{said['disk_free_part']:.0%} of the disk is free",
             "make room, or give the data folder a larger disk",
         )
     if said["corrupt"]:
@@ -55,18 +56,18 @@
             said["corrupt"],
             "it refills by itself from the others; replace the disk if it comes again",
         )
-    if said["honoured"] < said["configIndex"]:
+    if said["honoured"] < said["config_index"]:
         yield Finding(
             "ConfigLag",
             name,
-            f"honours {said['honoured']} of {said['configIndex']}",
+            f"honours {said['honoured']} of {said['config_index']}",
             "see that it can reach a storage daemon; large bodies take a while",
         )
-    if said["counts"].get("otherVersions"):
+    if said["counts"].get("other_versions"):
         yield Finding(
             "MixedVersions",
             name,
-            f"{said['counts']['otherVersions']} frames of another version",
+            f"{said['counts']['other_versions']} frames of another version",
             "finish the roll-out; no two inner versions can share a configuration",
         )
     if said["primary"] and said.get("rules", 1) < SPEAKS:
@@ -99,10 +100,10 @@
     for name, said in statuses.items():
         if top - said["applied"] > 1000:
             yield Finding("LedgerLag", name, f"{top - said['applied']} entries behind", "see its load")
-    clocks = sorted(s["wallMs"] for s in statuses.values())
+    clocks = sorted(s["wall_ms"] for s in statuses.values())
     if clocks[-1] - clocks[0] > 5000:
         for name, said in statuses.items():
-            if abs(said["wallMs"] - clocks[len(clocks) // 2]) > 5000:
+            if abs(said["wall_ms"] - clocks[len(clocks) // 2]) > 5000:
                 yield Finding(
                     "ClockOff",
                     name,
@@ -120,12 +121,12 @@
         )
     holder = next((s["duties"].get("list", {}).get("holder") for s in statuses.values()), None)
     said = statuses.get(holder)
-    if said is not None and said["listSet"] and (said["listAgeMs"] is None or said["listAgeMs"] > 15000):
+    if said is not None and said["list_set"] and (said["list_age_ms"] is None or said["list_age_ms"] > 15000):
         yield Finding(
             "ListStale",
             holder,
             "the platform's runner list was not read for 15 s",
-            "see whether the platform answers, and the count listTurnedAway",
+            "see whether the platform answers, and the count list_turned_away",
         )
     for duty in ("list", "ticks"):
         if not any(s["duties"].get(duty, {}).get("holder") for s in statuses.values()):
@@ -141,7 +142,7 @@
     findings = [silent(n, r.error) for n, r in answers.items() if r.is_error()]
     found = {n: r.ok for n, r in answers.items() if r.is_ok()}
     for name, said in found.items():
-        findings += ofDaemon(name, said)
+        findings += of_daemon(name, said)
     findings += together(found)
     unknown = [s for s in first.ok["seeds"] if s not in {p["inner"] for p in places}]
     findings += [
--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -104,7 +104,7 @@
 
 
 def ring_row(name, facts):
-    id, silo = facts.get("configuration", {}), facts["turn_store"]
+    id, turn_store = facts.get("configuration", {}), facts["turn_store"]
     return [
         name,
         facts["zone"],
@@ -113,7 +113,7 @@
         f"{len(facts.get('members', ()))} members",
         f"applied {facts.get('applied', 0)}",
         f"routing {facts.get('routing', {}).get('version', 0)}",
-        f"bodies {silo['bodies']}, missing {silo['missing']}",
+        f"bodies {turn_store['bodies']}, missing {turn_store['missing']}",
         "DISK UNWELL" if facts["disk_unwell"] else "disk well",
     ]
 
--- a/frostpost/admin/remedies.py
+++ b/frostpost/admin/remedies.py
@@ -115,7 +115,7 @@
             yield Finding(
                 "BodiesMissing",
                 name,
-                f"lacks {facts['silo']['missing']} bodies of turns",
+                f"lacks {facts['turn_store']['missing']} bodies of turns",
                 "it fetches them from the others; see that those run and that its disk has room",
             )
 
--- a/frostpost/admin/sights.py
+++ b/frostpost/admin/sights.py
@@ -27,11 +27,11 @@
             [
                 f"{said['name']} ({said['role']}, cell {said['cell']}): "
                 + ("serving" if said["serving"] else "not serving"),
-                f"configuration {held['epoch']} by {held['proposer']}, {held['ageMs']} ms old, "
+                f"configuration {held['epoch']} by {held['proposer']}, {held['age_ms']} ms old, "
                 f"sequencer {held['sequencer']}",
                 f"members: {', '.join(held['members'])}",
                 f"voters: {', '.join(said['voters'])}",
-                f"applied {said['applied']}, configuration index {said['configIndex']}, honoured {said['honoured']}",
+                f"applied {said['applied']}, configuration index {said['config_index']}, honoured {said['honoured']}",
                 "duties: " + ", ".join(f"{n}: {d['holder']}" for n, d in said["duties"].items()),
             ]
         )
@@ -45,7 +45,7 @@
         for name, peer in sorted(said["peers"].items()):
             inside = "member" if name in said["configuration"]["members"] else "outside"
             rows.append(
-                f"{name:8} {inside:8} heard {peer['heardMs']} ms ago, applied {peer['applied']}"
+                f"{name:8} {inside:8} heard {peer['heard_ms']} ms ago, applied {peer['applied']}"
                 + (", disk unwell" if peer["unwell"] else "")
             )
         return "\n".join(rows)
--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -1,26 +1,27 @@
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 
 from croniter import croniter
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.ledger import duties
-from frostpost.ledger.words import ConfigSet, Fire, SetConfig
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
+from frostpost.ledger import duties
+from frostpost.ledger.words import ConfigSet, Fire, SetConfig
+
 from . import shelves
 
 
-def dueS(cron, nowS):
-    moment = datetime.fromtimestamp(nowS, timezone.utc)
+def due_s(cron, now_s):
+    moment = datetime.fromtimestamp(now_s, UTC)
     return int(croniter(cron, moment).get_prev(float))
 
 
-def amended(tenant, sinceS, nowS):
-    due = sorted((dueS(c["cron"], nowS + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
-    late = [(atS, n) for atS, n in due if sinceS < atS <= nowS]
+def amended(tenant, since_s, now_s):
+    due = sorted((due_s(c["cron"], now_s + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
+    late = [(at_s, n) for at_s, n in due if since_s < at_s <= now_s]
     if not late:
         return 0, None
     parameters = dict(tenant.get("parameters", {}))
@@ -30,18 +31,18 @@
 
 
 @inlineCallbacks
-def fireOne(ctx, fence, path, nowS):
-    version, tenant = ctx.documents[path][0], json.decode(shelves.bodyOf(ctx, path))
-    askMs = ctx.settings.doors.askMs
-    sinceS = ctx.core.granary.fired.get(path)
-    if sinceS is None:
-        yield ask(ctx, Fire(fence, path, nowS, None), askMs)
+def fire_one(ctx, fence, path, now_s):
+    version, tenant = ctx.documents[path][0], json.decode(shelves.body_of(ctx, path))
+    ask_ms = ctx.settings.doors.ask_ms
+    since_s = ctx.core.ledger.fired.get(path)
+    if since_s is None:
+        yield ask(ctx, Fire(fence, path, now_s, None), ask_ms)
         return
-    atS, document = amended(tenant, sinceS, nowS)
+    at_s, document = amended(tenant, since_s, now_s)
     if document is None:
         return
     if document == tenant:
-        yield ask(ctx, Fire(fence, path, atS, None), askMs)
+        yield ask(ctx, Fire(fence, path, at_s, None), ask_ms)
         return
     base = f"templates/{tenant['template']}"
     item = yield shelves.put(ctx, json.encode(document))
@@ -49,16 +50,16 @@
         path, item.digest, item.size, version, item.source, item.number, ((base, ctx.documents[base][0]),)
     )
     if (yield shelves.spread(ctx, item)):
-        result = yield ask(ctx, Fire(fence, path, atS, change), askMs)
+        result = yield ask(ctx, Fire(fence, path, at_s, change), ask_ms)
         if result.is_ok() and isinstance(result.ok, ConfigSet):
-            say("CalendarFired", path=path, version=result.ok.version, atS=atS)
+            say("CalendarFired", path=path, version=result.ok.version, at_s=at_s)
 
 
 @inlineCallbacks
 def calendars(ctx):
-    fence = duties.held(ctx.core.granary, "calendars", ctx.place.member)
-    if not fence or not leaseOk(ctx.core, nowMs(ctx)) or ctx.honoured < ctx.core.granary.configIndex:
+    fence = duties.held(ctx.core.ledger, "calendars", ctx.place.member)
+    if not fence or not lease_ok(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.core.ledger.config_index:
         return
     for path in [p for p, (_, d) in ctx.documents.items() if d.get("calendars")]:
         if path in ctx.documents:
-            yield fireOne(ctx, fence, path, int(ctx.machine.wallS()))
+            yield fire_one(ctx, fence, path, int(ctx.machine.wall_s()))
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -1,13 +1,14 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.http_api.reading import gather
-from frostpost.ledger import duties
-from frostpost.ledger.words import Runner, Runners
-from frostpost.daemon.context import count, nowMs
-from frostpost.daemon.core import leaseOk
+from frostpost.daemon.context import clock_ms, count
+from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
+from frostpost.http_api.reading import gather
+from frostpost.ledger import duties
+from frostpost.ledger.records import Runner
+from frostpost.ledger.words import Runners
 
 
 class Row(Struct):
@@ -26,33 +27,33 @@
 
 @inlineCallbacks
 def list_(ctx):
-    fence = duties.held(ctx.core.granary, "list", ctx.place.member)
-    now = nowMs(ctx)
-    if not fence or not ctx.settings.list or now < ctx.listMs or not leaseOk(ctx.core, now):
+    fence = duties.held(ctx.core.ledger, "list", ctx.place.member)
+    now = clock_ms(ctx)
+    if not fence or not ctx.settings.list or now < ctx.list_ms or not lease_ok(ctx.core, now):
         return
-    ctx.listMs = now + ctx.settings.tending.listMs
+    ctx.list_ms = now + ctx.settings.background.list_ms
     try:
         response = yield ctx.agent.get(ctx.settings.list, timeout=2, unbuffered=True, reactor=ctx.reactor)
-        raw = yield gather(response, ctx.settings.doors.configBytes)
+        raw = yield gather(response, ctx.settings.doors.config_bytes)
         if response.code == 429:
             said = (response.headers.getRawHeaders("retry-after") or ["1"])[0]
-            waitMs = int(said) * 1000 if said.isdigit() else 1000
-            ctx.listMs = nowMs(ctx) + waitMs
-            count(ctx, "listTurnedAway")
+            wait_ms = int(said) * 1000 if said.isdigit() else 1000
+            ctx.list_ms = clock_ms(ctx) + wait_ms
+            count(ctx, "list_turned_away")
             return
         page = json.decode(raw, type=Page)
     except Exception as fault:
-        count(ctx, f"listFault/{type(fault).__name__}")
+        count(ctx, f"list_fault/{type(fault).__name__}")
         return
-    ctx.listedMs = nowMs(ctx)
+    ctx.listed_ms = clock_ms(ctx)
     entries = tuple(
         sorted(
             (Runner(r.name, r.instance, r.host, r.port, r.pool, r.cell, r.room) for r in page.runners),
             key=lambda r: r.name,
         )
     )
-    held = ctx.core.granary.runners
+    held = ctx.core.ledger.runners
     if {r.name: r for r in entries} != held:
-        count(ctx, "listChanges")
+        count(ctx, "list_changes")
         say("RunnerList", runners=len(entries))
-        yield ask(ctx, Runners(fence, entries), ctx.settings.doors.askMs)
+        yield ask(ctx, Runners(fence, entries), ctx.settings.doors.ask_ms)
--- a/frostpost/background/meters.py
+++ b/frostpost/background/meters.py
@@ -1,8 +1,8 @@
 from prometheus_client import CollectorRegistry
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
 
 
 class Meters:
@@ -12,23 +12,23 @@
         self.ctx = ctx
 
     def collect(self):
-        ctx, hedge = self.ctx, self.ctx.core.hedge
+        ctx, synchrony = self.ctx, self.ctx.core.synchrony
         gauges = {
-            "serving": int(leaseOk(ctx.core, nowMs(ctx))),
+            "serving": int(lease_ok(ctx.core, clock_ms(ctx))),
             "flights": ctx.flights,
-            "lag_ms": ctx.lagMs,
-            "applied_index": hedge.applied,
-            "members": len(hedge.configuration.members),
-            "programs": len(ctx.core.granary.programs),
-            "keys": len(ctx.core.granary.keys),
-            "waiting": len(hedge.waiting),
-            "outbox": len(hedge.outbox),
+            "lag_ms": ctx.lag_ms,
+            "applied_index": synchrony.applied,
+            "members": len(synchrony.configuration.members),
+            "programs": len(ctx.core.ledger.programs),
+            "keys": len(ctx.core.ledger.keys),
+            "waiting": len(synchrony.waiting),
+            "outbox": len(synchrony.outbox),
             "disk_unwell": int(ctx.disk.unwell),
         }
         for name, value in gauges.items():
             yield GaugeMetricFamily(f"frostpost_{name}", name.replace("_", " "), value)
         events = CounterMetricFamily("frostpost_events", "counted events by kind", labels=["kind"])
-        for kind, value in sorted({**hedge.counts, **ctx.counts}.items()):
+        for kind, value in sorted({**synchrony.counts, **ctx.counts}.items()):
             events.add_metric([kind], value)
         events.add_metric(["syncs"], ctx.disk.syncs)
         yield events
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -1,12 +1,12 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
+from frostpost.daemon.context import clock_ms, count
+from frostpost.daemon.core import lease_ok
+from frostpost.daemon.heart import ask
 from frostpost.http_api.reading import gather
 from frostpost.ledger.words import Drain
 from frostpost.placement.judge import Status
-from frostpost.daemon.context import count, nowMs
-from frostpost.daemon.core import leaseOk
-from frostpost.daemon.heart import ask
 
 
 class Report(Struct):
@@ -24,37 +24,37 @@
     try:
         response = yield ctx.agent.get(
             f"http://{runner.host}:{runner.port}/load",
-            timeout=ctx.settings.tending.loadMs / 1000,
+            timeout=ctx.settings.background.load_ms / 1000,
             unbuffered=True,
             reactor=ctx.reactor,
         )
-        raw = yield gather(response, ctx.settings.doors.verdictBytes)
+        raw = yield gather(response, ctx.settings.doors.verdict_bytes)
         report = json.decode(raw, type=Report)
     except Exception as fault:
-        status.faultMs, status.faults = nowMs(ctx), status.faults + 1
-        count(ctx, f"loadFault/{type(fault).__name__}")
+        status.fault_ms, status.faults = clock_ms(ctx), status.faults + 1
+        count(ctx, f"load_fault/{type(fault).__name__}")
         return
     if report.runner != runner.name or report.instance != runner.instance:
         status.instance = f"{report.runner}/{report.instance}"
         return
-    if status.faults and nowMs(ctx) - status.faultMs > ctx.settings.weights.restMs:
+    if status.faults and clock_ms(ctx) - status.fault_ms > ctx.settings.weights.rest_ms:
         status.faults = 0
     status.instance, status.load, status.room = report.instance, report.load, report.room
-    status.prefixes, status.heardMs = frozenset(report.prefixes), nowMs(ctx)
+    status.prefixes, status.heard_ms = frozenset(report.prefixes), clock_ms(ctx)
     status.leaving = report.leaving
-    if report.leaving and leaseOk(ctx.core, nowMs(ctx)):
+    if report.leaving and lease_ok(ctx.core, clock_ms(ctx)):
         key = f"{runner.name}/{runner.instance}"
-        if key not in ctx.core.granary.leaving:
-            ask(ctx, Drain(runner.name, True), ctx.settings.doors.askMs)
+        if key not in ctx.core.ledger.leaving:
+            ask(ctx, Drain(runner.name, True), ctx.settings.doors.ask_ms)
 
 
-def pollAll(ctx):
+def poll_all(ctx):
     if ctx.place.role != "edge" and not ctx.flights:
         return
-    listed = list(ctx.core.granary.runners.values())
+    listed = list(ctx.core.ledger.runners.values())
     names = {r.name for r in listed}
-    for gone in [n for n, s in ctx.statuses.items() if n not in names and not s.inFlight]:
+    for gone in [n for n, s in ctx.statuses.items() if n not in names and not s.in_flight]:
         del ctx.statuses[gone]
-    spaceS = ctx.settings.tending.loadMs / 1000 / max(1, len(listed))
+    space_s = ctx.settings.background.load_ms / 1000 / max(1, len(listed))
     for n, runner in enumerate(listed):
-        ctx.reactor.callLater(n * spaceS, poll, ctx, runner)
+        ctx.reactor.callLater(n * space_s, poll, ctx, runner)
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -1,15 +1,15 @@
 from msgspec import Raw, json, msgpack
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from frostpost.write_ahead_log import disk as furrows
-from frostpost.virtual_synchrony.state import majority
-from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
-from frostpost.daemon.context import nowMs
+from frostpost.daemon.context import clock_ms
 from frostpost.daemon.heart import tick
 from frostpost.daemon.news import say
 from frostpost.daemon.waiting import until
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import stamp
+from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.write_ahead_log import disk as write_ahead_logs
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(shelves.Store).decode
@@ -19,16 +19,16 @@
 class Bodies:
     __slots__ = ("write_ahead_log", "queue", "busy")
 
-    def __init__(self, furrow):
-        self.furrow, self.queue, self.busy = furrow, [], False
+    def __init__(self, write_ahead_log):
+        self.write_ahead_log, self.queue, self.busy = write_ahead_log, [], False
 
 
 def load(ctx, folder):
-    furrow, payloads, fault = furrows.open_(folder, "bodies", ctx.machine.files)
-    ctx.bodies = Bodies(furrow)
+    write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, "bodies", ctx.machine.files)
+    ctx.bodies = Bodies(write_ahead_log)
     for payload in payloads:
         store = decode(payload)
-        ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, nowMs(ctx))
+        ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
     return fault
 
 
@@ -42,8 +42,8 @@
 
 
 def publish(ctx):
-    ctx.core.hedge.news = news(ctx)
-    ctx.core.hedge.beatMs = -(1 << 40)
+    ctx.core.synchrony.news = news(ctx)
+    ctx.core.synchrony.beat_ms = -(1 << 40)
     ctx.reactor.callLater(0, tick, ctx)
 
 
@@ -52,7 +52,7 @@
         return
     if ctx.bodies is None:
         for store in stores:
-            ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, nowMs(ctx))
+            ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
         publish(ctx)
         honour(ctx)
         return
@@ -60,9 +60,9 @@
     flush(ctx)
 
 
-def write(furrow, payloads):
-    furrows.append(furrow, payloads)
-    furrows.sync(furrow)
+def write(write_ahead_log, payloads):
+    write_ahead_logs.append(write_ahead_log, payloads)
+    write_ahead_logs.sync(write_ahead_log)
 
 
 def flush(ctx):
@@ -75,7 +75,7 @@
     def done(_):
         bodies.busy = False
         for store, answer in batch:
-            ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, nowMs(ctx))
+            ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
             if answer is not None:
                 answer.callback(store.item)
         publish(ctx)
@@ -89,7 +89,7 @@
         bodies.queue = batch + bodies.queue
         ctx.reactor.callLater(1, flush, ctx)
 
-    ctx.machine.inThread(write, bodies.furrow, [encode(s) for s, _ in batch]).addCallbacks(done, failed)
+    ctx.machine.in_thread(write, bodies.write_ahead_log, [encode(s) for s, _ in batch]).addCallbacks(done, failed)
 
 
 def put(ctx, body):
@@ -107,12 +107,12 @@
 
 def spread(ctx, item):
     def held():
-        holders = {n for n, p in ctx.core.hedge.peers.items() if p.news.get(item.source, 0) >= item.number}
+        holders = {n for n, p in ctx.core.synchrony.peers.items() if p.news.get(item.source, 0) >= item.number}
         if ctx.shelf.vector.get(item.source, 0) >= item.number:
             holders.add(ctx.place.member.name)
-        return majority(ctx.core.granary.voters, holders)
+        return majority(ctx.core.ledger.voters, holders)
 
-    return until(ctx, held, ctx.settings.doors.ackMs)
+    return until(ctx, held, ctx.settings.doors.ack_ms)
 
 
 def received(ctx, frm, body):
@@ -120,13 +120,13 @@
         case NewsAsk():
             send(ctx, shelves.asked(ctx.shelf, frm, body))
         case NewsTell():
-            ctx.shelf, sends, stores = shelves.told(ctx.shelf, frm, body, nowMs(ctx))
+            ctx.shelf, sends, stores = shelves.told(ctx.shelf, frm, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
         case BodyAsk():
-            send(ctx, shelves.bodyAsked(ctx.shelf, frm, body))
+            send(ctx, shelves.body_asked(ctx.shelf, frm, body))
         case BodyPiece():
-            ctx.shelf, sends, stores = shelves.bodyPieced(ctx.shelf, frm, body, nowMs(ctx))
+            ctx.shelf, sends, stores = shelves.body_pieced(ctx.shelf, frm, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
 
@@ -135,7 +135,7 @@
     send(ctx, shelves.heard(ctx.shelf, frm, vector))
 
 
-def parseAll(bodies):
+def parse_all(bodies):
     return {path: (version, light(body)) for path, version, body in bodies}
 
 
@@ -144,11 +144,11 @@
     return {name: json.decode(part) for name, part in parts.items() if name != "notes"}
 
 
-def bodyOf(ctx, path):
-    return ctx.shelf.bodies[ctx.core.granary.configs[path].digest]
+def body_of(ctx, path):
+    return ctx.shelf.bodies[ctx.core.ledger.configs[path].digest]
 
 
-def stampAll(documents):
+def stamp_all(documents):
     lanes = {}
     for path, (version, tenant) in documents.items():
         if not path.startswith("tenants/"):
@@ -166,11 +166,11 @@
 
 @inlineCallbacks
 def honour(ctx):
-    granary = ctx.core.granary
-    if ctx.stamping or ctx.honoured >= granary.configIndex:
+    ledger = ctx.core.ledger
+    if ctx.stamping or ctx.honoured >= ledger.config_index:
         return
-    index = granary.configIndex
-    marks = {p: m for p, m in granary.configs.items() if m.digest}
+    index = ledger.config_index
+    marks = {p: m for p, m in ledger.configs.items() if m.digest}
     if any(m.digest not in ctx.shelf.bodies for m in marks.values()):
         return
     ctx.stamping = True
@@ -178,9 +178,9 @@
         documents = {p: d for p, d in ctx.documents.items() if p in marks and d[0] == marks[p].version}
         fresh = [(p, m.version, ctx.shelf.bodies[m.digest]) for p, m in marks.items() if p not in documents]
         big = sum(len(b) for _, _, b in fresh) > 262144
-        parsed = (yield ctx.machine.inThread(parseAll, fresh)) if big else parseAll(fresh)
+        parsed = (yield ctx.machine.in_thread(parse_all, fresh)) if big else parse_all(fresh)
         documents.update(parsed)
-        lanes = (yield ctx.machine.inThread(stampAll, documents)) if len(documents) > 20 else stampAll(documents)
+        lanes = (yield ctx.machine.in_thread(stamp_all, documents)) if len(documents) > 20 else stamp_all(documents)
         ctx.documents, ctx.lanes, ctx.honoured = documents, lanes, index
     finally:
         ctx.stamping = False
@@ -189,13 +189,13 @@
 
 
 def tidy(ctx):
-    now = nowMs(ctx)
-    if now - ctx.prunedMs < KEEP_MS // 10:
+    now = clock_ms(ctx)
+    if now - ctx.pruned_ms < KEEP_MS // 10:
         return
-    ctx.prunedMs = now
-    wanted = {m.digest for m in ctx.core.granary.configs.values()}
-    wanted |= {m.digest for marks in ctx.core.granary.past.values() for m in marks}
-    wanted |= {d for d, sinceMs in ctx.shelf.since.items() if now - sinceMs < KEEP_MS}
+    ctx.pruned_ms = now
+    wanted = {m.digest for m in ctx.core.ledger.configs.values()}
+    wanted |= {m.digest for marks in ctx.core.ledger.past.values() for m in marks}
+    wanted |= {d for d, since_ms in ctx.shelf.since.items() if now - since_ms < KEEP_MS}
     ctx.shelf, gone = shelves.prune(ctx.shelf, wanted)
     bodies = ctx.bodies
     if gone and bodies is not None and not bodies.busy and not bodies.queue:
@@ -206,4 +206,4 @@
             bodies.busy = False
             flush(ctx)
 
-        ctx.machine.inThread(furrows.rewrite, bodies.furrow, payloads).addBoth(done)
+        ctx.machine.in_thread(write_ahead_logs.rewrite, bodies.write_ahead_log, payloads).addBoth(done)
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -1,16 +1,16 @@
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
+from frostpost.daemon.heart import ask
 from frostpost.ledger import duties
 from frostpost.ledger.words import Tick
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
-from frostpost.daemon.heart import ask
 
 
-def tickLedger(ctx):
-    fence = duties.held(ctx.core.granary, "ticks", ctx.place.member)
-    now = nowMs(ctx)
-    if not fence or not leaseOk(ctx.core, now):
-        ctx.tickMs = 0
+def tick_ledger(ctx):
+    fence = duties.held(ctx.core.ledger, "ticks", ctx.place.member)
+    now = clock_ms(ctx)
+    if not fence or not lease_ok(ctx.core, now):
+        ctx.tick_ms = 0
         return
-    lastMs, ctx.tickMs = ctx.tickMs, now
-    if lastMs:
-        ask(ctx, Tick(fence, min(now - lastMs, 3 * ctx.settings.tending.tickMs)), ctx.settings.doors.askMs)
+    last_ms, ctx.tick_ms = ctx.tick_ms, now
+    if last_ms:
+        ask(ctx, Tick(fence, min(now - last_ms, 3 * ctx.settings.background.tick_ms)), ctx.settings.doors.ask_ms)
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -19,11 +19,11 @@
         say(type(result.error).__name__, path=result.error.path)
 
 
-def ring_seeds(house):
+def ring_seeds(replica):
     """A storage daemon reports to the seeds that its settings name now."""
-    if not house.waiting:
-        hedge = house.ctx.core.hedge
-        hedge.seeds = tuple(dict.fromkeys((*(f"@{s}" for s in house.settings.seeds), *hedge.seeds)))
+    if not replica.waiting:
+        synchrony = replica.ctx.core.synchrony
+        synchrony.seeds = tuple(dict.fromkeys((*(f"@{s}" for s in replica.settings.seeds), *synchrony.seeds)))
 
 
 def run(settings, front):
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.write_ahead_log import disk as furrows
 from frostpost.daemon.news import say
+from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from .context import now_ms
 
@@ -16,7 +16,7 @@
 class Founding(Struct):
     """waiting: storage daemons on empty disks at a first start, with when each was first heard."""
 
-    furrow: object = None
+    write_ahead_log: object = None
     waiting: dict[str, int] = {}
     writing: bool = False
 
@@ -25,14 +25,14 @@
     """Read the charter of this daemon's disk."""
     if not leaf.settings.data:
         return
-    furrow, payloads, fault = furrows.open_(leaf.settings.data, "charter", leaf.machine.files)
+    write_ahead_log, payloads, fault = write_ahead_logs.open_(leaf.settings.data, "charter", leaf.machine.files)
     if fault:
         say(type(fault).__name__, path=fault.path, offset=fault.offset)
-    if isinstance(fault, furrows.Corrupt):
+    if isinstance(fault, write_ahead_logs.Corrupt):
         return
     if payloads:
         leaf.charter = tuple(decode(payloads[-1]))
-    leaf.extras["founding"] = Founding(furrow)
+    leaf.extras["founding"] = Founding(write_ahead_log)
 
 
 def founder(leaf):
@@ -60,12 +60,14 @@
     if few and now_ms(leaf) - min(waiting.values()) < FEW_MS:
         return
     names, founding.writing = tuple(sorted(waiting)), True
-    leaf.machine.inThread(write, founding.furrow, names).addCallbacks(written, failed, (leaf, names), None, (leaf,))
+    leaf.machine.in_thread(write, founding.write_ahead_log, names).addCallbacks(
+        written, failed, (leaf, names), None, (leaf,)
+    )
 
 
-def write(furrow, names):
-    furrows.append(furrow, [encode(names)] * COPIES)
-    furrows.sync(furrow)
+def write(write_ahead_log, names):
+    write_ahead_logs.append(write_ahead_log, [encode(names)] * COPIES)
+    write_ahead_logs.sync(write_ahead_log)
 
 
 def written(_, leaf, names):
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -2,15 +2,15 @@
 
 from twisted.internet.task import LoopingCall
 
-from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
-from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 from frostpost.daemon.links import listen, sender
 from frostpost.daemon.news import say
 from frostpost.daemon.waiting import until
-from frostpost.turn_store import client as silo_client
+from frostpost.turn_store import client as turn_store_client
+from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
+from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 
 from . import asking, founding, lease, peers, status
-from .context import Leaf, now_ms
+from .context import Leaf
 
 RING = "storage"
 TEND_S = 0.05
@@ -49,7 +49,7 @@
         case RoutingTell():
             lease.routed(leaf, body)
         case SiloDone() | SiloGot():
-            silo_client.received(leaf, place.member.name, body)
+            turn_store_client.received(leaf, place.member.name, body)
         case Directory():
             lease.directed(leaf, body.places)
             if place.role == RING and not lease.lease_ok(leaf):
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.outer import Hello, Renew, RoutingAsk
 from frostpost.daemon.news import say
+from frostpost.virtual_synchrony.outer import Hello, Renew, RoutingAsk
 
 from .context import count, now_ms
 
--- a/frostpost/cluster/peers.py
+++ b/frostpost/cluster/peers.py
@@ -2,20 +2,20 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.state import names
+from frostpost.write_ahead_log import disk as write_ahead_logs
 
 
 class Peers(Struct):
-    furrow: object
+    write_ahead_log: object
     machine: object
     addresses: tuple[str, ...] = ()
     writing: bool = False
 
 
 def open_(folder, machine, name="peers"):
-    furrow, payloads, _ = furrows.open_(folder, name, machine.files)
-    return Peers(furrow, machine, tuple(msgpack.decode(payloads[-1])) if payloads else ())
+    write_ahead_log, payloads, _ = write_ahead_logs.open_(folder, name, machine.files)
+    return Peers(write_ahead_log, machine, tuple(msgpack.decode(payloads[-1])) if payloads else ())
 
 
 def known(peers):
@@ -23,11 +23,11 @@
     return peers.addresses
 
 
-def keep(peers, hedge):
+def keep(peers, synchrony):
     """Called now and then: what the open primary's members are, if that changed."""
-    if peers.writing or not hedge.primary.opened or hedge.recovery:
+    if peers.writing or not synchrony.primary.opened or synchrony.recovery:
         return
-    others = [hedge.peers[n].place for n in names(hedge.configuration) if n in hedge.peers]
+    others = [synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers]
     keep_addresses(peers, [f"{p.host}:{p.port}" for p in others])
 
 
@@ -36,7 +36,7 @@
     if peers.writing or addresses == peers.addresses or not addresses:
         return
     peers.writing = True
-    job = peers.machine.inThread(furrows.rewrite, peers.furrow, [msgpack.encode(addresses)])
+    job = peers.machine.in_thread(write_ahead_logs.rewrite, peers.write_ahead_log, [msgpack.encode(addresses)])
     job.addCallbacks(kept, failed, (peers, addresses), None, (peers,))
 
 
--- /dev/null
+++ b/frostpost/cluster/replica.py
@@ -0,0 +1,75 @@
+"""What a replica (a storage daemon) holds beside its context, and the product's settings made for it."""
+
+from msgspec import Struct
+
+from frostpost.daemon.settings import Settings
+from frostpost.daemon.settings import VoterChanges as Pace
+from frostpost.virtual_synchrony.state import Bounds
+
+from . import serving, tenders
+
+LOG_ENTRIES = 20000
+WINDOW = 2048
+ROLE = "storage"
+
+
+class Replica:
+    """What a storage daemon holds beside its context."""
+
+    __slots__ = (
+        "ctx",
+        "settings",
+        "sessions",
+        "background",
+        "turn_store",
+        "reactor",
+        "machine",
+        "send",
+        "records",
+        "waiting",
+        "charter",
+        "tasks",
+        "stop",
+        "peers",
+        "leaves",
+        "greeted",
+    )
+
+    def __init__(self, ctx, settings, stop):
+        self.ctx, self.settings, self.stop = ctx, settings, stop
+        self.sessions, self.background = serving.Sessions(), tenders.VoterChanges()
+        self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
+        self.turn_store, self.send, self.records, self.waiting, self.charter = None, None, [], True, ()
+
+
+class Crash(Struct):
+    """Stands where a daemon's life is asked to end at once."""
+
+    stop: object
+
+    def crash(self):
+        self.stop(70)
+
+
+def ring_settings(settings):
+    """The product's settings of a ring daemon."""
+    bounds = Bounds(
+        detect_ms=settings.detect_ms,
+        proposal_ms=settings.detect_ms,
+        lease_ms=settings.lease_ms,
+        window=WINDOW,
+        rewrite_entries=LOG_ENTRIES,
+    )
+    return Settings(
+        settings.name,
+        ROLE,
+        settings.zone,
+        settings.host,
+        settings.port,
+        0,
+        list(settings.seeds),
+        [],
+        settings.data,
+        bounds=bounds,
+        background=Pace(tick_ms=settings.tick_ms),
+    )
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -2,12 +2,12 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from frostpost.ledger.apply import decodeOp
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.heart import ask
+from frostpost.ledger.apply import decode_op
 from frostpost.virtual_synchrony.outer import AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, Told
 from frostpost.virtual_synchrony.state import names, sequencer
-from frostpost.virtual_synchrony.watch import leaseLeftMs
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.heart import ask
+from frostpost.virtual_synchrony.watch import lease_remaining_ms
 
 ASK_MS = 5000
 GRACE_RATIO = 0.5
@@ -36,21 +36,21 @@
 
 
 def sequencing(ctx):
-    hedge = ctx.core.hedge
-    return hedge.primary.opened and not hedge.recovery and sequencer(hedge) == hedge.name
+    synchrony = ctx.core.synchrony
+    return synchrony.primary.opened and not synchrony.recovery and sequencer(synchrony) == synchrony.name
 
 
 def voters_of(ctx):
-    hedge = ctx.core.hedge
-    return ctx.core.granary.voters or hedge.voters or hedge.voters0
+    synchrony = ctx.core.synchrony
+    return ctx.core.ledger.voters or synchrony.voters or synchrony.voters0
 
 
 def renewed(ctx, sessions, place, message):
     """A leaf renews its lease; -> the Grant."""
-    hedge, now = ctx.core.hedge, nowMs(ctx)
+    synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not sequencing(ctx):
-        return Grant(message.sent_ms, 0, sequencer(hedge) if hedge.primary.opened else "")
-    held = ctx.core.granary.coppice.routing_version
+        return Grant(message.sent_ms, 0, sequencer(synchrony) if synchrony.primary.opened else "")
+    held = ctx.core.ledger.program_ledger.routing_version
     follow(ctx, sessions)
     seen = sessions.leaves.get(place.member.name)
     address = f"@{place.host}:{place.port}"
@@ -58,22 +58,26 @@
         seen = LeafSeen(address, place.member.boot, message.version, now - 1)
         sessions.leaves[place.member.name] = seen
     seen.address, seen.version = address, max(seen.version, message.version)
-    left_ms = leaseLeftMs(hedge, now)
-    graced = seen.until_ms > now and now - sessions.version_ms <= hedge.bounds.leaseMs * GRACE_RATIO
+    left_ms = lease_remaining_ms(synchrony, now)
+    graced = seen.until_ms > now and now - sessions.version_ms <= synchrony.bounds.lease_ms * GRACE_RATIO
     lease_ms = left_ms if seen.version >= held or graced else 0
     seen.until_ms = max(seen.until_ms, now + lease_ms)
-    epoch = hedge.configuration.id.epoch
+    epoch = synchrony.configuration.id.epoch
     places = (
         ()
         if message.epoch == epoch
         else tuple(
-            p for p in (hedge.place, *(hedge.peers[n].place for n in names(hedge.configuration) if n in hedge.peers))
+            p
+            for p in (
+                synchrony.place,
+                *(synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers),
+            )
         )
     )
     return Grant(
         message.sent_ms,
         lease_ms,
-        hedge.name,
+        synchrony.name,
         tuple(voters_of(ctx)),
         held,
         honoured(ctx, sessions),
@@ -100,23 +104,25 @@
 
 def follow(ctx, sessions):
     """Spread a routing that has just come in force to all leaves."""
-    coppice = ctx.core.granary.coppice
-    if coppice.routing_version == sessions.version:
+    program_ledger = ctx.core.ledger.program_ledger
+    if program_ledger.routing_version == sessions.version:
         return
-    sessions.version, sessions.version_ms = coppice.routing_version, nowMs(ctx)
+    sessions.version, sessions.version_ms = program_ledger.routing_version, clock_ms(ctx)
     if sequencing(ctx):
         for seen in sessions.leaves.values():
-            if seen.until_ms > nowMs(ctx):
-                ctx.links["send"](seen.address, RoutingTell(coppice.routing_version, coppice.routing_body))
+            if seen.until_ms > clock_ms(ctx):
+                ctx.links["send"](
+                    seen.address, RoutingTell(program_ledger.routing_version, program_ledger.routing_body)
+                )
 
 
 def honoured(ctx, sessions):
     """The newest version that every leaf with a running lease honours; older sequencers' leases are waited out."""
-    hedge, now = ctx.core.hedge, nowMs(ctx)
-    if now - hedge.installedMs < hedge.bounds.leaseMs:
+    synchrony, now = ctx.core.synchrony, clock_ms(ctx)
+    if now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return 0
     running = [s.version for s in sessions.leaves.values() if s.until_ms > now]
-    return min([ctx.core.granary.coppice.routing_version, *running])
+    return min([ctx.core.ledger.program_ledger.routing_version, *running])
 
 
 def received(ctx, sessions, place, body):
@@ -128,12 +134,12 @@
         case AskRing():
             asked(ctx, sessions, address, body)
         case RoutingAsk():
-            coppice = ctx.core.granary.coppice
-            if coppice.routing_version > body.version:
-                ctx.links["send"](address, RoutingTell(coppice.routing_version, coppice.routing_body))
+            program_ledger = ctx.core.ledger.program_ledger
+            if program_ledger.routing_version > body.version:
+                ctx.links["send"](address, RoutingTell(program_ledger.routing_version, program_ledger.routing_body))
         case Hello():
-            hedge = ctx.core.hedge
-            places = (hedge.place, *(p.place for p in hedge.peers.values()))
+            synchrony = ctx.core.synchrony
+            places = (synchrony.place, *(p.place for p in synchrony.peers.values()))
             ctx.links["send"](address, Directory(places))
         case _:
             return False
@@ -145,7 +151,7 @@
     if mark in sessions.working:
         return
     try:
-        op = decodeOp(message.payload)
+        op = decode_op(message.payload)
     except DecodeError:
         ctx.links["send"](address, Told(message.boot, message.number, b"", "Unreadable"))
         return
--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -1,6 +1,6 @@
 """What a daemon is told at its start, and the front that it is handed; both free of any wire's names."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from msgspec import Struct
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -2,12 +2,12 @@
 
 from msgspec import json
 
-from frostpost.virtual_synchrony.outer import Directory, Hello, StatusAsk, StatusTell
-from frostpost.virtual_synchrony.state import names, sequencer
-from frostpost.virtual_synchrony.watch import leaseLeftMs
-from frostpost.daemon.context import nowMs
+from frostpost.daemon.context import clock_ms
 from frostpost.daemon.links import sender
 from frostpost.turn_store.store import used_bytes
+from frostpost.virtual_synchrony.outer import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.state import names, sequencer
+from frostpost.virtual_synchrony.watch import lease_remaining_ms
 
 from . import serving
 from .context import now_ms
@@ -38,14 +38,14 @@
     )
 
 
-def ring_answered(house, place, body):
-    return answered(house.ctx, place, body, lambda: ring_facts(house), lambda: Directory(ring_places(house.ctx)))
+def ring_answered(replica, place, body):
+    return answered(replica.ctx, place, body, lambda: ring_facts(replica), lambda: Directory(ring_places(replica.ctx)))
 
 
 def ring_places(ctx):
     if ctx.core is None:
         return (ctx.place,)
-    return (ctx.place, *(peer.place for peer in ctx.core.hedge.peers.values()))
+    return (ctx.place, *(peer.place for peer in ctx.core.synchrony.peers.values()))
 
 
 def common(place, uptime_ms, counts):
@@ -87,48 +87,48 @@
     }
 
 
-def ring_facts(house):
-    ctx = house.ctx
-    facts = common(ctx.place, nowMs(ctx) - ctx.startedMs, ctx.counts) | {
-        "charter_waiting": house.waiting,
-        "charter": list(house.charter),
-        "tolerated": house.settings.tolerated,
+def ring_facts(replica):
+    ctx = replica.ctx
+    facts = common(ctx.place, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
+        "charter_waiting": replica.waiting,
+        "charter": list(replica.charter),
+        "tolerated": replica.settings.tolerated,
         "disk_unwell": bool(ctx.disk.unwell),
         "turn_store": {
-            "bodies": len(house.silo.index),
-            "missing": house.silo.missing,
-            "bytes": used_bytes(house.silo),
-            "lost": house.silo.lost,
+            "bodies": len(replica.turn_store.index),
+            "missing": replica.turn_store.missing,
+            "bytes": used_bytes(replica.turn_store),
+            "lost": replica.turn_store.lost,
         },
     }
-    return facts if ctx.core is None else facts | core_facts(ctx, house.sessions)
+    return facts if ctx.core is None else facts | core_facts(ctx, replica.sessions)
 
 
 def core_facts(ctx, sessions):
-    hedge, granary, now = ctx.core.hedge, ctx.core.granary, nowMs(ctx)
-    coppice, id = granary.coppice, hedge.configuration.id
+    synchrony, ledger, now = ctx.core.synchrony, ctx.core.ledger, clock_ms(ctx)
+    program_ledger, id = ledger.program_ledger, synchrony.configuration.id
     return {
         "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.boot},
-        "members": names(hedge.configuration),
-        "sequencer": sequencer(hedge),
+        "members": names(synchrony.configuration),
+        "sequencer": sequencer(synchrony),
         "sequencing": serving.sequencing(ctx),
-        "primary_opened": hedge.primary.opened,
-        "recovering": hedge.recovery is not None,
-        "refilled": hedge.primary.ready,
-        "lease_left_ms": leaseLeftMs(hedge, now),
+        "primary_opened": synchrony.primary.opened,
+        "recovering": synchrony.recovery is not None,
+        "refilled": synchrony.primary.ready,
+        "lease_left_ms": lease_remaining_ms(synchrony, now),
         "voters": list(serving.voters_of(ctx)),
-        "applied": hedge.applied,
-        "log_length": hedge.log.length,
-        "disk_unwell": bool(ctx.disk.unwell or hedge.unwell),
+        "applied": synchrony.applied,
+        "log_length": synchrony.log.length,
+        "disk_unwell": bool(ctx.disk.unwell or synchrony.unwell),
         "ledger": {
-            "turns": len(coppice.turns),
-            "attempts": len(coppice.attempts),
-            "accounts": len(coppice.accounts),
-            "keys": len(coppice.keys),
+            "turns": len(program_ledger.turns),
+            "attempts": len(program_ledger.attempts),
+            "accounts": len(program_ledger.accounts),
+            "keys": len(program_ledger.keys),
         },
-        "routing": {"version": coppice.routing_version, "honoured": serving.honoured(ctx, sessions)},
-        "retiring": dict(coppice.retiring),
-        "ring_counts": dict(hedge.counts),
+        "routing": {"version": program_ledger.routing_version, "honoured": serving.honoured(ctx, sessions)},
+        "retiring": dict(program_ledger.retiring),
+        "ring_counts": dict(synchrony.counts),
         "leaves": {
             name: {
                 "address": seen.address.removeprefix("@"),
--- a/frostpost/daemon/assembly.py
+++ b/frostpost/daemon/assembly.py
@@ -2,26 +2,27 @@
 from twisted.internet.endpoints import TCP4ServerEndpoint
 from twisted.internet.task import LoopingCall
 
+from frostpost.background import shelves
+from frostpost.background.calendars import calendars
+from frostpost.background.listing import list_
+from frostpost.background.runners import poll_all
+from frostpost.background.ticking import tick_ledger
 from frostpost.http_api.app import build
 from frostpost.http_api.carry import agent
 from frostpost.http_api.lookups import wake
+from frostpost.tenant_config.shelf import Shelf
 from frostpost.virtual_synchrony.memory import replay
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
-from frostpost.background import shelves
-from frostpost.background.calendars import calendars
-from frostpost.background.listing import list_
-from frostpost.background.runners import pollAll
-from frostpost.background.ticking import tickLedger
-from frostpost.tenant_config.shelf import Shelf
+
 from . import disk as disks
-from .context import Context, nowMs
+from .context import Context, clock_ms
 from .core import begin
 from .heart import TICK_MS, beat
 from .links import listen, sender
 from .news import say
 
 
-def readHooks(ctx):
+def read_hooks(ctx):
     if not ctx.settings.hooks:
         return
     try:
@@ -32,19 +33,19 @@
 
 
 def loops(ctx):
-    tending = ctx.settings.tending
+    background = ctx.settings.background
     jobs = (
         (beat, TICK_MS / 1000),
         (lambda c: c.disk.watch(), 0.1),
-        (readHooks, 0.1),
-        (pollAll, tending.loadMs / 1000),
-        (list_, tending.listMs / 4000),
-        (tickLedger, tending.tickMs / 1000),
-        (calendars, tending.calendarMs / 1000),
+        (read_hooks, 0.1),
+        (poll_all, background.load_ms / 1000),
+        (list_, background.list_ms / 4000),
+        (tick_ledger, background.tick_ms / 1000),
+        (calendars, background.calendar_ms / 1000),
         (shelves.honour, 0.1),
         (shelves.tidy, 30.0),
     )
-    for job, everyS in jobs:
+    for job, every_s in jobs:
         loop = LoopingCall(job, ctx)
         loop.clock = ctx.reactor
 
@@ -57,7 +58,7 @@
             )
             ctx.life.crash()
 
-        loop.start(everyS, now=True).addErrback(broken)
+        loop.start(every_s, now=True).addErrback(broken)
         ctx.tasks.append(loop)
 
 
@@ -69,15 +70,15 @@
         settings.cell,
         settings.host,
         settings.port,
-        settings.httpPort,
+        settings.http_port,
         SPEAKS,
     )
     ctx = Context(settings, reactor, place, machine)
     ctx.shelf = Shelf(f"{settings.name}.{boot}")
     records, ctx.disk = [], disks.Diskless()
     if settings.role == "storage":
-        furrow, records, fault = disks.open_(settings.data, machine.files)
-        ctx.disk = disks.Keeper(ctx, furrow)
+        write_ahead_log, records, fault = disks.open_(settings.data, machine.files)
+        ctx.disk = disks.Keeper(ctx, write_ahead_log)
         fault = shelves.load(ctx, settings.data) or fault
         if fault:
             ctx.corrupt = f"{type(fault).__name__} at {fault.offset} in {fault.path}"
@@ -85,7 +86,7 @@
 
     def applied():
         wake(ctx)
-        if ctx.honoured < ctx.core.granary.configIndex:
+        if ctx.honoured < ctx.core.ledger.config_index:
             reactor.callLater(0, shelves.honour, ctx)
 
     ctx.links = {
@@ -96,8 +97,8 @@
     }
     ctx.agent = agent(ctx)[1]
     seeds = [f"@{s}" for s in settings.seeds]
-    ctx.core, out = begin(place, settings.bounds, seeds, settings.voters, replay(records), nowMs(ctx))
-    ctx.core.hedge.news = shelves.news(ctx)
+    ctx.core, out = begin(place, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
+    ctx.core.synchrony.news = shelves.news(ctx)
     ctx.disk.write(out.writes)
     return ctx, build(ctx)
 
@@ -108,9 +109,9 @@
         loops(ctx)
         ctx.life.started()
 
-    def listenHttp(_):
-        return TCP4ServerEndpoint(ctx.reactor, ctx.settings.httpPort, interface=ctx.settings.host, backlog=512).listen(
+    def listen_http(_):
+        return TCP4ServerEndpoint(ctx.reactor, ctx.settings.http_port, interface=ctx.settings.host, backlog=512).listen(
             site
         )
 
-    return listen(ctx).addCallback(listenHttp).addCallbacks(up, fallen)
+    return listen(ctx).addCallback(listen_http).addCallbacks(up, fallen)
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -1,4 +1,5 @@
 from collections import deque
+
 from .machine import Machine
 
 
@@ -21,7 +22,7 @@
         "statuses",
         "flights",
         "leaving",
-        "keyWaiters",
+        "key_waiters",
         "counts",
         "bodies",
         "tasks",
@@ -29,17 +30,17 @@
         "agent",
         "retries",
         "life",
-        "listMs",
-        "tickMs",
+        "list_ms",
+        "tick_ms",
         "documents",
-        "startedMs",
+        "started_ms",
         "corrupt",
-        "prunedMs",
-        "needConfig",
+        "pruned_ms",
+        "need_config",
         "stamping",
-        "listedMs",
-        "lagMs",
-        "tickedMs",
+        "listed_ms",
+        "lag_ms",
+        "ticked_ms",
         "calls",
         "channels",
     )
@@ -50,15 +51,15 @@
         self.inputs, self.asking, self.tasks = deque(), deque(), []
         self.stepping = self.leaving = self.stamping = False
         self.waiters, self.links, self.lanes, self.statuses = {}, {}, {}, {}
-        self.keyWaiters, self.counts, self.hook, self.documents = {}, {}, {}, {}
-        self.honoured = self.needConfig = self.flights = self.calls = 0
+        self.key_waiters, self.counts, self.hook, self.documents = {}, {}, {}, {}
+        self.honoured = self.need_config = self.flights = self.calls = 0
         self.channels = {}
-        self.listMs = self.tickMs = self.prunedMs = self.listedMs = 0
-        self.retries, self.lagMs, self.corrupt = 10.0, 0.0, None
-        self.startedMs = self.tickedMs = nowMs(self)
+        self.list_ms = self.tick_ms = self.pruned_ms = self.listed_ms = 0
+        self.retries, self.lag_ms, self.corrupt = 10.0, 0.0, None
+        self.started_ms = self.ticked_ms = clock_ms(self)
 
 
-def nowMs(ctx):
+def clock_ms(ctx):
     return int(ctx.machine.seconds() * 1000)
 
 
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -3,12 +3,11 @@
 from msgspec import Struct
 
 from frostpost.ledger import duties
-from frostpost.ledger.apply import apply, decodeState, encode
-from frostpost.ledger.state import Granary
+from frostpost.ledger.apply import apply, decode_state, encode
+from frostpost.ledger.state import Ledger
 from frostpost.ledger.words import Ballot, Rules, Verdict
-from frostpost.virtual_synchrony import state as hedges
+from frostpost.virtual_synchrony import state as synchronies
 from frostpost.virtual_synchrony import watch
-from frostpost.virtual_synchrony.step import step as hedgeStep
 from frostpost.virtual_synchrony.events import (
     Appended,
     Applied,
@@ -23,6 +22,7 @@
     Snapshot,
     SnapshotAsked,
 )
+from frostpost.virtual_synchrony.step import step as synchrony_step
 from frostpost.virtual_synchrony.words import SPEAKS, Piece
 
 
@@ -32,94 +32,94 @@
 
 
 class Core(Struct):
-    hedge: hedges.Hedge
-    granary: Granary
+    synchrony: synchronies.Synchrony
+    ledger: Ledger
     cached: bytes = b""
-    cachedIndex: int = -1
+    cached_index: int = -1
     balloted: dict[str, int] = {}
     ruled: object = None
 
 
-def begin(place, bounds, seeds, voters, log, nowMs):
-    hedge, out = hedges.begin(place, bounds, seeds, voters, log, nowMs)
-    granary = decodeState(log.snapshot) if log.snapshot else Granary()
+def begin(place, bounds, seeds, voters, log, now_ms):
+    synchrony, out = synchronies.begin(place, bounds, seeds, voters, log, now_ms)
+    ledger = decode_state(log.snapshot) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.settled - log.start)]:
-        granary, _ = apply(granary, entry)
+        ledger, _ = apply(ledger, entry)
     log.snapshot = b""
-    log.voters = granary.voters or log.voters
-    return Core(hedge, granary), out
+    log.voters = ledger.voters or log.voters
+    return Core(synchrony, ledger), out
 
 
 def step(core, input):
-    _, out = hedgeStep(core.hedge, input)
-    told = settleAnswers(core, out)
+    _, out = synchrony_step(core.synchrony, input)
+    told = settle_answers(core, out)
     while asks := ballots(core):
         for payload in asks:
-            _, more = hedgeStep(core.hedge, Asked(input.nowMs, payload))
+            _, more = synchrony_step(core.synchrony, Asked(input.now_ms, payload))
             out.sends += more.sends
             out.writes += more.writes
-            told += [a for a in settleAnswers(core, more) if not isinstance(a, (Numbered, Overfull))]
+            told += [a for a in settle_answers(core, more) if not isinstance(a, (Numbered, Overfull))]
     follow(core)
     rewrite(core, out)
     return core, Out(out.sends, out.writes, told)
 
 
-def settleAnswers(core, out):
+def settle_answers(core, out):
     told = []
     for answer in out.answers:
         match answer:
             case Applied(entry):
-                core.granary, verdict = apply(core.granary, entry)
-                if entry.sender == core.hedge.me and entry.number:
+                core.ledger, verdict = apply(core.ledger, entry)
+                if entry.sender == core.synchrony.me and entry.number:
                     told.append(Decided(entry.number, verdict))
                 told.append(answer)
             case Filled(_, state):
-                core.granary = decodeState(state)
+                core.ledger = decode_state(state)
                 told += forgotten(core)
                 told.append(answer)
             case SnapshotAsked():
-                sendPiece(core, out, answer)
+                send_piece(core, out, answer)
             case _:
                 told.append(answer)
     return told
 
 
 def follow(core):
-    voters, hedge = core.granary.voters, core.hedge
-    if voters and voters != hedge.voters:
-        hedge.voters = hedge.log.voters = voters
-    if hedge.primary.opened and hedge.primary.voters != voters:
-        hedge.primary.voters, hedge.primary.coming = voters, ()
-    elif hedge.primary.opened and hedge.primary.coming:
-        hedge.primary.coming = ()
+    voters, synchrony = core.ledger.voters, core.synchrony
+    if voters and voters != synchrony.voters:
+        synchrony.voters = synchrony.log.voters = voters
+    if synchrony.primary.opened and synchrony.primary.voters != voters:
+        synchrony.primary.voters, synchrony.primary.coming = voters, ()
+    elif synchrony.primary.opened and synchrony.primary.coming:
+        synchrony.primary.coming = ()
 
 
 def forgotten(core):
-    boot, number = core.granary.sessions.get(core.hedge.name, (0, 0))
-    if boot != core.hedge.me.boot:
+    boot, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
+    if boot != core.synchrony.me.boot:
         return []
-    gone = [n for n in core.hedge.outbox if n <= number]
+    gone = [n for n in core.synchrony.outbox if n <= number]
     for n in gone:
-        del core.hedge.outbox[n]
+        del core.synchrony.outbox[n]
     return [Decided(n, None) for n in gone]
 
 
-def sendPiece(core, out, asked):
-    hedge = core.hedge
-    if core.cachedIndex < hedge.log.start or not asked.offset and core.cachedIndex < hedge.applied:
-        core.cached, core.cachedIndex = encode(core.granary), hedge.applied
-    data = core.cached[asked.offset : asked.offset + hedge.bounds.pieceBytes]
+def send_piece(core, out, asked):
+    synchrony = core.synchrony
+    if core.cached_index < synchrony.log.start or not asked.offset and core.cached_index < synchrony.applied:
+        core.cached, core.cached_index = encode(core.ledger), synchrony.applied
+    data = core.cached[asked.offset : asked.offset + synchrony.bounds.piece_bytes]
     digest = blake2b(core.cached, digest_size=16).hexdigest()
-    out.sends.append((asked.to, Piece(asked.id, core.cachedIndex, asked.offset, len(core.cached), digest, data)))
+    out.sends.append((asked.to, Piece(asked.id, core.cached_index, asked.offset, len(core.cached), digest, data)))
 
 
 def ballots(core):
-    hedge, granary = core.hedge, core.granary
-    if not hedge.primary.opened or hedge.recovery or hedge.leaving:
+    synchrony, ledger = core.synchrony, core.ledger
+    if not synchrony.primary.opened or synchrony.recovery or synchrony.leaving:
         return []
     asks = []
-    for duty, round, candidate in duties.owed(granary, hedge.me):
-        mark = (hedge.configuration.id.epoch << 20) + round
+    for duty, round, candidate in duties.owed(ledger, synchrony.me):
+        mark = (synchrony.configuration.id.epoch << 20) + round
         if core.balloted.get(duty) != mark:
             core.balloted[duty] = mark
             asks.append(encode(Ballot(duty, round, candidate)))
@@ -127,32 +127,36 @@
 
 
 def rules(core):
-    hedge, granary = core.hedge, core.granary
-    if granary.rules >= SPEAKS or core.ruled == hedge.configuration.id or not duties.held(granary, "ticks", hedge.me):
+    synchrony, ledger = core.synchrony, core.ledger
+    if (
+        ledger.rules >= SPEAKS
+        or core.ruled == synchrony.configuration.id
+        or not duties.held(ledger, "ticks", synchrony.me)
+    ):
         return []
-    places = {p.place.member: p.place for p in hedge.peers.values()} | {hedge.me: hedge.place}
-    if any(m not in places or places[m].speaks < SPEAKS for m in hedge.configuration.members):
+    places = {p.place.member: p.place for p in synchrony.peers.values()} | {synchrony.me: synchrony.place}
+    if any(m not in places or places[m].speaks < SPEAKS for m in synchrony.configuration.members):
         return []
-    core.ruled = hedge.configuration.id
+    core.ruled = synchrony.configuration.id
     return [encode(Rules(SPEAKS))]
 
 
 def rewrite(core, out):
-    hedge, log = core.hedge, core.hedge.log
-    settled = hedge.applied - log.start
-    if not hedge.storage or not hedge.primary.ready or settled < hedge.bounds.rewriteEntries:
+    synchrony, log = core.synchrony, core.synchrony.log
+    settled = synchrony.applied - log.start
+    if not synchrony.storage or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
         return
-    if hedge.recovery or log.length < hedge.applied:
+    if synchrony.recovery or log.length < synchrony.applied:
         return
     tail = log.entries[settled:]
-    log.start, log.entries, log.settled = hedge.applied, tail, hedge.applied
-    hedge.wrote += 1
-    hedges.count(hedge, "rewrites")
+    log.start, log.entries, log.settled = synchrony.applied, tail, synchrony.applied
+    synchrony.wrote += 1
+    synchronies.count(synchrony, "rewrites")
     out.writes.append(
         Rewrite(
             (
-                Booted(hedge.me.boot, log.epoch),
-                Snapshot(log.start, encode(core.granary)),
+                Booted(synchrony.me.boot, log.epoch),
+                Snapshot(log.start, encode(core.ledger)),
                 Installed(log.primary, log.base, log.voters),
                 *(Appended(e, log.start) for e in tail),
             )
@@ -160,5 +164,5 @@
     )
 
 
-def leaseOk(core, nowMs):
-    return watch.leaseOk(core.hedge, nowMs)
+def lease_ok(core, now_ms):
+    return watch.lease_ok(core.synchrony, now_ms)
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -1,8 +1,9 @@
 from msgspec import msgpack
 
-from frostpost.write_ahead_log import disk as furrows
 from frostpost.virtual_synchrony.events import Probe, Record, Rewrite, Stalled, Synced
-from .context import count, nowMs
+from frostpost.write_ahead_log import disk as write_ahead_logs
+
+from .context import clock_ms, count
 from .news import say
 
 encode = msgpack.Encoder().encode
@@ -10,46 +11,46 @@
 
 
 class Keeper:
-    __slots__ = ("ctx", "write_ahead_log", "queue", "upTo", "busy", "sinceMs", "unwell", "good", "probes", "syncs")
+    __slots__ = ("ctx", "write_ahead_log", "queue", "up_to", "busy", "since_ms", "unwell", "good", "probes", "syncs")
 
-    def __init__(self, ctx, furrow):
-        self.ctx, self.furrow, self.queue = ctx, furrow, []
-        self.upTo, self.busy, self.unwell, self.good, self.probes, self.syncs = 0, False, False, 0, 0, 0
-        self.sinceMs = 0
+    def __init__(self, ctx, write_ahead_log):
+        self.ctx, self.write_ahead_log, self.queue = ctx, write_ahead_log, []
+        self.up_to, self.busy, self.unwell, self.good, self.probes, self.syncs = 0, False, False, 0, 0, 0
+        self.since_ms = 0
 
     def write(self, writes):
         self.queue += writes
-        self.upTo += len(writes)
+        self.up_to += len(writes)
         self.next()
 
     def next(self):
         if self.busy or not self.queue:
             return
         batch, self.queue = self.queue, []
-        self.busy, self.sinceMs = True, nowMs(self.ctx)
-        delayMs = self.ctx.hook.get("syncDelayMs", 0)
-        self.ctx.machine.inThread(store, self.ctx.machine, self.furrow, batch, delayMs).addCallbacks(
-            self.done, self.failed, callbackArgs=(self.upTo,), errbackArgs=(batch,)
+        self.busy, self.since_ms = True, clock_ms(self.ctx)
+        delay_ms = self.ctx.hook.get("sync_delay_ms", 0)
+        self.ctx.machine.in_thread(store, self.ctx.machine, self.write_ahead_log, batch, delay_ms).addCallbacks(
+            self.done, self.failed, callbackArgs=(self.up_to,), errbackArgs=(batch,)
         )
 
-    def done(self, _, upTo):
+    def done(self, _, up_to):
         self.busy = False
         self.syncs += 1
-        slow = nowMs(self.ctx) - self.sinceMs > self.ctx.core.hedge.bounds.detectMs
+        slow = clock_ms(self.ctx) - self.since_ms > self.ctx.core.synchrony.bounds.detect_ms
         self.good = 0 if slow else self.good + 1
         from .heart import feed
 
-        feed(self.ctx, Synced(nowMs(self.ctx), upTo))
+        feed(self.ctx, Synced(clock_ms(self.ctx), up_to))
         if self.unwell and self.good >= 3:
             self.turn(False)
         self.next()
 
     def failed(self, failure, batch):
         self.busy, self.good = False, 0
-        count(self.ctx, "diskFaults")
+        count(self.ctx, "disk_faults")
         say("DiskFault", type=failure.type.__name__)
         self.queue = batch + self.queue
-        if failure.check(furrows.SyncLost):
+        if failure.check(write_ahead_logs.SyncLost):
             self.ctx.life.crash()
             return
         self.turn(True)
@@ -60,10 +61,10 @@
             say("DiskUnwell" if unwell else "DiskWell")
             from .heart import feed
 
-            feed(self.ctx, Stalled(nowMs(self.ctx), unwell))
+            feed(self.ctx, Stalled(clock_ms(self.ctx), unwell))
 
     def watch(self):
-        if self.busy and nowMs(self.ctx) - self.sinceMs > self.ctx.core.hedge.bounds.detectMs:
+        if self.busy and clock_ms(self.ctx) - self.since_ms > self.ctx.core.synchrony.bounds.detect_ms:
             self.turn(True)
         if self.unwell and not self.busy:
             self.probes += 1
@@ -85,18 +86,18 @@
         return None
 
 
-def store(machine, furrow, batch, delayMs):
-    if delayMs:
-        machine.sleep(delayMs / 1000)
+def store(machine, write_ahead_log, batch, delay_ms):
+    if delay_ms:
+        machine.sleep(delay_ms / 1000)
     at = max((n for n, r in enumerate(batch) if isinstance(r, Rewrite)), default=-1)
     if at >= 0:
-        furrows.rewrite(furrow, [encode(r) for r in batch[at].records])
+        write_ahead_logs.rewrite(write_ahead_log, [encode(r) for r in batch[at].records])
         batch = batch[at + 1 :]
     if batch:
-        furrows.append(furrow, [encode(r) for r in batch])
-        furrows.sync(furrow)
+        write_ahead_logs.append(write_ahead_log, [encode(r) for r in batch])
+        write_ahead_logs.sync(write_ahead_log)
 
 
 def open_(folder, files):
-    furrow, payloads, fault = furrows.open_(folder, "log", files)
-    return furrow, [decode(p) for p in payloads], fault
+    write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, "log", files)
+    return write_ahead_log, [decode(p) for p in payloads], fault
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -2,9 +2,9 @@
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
 
-from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
 from frostpost.http_api.faults import NoPrimary, Overfilled, Undecided
 from frostpost.ledger.words import Finish, Release, Reserved, Settle, Unclaim, Won
+from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
 from frostpost.virtual_synchrony.events import (
     Applied,
     Asked,
@@ -16,8 +16,9 @@
     Tick,
 )
 from frostpost.virtual_synchrony.words import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
+
 from . import core as cores
-from .context import count, nowMs
+from .context import clock_ms, count
 from .news import say
 
 TICK_MS = 20
@@ -62,10 +63,10 @@
                 fire(ctx.asking.popleft(), Error(Overfilled()))
         case Applied(entry):
             if entry.ordinal == 1:
-                ctx.needConfig = ctx.core.granary.configIndex
+                ctx.need_config = ctx.core.ledger.config_index
             ctx.links["applied"]()
         case Filled():
-            ctx.needConfig = ctx.core.granary.configIndex
+            ctx.need_config = ctx.core.ledger.config_index
             ctx.links["applied"]()
         case Changed(configuration, transitional):
             say(
@@ -96,7 +97,7 @@
 
 
 def undo(ctx, op, verdict):
-    count(ctx, "lateVerdicts")
+    count(ctx, "late_verdicts")
     if isinstance(verdict, Reserved):
         tell(ctx, Release(verdict.index))
     elif isinstance(verdict, Won):
@@ -105,19 +106,19 @@
 
 def tell(ctx, op):
     ctx.asking.append(Waiter(op, None))
-    feed(ctx, Asked(nowMs(ctx), encode(op), isinstance(op, ENDS)))
+    feed(ctx, Asked(clock_ms(ctx), encode(op), isinstance(op, ENDS)))
 
 
-def ask(ctx, op, waitMs):
+def ask(ctx, op, wait_ms):
     must = isinstance(op, ENDS)
     answer = Deferred()
-    if not must and not cores.leaseOk(ctx.core, nowMs(ctx)):
+    if not must and not cores.lease_ok(ctx.core, clock_ms(ctx)):
         answer.callback(Error(NoPrimary()))
         return answer
     waiter = Waiter(op, answer)
-    waiter.timer = ctx.reactor.callLater(max(0.001, waitMs / 1000), lambda: fire(waiter, Error(Undecided())))
+    waiter.timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), lambda: fire(waiter, Error(Undecided())))
     ctx.asking.append(waiter)
-    feed(ctx, Asked(nowMs(ctx), encode(op), must))
+    feed(ctx, Asked(clock_ms(ctx), encode(op), must))
     return answer
 
 
@@ -127,18 +128,18 @@
         case BodyAsk() | BodyPiece() | NewsAsk() | NewsTell():
             ctx.links["news"](frm, body)
         case _:
-            feed(ctx, Received(nowMs(ctx), frame.place, body))
+            feed(ctx, Received(clock_ms(ctx), frame.place, body))
             if isinstance(body, Beat):
                 ctx.links["heard"](frm, body.news)
 
 
 def tick(ctx):
-    feed(ctx, Tick(nowMs(ctx)))
+    feed(ctx, Tick(clock_ms(ctx)))
 
 
 def beat(ctx):
-    now = nowMs(ctx)
-    lateMs = max(0, now - ctx.tickedMs - TICK_MS)
-    ctx.tickedMs = now
-    ctx.lagMs = max(lateMs, ctx.lagMs * 0.9)
+    now = clock_ms(ctx)
+    late_ms = max(0, now - ctx.ticked_ms - TICK_MS)
+    ctx.ticked_ms = now
+    ctx.lag_ms = max(late_ms, ctx.lag_ms * 0.9)
     tick(ctx)
--- a/frostpost/daemon/life.py
+++ b/frostpost/daemon/life.py
@@ -1,8 +1,10 @@
-from automat import TypeMachineBuilder
 from typing import Protocol
 
+from automat import TypeMachineBuilder
+
 from frostpost.virtual_synchrony.events import Left
-from .context import nowMs
+
+from .context import clock_ms
 from .heart import feed
 from .news import say
 from .waiting import until
@@ -32,7 +34,7 @@
 @starting.upon(Life.started).to(serving)
 def began(life: Life, hand: Hand) -> None:
     place = hand.ctx.place
-    say("started", name=place.member.name, port=place.port, httpPort=place.httpPort)
+    say("started", name=place.member.name, port=place.port, http_port=place.http_port)
 
 
 @serving.upon(Life.leave).to(leaving)
@@ -41,17 +43,17 @@
     ctx.leaving = True
     say("leaving", flights=ctx.flights, calls=ctx.calls)
     hand.close()
-    endMs = nowMs(ctx) + ctx.settings.doors.graceMs
+    end_ms = clock_ms(ctx) + ctx.settings.doors.grace_ms
 
     def linger(_):
-        return until(ctx, lambda: not ctx.channels, min(ctx.settings.doors.lingerMs, endMs - nowMs(ctx)))
+        return until(ctx, lambda: not ctx.channels, min(ctx.settings.doors.linger_ms, end_ms - clock_ms(ctx)))
 
     def shut(_):
         for transport in list(ctx.channels.values()):
             transport.loseConnection()
-        return until(ctx, lambda: not ctx.channels, endMs - nowMs(ctx))
+        return until(ctx, lambda: not ctx.channels, end_ms - clock_ms(ctx))
 
-    until(ctx, lambda: ctx.flights == ctx.calls == 0, ctx.settings.doors.graceMs).addCallback(linger).addCallback(
+    until(ctx, lambda: ctx.flights == ctx.calls == 0, ctx.settings.doors.grace_ms).addCallback(linger).addCallback(
         shut
     ).addCallback(lambda _: life.emptied())
 
@@ -59,9 +61,9 @@
 @leaving.upon(Life.emptied).to(left)
 def gone(life: Life, hand: Hand) -> None:
     ctx = hand.ctx
-    feed(ctx, Left(nowMs(ctx)))
+    feed(ctx, Left(clock_ms(ctx)))
     say("left", flights=ctx.flights)
-    ctx.reactor.callLater(ctx.core.hedge.bounds.beatMs * 2 / 1000, hand.stop)
+    ctx.reactor.callLater(ctx.core.synchrony.bounds.beat_ms * 2 / 1000, hand.stop)
 
 
 @starting.upon(Life.leave).to(left)
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -7,7 +7,8 @@
 from twisted.protocols.basic import Int32StringReceiver
 
 from frostpost.virtual_synchrony.outer import RoutingTell, SiloGot, SiloPut
-from frostpost.virtual_synchrony.words import BodyPiece, Frame, Piece, VERSION
+from frostpost.virtual_synchrony.words import VERSION, BodyPiece, Frame, Piece
+
 from .context import count
 from .heart import received
 from .news import say
@@ -20,7 +21,7 @@
 SILENT_MS = 1000
 
 
-def endSilence(transport):
+def end_silence(transport):
     handle = getattr(transport, "getHandle", lambda: None)()
     if hasattr(handle, "setsockopt"):
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
@@ -34,11 +35,11 @@
         try:
             frame = decode(data)
         except DecodeError:
-            count(ctx, "unreadFrames")
+            count(ctx, "unread_frames")
             self.transport.loseConnection()
             return
         if frame.version != VERSION:
-            count(ctx, "otherVersions")
+            count(ctx, "other_versions")
             say("OtherVersion", frm=frame.place.member.name, version=frame.version)
             self.transport.loseConnection()
             return
@@ -53,7 +54,7 @@
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
-        endSilence(self.transport)
+        end_silence(self.transport)
         self.transport.registerProducer(self, True)
         self.link.mouth, self.link.paused = self, False
         self.link.drain()
@@ -73,7 +74,7 @@
 
 
 class Link:
-    __slots__ = ("ctx", "host", "port", "mouth", "paused", "queue", "bytes", "connecting", "restMs")
+    __slots__ = ("ctx", "host", "port", "mouth", "paused", "queue", "bytes", "connecting", "rest_ms")
 
     def __init__(self, ctx, host, port):
         self.ctx, self.host, self.port = ctx, host, port
@@ -82,7 +83,7 @@
 
     def send(self, data):
         if self.bytes + len(data) > QUEUED:
-            count(self.ctx, "linkFull")
+            count(self.ctx, "link_full")
             return
         self.queue.append(data)
         self.bytes += len(data)
@@ -148,7 +149,7 @@
             host, _, port = to[1:].rpartition(":")
             name = ""
         else:
-            peer = ctx.core.hedge.peers.get(to)
+            peer = ctx.core.synchrony.peers.get(to)
             if peer is None or barred(ctx, to):
                 return
             host, port, name = peer.place.host, peer.place.port, to
--- a/frostpost/daemon/machine.py
+++ b/frostpost/daemon/machine.py
@@ -1,7 +1,7 @@
 import os
+from collections.abc import Callable
 from secrets import token_hex
 from time import monotonic, sleep, time
-from typing import Callable
 
 from msgspec import Struct
 from twisted.internet.threads import deferToThread
@@ -17,18 +17,18 @@
     replace: Callable = os.replace
     exists: Callable = os.path.exists
     makedirs: Callable = os.makedirs
-    read: Callable = lambda path: readWhole(path)
+    read: Callable = lambda path: read_whole(path)
 
 
 class Machine(Struct, frozen=True):
     seconds: Callable = monotonic
-    wallS: Callable = time
-    inThread: Callable = deferToThread
+    wall_s: Callable = time
+    in_thread: Callable = deferToThread
     token: Callable = token_hex
     sleep: Callable = sleep
     files: Files = Files()
 
 
-def readWhole(path):
+def read_whole(path):
     with open(path, "rb") as file:
         return file.read()
--- a/frostpost/daemon/main.py
+++ b/frostpost/daemon/main.py
@@ -8,7 +8,7 @@
 from .assembly import assemble, raise_
 from .life import Hand, make
 from .machine import Machine
-from .news import begin as beginNews
+from .news import begin as begin_news
 from .news import say
 
 
@@ -43,7 +43,7 @@
     cell: Annotated[str | None, cappa.Arg(long=True, help="the zone this machine stands in")] = None
     host: Annotated[str | None, cappa.Arg(long=True, help="IP number to listen on")] = None
     port: Annotated[int | None, cappa.Arg(long=True, help="port for other daemons")] = None
-    httpPort: Annotated[int | None, cappa.Arg(long="--http-port", help="port for callers and operators")] = None
+    http_port: Annotated[int | None, cappa.Arg(long="--http-port", help="port for callers and operators")] = None
     data: Annotated[str | None, cappa.Arg(long=True, help="data folder of a storage daemon")] = None
     seeds: Annotated[list[str], cappa.Arg(long="--seed", help="IP:port of another daemon; may be given again")] = []
     check: Annotated[bool, cappa.Arg(long=True, help="check the settings and stop")] = False
@@ -51,7 +51,7 @@
 
 def main():
     command = cappa.parse(Orchard)
-    flags = {n: getattr(command, n) for n in ("name", "role", "cell", "host", "port", "httpPort", "data")}
+    flags = {n: getattr(command, n) for n in ("name", "role", "cell", "host", "port", "http_port", "data")}
     flags["seeds"] = command.seeds or None
     result = checked.read(command.settings, flags)
     if result.is_error():
@@ -61,7 +61,7 @@
     if command.check:
         print("settings are in order")
         return 0
-    beginNews()
+    begin_news()
     return run(result.ok)
 
 
--- a/frostpost/daemon/news.py
+++ b/frostpost/daemon/news.py
@@ -12,7 +12,7 @@
     def format(self, record):
         text = record.getMessage()
         body = text if text.startswith("{") else json.encode({"kind": "note", "text": text}).decode()
-        return f'{{"atMs":{int(record.created * 1000)},"level":"{record.levelname}",{body[1:]}'
+        return f'{{"at_ms":{int(record.created * 1000)},"level":"{record.levelname}",{body[1:]}'
 
 
 def begin():
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -12,27 +12,27 @@
     text: str
 
 
-class Tending(Struct, frozen=True, forbid_unknown_fields=True):
-    loadMs: int = 500
-    listMs: int = 1000
-    tickMs: int = 1000
-    calendarMs: int = 1000
+class VoterChanges(Struct, frozen=True, forbid_unknown_fields=True):
+    load_ms: int = 500
+    list_ms: int = 1000
+    tick_ms: int = 1000
+    calendar_ms: int = 1000
 
 
 class Doors(Struct, frozen=True, forbid_unknown_fields=True):
-    inFlight: int = 400
-    lagMs: int = 60
-    askMs: int = 1500
-    connectMs: int = 500
-    stallMs: int = 5000
-    bodyBytes: int = 1 << 20
-    verdictBytes: int = 1 << 20
-    lineBytes: int = 1 << 16
-    lingerMs: int = 500
-    configBytes: int = 64 << 20
-    ackMs: int = 8000
-    graceMs: int = 30000
-    retryRatio: float = 0.2
+    in_flight: int = 400
+    lag_ms: int = 60
+    ask_ms: int = 1500
+    connect_ms: int = 500
+    stall_ms: int = 5000
+    body_bytes: int = 1 << 20
+    verdict_bytes: int = 1 << 20
+    line_bytes: int = 1 << 16
+    linger_ms: int = 500
+    config_bytes: int = 64 << 20
+    ack_ms: int = 8000
+    grace_ms: int = 30000
+    retry_ratio: float = 0.2
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
@@ -41,14 +41,14 @@
     cell: str
     host: str
     port: int
-    httpPort: int
+    http_port: int
     seeds: list[str]
     voters: list[str]
     data: str = ""
     list: str = ""
     hooks: str = ""
     bounds: Bounds = field(default_factory=Bounds)
-    tending: Tending = field(default_factory=Tending)
+    background: VoterChanges = field(default_factory=VoterChanges)
     doors: Doors = field(default_factory=Doors)
     weights: Weights = field(default_factory=Weights)
 
@@ -60,7 +60,7 @@
     return numeric and port.isdigit() and 0 < int(port) < 65536
 
 
-def faultsOf(settings):
+def faults_of(settings):
     if settings.role not in ("edge", "core", "storage"):
         yield SettingsInvalid("role", "must be edge, core or storage")
     if settings.role == "storage" and not settings.data:
@@ -75,8 +75,8 @@
     if not settings.voters:
         yield SettingsInvalid("voters", "at least one voter is needed")
     bounds = settings.bounds
-    if bounds.leaseMs + bounds.detectMs >= 2000:
-        yield SettingsInvalid("bounds.leaseMs", "leaseMs and detectMs together must be under 2000")
+    if bounds.lease_ms + bounds.detect_ms >= 2000:
+        yield SettingsInvalid("bounds.lease_ms", "lease_ms and detect_ms together must be under 2000")
     for name in structs.asdict(bounds):
         if getattr(bounds, name) <= 0:
             yield SettingsInvalid(f"bounds.{name}", "must be above 0")
@@ -100,5 +100,5 @@
     except ValidationError as fault:
         text, _, where = str(fault).partition(" - at ")
         return Error(SettingsInvalid(where.strip("`") or path, text))
-    fault = next(faultsOf(settings), None)
+    fault = next(faults_of(settings), None)
     return Error(fault) if fault else Ok(settings)
--- a/frostpost/daemon/waiting.py
+++ b/frostpost/daemon/waiting.py
@@ -3,14 +3,14 @@
 STEP_S = 0.02
 
 
-def until(ctx, test, waitMs):
+def until(ctx, test, wait_ms):
     answer = Deferred()
-    endS = ctx.reactor.seconds() + waitMs / 1000
+    end_s = ctx.reactor.seconds() + wait_ms / 1000
 
     def look():
         if test():
             answer.callback(True)
-        elif ctx.reactor.seconds() >= endS:
+        elif ctx.reactor.seconds() >= end_s:
             answer.callback(False)
         else:
             ctx.reactor.callLater(STEP_S, look)
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -3,18 +3,19 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.web.server import Request, Site
 
-from frostpost.daemon.context import count, nowMs
+from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.news import say
+
 from . import calls, control, faults, reads, voting
 from .lookups import lookup
 from .turns import turn
 
 
-def turnAway(request, fault, requestId):
+def turn_away(request, fault, requestId):
     request.setResponseCode(fault.status)
     request.setHeader("content-type", "application/json")
     request.setHeader("x-request", requestId)
-    retry = faults.retryAfter(fault)
+    retry = faults.retry_after(fault)
     if retry:
         request.setHeader("retry-after", retry)
     if isinstance(fault, faults.Leaving):
@@ -31,7 +32,7 @@
     return json.encode(document)
 
 
-def watchCaller(call):
+def watch_caller(call):
     def gone(_):
         call.gone = True
         if call.stop:
@@ -45,7 +46,7 @@
     fault = calls.admit(ctx, call)
     if fault is None:
         ctx.flights += 1
-        watchCaller(call)
+        watch_caller(call)
         try:
             result = yield handler(ctx, call)
         except Exception as broken:
@@ -59,15 +60,15 @@
     say(
         "call",
         request=call.id,
-        lane=f"{call.tenant}/{call.laneName}",
-        tookMs=nowMs(ctx) - call.startedMs,
+        lane=f"{call.tenant}/{call.lane_name}",
+        took_ms=clock_ms(ctx) - call.started_ms,
         verdict="served" if result is None else type(result).__name__,
     )
     return result
 
 
 @inlineCallbacks
-def serveTurn(ctx, request, tenant, lane):
+def serve_turn(ctx, request, tenant, lane):
     call = calls.make(ctx, "turns", tenant, lane, request)
     fault = yield serve(ctx, call, turn)
     if call.gone:
@@ -76,11 +77,11 @@
         return b""
     if call.emitted:
         return faults.body(fault, call.id) + b"\n"
-    return turnAway(request, fault, call.id)
+    return turn_away(request, fault, call.id)
 
 
 @inlineCallbacks
-def serveLookup(ctx, request, tenant, lane):
+def serve_lookup(ctx, request, tenant, lane):
     call = calls.make(ctx, "lookups", tenant, lane, request)
     box = []
 
@@ -96,27 +97,27 @@
     if call.gone:
         return b""
     if fault is not None:
-        return turnAway(request, fault, call.id)
+        return turn_away(request, fault, call.id)
     return answer(request, {"result": box[0], "request": call.id}, call.id)
 
 
 class Bounded(Request):
-    mostConfig, ctx = 64 << 20, None
+    most_config, ctx = 64 << 20, None
 
     def gotLength(self, length):
-        self.tooLong = length is not None and length > self.mostConfig
-        super().gotLength(0 if self.tooLong else length)
+        self.too_long = length is not None and length > self.most_config
+        super().gotLength(0 if self.too_long else length)
 
     def handleContentChunk(self, data):
         self.took = getattr(self, "took", 0) + len(data)
-        if self.took <= self.mostConfig:
+        if self.took <= self.most_config:
             super().handleContentChunk(data)
         else:
-            self.tooLong = True
+            self.too_long = True
 
     def process(self):
-        if getattr(self, "tooLong", False):
-            body = turnAway(self, faults.TooLong(self.mostConfig), "")
+        if getattr(self, "too_long", False):
+            body = turn_away(self, faults.TooLong(self.most_config), "")
             self.setHeader("connection", "close")
             self.write(body)
             self.finish()
@@ -153,29 +154,29 @@
 
     @app.route("/v1/tenants/<tenant>/lanes/<lane>/turns", methods=["POST"])
     def turns(request, tenant, lane):
-        return serveTurn(ctx, request, tenant, lane)
+        return serve_turn(ctx, request, tenant, lane)
 
     @app.route("/v1/tenants/<tenant>/lanes/<lane>/lookups", methods=["POST"])
     def lookups(request, tenant, lane):
-        return serveLookup(ctx, request, tenant, lane)
+        return serve_lookup(ctx, request, tenant, lane)
 
-    control.routes(app, ctx, answer, turnAway)
-    reads.routes(app, ctx, answer, turnAway)
-    voting.routes(app, ctx, answer, turnAway)
+    control.routes(app, ctx, answer, turn_away)
+    reads.routes(app, ctx, answer, turn_away)
+    voting.routes(app, ctx, answer, turn_away)
 
     @app.handle_errors(Exception)
     def broken(request, failure):
         code = getattr(failure.value, "code", 500)
         if code == 404:
-            return turnAway(request, faults.NoSuch("there is nothing at this path"), "")
+            return turn_away(request, faults.NoSuch("there is nothing at this path"), "")
         if code == 405:
-            return turnAway(request, faults.WrongMethod(), "")
+            return turn_away(request, faults.WrongMethod(), "")
         say("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200])
-        return turnAway(request, faults.Internal(), "")
+        return turn_away(request, faults.Internal(), "")
 
     site = Door(app.resource(), timeout=75, reactor=ctx.reactor)
     site.ctx = ctx
-    bounded = type("Bounded", (Bounded,), {"mostConfig": ctx.settings.doors.configBytes, "ctx": ctx})
+    bounded = type("Bounded", (Bounded,), {"most_config": ctx.settings.doors.config_bytes, "ctx": ctx})
     site.requestFactory = bounded
     site.displayTracebacks = False
     return site
--- a/frostpost/http_api/calls.py
+++ b/frostpost/http_api/calls.py
@@ -3,8 +3,9 @@
 from expression import Error, Ok
 from msgspec import Struct
 
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
+
 from . import faults
 
 SHARES = {"urgent": 1.0, "normal": 0.8, "batch": 0.6}
@@ -20,12 +21,12 @@
     id: str
     kind: str
     tenant: str
-    laneName: str
-    startedMs: int
+    lane_name: str
+    started_ms: int
     raw: bytes = b""
     document: dict = {}
     lane: object = None
-    limitMs: int = 0
+    limit_ms: int = 0
     gone: bool = False
     stop: object = None
     still: object = None
@@ -55,8 +56,8 @@
 
 
 FIELDS = {
-    "turns": {"program": (str, True), "input": (str, True), "limitMs": (int, False), "maxOutput": (int, False)},
-    "lookups": {"input": (str, True), "key": (str, False), "limitMs": (int, False)},
+    "turns": {"program": (str, True), "input": (str, True), "limit_ms": (int, False), "max_output": (int, False)},
+    "lookups": {"input": (str, True), "key": (str, False), "limit_ms": (int, False)},
 }
 
 
@@ -80,12 +81,12 @@
     return None
 
 
-def filterLeaving(ctx, call):
+def filter_leaving(ctx, call):
     return faults.Leaving() if ctx.leaving else None
 
 
-def filterBody(ctx, call):
-    most = ctx.settings.doors.bodyBytes
+def filter_body(ctx, call):
+    most = ctx.settings.doors.body_bytes
     if len(call.raw) > most:
         return faults.TooLong(most)
     result = parse(call.raw)
@@ -95,23 +96,23 @@
     return shaped(call.kind, call.document)
 
 
-def filterServing(ctx, call):
-    if not leaseOk(ctx.core, nowMs(ctx)):
+def filter_serving(ctx, call):
+    if not lease_ok(ctx.core, clock_ms(ctx)):
         return faults.NoPrimary()
-    if ctx.honoured < ctx.needConfig:
+    if ctx.honoured < ctx.need_config:
         return faults.ConfigChanging()
     return None
 
 
-def filterLane(ctx, call):
-    call.lane = ctx.lanes.get((call.tenant, call.laneName))
+def filter_lane(ctx, call):
+    call.lane = ctx.lanes.get((call.tenant, call.lane_name))
     wanted = {"turns": "turn", "lookups": "lookup"}[call.kind]
     if call.lane is None or call.lane.kind != wanted:
-        return faults.NoLane(f"tenant {call.tenant} has no {wanted} lane {call.laneName}")
+        return faults.NoLane(f"tenant {call.tenant} has no {wanted} lane {call.lane_name}")
     return None
 
 
-def filterKey(ctx, call):
+def filter_key(ctx, call):
     if call.lane.repeat == "keyed" and call.kind == "lookups" and "key" not in call.document:
         return faults.BadBody("/key", "this lane needs a key")
     if "key" in call.document and call.lane.repeat != "keyed":
@@ -119,25 +120,25 @@
     return None
 
 
-def filterLimit(ctx, call):
-    call.limitMs = min(call.document.get("limitMs", call.lane.limitMs), call.lane.limitMs)
-    return faults.LimitPassed() if leftMs(ctx, call) <= 0 else None
+def filter_limit(ctx, call):
+    call.limit_ms = min(call.document.get("limit_ms", call.lane.limit_ms), call.lane.limit_ms)
+    return faults.LimitPassed() if remaining_ms(ctx, call) <= 0 else None
 
 
-def filterCrowd(ctx, call):
+def filter_crowd(ctx, call):
     doors, urgency = ctx.settings.doors, call.lane.urgency
-    if ctx.flights >= SHARES[urgency] * doors.inFlight:
+    if ctx.flights >= SHARES[urgency] * doors.in_flight:
         return faults.Crowded()
-    if ctx.flights >= BUSY * doors.inFlight and ctx.lagMs >= LAGS[urgency] * doors.lagMs:
+    if ctx.flights >= BUSY * doors.in_flight and ctx.lag_ms >= LAGS[urgency] * doors.lag_ms:
         return faults.Crowded()
     return None
 
 
-CHAIN = (filterLeaving, filterServing, filterLane, filterCrowd, filterBody, filterKey, filterLimit)
+CHAIN = (filter_leaving, filter_serving, filter_lane, filter_crowd, filter_body, filter_key, filter_limit)
 
 
-def leftMs(ctx, call):
-    return call.limitMs - (nowMs(ctx) - call.startedMs)
+def remaining_ms(ctx, call):
+    return call.limit_ms - (clock_ms(ctx) - call.started_ms)
 
 
 def admit(ctx, call):
@@ -148,7 +149,7 @@
     return None
 
 
-def bodyOf(request):
+def body_of(request):
     request.content.seek(0)
     return parse(request.content.read())
 
@@ -160,7 +161,7 @@
         kind,
         tenant,
         lane,
-        nowMs(ctx),
+        clock_ms(ctx),
         raw=request.content.read(),
         request=request,
     )
--- a/frostpost/http_api/carry.py
+++ b/frostpost/http_api/carry.py
@@ -1,4 +1,4 @@
-from typing import Callable
+from collections.abc import Callable
 
 from msgspec import DecodeError, Struct, json
 from treq.client import HTTPClient
@@ -10,8 +10,9 @@
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
 from zope.interface import implementer
 
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
+
 from .reading import gather
 
 SAID_BYTES = 4096
@@ -47,9 +48,9 @@
         self.ctx, self.go, self.data, self.length = ctx, go, data, len(data)
 
     def startProducing(self, consumer):
-        if self.go.gone or not leaseOk(self.ctx.core, nowMs(self.ctx)):
+        if self.go.gone or not lease_ok(self.ctx.core, clock_ms(self.ctx)):
             return fail(LeaseGone())
-        if not mayRun(self.ctx, self.go.runner) or not self.go.still():
+        if not may_run(self.ctx, self.go.runner) or not self.go.still():
             return fail(LeaseGone())
         self.go.sent = True
         consumer.write(self.data)
@@ -65,9 +66,9 @@
         return None
 
 
-def mayRun(ctx, runner):
-    held = ctx.core.granary.runners.get(runner.name)
-    leaving = f"{runner.name}/{runner.instance}" in ctx.core.granary.leaving
+def may_run(ctx, runner):
+    held = ctx.core.ledger.runners.get(runner.name)
+    leaving = f"{runner.name}/{runner.instance}" in ctx.core.ledger.leaving
     status = ctx.statuses.get(runner.name)
     reported = status is not None and status.leaving and status.instance == runner.instance
     return held == runner and not leaving and not reported
@@ -118,14 +119,14 @@
 
 @implementer(IAgentEndpointFactory)
 class ByNumber:
-    __slots__ = ("reactor", "waitS", "most", "made")
+    __slots__ = ("reactor", "wait_s", "most", "made")
 
-    def __init__(self, reactor, waitS, most=1 << 60):
-        self.reactor, self.waitS, self.most, self.made = reactor, waitS, most, 0
+    def __init__(self, reactor, wait_s, most=1 << 60):
+        self.reactor, self.wait_s, self.most, self.made = reactor, wait_s, most, 0
 
     def endpointForURI(self, uri):
         self.made += 1
-        return Numbered(self, TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.waitS))
+        return Numbered(self, TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.wait_s))
 
 
 class Numbered:
@@ -144,7 +145,7 @@
 def agent(ctx, most=1 << 60, persistent=False):
     pool = HTTPConnectionPool(ctx.reactor, persistent=persistent)
     pool.retryAutomatically, pool.maxPersistentPerHost = False, 1
-    ends = ByNumber(ctx.reactor, ctx.settings.doors.connectMs / 1000, most)
+    ends = ByNumber(ctx.reactor, ctx.settings.doors.connect_ms / 1000, most)
     return pool, HTTPClient(Agent.usingEndpointFactory(ctx.reactor, ends, pool=pool))
 
 
@@ -160,17 +161,17 @@
         return False
 
 
-def neverRan(raw):
+def never_ran(raw):
     try:
         return json.decode(raw)["ran"] is False
     except (DecodeError, KeyError, TypeError):
         return False
 
 
-def start(ctx, go, path, document, hear, limitMs):
+def start(ctx, go, path, document, hear, limit_ms):
     ended, runner = Deferred(), go.runner
     go.ended = ended
-    stallMs = min(limitMs, ctx.settings.doors.stallMs)
+    stall_ms = min(limit_ms, ctx.settings.doors.stall_ms)
     base = f"http://{runner.host}:{runner.port}"
     pool, client = agent(ctx, most=1, persistent=True)
 
@@ -191,7 +192,7 @@
 
     def touch():
         if go.timer.active():
-            go.timer.reset(stallMs / 1000)
+            go.timer.reset(stall_ms / 1000)
 
     def responded(response):
         if response.code == 200:
@@ -202,7 +203,7 @@
         away = response.code in (421, 429, 503)
 
         def said(raw):
-            over(TurnedAway(response.code) if away and neverRan(raw) else Broken(f"status {response.code}"))
+            over(TurnedAway(response.code) if away and never_ran(raw) else Broken(f"status {response.code}"))
 
         gather(response, SAID_BYTES).addCallbacks(said, lambda f: over(Broken(f.type.__name__)))
 
@@ -236,8 +237,8 @@
         ctx.reactor.callLater(0, pool.closeCachedConnections)
         return result
 
-    go.timer = ctx.reactor.callLater(stallMs / 1000, silent, "silent")
-    whole = ctx.reactor.callLater(max(0.001, limitMs / 1000), silent, "limit")
+    go.timer = ctx.reactor.callLater(stall_ms / 1000, silent, "silent")
+    whole = ctx.reactor.callLater(max(0.001, limit_ms / 1000), silent, "limit")
     ended.addBoth(tidy)
     go.request = proved(ctx, go, client, base)
     go.request.addCallbacks(send, failed)
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -2,24 +2,25 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.ledger import configs
-from frostpost.ledger.words import ConfigSet, Done, Drain, NotHeld, SetConfig, StaleConfig
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
+from frostpost.background import shelves
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
 from frostpost.daemon.waiting import until
-from frostpost.background import shelves
+from frostpost.ledger import configs
+from frostpost.ledger.words import ConfigSet, Done, Drain, NotHeld, SetConfig, StaleConfig
 from frostpost.tenant_config.shapes import WORD
-from frostpost.tenant_config.stamp import checkTemplate, checkTenant, patch
+from frostpost.tenant_config.stamp import check_template, check_tenant, patch
+
 from . import calls, faults, sets
 
 
-def versionOf(ctx, path):
-    return configs.held(ctx.core.granary, path)
+def version_of(ctx, path):
+    return configs.held(ctx.core.ledger, path)
 
 
-def documentOf(ctx, path):
+def document_of(ctx, path):
     held = ctx.documents.get(path)
     return held[1] if held else None
 
@@ -27,19 +28,19 @@
 def judge(ctx, kind, name, document):
     if kind == "tenants":
         template = f"templates/{document.get('template')}" if isinstance(document, dict) else ""
-        result = checkTenant(name, document, documentOf(ctx, template))
-        return result, ((template, versionOf(ctx, template)),)
+        result = check_tenant(name, document, document_of(ctx, template))
+        return result, ((template, version_of(ctx, template)),)
     path = f"templates/{name}"
     tenants = [
         (p.split("/", 1)[1], d)
         for p, (_, d) in ctx.documents.items()
         if p.startswith("tenants/") and d["template"] == name
     ]
-    bases = tuple((f"tenants/{t}", versionOf(ctx, f"tenants/{t}")) for t, _ in tenants)
-    return checkTemplate(document, tenants), (*bases, *(() if bases else ((path, versionOf(ctx, path)),)))
+    bases = tuple((f"tenants/{t}", version_of(ctx, f"tenants/{t}")) for t, _ in tenants)
+    return check_template(document, tenants), (*bases, *(() if bases else ((path, version_of(ctx, path)),)))
 
 
-def ifMatch(request, held):
+def if_match(request, held):
     said = request.getHeader("if-match")
     if said is None:
         return Ok(held)
@@ -52,9 +53,9 @@
 def ready(ctx):
     if ctx.leaving:
         return faults.Leaving()
-    if not leaseOk(ctx.core, nowMs(ctx)):
+    if not lease_ok(ctx.core, clock_ms(ctx)):
         return faults.NoPrimary()
-    if ctx.honoured < ctx.core.granary.configIndex:
+    if ctx.honoured < ctx.core.ledger.config_index:
         return faults.ConfigChanging()
     return None
 
@@ -64,16 +65,16 @@
     fault = ready(ctx)
     if fault:
         return Error(fault)
-    path, index = f"{kind}/{name}", ctx.core.granary.configIndex
+    path, index = f"{kind}/{name}", ctx.core.ledger.config_index
     if kind not in ("templates", "tenants") or not WORD.match(name):
         return Error(faults.NoSuch("configurations are templates/NAME or tenants/NAME"))
-    held = versionOf(ctx, path)
-    version = ifMatch(request, held)
+    held = version_of(ctx, path)
+    version = if_match(request, held)
     if version.is_error():
         return version
     if version.ok != held:
         return Error(faults.ConfigMoved(path, held))
-    parsed = yield ctx.machine.inThread(calls.bodyOf, request)
+    parsed = yield ctx.machine.in_thread(calls.body_of, request)
     if parsed.is_error():
         return parsed
     document = parsed.ok
@@ -81,17 +82,17 @@
         former = sets.former(ctx, path, document.get("version"))
         if former.is_error():
             return former
-        document = yield ctx.machine.inThread(json.decode, former.ok)
+        document = yield ctx.machine.in_thread(json.decode, former.ok)
     elif request.method == b"PATCH":
         if held == 0:
             return Error(faults.NoSuch(f"there is no {path} to amend"))
-        whole = yield ctx.machine.inThread(json.decode, shelves.bodyOf(ctx, path))
+        whole = yield ctx.machine.in_thread(json.decode, shelves.body_of(ctx, path))
         document = patch(whole, document)
-    result, bases = yield ctx.machine.inThread(judge, ctx, kind, name, document)
+    result, bases = yield ctx.machine.in_thread(judge, ctx, kind, name, document)
     if result.is_error():
         return Error(faults.ConfigFaulty(result.error.faults))
-    body = yield ctx.machine.inThread(json.encode, document)
-    if kind == "templates" and ctx.core.granary.rules >= 2:
+    body = yield ctx.machine.in_thread(json.encode, document)
+    if kind == "templates" and ctx.core.ledger.rules >= 2:
         said = yield sets.order(ctx, {path: body}, index)
         return said.map(lambda s: {"path": path, "version": s["versions"][path], "index": s["index"]})
     return (yield order(ctx, path, body, version.ok, bases))
@@ -116,29 +117,29 @@
         ConfigSet,
         (
             yield ask(
-                ctx, SetConfig(path, item.digest, item.size, version, item.source, item.number, bases), doors.ackMs
+                ctx, SetConfig(path, item.digest, item.size, version, item.source, item.number, bases), doors.ack_ms
             )
         ),
     )
     if result.is_error():
         return result
     index = result.ok.index
-    if not (yield until(ctx, lambda: everywhere(ctx, index, "~honoured"), doors.ackMs)):
+    if not (yield until(ctx, lambda: everywhere(ctx, index, "~honoured"), doors.ack_ms)):
         return Error(faults.ConfigUnknown())
     say("ConfigSet", path=path, version=result.ok.version, index=index)
     return Ok({"path": path, "version": result.ok.version, "index": index})
 
 
 def everywhere(ctx, index, what):
-    hedge = ctx.core.hedge
-    now = nowMs(ctx)
-    if not leaseOk(ctx.core, now) or now - hedge.installedMs < hedge.bounds.leaseMs:
+    synchrony = ctx.core.synchrony
+    now = clock_ms(ctx)
+    if not lease_ok(ctx.core, now) or now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return False
-    for member in hedge.configuration.members:
-        if member == hedge.me:
-            reached = ctx.honoured if what == "~honoured" else hedge.applied
+    for member in synchrony.configuration.members:
+        if member == synchrony.me:
+            reached = ctx.honoured if what == "~honoured" else synchrony.applied
         else:
-            peer = hedge.peers.get(member.name)
+            peer = synchrony.peers.get(member.name)
             if peer is None or peer.place.member != member:
                 return False
             reached = peer.news.get(what, 0) if what == "~honoured" else peer.applied
@@ -152,13 +153,13 @@
     fault = ready(ctx)
     if fault:
         return Error(fault)
-    parsed = calls.bodyOf(request)
+    parsed = calls.body_of(request)
     if parsed.is_error():
         return parsed
     leaving = parsed.ok.get("leaving")
     if not isinstance(leaving, bool) or len(parsed.ok) != 1:
         return Error(faults.BadBody("/leaving", "must be true or false, and alone"))
-    result = yield ask(ctx, Drain(name, leaving), ctx.settings.doors.askMs)
+    result = yield ask(ctx, Drain(name, leaving), ctx.settings.doors.ask_ms)
     if result.is_error():
         return result
     if isinstance(result.ok, NotHeld):
@@ -166,16 +167,16 @@
     if not isinstance(result.ok, Done):
         return Error(faults.ConfigUnknown())
     index = result.ok.index
-    if not (yield until(ctx, lambda: everywhere(ctx, index, "applied"), ctx.settings.doors.ackMs)):
+    if not (yield until(ctx, lambda: everywhere(ctx, index, "applied"), ctx.settings.doors.ack_ms)):
         return Error(faults.ConfigUnknown())
     return Ok({"runner": name, "leaving": leaving, "index": index})
 
 
-def routes(app, ctx, answer, turnAway):
+def routes(app, ctx, answer, turn_away):
     def said(request):
         def finish(result):
             if result.is_error():
-                return turnAway(request, result.error, "")
+                return turn_away(request, result.error, "")
             if "version" in result.ok:
                 request.setHeader("etag", f'"{result.ok["version"]}"')
             return answer(request, result.ok)
@@ -188,7 +189,7 @@
 
     @app.route("/v1/config", methods=["PUT"])
     def all_(request):
-        return sets.takeAll(ctx, request).addCallback(said(request))
+        return sets.take_all(ctx, request).addCallback(said(request))
 
     @app.route("/v1/config/<kind>/<name>", methods=["DELETE"])
     def remove_(request, kind, name):
@@ -200,8 +201,8 @@
 
     @app.route("/v1/config/<kind>/<name>/history", methods=["GET"])
     def history_(request, kind, name):
-        if not leaseOk(ctx.core, nowMs(ctx)):
-            return turnAway(request, faults.NoPrimary(), "")
+        if not lease_ok(ctx.core, clock_ms(ctx)):
+            return turn_away(request, faults.NoPrimary(), "")
         return said(request)(sets.history(ctx, f"{kind}/{name}"))
 
     @app.route("/v1/runners/<name>/drain", methods=["POST"])
--- a/frostpost/http_api/faults.py
+++ b/frostpost/http_api/faults.py
@@ -4,19 +4,19 @@
 class Overfilled(Struct, frozen=True, tag="Overfilled"):
     text: str = "too much is waiting to be ordered; nothing was run"
     status: int = 503
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
 
 class NoPrimary(Struct, frozen=True, tag="NoPrimary"):
     text: str = "this daemon is not with the majority of the storage machines; nothing was run"
     status: int = 503
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
 
 class Undecided(Struct, frozen=True, tag="Undecided"):
     text: str = "the order was not settled in time; nothing was run"
     status: int = 503
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
 
 class Unknown(Struct, frozen=True, tag="Unknown"):
@@ -27,31 +27,31 @@
 class Leaving(Struct, frozen=True, tag="Leaving"):
     text: str = "this daemon is leaving; nothing was run"
     status: int = 503
-    retryMs: int = 200
+    retry_ms: int = 200
 
 
 class Crowded(Struct, frozen=True, tag="Crowded"):
     text: str = "too many requests are here at once; nothing was run"
     status: int = 429
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
 
 class RunnersFull(Struct, frozen=True, tag="RunnersFull"):
     text: str = "no runner that this lane may use has room; nothing was run"
     status: int = 503
-    retryMs: int = 500
+    retry_ms: int = 500
 
 
 class LimitPassed(Struct, frozen=True, tag="LimitPassed"):
     text: str = "the limit passed before anything was run"
     status: int = 504
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
 
 class StillRunning(Struct, frozen=True, tag="StillRunning"):
     text: str = "another go with this key is still running; come back for its verdict"
     status: int = 503
-    retryMs: int = 1000
+    retry_ms: int = 1000
 
 
 class BadBody(Struct, frozen=True, tag="BadBody"):
@@ -91,7 +91,7 @@
 class TurnRunning(Struct, frozen=True, tag="TurnRunning"):
     text: str = "this program has another turn running; nothing was run"
     status: int = 409
-    retryMs: int = 500
+    retry_ms: int = 500
 
 
 class ConfigMoved(Struct, frozen=True, tag="ConfigMoved"):
@@ -110,13 +110,13 @@
 class OlderRules(Struct, frozen=True, tag="OlderRules"):
     text: str = "a daemon of the version before is still here; finish the roll-out first"
     status: int = 503
-    retryMs: int = 5000
+    retry_ms: int = 5000
 
 
 class ConfigChanging(Struct, frozen=True, tag="ConfigChanging"):
     text: str = "the configuration is just changing; nothing was run"
     status: int = 503
-    retryMs: int = 300
+    retry_ms: int = 300
 
 
 class ConfigFaulty(Struct, frozen=True, tag="ConfigFaulty"):
@@ -128,7 +128,7 @@
 class ConfigUnknown(Struct, frozen=True, tag="ConfigUnknown"):
     text: str = "not every daemon has confirmed the configuration; read it back before trying again"
     status: int = 504
-    retryMs: int = 2000
+    retry_ms: int = 2000
 
 
 class VotersTurnedAway(Struct, frozen=True, tag="VotersTurnedAway"):
@@ -172,8 +172,8 @@
     return json.encode({"fault": plain(fault), "request": requestId})
 
 
-def retryAfter(fault):
-    waitMs = getattr(fault, "retryMs", None)
-    if waitMs is None:
+def retry_after(fault):
+    wait_ms = getattr(fault, "retry_ms", None)
+    if wait_ms is None:
         return None
-    return str(max(1, (waitMs + 999) // 1000))
+    return str(max(1, (wait_ms + 999) // 1000))
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -4,13 +4,14 @@
 from msgspec import DecodeError, json
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from frostpost.ledger.words import ClaimKey, Done, Finish, KeyReused, Shared, Unclaim, Won
 from frostpost.daemon.context import count
 from frostpost.daemon.heart import ask
+from frostpost.ledger.words import ClaimKey, Done, Finish, KeyReused, Shared, Unclaim, Won
+
 from . import carry, faults
-from .calls import leftMs
+from .calls import remaining_ms
 from .carry import unsent
-from .turns import faulted, select, statusOf
+from .selecting import faulted, select, status_of
 
 VERDICT_BYTES = 65536
 
@@ -23,16 +24,16 @@
 
 
 @inlineCallbacks
-def once(ctx, call, runner, shareMs):
+def once(ctx, call, runner, share_ms):
     go = carry.Go(runner, call.still or carry.always)
     run = Run(go)
-    status = statusOf(ctx, runner.name)
-    status.inFlight += 1
+    status = status_of(ctx, runner.name)
+    status.in_flight += 1
 
     def hear(data):
         run.data += data
-        if len(run.data) > ctx.settings.doors.verdictBytes:
-            stop(carry.TooMuch(ctx.settings.doors.verdictBytes))
+        if len(run.data) > ctx.settings.doors.verdict_bytes:
+            stop(carry.TooMuch(ctx.settings.doors.verdict_bytes))
 
     ended, stop = carry.start(
         ctx,
@@ -43,19 +44,19 @@
             "instance": runner.instance,
             "kind": "lookup",
             "request": call.id,
-            "lane": call.laneName,
+            "lane": call.lane_name,
             "tenant": call.tenant,
             "input": call.document["input"],
             "key": call.document.get("key"),
             "config": dict(call.lane.marks),
         },
         hear,
-        max(1, min(shareMs, leftMs(ctx, call))),
+        max(1, min(share_ms, remaining_ms(ctx, call))),
     )
     if call.lane.repeat != "keyed":
         call.stop = lambda: stop(carry.Broken("caller gone"))
     run.reason = yield ended
-    status.inFlight -= 1
+    status.in_flight -= 1
     if run.reason is None:
         status.faults = 0
     elif not call.gone and not carry.ours(run.reason):
@@ -75,9 +76,9 @@
         return Error(faults.RunnerFault(run.go.runner.name, "unreadable verdict"))
 
 
-def spendRetry(ctx):
+def spend_retry(ctx):
     if ctx.retries < 1:
-        count(ctx, "retriesWithheld")
+        count(ctx, "retries_withheld")
         return False
     ctx.retries -= 1
     return True
@@ -86,37 +87,39 @@
 @inlineCallbacks
 def goes(ctx, call, free):
     tried, sent = set(), False
-    ctx.retries = min(50.0, ctx.retries + ctx.settings.doors.retryRatio)
+    ctx.retries = min(50.0, ctx.retries + ctx.settings.doors.retry_ratio)
     while True:
-        if leftMs(ctx, call) <= 0:
+        if remaining_ms(ctx, call) <= 0:
             return Error(faults.Unknown() if sent else faults.LimitPassed())
         ranked = select(ctx, call, (), tried)
         if not ranked or call.gone:
             return Error(faults.Unknown() if sent else faults.RunnersFull())
-        share = leftMs(ctx, call) * 2 // 3 if free else leftMs(ctx, call)
+        share = remaining_ms(ctx, call) * 2 // 3 if free else remaining_ms(ctx, call)
         run = yield once(ctx, call, ranked[0], share)
         if run.reason is None:
             return read(run)
         tried.add(ranked[0].name)
         if unsent(run.reason):
-            if not spendRetry(ctx):
+            if not spend_retry(ctx):
                 return Error(faults.Unknown() if sent else faults.RunnersFull())
             continue
         sent = True
         if isinstance(run.reason, carry.TooMuch) and not free:
             return read(run)
-        if not free or call.gone or not spendRetry(ctx):
+        if not free or call.gone or not spend_retry(ctx):
             return Error(faults.Unknown())
-        count(ctx, "freeRetries")
+        count(ctx, "free_retries")
 
 
 @inlineCallbacks
 def keyed(ctx, call):
-    key = f"{call.tenant}/{call.laneName}/{call.document['key']}"
+    key = f"{call.tenant}/{call.lane_name}/{call.document['key']}"
     digest = blake2b(call.document["input"].encode(), digest_size=16).hexdigest()
     while True:
         result = yield ask(
-            ctx, ClaimKey(key, digest, call.lane.keyWindowMs), min(ctx.settings.doors.askMs, max(1, leftMs(ctx, call)))
+            ctx,
+            ClaimKey(key, digest, call.lane.key_window_ms),
+            min(ctx.settings.doors.ask_ms, max(1, remaining_ms(ctx, call))),
         )
         if result.is_error():
             return result
@@ -124,13 +127,13 @@
             case KeyReused():
                 return Error(faults.KeyMismatch())
             case Shared("done", verdict):
-                count(ctx, "keysShared")
+                count(ctx, "keys_shared")
                 return Ok(json.decode(verdict))
             case Shared("unknown", _):
                 return Error(faults.Unknown())
             case Shared():
-                yield settled(ctx, key, leftMs(ctx, call))
-                if leftMs(ctx, call) <= 0:
+                yield settled(ctx, key, remaining_ms(ctx, call))
+                if remaining_ms(ctx, call) <= 0:
                     return Error(faults.StillRunning())
             case Won():
                 return (yield owned(ctx, call, key))
@@ -140,54 +143,54 @@
 
 @inlineCallbacks
 def owned(ctx, call, key):
-    askMs = ctx.settings.doors.askMs * 2
+    ask_ms = ctx.settings.doors.ask_ms * 2
     call.still = lambda: holds(ctx, key)
     try:
         result = yield goes(ctx, call, False)
     except Exception:
-        ask(ctx, Finish(key, "unknown", b""), askMs)
+        ask(ctx, Finish(key, "unknown", b""), ask_ms)
         raise
     if result.is_error() and not isinstance(result.error, (faults.Unknown, faults.RunnerFault)):
-        yield ask(ctx, Unclaim(key), askMs)
+        yield ask(ctx, Unclaim(key), ask_ms)
         return result
     verdict = json.encode(result.ok) if result.is_ok() else b""
     status = "done" if result.is_ok() and len(verdict) <= VERDICT_BYTES else "unknown"
-    told = yield ask(ctx, Finish(key, status, verdict if status == "done" else b""), askMs)
+    told = yield ask(ctx, Finish(key, status, verdict if status == "done" else b""), ask_ms)
     if status == "unknown" or told.is_error() or not isinstance(told.ok, Done):
         return Error(faults.Unknown())
     return result
 
 
 def holds(ctx, key):
-    claim = ctx.core.granary.keys.get(key)
+    claim = ctx.core.ledger.keys.get(key)
     return claim is not None and claim.owner == ctx.place.member and claim.status == "held"
 
 
-def settled(ctx, key, waitMs):
+def settled(ctx, key, wait_ms):
     waiting = Deferred()
-    ctx.keyWaiters.setdefault(key, []).append(waiting)
+    ctx.key_waiters.setdefault(key, []).append(waiting)
 
     def expire():
         if not waiting.called:
             waiting.callback(None)
 
-    timer = ctx.reactor.callLater(max(0.001, waitMs / 1000), expire)
+    timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), expire)
 
     def tidy(result):
         if timer.active():
             timer.cancel()
-        if waiting in ctx.keyWaiters.get(key, []):
-            ctx.keyWaiters[key].remove(waiting)
+        if waiting in ctx.key_waiters.get(key, []):
+            ctx.key_waiters[key].remove(waiting)
         return result
 
     return waiting.addBoth(tidy)
 
 
 def wake(ctx):
-    for key in list(ctx.keyWaiters):
-        claim = ctx.core.granary.keys.get(key)
+    for key in list(ctx.key_waiters):
+        claim = ctx.core.ledger.keys.get(key)
         if claim is None or claim.status != "held":
-            for waiting in ctx.keyWaiters.pop(key):
+            for waiting in ctx.key_waiters.pop(key):
                 ctx.reactor.callLater(0, fire, waiting)
 
 
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -3,72 +3,73 @@
 from msgspec import Raw
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
+from frostpost.background.meters import gather
+from frostpost.background.shelves import body_of
+from frostpost.daemon.context import clock_ms
+from frostpost.daemon.core import lease_ok
+from frostpost.daemon.heart import ask
 from frostpost.ledger.programs import whole
 from frostpost.ledger.words import Look
 from frostpost.placement.judge import Question, explain
 from frostpost.virtual_synchrony.state import sequencer
-from frostpost.daemon.context import nowMs
-from frostpost.daemon.core import leaseOk
-from frostpost.daemon.heart import ask
-from frostpost.background.meters import gather
-from frostpost.background.shelves import bodyOf
+
 from . import faults
 
 
 def status(ctx):
-    hedge, granary = ctx.core.hedge, ctx.core.granary
+    synchrony, ledger = ctx.core.synchrony, ctx.core.ledger
     return {
-        "name": hedge.name,
-        "boot": hedge.me.boot,
-        "role": hedge.place.role,
-        "cell": hedge.place.cell,
-        "serving": leaseOk(ctx.core, nowMs(ctx)) and not ctx.leaving,
+        "name": synchrony.name,
+        "boot": synchrony.me.boot,
+        "role": synchrony.place.role,
+        "cell": synchrony.place.cell,
+        "serving": lease_ok(ctx.core, clock_ms(ctx)) and not ctx.leaving,
         "leaving": ctx.leaving,
-        "upMs": nowMs(ctx) - ctx.startedMs,
+        "up_ms": clock_ms(ctx) - ctx.started_ms,
         "configuration": {
-            "epoch": hedge.configuration.id.epoch,
-            "proposer": hedge.configuration.id.proposer,
-            "members": [m.name for m in hedge.configuration.members],
-            "sequencer": sequencer(hedge),
-            "ageMs": hedge.nowMs - hedge.installedMs,
+            "epoch": synchrony.configuration.id.epoch,
+            "proposer": synchrony.configuration.id.proposer,
+            "members": [m.name for m in synchrony.configuration.members],
+            "sequencer": sequencer(synchrony),
+            "age_ms": synchrony.now_ms - synchrony.installed_ms,
         },
-        "recovering": hedge.recovery is not None,
-        "voters": list(granary.voters),
-        "primary": hedge.primary.opened,
-        "rules": granary.rules,
-        "applied": hedge.applied,
-        "configIndex": granary.configIndex,
+        "recovering": synchrony.recovery is not None,
+        "voters": list(ledger.voters),
+        "primary": synchrony.primary.opened,
+        "rules": ledger.rules,
+        "applied": synchrony.applied,
+        "config_index": ledger.config_index,
         "honoured": ctx.honoured,
-        "clockMs": granary.clockMs,
+        "clock_ms": ledger.clock_ms,
         "flights": ctx.flights,
-        "lagMs": round(ctx.lagMs, 1),
+        "lag_ms": round(ctx.lag_ms, 1),
         "unwell": ctx.disk.unwell,
         "corrupt": ctx.corrupt,
         "syncs": ctx.disk.syncs,
         "duties": {
-            n: {"holder": d.holder.name if d.holder else None, "fence": d.fence} for n, d in granary.duties.items()
+            n: {"holder": d.holder.name if d.holder else None, "fence": d.fence} for n, d in ledger.duties.items()
         },
         "peers": {
             n: {
-                "heardMs": min(hedge.nowMs - p.heardMs, 1 << 31),
+                "heard_ms": min(synchrony.now_ms - p.heard_ms, 1 << 31),
                 "applied": p.applied,
                 "ready": p.ready,
                 "unwell": p.unwell,
                 "honoured": p.news.get("~honoured", 0),
             }
-            for n, p in hedge.peers.items()
+            for n, p in synchrony.peers.items()
         },
-        "counts": {**hedge.counts, **ctx.counts},
-        "wallMs": int(ctx.machine.wallS() * 1000),
-        "listSet": bool(ctx.settings.list),
-        "listAgeMs": nowMs(ctx) - ctx.listedMs if ctx.listedMs else None,
-        "diskFreePart": freePart(ctx.settings.data),
+        "counts": {**synchrony.counts, **ctx.counts},
+        "wall_ms": int(ctx.machine.wall_s() * 1000),
+        "list_set": bool(ctx.settings.list),
+        "list_age_ms": clock_ms(ctx) - ctx.listed_ms if ctx.listed_ms else None,
+        "disk_free_part": free_part(ctx.settings.data),
         "seeds": ctx.settings.seeds,
-        "places": [placed(p) for p in (hedge.place, *(p.place for p in hedge.peers.values()))],
+        "places": [placed(p) for p in (synchrony.place, *(p.place for p in synchrony.peers.values()))],
     }
 
 
-def freePart(folder):
+def free_part(folder):
     if not folder:
         return None
     usage = disk_usage(folder)
@@ -81,20 +82,20 @@
         "role": place.role,
         "cell": place.cell,
         "inner": f"{place.host}:{place.port}",
-        "http": f"{place.host}:{place.httpPort}",
+        "http": f"{place.host}:{place.http_port}",
     }
 
 
 def runners(ctx):
-    granary = ctx.core.granary
+    ledger = ctx.core.ledger
     found = []
-    for runner in granary.runners.values():
+    for runner in ledger.runners.values():
         held = ctx.statuses.get(runner.name)
         found.append(
             {
                 **named(runner),
-                "running": granary.running.get(runner.name, 0),
-                "leaving": f"{runner.name}/{runner.instance}" in granary.leaving,
+                "running": ledger.running.get(runner.name, 0),
+                "leaving": f"{runner.name}/{runner.instance}" in ledger.leaving,
                 "load": held.load if held else None,
                 "prefixes": len(held.prefixes) if held else None,
             }
@@ -107,7 +108,7 @@
 
 
 def program(ctx, tenant, name):
-    held = ctx.core.granary.programs.get(f"{tenant}/{name}")
+    held = ctx.core.ledger.programs.get(f"{tenant}/{name}")
     if held is None:
         return faults.NoSuch("this program has no history kept here")
     if not all(whole(line) for line in held.lines):
@@ -126,9 +127,9 @@
     if found is None:
         return faults.NoLane(f"tenant {tenant} has no lane {lane}")
     question = Question(
-        found.pools, ctx.settings.cell, (), "explain", nowMs(ctx), leaving=frozenset(ctx.core.granary.leaving)
+        found.pools, ctx.settings.cell, (), "explain", clock_ms(ctx), leaving=frozenset(ctx.core.ledger.leaving)
     )
-    rows = explain(question, ctx.core.granary.runners.values(), ctx.statuses, ctx.settings.weights)
+    rows = explain(question, ctx.core.ledger.runners.values(), ctx.statuses, ctx.settings.weights)
     return {
         "lane": named(found),
         "runners": [{"runner": r.name, "vetoes": v, "scores": s, "total": round(t, 4)} for r, v, s, t in rows],
@@ -136,39 +137,37 @@
 
 
 def config(ctx, path):
-    held, mark = ctx.documents.get(path), ctx.core.granary.configs.get(path)
+    held, mark = ctx.documents.get(path), ctx.core.ledger.configs.get(path)
     if held is None or mark is None or not mark.digest:
         return faults.NoSuch(f"there is no {path}")
     if mark.version != held[0]:
         return faults.ConfigChanging()
-    return {"path": path, "version": held[0], "document": Raw(bodyOf(ctx, path))}
+    return {"path": path, "version": held[0], "document": Raw(body_of(ctx, path))}
 
 
 def configs(ctx):
-    granary = ctx.core.granary
+    ledger = ctx.core.ledger
     return {
-        "index": granary.configIndex,
+        "index": ledger.config_index,
         "configs": {
-            p: {"version": m.version, "digest": m.digest, "size": m.size}
-            for p, m in granary.configs.items()
-            if m.digest
+            p: {"version": m.version, "digest": m.digest, "size": m.size} for p, m in ledger.configs.items() if m.digest
         },
     }
 
 
-def routes(app, ctx, answer, turnAway):
+def routes(app, ctx, answer, turn_away):
     def serve(request, found):
         if isinstance(found, dict):
             if "version" in found:
                 request.setHeader("etag", f'"{found["version"]}"')
             return answer(request, found)
-        return turnAway(request, found, "")
+        return turn_away(request, found, "")
 
     def leased(request, look):
-        if not leaseOk(ctx.core, nowMs(ctx)):
-            return turnAway(request, faults.NoPrimary(), "")
-        if ctx.honoured < ctx.needConfig:
-            return turnAway(request, faults.ConfigChanging(), "")
+        if not lease_ok(ctx.core, clock_ms(ctx)):
+            return turn_away(request, faults.NoPrimary(), "")
+        if ctx.honoured < ctx.need_config:
+            return turn_away(request, faults.ConfigChanging(), "")
         return serve(request, look())
 
     @app.route("/v1/status", methods=["GET"])
@@ -183,10 +182,10 @@
     def program_(request, tenant, name):
         def look(result):
             if result.is_error():
-                return turnAway(request, result.error, "")
+                return turn_away(request, result.error, "")
             return leased(request, lambda: program(ctx, tenant, name))
 
-        return ask(ctx, Look(), ctx.settings.doors.askMs).addCallback(look)
+        return ask(ctx, Look(), ctx.settings.doors.ask_ms).addCallback(look)
 
     @app.route("/v1/tenants/<tenant>/lanes/<lane>/explain", methods=["GET"])
     def explain_(request, tenant, lane):
@@ -203,9 +202,9 @@
     @app.route("/v1/ready", methods=["GET"])
     def ready(request):
         if ctx.leaving:
-            return turnAway(request, faults.Leaving(), "")
-        if not leaseOk(ctx.core, nowMs(ctx)) or ctx.honoured < ctx.needConfig:
-            return turnAway(request, faults.NoPrimary(), "")
+            return turn_away(request, faults.Leaving(), "")
+        if not lease_ok(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.need_config:
+            return turn_away(request, faults.NoPrimary(), "")
         return answer(request, {"ready": True})
 
     @app.route("/metrics", methods=["GET"])
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -2,19 +2,20 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.ledger import configs
-from frostpost.ledger.words import Change, ManySet, SetMany
+from frostpost.background import shelves
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
 from frostpost.daemon.waiting import until
-from frostpost.background import shelves
+from frostpost.ledger import configs
+from frostpost.ledger.words import Change, ManySet, SetMany
 from frostpost.tenant_config.shapes import WORD, Fault
-from frostpost.tenant_config.shelf import digestOf
-from frostpost.tenant_config.stamp import checkTemplate
+from frostpost.tenant_config.shelf import digest_of
+from frostpost.tenant_config.stamp import check_template
+
 from . import calls, control, faults
 
 
-def splitPaths(document):
+def split_paths(document):
     found, wrong = {}, []
     for kind, named in document.items():
         if kind not in ("templates", "tenants") or not isinstance(named, dict):
@@ -39,7 +40,7 @@
             if p.startswith("tenants/") and isinstance(d, dict) and d.get("template") == name
         ]
         used |= {f"tenants/{t}" for t, _ in tenants}
-        result = checkTemplate(one, tenants)
+        result = check_template(one, tenants)
         if result.is_error():
             wrong += [Fault(f"/{path}{f.path}", f.text) for f in result.error.faults]
     wrong += [Fault(f"/{p}/template", "no such template") for p in found if p.startswith("tenants/") and p not in used]
@@ -47,8 +48,8 @@
 
 
 def changed(ctx, bodies):
-    marks = {p: m for p, m in ctx.core.granary.configs.items() if m.digest}
-    fresh = {p: b for p, b in bodies.items() if p not in marks or marks[p].digest != digestOf(b)}
+    marks = {p: m for p, m in ctx.core.ledger.configs.items() if m.digest}
+    fresh = {p: b for p, b in bodies.items() if p not in marks or marks[p].digest != digest_of(b)}
     return fresh | {p: None for p in marks if p not in bodies}
 
 
@@ -56,7 +57,7 @@
 def order(ctx, bodies, index):
     doors, changes = ctx.settings.doors, []
     for path, body in bodies.items():
-        held = configs.held(ctx.core.granary, path)
+        held = configs.held(ctx.core.ledger, path)
         if body is None:
             changes.append(Change(path, configs.REMOVED, 0, held, "", 0))
             continue
@@ -64,11 +65,11 @@
         if not (yield shelves.spread(ctx, item)):
             return Error(faults.Undecided())
         changes.append(Change(path, item.digest, item.size, held, item.source, item.number))
-    result = control.taken(ManySet, (yield ask(ctx, SetMany(tuple(changes), index), doors.ackMs)))
+    result = control.taken(ManySet, (yield ask(ctx, SetMany(tuple(changes), index), doors.ack_ms)))
     if result.is_error():
         return result
     done = result.ok
-    if not (yield until(ctx, lambda: control.everywhere(ctx, done.index, "~honoured"), doors.ackMs)):
+    if not (yield until(ctx, lambda: control.everywhere(ctx, done.index, "~honoured"), doors.ack_ms)):
         return Error(faults.ConfigUnknown())
     say("ConfigsSet", paths=list(bodies), index=done.index)
     return Ok({"versions": dict(done.versions), "index": done.index})
@@ -76,28 +77,28 @@
 
 def begin(ctx, request):
     fault = control.ready(ctx)
-    if fault is None and ctx.core.granary.rules < 2:
+    if fault is None and ctx.core.ledger.rules < 2:
         fault = faults.OlderRules()
     if fault is not None:
         return Error(fault)
-    index = ctx.core.granary.configIndex
-    said = control.ifMatch(request, index)
+    index = ctx.core.ledger.config_index
+    said = control.if_match(request, index)
     if said.is_ok() and said.ok != index:
         return Error(faults.ConfigMoved(configs.ALL, index))
     return said
 
 
 @inlineCallbacks
-def takeAll(ctx, request):
+def take_all(ctx, request):
     index = begin(ctx, request)
     if index.is_error():
         return index
-    parsed = yield ctx.machine.inThread(calls.bodyOf, request)
+    parsed = yield ctx.machine.in_thread(calls.body_of, request)
     if parsed.is_error():
         return parsed
-    found, wrong = splitPaths(parsed.ok)
+    found, wrong = split_paths(parsed.ok)
     if not wrong:
-        wrong, bodies = yield ctx.machine.inThread(judge, found)
+        wrong, bodies = yield ctx.machine.in_thread(judge, found)
     if wrong:
         return Error(faults.ConfigFaulty(tuple(wrong)))
     fresh = changed(ctx, bodies)
@@ -109,12 +110,12 @@
 @inlineCallbacks
 def remove(ctx, request, path):
     fault = control.ready(ctx)
-    if fault is None and ctx.core.granary.rules < 2:
+    if fault is None and ctx.core.ledger.rules < 2:
         fault = faults.OlderRules()
     if fault is not None:
         return Error(fault)
-    held, at = configs.held(ctx.core.granary, path), ctx.core.granary.configIndex
-    version = control.ifMatch(request, held)
+    held, at = configs.held(ctx.core.ledger, path), ctx.core.ledger.config_index
+    version = control.if_match(request, held)
     if version.is_error():
         return version
     if not held or version.ok != held:
@@ -127,7 +128,7 @@
 
 
 def history(ctx, path):
-    marks = ctx.core.granary.past.get(path)
+    marks = ctx.core.ledger.past.get(path)
     if not marks:
         return Error(faults.NoSuch(f"there is no history of {path}"))
     return Ok(
@@ -142,6 +143,6 @@
 
 
 def former(ctx, path, number):
-    mark = next((m for m in ctx.core.granary.past.get(path, ()) if m.version == number and m.digest), None)
+    mark = next((m for m in ctx.core.ledger.past.get(path, ()) if m.version == number and m.digest), None)
     body = ctx.shelf.bodies.get(mark.digest) if mark else None
     return Error(faults.NoSuch(f"no version {number} of {path} is kept")) if body is None else Ok(body)
--- a/frostpost/http_api/turns.py
+++ b/frostpost/http_api/turns.py
@@ -1,74 +1,35 @@
 from msgspec import DecodeError, json
 from twisted.internet.defer import inlineCallbacks
 
+from frostpost.daemon.context import count
+from frostpost.daemon.heart import ask
 from frostpost.ledger import programs
 from frostpost.ledger.words import (
-    BudgetSpent,
     Done,
-    NoRunner,
     Release,
     Reserve,
     Reserved,
     Settle,
-    StaleConfig,
-    TurnOpen,
 )
-from frostpost.placement.judge import Question, Status, chainOf, rank
-from frostpost.daemon.context import count, nowMs
-from frostpost.daemon.heart import ask
+from frostpost.placement.judge import chain_of
+
 from . import carry, faults
-from .calls import leftMs
+from .calls import remaining_ms
 from .carry import unsent
+from .selecting import faulted, meaning, select, status_of
 
 CANDIDATES = 6
 
 
-def statusOf(ctx, name):
-    return ctx.statuses.setdefault(name, Status())
-
-
-def faulted(ctx, name):
-    status = statusOf(ctx, name)
-    status.faultMs, status.faults = nowMs(ctx), status.faults + 1
-
-
-def select(ctx, call, chain, tried):
-    question = Question(
-        call.lane.pools,
-        ctx.settings.cell,
-        chain,
-        call.id,
-        nowMs(ctx),
-        frozenset(tried),
-        frozenset(ctx.core.granary.leaving),
-    )
-    runners = ctx.core.granary.runners.values()
-    return rank(question, runners, ctx.statuses, ctx.settings.weights)
-
-
-def meaning(verdict):
-    match verdict:
-        case NoRunner():
-            return faults.RunnersFull()
-        case BudgetSpent(budget, spent):
-            return faults.BudgetGone(budget, spent)
-        case TurnOpen():
-            return faults.TurnRunning()
-        case StaleConfig():
-            return faults.ConfigChanging()
-        case _:
-            return faults.Internal()
-
-
 @inlineCallbacks
 def turn(ctx, call):
     key, tried = f"{call.tenant}/{call.document['program']}", set()
-    amount = min(call.document.get("maxOutput", call.lane.maxOutput), call.lane.maxOutput)
+    amount = min(call.document.get("max_output", call.lane.max_output), call.lane.max_output)
     while True:
-        if leftMs(ctx, call) <= 0:
+        if remaining_ms(ctx, call) <= 0:
             return faults.LimitPassed()
-        held = ctx.core.granary.programs.get(key)
-        chain = chainOf(held.lines) if held else ()
+        held = ctx.core.ledger.programs.get(key)
+        chain = chain_of(held.lines) if held else ()
         ranked = select(ctx, call, chain, tried)
         if not ranked or call.gone:
             return faults.RunnersFull()
@@ -78,13 +39,13 @@
                 key,
                 amount,
                 call.lane.budget,
-                call.lane.keepMs,
+                call.lane.keep_ms,
                 call.lane.pools,
                 tuple((r.name, r.instance) for r in ranked[:CANDIDATES]),
                 call.lane.marks,
-                max(call.lane.budgetKeepMs, call.lane.keepMs),
+                max(call.lane.budget_keep_ms, call.lane.keep_ms),
             ),
-            min(ctx.settings.doors.askMs, leftMs(ctx, call)),
+            min(ctx.settings.doors.ask_ms, remaining_ms(ctx, call)),
         )
         if result.is_error():
             return result.error
@@ -94,12 +55,12 @@
         try:
             reason = yield stream.run()
         except Exception:
-            ask(ctx, Settle(result.ok.index, result.ok.amount, None), ctx.settings.doors.askMs)
+            ask(ctx, Settle(result.ok.index, result.ok.amount, None), ctx.settings.doors.ask_ms)
             raise
         if not unsent(reason):
             return (yield stream.close(reason))
-        count(ctx, "goesTurnedAway")
-        ask(ctx, Release(result.ok.index), ctx.settings.doors.askMs)
+        count(ctx, "goes_turned_away")
+        ask(ctx, Release(result.ok.index), ctx.settings.doors.ask_ms)
         if not carry.ours(reason):
             faulted(ctx, result.ok.runner.name)
         tried.add(result.ok.runner.name)
@@ -133,13 +94,13 @@
 
     def run(self):
         ctx, runner = self.ctx, self.reserved.runner
-        self.go = carry.Go(runner, lambda: self.reserved.index in ctx.core.granary.reservations)
+        self.go = carry.Go(runner, lambda: self.reserved.index in ctx.core.ledger.reservations)
         lines = self.reserved.lines
         if not all(programs.whole(line) for line in lines):
             self.bad = faults.Internal("kept history failed its checksum")
             return carry.NeverSent("history")
-        status = statusOf(ctx, runner.name)
-        status.inFlight += 1
+        status = status_of(ctx, runner.name)
+        status.in_flight += 1
         ended, self.stop = carry.start(
             ctx,
             self.go,
@@ -149,21 +110,21 @@
                 "instance": runner.instance,
                 "kind": "turn",
                 "request": self.call.id,
-                "lane": self.call.laneName,
+                "lane": self.call.lane_name,
                 "tenant": self.call.tenant,
                 "history": [[line.input, line.output] for line in lines],
-                "chain": chainOf(lines),
+                "chain": chain_of(lines),
                 "input": self.call.document["input"],
-                "maxOutput": self.reserved.amount,
+                "max_output": self.reserved.amount,
                 "config": dict(self.call.lane.marks),
             },
             self.hear,
-            max(1, leftMs(ctx, self.call)),
+            max(1, remaining_ms(ctx, self.call)),
         )
         self.call.stop = lambda: self.stop(carry.Broken("caller gone"))
 
         def free(reason):
-            status.inFlight -= 1
+            status.in_flight -= 1
             return reason
 
         return ended.addBoth(free)
@@ -174,16 +135,16 @@
         for line in lines:
             if line and not self.ended and self.bad is None:
                 self.line(line)
-        if len(self.buffer) > self.ctx.settings.doors.lineBytes and self.bad is None:
-            self.cutShort(faults.RunnerFault(self.go.runner.name, "a line without end"))
+        if len(self.buffer) > self.ctx.settings.doors.line_bytes and self.bad is None:
+            self.cut_short(faults.RunnerFault(self.go.runner.name, "a line without end"))
 
     def pauseProducing(self):
         self.go.held = True
         self.slow = self.slow or self.ctx.reactor.callLater(
-            self.ctx.settings.doors.stallMs / 1000, self.cutShort, faults.TooSlow()
+            self.ctx.settings.doors.stall_ms / 1000, self.cut_short, faults.TooSlow()
         )
         if self.go.timer.active():
-            self.go.timer.reset(self.ctx.settings.doors.stallMs * 2 / 1000)
+            self.go.timer.reset(self.ctx.settings.doors.stall_ms * 2 / 1000)
         if self.go.protocol is not None and self.go.protocol.transport is not None:
             self.go.protocol.transport.pauseProducing()
 
@@ -217,13 +178,13 @@
                 return
             number, text, units = said["n"], said["text"], said.get("units", 1)
         except (DecodeError, KeyError, AttributeError):
-            return self.cutShort(faults.RunnerFault(self.go.runner.name, "unreadable piece"))
+            return self.cut_short(faults.RunnerFault(self.go.runner.name, "unreadable piece"))
         if number != self.next or not isinstance(text, str) or not isinstance(units, int) or units < 1:
-            return self.cutShort(faults.RunnerFault(self.go.runner.name, "piece out of order"))
-        if len(text) > self.ctx.settings.doors.lineBytes:
-            return self.cutShort(faults.RunnerFault(self.go.runner.name, "a piece too long"))
+            return self.cut_short(faults.RunnerFault(self.go.runner.name, "piece out of order"))
+        if len(text) > self.ctx.settings.doors.line_bytes:
+            return self.cut_short(faults.RunnerFault(self.go.runner.name, "a piece too long"))
         if self.units + units > self.reserved.amount:
-            return self.cutShort(faults.OutputCut(self.reserved.amount))
+            return self.cut_short(faults.OutputCut(self.reserved.amount))
         self.next += 1
         self.units += units
         if self.held is not None:
@@ -231,7 +192,7 @@
         self.held = (number, text, units)
         self.texts.append(text)
 
-    def cutShort(self, fault):
+    def cut_short(self, fault):
         self.bad = fault
         self.stop(carry.Broken("bad stream"))
 
@@ -255,15 +216,15 @@
         self.closed = True
         self.link(False)
         self.calm()
-        askMs = ctx.settings.doors.askMs * 2
+        ask_ms = ctx.settings.doors.ask_ms * 2
         if reason is not None or not self.ended or self.held is None:
-            ask(ctx, Settle(self.reserved.index, self.handed, None), askMs)
+            ask(ctx, Settle(self.reserved.index, self.handed, None), ask_ms)
             if self.bad is None and not call.gone:
                 faulted(ctx, self.go.runner.name)
             return self.bad or faults.Unknown()
-        statusOf(ctx, self.go.runner.name).faults = 0
+        status_of(ctx, self.go.runner.name).faults = 0
         line = programs.line(call.document["input"], "".join(self.texts))
-        result = yield ask(ctx, Settle(self.reserved.index, self.units, line), askMs)
+        result = yield ask(ctx, Settle(self.reserved.index, self.units, line), ask_ms)
         if result.is_error() or not isinstance(result.ok, Done):
             return faults.Unknown()
         self.emit(self.held)
--- a/frostpost/http_api/voting.py
+++ b/frostpost/http_api/voting.py
@@ -1,11 +1,12 @@
 from expression import Error, Ok
 from twisted.internet.defer import inlineCallbacks
 
+from frostpost.daemon.heart import ask
+from frostpost.daemon.news import say
 from frostpost.ledger.words import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import majority
-from frostpost.daemon.heart import ask
-from frostpost.daemon.news import say
+
 from . import calls, faults
 from .control import ready
 
@@ -13,14 +14,14 @@
 
 
 def fulls(ctx):
-    hedge = ctx.core.hedge
-    inside = {m.name for m in hedge.configuration.members}
-    found = {n for n, p in hedge.peers.items() if p.ready and n in inside}
-    return found | ({hedge.name} if hedge.primary.ready else set())
+    synchrony = ctx.core.synchrony
+    inside = {m.name for m in synchrony.configuration.members}
+    found = {n for n, p in synchrony.peers.items() if p.ready and n in inside}
+    return found | ({synchrony.name} if synchrony.primary.ready else set())
 
 
 def judge(ctx, document):
-    before = ctx.core.granary.voters
+    before = ctx.core.ledger.voters
     if set(document) not in ({"add"}, {"remove"}, {"remove", "force"}):
         return Error(faults.BadBody("/", "give add or remove, one of them"))
     if "add" in document:
@@ -50,14 +51,14 @@
     fault = ready(ctx)
     if fault:
         return Error(fault)
-    parsed = calls.bodyOf(request)
+    parsed = calls.body_of(request)
     if parsed.is_error():
         return parsed
     judged = judge(ctx, parsed.ok)
     if judged.is_error():
         return judged
-    before, id = ctx.core.granary.voters, ctx.core.hedge.configuration.id
-    result = yield ask(ctx, SetVoters(id, before, judged.ok), ctx.settings.doors.ackMs)
+    before, id = ctx.core.ledger.voters, ctx.core.synchrony.configuration.id
+    result = yield ask(ctx, SetVoters(id, before, judged.ok), ctx.settings.doors.ack_ms)
     if result.is_error():
         fault = result.error
         return Error(faults.ConfigUnknown() if isinstance(fault, faults.Undecided) else fault)
@@ -67,9 +68,9 @@
     return Ok({"voters": list(judged.ok)})
 
 
-def routes(app, ctx, answer, turnAway):
+def routes(app, ctx, answer, turn_away):
     @app.route("/v1/voters", methods=["POST"])
     def voters_(request):
         return change(ctx, request).addCallback(
-            lambda r: turnAway(request, r.error, "") if r.is_error() else answer(request, r.ok)
+            lambda r: turn_away(request, r.error, "") if r.is_error() else answer(request, r.ok)
         )
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -2,9 +2,10 @@
 
 from msgspec import msgpack
 
-from frostpost.program_ledger import apply as coppices
+from frostpost.program_ledger import apply as program_ledgers
+
 from . import configs, duties, keys, programs
-from .state import Granary
+from .state import Ledger
 from .words import (
     Ballot,
     ClaimKey,
@@ -32,134 +33,134 @@
 )
 
 ABSENT_MS = 600000
-decodeOp = msgpack.Decoder(Op).decode
+decode_op = msgpack.Decoder(Op).decode
 encode = msgpack.Encoder().encode
-decodeState = msgpack.Decoder(Granary).decode
+decode_state = msgpack.Decoder(Ledger).decode
 
 
-def apply(granary, entry):
-    granary.index = entry.index
+def apply(ledger, entry):
+    ledger.index = entry.index
     if entry.number:
-        boot, number = granary.sessions.get(entry.sender.name, (0, 0))
+        boot, number = ledger.sessions.get(entry.sender.name, (0, 0))
         if boot == entry.sender.boot and entry.number <= number:
-            return granary, None
-        granary.sessions[entry.sender.name] = (entry.sender.boot, entry.number)
-    return granary, act(granary, entry, decodeOp(entry.payload))
+            return ledger, None
+        ledger.sessions[entry.sender.name] = (entry.sender.boot, entry.number)
+    return ledger, act(ledger, entry, decode_op(entry.payload))
 
 
-def act(granary, entry, op) -> Verdict:
+def act(ledger, entry, op) -> Verdict:
     match op:
         case Open(members, cores, voters):
-            stopped = bool(granary.members) and not set(granary.members) & set(members)
-            granary.members, granary.cores = members, cores
-            granary.voters = granary.voters or voters
-            programs.orphan(granary)
-            keys.orphan(granary)
-            duties.vacate(granary)
+            stopped = bool(ledger.members) and not set(ledger.members) & set(members)
+            ledger.members, ledger.cores = members, cores
+            ledger.voters = ledger.voters or voters
+            programs.orphan(ledger)
+            keys.orphan(ledger)
+            duties.vacate(ledger)
             if stopped:
-                keys.anew(granary)
-                programs.anew(granary)
+                keys.anew(ledger)
+                programs.anew(ledger)
             return Done(entry.index)
         case Tick():
-            return tick(granary, entry, op)
+            return tick(ledger, entry, op)
         case Reserve():
-            return programs.reserve(granary, entry, op)
+            return programs.reserve(ledger, entry, op)
         case Settle():
-            return programs.settle(granary, entry, op)
+            return programs.settle(ledger, entry, op)
         case Release():
-            return programs.release(granary, entry, op)
+            return programs.release(ledger, entry, op)
         case ClaimKey():
-            return keys.claim(granary, entry, op)
+            return keys.claim(ledger, entry, op)
         case Finish():
-            return keys.finish(granary, entry, op)
+            return keys.finish(ledger, entry, op)
         case Unclaim():
-            return keys.unclaim(granary, entry, op)
+            return keys.unclaim(ledger, entry, op)
         case Runners():
-            return list_(granary, entry, op)
+            return list_(ledger, entry, op)
         case Drain():
-            return drain(granary, entry, op)
+            return drain(ledger, entry, op)
         case SetConfig():
-            return config(granary, entry, op)
+            return config(ledger, entry, op)
         case SetMany():
-            return configs.many(granary, entry, op)
+            return configs.many(ledger, entry, op)
         case Rules(version):
-            granary.rules = max(granary.rules, version)
+            ledger.rules = max(ledger.rules, version)
             return Done(entry.index)
         case Look():
             return Done(entry.index)
         case Fire():
-            return fire(granary, entry, op)
+            return fire(ledger, entry, op)
         case SetVoters():
-            return voters_(granary, entry, op)
+            return voters_(ledger, entry, op)
         case Ballot():
-            return duties.ballot(granary, entry, op)
+            return duties.ballot(ledger, entry, op)
         case _:
-            members = tuple(m.name for m in granary.members)
-            return coppices.act(granary.coppice, granary.clockMs, members, granary.voters, op)
+            members = tuple(m.name for m in ledger.members)
+            return program_ledgers.act(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
 
 
-def tick(granary, entry, op):
-    fault = duties.fenced(granary, "ticks", entry, op.fence)
+def tick(ledger, entry, op):
+    fault = duties.fenced(ledger, "ticks", entry, op.fence)
     if fault:
         return fault
-    granary.clockMs += max(0, op.elapsedMs)
-    while granary.expiries and granary.expiries[0][0] <= granary.clockMs:
-        _, kind, name = heappop(granary.expiries)
-        EXPIRE[kind](granary, name)
-    coppices.expire(granary.coppice, granary.clockMs)
+    ledger.clock_ms += max(0, op.elapsed_ms)
+    while ledger.expiries and ledger.expiries[0][0] <= ledger.clock_ms:
+        _, kind, name = heappop(ledger.expiries)
+        EXPIRE[kind](ledger, name)
+    program_ledgers.expire(ledger.program_ledger, ledger.clock_ms)
     return Done(entry.index)
 
 
-def list_(granary, entry, op):
-    fault = duties.fenced(granary, "list", entry, op.fence)
+def list_(ledger, entry, op):
+    fault = duties.fenced(ledger, "list", entry, op.fence)
     if fault:
         return fault
-    granary.runners = {r.name: r for r in op.entries}
-    listed = {programs.instanceKey(r) for r in op.entries}
-    for key in granary.leaving:
+    ledger.runners = {r.name: r for r in op.entries}
+    listed = {programs.instance_key(r) for r in op.entries}
+    for key in ledger.leaving:
         if key not in listed:
-            heappush(granary.expiries, (granary.clockMs + ABSENT_MS, "leaving", key))
+            heappush(ledger.expiries, (ledger.clock_ms + ABSENT_MS, "leaving", key))
     return Done(entry.index)
 
 
-def expireLeaving(granary, key):
-    if key not in {programs.instanceKey(r) for r in granary.runners.values()}:
-        granary.leaving.pop(key, None)
+def expire_leaving(ledger, key):
+    if key not in {programs.instance_key(r) for r in ledger.runners.values()}:
+        ledger.leaving.pop(key, None)
 
 
-EXPIRE = {"program": programs.expire, "key": keys.expire, "leaving": expireLeaving}
+EXPIRE = {"program": programs.expire, "key": keys.expire, "leaving": expire_leaving}
 
 
-def drain(granary, entry, op):
-    runner = granary.runners.get(op.runner)
+def drain(ledger, entry, op):
+    runner = ledger.runners.get(op.runner)
     if runner is None:
         return NotHeld("runner")
     if op.leaving:
-        granary.leaving[programs.instanceKey(runner)] = entry.index
+        ledger.leaving[programs.instance_key(runner)] = entry.index
     else:
-        granary.leaving.pop(programs.instanceKey(runner), None)
+        ledger.leaving.pop(programs.instance_key(runner), None)
     return Done(entry.index)
 
 
-def fire(granary, entry, op):
-    fault = duties.fenced(granary, "calendars", entry, op.fence)
+def fire(ledger, entry, op):
+    fault = duties.fenced(ledger, "calendars", entry, op.fence)
     if fault:
         return fault
-    if op.atS <= granary.fired.get(op.path, 0):
+    if op.at_s <= ledger.fired.get(op.path, 0):
         return NotHeld("calendar")
-    said = Done(entry.index) if op.change is None else config(granary, entry, op.change)
+    said = Done(entry.index) if op.change is None else config(ledger, entry, op.change)
     if not isinstance(said, StaleConfig):
-        granary.fired[op.path] = op.atS
+        ledger.fired[op.path] = op.at_s
     return said
 
 
-def voters_(granary, entry, op):
+def voters_(ledger, entry, op):
     one = len(set(op.before) ^ set(op.after)) == 1
-    if op.before != granary.voters or op.configuration != entry.configuration or not one:
+    if op.before != ledger.voters or op.configuration != entry.configuration or not one:
         return NotHeld("voters")
-    granary.voters = op.after
+    ledger.voters = op.after
     return VotersSet(op.after)
 
 
-def config(granary, entry, op):
-    return configs.one(granary, entry, op)
+def config(ledger, entry, op):
+    return configs.one(ledger, entry, op)
--- a/frostpost/ledger/configs.py
+++ b/frostpost/ledger/configs.py
@@ -1,46 +1,47 @@
 from .programs import stale
-from .words import Change, ConfigSet, ManySet, Mark, StaleConfig
+from .records import Mark
+from .words import Change, ConfigSet, ManySet, StaleConfig
 
 PAST = 10
 REMOVED = ""
 ALL = "*"
 
 
-def held(granary, path):
-    mark = granary.configs.get(path)
+def held(ledger, path):
+    mark = ledger.configs.get(path)
     return mark.version if mark and mark.digest != REMOVED else 0
 
 
-def moved(granary, path, ifVersion):
-    version = held(granary, path)
-    return StaleConfig(path, version) if version != ifVersion else None
+def moved(ledger, path, if_version):
+    version = held(ledger, path)
+    return StaleConfig(path, version) if version != if_version else None
 
 
-def lay(granary, entry, change):
-    before = granary.configs.get(change.path)
+def lay(ledger, entry, change):
+    before = ledger.configs.get(change.path)
     version = (before.version if before else 0) + 1
     mark = Mark(version, change.digest, change.size, change.source, change.number, entry.index)
-    granary.configs[change.path] = mark
-    granary.configIndex = entry.index
-    if granary.rules >= 2:
-        granary.past[change.path] = [*granary.past.get(change.path, ()), mark][-PAST:]
+    ledger.configs[change.path] = mark
+    ledger.config_index = entry.index
+    if ledger.rules >= 2:
+        ledger.past[change.path] = [*ledger.past.get(change.path, ()), mark][-PAST:]
     return version
 
 
-def one(granary, entry, op):
-    fault = moved(granary, op.path, op.ifVersion) or stale(granary, op.bases)
+def one(ledger, entry, op):
+    fault = moved(ledger, op.path, op.if_version) or stale(ledger, op.bases)
     if fault:
         return fault
-    change = Change(op.path, op.digest, op.size, op.ifVersion, op.source, op.number)
-    return ConfigSet(lay(granary, entry, change), entry.index)
+    change = Change(op.path, op.digest, op.size, op.if_version, op.source, op.number)
+    return ConfigSet(lay(ledger, entry, change), entry.index)
 
 
-def many(granary, entry, op):
-    if op.index != granary.configIndex:
-        return StaleConfig(ALL, granary.configIndex)
+def many(ledger, entry, op):
+    if op.index != ledger.config_index:
+        return StaleConfig(ALL, ledger.config_index)
     for change in op.changes:
-        fault = moved(granary, change.path, change.ifVersion)
+        fault = moved(ledger, change.path, change.if_version)
         if fault:
             return fault
-    versions = tuple((c.path, lay(granary, entry, c)) for c in op.changes)
+    versions = tuple((c.path, lay(ledger, entry, c)) for c in op.changes)
     return ManySet(versions, entry.index)
--- a/frostpost/ledger/duties.py
+++ b/frostpost/ledger/duties.py
@@ -9,34 +9,34 @@
     return blake2b(f"{duty}/{round}/{name}".encode(), digest_size=8).digest()
 
 
-def electors(granary):
-    return granary.cores or tuple(m.name for m in granary.members)
+def electors(ledger):
+    return ledger.cores or tuple(m.name for m in ledger.members)
 
 
-def nominee(granary, duty, round):
-    return max(electors(granary), key=lambda n: score(duty, round, n), default="")
+def nominee(ledger, duty, round):
+    return max(electors(ledger), key=lambda n: score(duty, round, n), default="")
 
 
-def vacate(granary):
+def vacate(ledger):
     for name in DUTIES:
-        duty = granary.duties.setdefault(name, Duty())
-        if duty.holder is not None and duty.holder not in granary.members:
+        duty = ledger.duties.setdefault(name, Duty())
+        if duty.holder is not None and duty.holder not in ledger.members:
             duty.holder, duty.round = None, duty.round + 1
         if duty.holder is None:
             duty.ballots = {}
 
 
-def ballot(granary, entry, op):
-    duty = granary.duties.get(op.duty)
+def ballot(ledger, entry, op):
+    duty = ledger.duties.get(op.duty)
     if duty is None or duty.holder is not None or duty.round != op.round:
         return NotHeld("round")
-    able = electors(granary)
+    able = electors(ledger)
     if entry.sender.name not in able:
         return NotHeld("elector")
     duty.ballots[entry.sender.name] = op.candidate
     said = [c for voter, c in duty.ballots.items() if voter in able]
     for candidate in sorted(set(said)):
-        member = next((m for m in granary.members if m.name == candidate), None)
+        member = next((m for m in ledger.members if m.name == candidate), None)
         if member and said.count(candidate) * 2 > len(able):
             duty.holder, duty.fence, duty.ballots = member, entry.index, {}
             return Done(entry.index)
@@ -45,22 +45,22 @@
     return Done(entry.index)
 
 
-def owed(granary, me):
-    if me.name not in electors(granary):
+def owed(ledger, me):
+    if me.name not in electors(ledger):
         return []
     return [
-        (name, duty.round, nominee(granary, name, duty.round))
-        for name, duty in granary.duties.items()
+        (name, duty.round, nominee(ledger, name, duty.round))
+        for name, duty in ledger.duties.items()
         if duty.holder is None and me.name not in duty.ballots
     ]
 
 
-def held(granary, name, me):
-    duty = granary.duties.get(name)
+def held(ledger, name, me):
+    duty = ledger.duties.get(name)
     return duty.fence if duty and duty.holder == me else 0
 
 
-def fenced(granary, name, entry, fence):
-    duty = granary.duties.get(name)
+def fenced(ledger, name, entry, fence):
+    duty = ledger.duties.get(name)
     if duty is None or duty.holder != entry.sender or duty.fence != fence:
         return Fenced(duty.fence if duty else 0)
--- a/frostpost/ledger/keys.py
+++ b/frostpost/ledger/keys.py
@@ -1,53 +1,54 @@
 from heapq import heappush
 
-from .words import Claim, Done, KeyReused, NotHeld, Shared, Won
+from .records import Claim
+from .words import Done, KeyReused, NotHeld, Shared, Won
 
 
-def claim(granary, entry, op):
-    held = granary.keys.get(op.key)
+def claim(ledger, entry, op):
+    held = ledger.keys.get(op.key)
     if held is None:
-        granary.keys[op.key] = Claim(op.digest, entry.sender, op.windowMs)
+        ledger.keys[op.key] = Claim(op.digest, entry.sender, op.window_ms)
         return Won(entry.index)
     if held.digest != op.digest:
         return KeyReused(op.key)
     return Shared(held.status, held.verdict)
 
 
-def end(granary, key, status, verdict):
-    held = granary.keys[key]
-    held.status, held.verdict, held.endedMs = status, verdict, granary.clockMs
-    heappush(granary.expiries, (granary.clockMs + held.windowMs, "key", key))
+def end(ledger, key, status, verdict):
+    held = ledger.keys[key]
+    held.status, held.verdict, held.ended_ms = status, verdict, ledger.clock_ms
+    heappush(ledger.expiries, (ledger.clock_ms + held.window_ms, "key", key))
 
 
-def finish(granary, entry, op):
-    held = granary.keys.get(op.key)
+def finish(ledger, entry, op):
+    held = ledger.keys.get(op.key)
     if held is None or held.owner != entry.sender or held.status != "held":
         return NotHeld("key")
-    end(granary, op.key, op.status, op.verdict)
+    end(ledger, op.key, op.status, op.verdict)
     return Done(entry.index)
 
 
-def unclaim(granary, entry, op):
-    held = granary.keys.get(op.key)
+def unclaim(ledger, entry, op):
+    held = ledger.keys.get(op.key)
     if held is None or held.owner != entry.sender or held.status != "held":
         return NotHeld("key")
-    del granary.keys[op.key]
+    del ledger.keys[op.key]
     return Done(entry.index)
 
 
-def orphan(granary):
-    for key, held in granary.keys.items():
-        if held.status == "held" and held.owner not in granary.members:
-            end(granary, key, "unknown", b"")
+def orphan(ledger):
+    for key, held in ledger.keys.items():
+        if held.status == "held" and held.owner not in ledger.members:
+            end(ledger, key, "unknown", b"")
 
 
-def anew(granary):
-    for key, held in granary.keys.items():
-        if held.endedMs >= 0:
-            end(granary, key, held.status, held.verdict)
+def anew(ledger):
+    for key, held in ledger.keys.items():
+        if held.ended_ms >= 0:
+            end(ledger, key, held.status, held.verdict)
 
 
-def expire(granary, key):
-    held = granary.keys.get(key)
-    if held and held.endedMs >= 0 and granary.clockMs - held.endedMs >= held.windowMs:
-        del granary.keys[key]
+def expire(ledger, key):
+    held = ledger.keys.get(key)
+    if held and held.ended_ms >= 0 and ledger.clock_ms - held.ended_ms >= held.window_ms:
+        del ledger.keys[key]
--- a/frostpost/ledger/programs.py
+++ b/frostpost/ledger/programs.py
@@ -1,18 +1,8 @@
 from heapq import heappush
 from zlib import crc32
 
-from .words import (
-    BudgetSpent,
-    Done,
-    Line,
-    NoRunner,
-    NotHeld,
-    Program,
-    Reservation,
-    Reserved,
-    StaleConfig,
-    TurnOpen,
-)
+from .records import Line, Program, Reservation
+from .words import BudgetSpent, Done, NoRunner, NotHeld, Reserved, StaleConfig, TurnOpen
 
 
 def line(input, output):
@@ -23,127 +13,127 @@
     return crc32(kept.output.encode(), crc32(kept.input.encode())) == kept.sum
 
 
-def instanceKey(runner):
+def instance_key(runner):
     return f"{runner.name}/{runner.instance}"
 
 
-def admissible(granary, name, instance, pools):
-    runner = granary.runners.get(name)
-    if runner is None or runner.instance != instance or instanceKey(runner) in granary.leaving:
+def admissible(ledger, name, instance, pools):
+    runner = ledger.runners.get(name)
+    if runner is None or runner.instance != instance or instance_key(runner) in ledger.leaving:
         return None
-    if runner.pool not in pools or granary.running.get(name, 0) >= runner.room:
+    if runner.pool not in pools or ledger.running.get(name, 0) >= runner.room:
         return None
     return runner
 
 
-def stale(granary, marks):
+def stale(ledger, marks):
     for path, version in marks:
-        mark = granary.configs.get(path)
+        mark = ledger.configs.get(path)
         held = mark.version if mark and mark.digest else 0
         if held != version:
             return StaleConfig(path, held)
 
 
-def reserve(granary, entry, op):
-    fault = stale(granary, op.marks)
+def reserve(ledger, entry, op):
+    fault = stale(ledger, op.marks)
     if fault:
         return fault
-    program = granary.programs.get(op.program) or Program(op.budget, op.keepMs)
-    program.budget, program.keepMs, program.budgetKeepMs = op.budget, op.keepMs, op.budgetKeepMs
+    program = ledger.programs.get(op.program) or Program(op.budget, op.keep_ms)
+    program.budget, program.keep_ms, program.budget_keep_ms = op.budget, op.keep_ms, op.budget_keep_ms
     if program.turn:
         return TurnOpen(op.program)
     amount = min(op.amount, program.budget - program.spent - program.reserved)
     if amount <= 0:
         return BudgetSpent(program.budget, program.spent)
-    found = (admissible(granary, n, i, op.pools) for n, i in op.candidates)
+    found = (admissible(ledger, n, i, op.pools) for n, i in op.candidates)
     runner = next((r for r in found if r), None)
     if runner is None:
         return NoRunner(len(op.candidates))
-    granary.programs[op.program] = program
+    ledger.programs[op.program] = program
     program.turn, program.reserved = entry.index, program.reserved + amount
-    touch(granary, op.program, program)
-    granary.reservations[entry.index] = Reservation(op.program, entry.sender, amount, runner.name)
-    granary.running[runner.name] = granary.running.get(runner.name, 0) + 1
+    touch(ledger, op.program, program)
+    ledger.reservations[entry.index] = Reservation(op.program, entry.sender, amount, runner.name)
+    ledger.running[runner.name] = ledger.running.get(runner.name, 0) + 1
     return Reserved(entry.index, runner, amount, tuple(program.lines))
 
 
-def touch(granary, name, program):
-    now = program.touchedMs = granary.clockMs
-    if granary.rules < 2:
-        heappush(granary.expiries, (now + program.keepMs, "program", name))
+def touch(ledger, name, program):
+    now = program.touched_ms = ledger.clock_ms
+    if ledger.rules < 2:
+        heappush(ledger.expiries, (now + program.keep_ms, "program", name))
         return
-    program.keptMs = max(program.keptMs, now + program.keepMs)
-    program.budgetKeptMs = max(program.budgetKeptMs, program.keptMs, now + program.budgetKeepMs)
-    if not program.dueMs:
-        due(granary, name, program)
+    program.kept_ms = max(program.kept_ms, now + program.keep_ms)
+    program.budget_kept_ms = max(program.budget_kept_ms, program.kept_ms, now + program.budget_keep_ms)
+    if not program.due_ms:
+        due(ledger, name, program)
 
 
-def due(granary, name, program):
-    program.dueMs = program.keptMs if program.lines or program.turn else program.budgetKeptMs
-    heappush(granary.expiries, (program.dueMs, "program", name))
+def due(ledger, name, program):
+    program.due_ms = program.kept_ms if program.lines or program.turn else program.budget_kept_ms
+    heappush(ledger.expiries, (program.due_ms, "program", name))
 
 
-def close(granary, number, used):
-    held = granary.reservations.pop(number)
-    program = granary.programs[held.program]
+def close(ledger, number, used):
+    held = ledger.reservations.pop(number)
+    program = ledger.programs[held.program]
     program.reserved -= held.amount
     program.spent += min(used, held.amount)
     if program.turn == number:
         program.turn = 0
-    touch(granary, held.program, program)
-    left = granary.running.get(held.runner, 0) - 1
+    touch(ledger, held.program, program)
+    left = ledger.running.get(held.runner, 0) - 1
     if left > 0:
-        granary.running[held.runner] = left
+        ledger.running[held.runner] = left
     else:
-        granary.running.pop(held.runner, None)
+        ledger.running.pop(held.runner, None)
     return program
 
 
-def settle(granary, entry, op):
-    held = granary.reservations.get(op.reservation)
+def settle(ledger, entry, op):
+    held = ledger.reservations.get(op.reservation)
     if held is None or held.owner != entry.sender:
         return NotHeld("reservation")
-    program = close(granary, op.reservation, op.used)
+    program = close(ledger, op.reservation, op.used)
     if op.line is not None:
         program.lines.append(op.line)
     return Done(entry.index)
 
 
-def release(granary, entry, op):
-    held = granary.reservations.get(op.reservation)
+def release(ledger, entry, op):
+    held = ledger.reservations.get(op.reservation)
     if held is None or held.owner != entry.sender:
         return NotHeld("reservation")
-    close(granary, op.reservation, 0)
+    close(ledger, op.reservation, 0)
     return Done(entry.index)
 
 
-def orphan(granary):
-    for number, held in list(granary.reservations.items()):
-        if held.owner not in granary.members:
-            close(granary, number, held.amount)
+def orphan(ledger):
+    for number, held in list(ledger.reservations.items()):
+        if held.owner not in ledger.members:
+            close(ledger, number, held.amount)
 
 
-def anew(granary):
-    for name, program in granary.programs.items():
-        program.keptMs += granary.clockMs - program.touchedMs
-        program.budgetKeptMs += granary.clockMs - program.touchedMs
-        touch(granary, name, program)
+def anew(ledger):
+    for name, program in ledger.programs.items():
+        program.kept_ms += ledger.clock_ms - program.touched_ms
+        program.budget_kept_ms += ledger.clock_ms - program.touched_ms
+        touch(ledger, name, program)
 
 
-def expire(granary, name):
-    program = granary.programs.get(name)
+def expire(ledger, name):
+    program = ledger.programs.get(name)
     if program is None:
         return
-    program.dueMs = 0
+    program.due_ms = 0
     if program.turn:
         return
-    if granary.rules < 2:
-        if granary.clockMs - program.touchedMs >= program.keepMs:
-            del granary.programs[name]
+    if ledger.rules < 2:
+        if ledger.clock_ms - program.touched_ms >= program.keep_ms:
+            del ledger.programs[name]
         return
-    if granary.clockMs >= program.keptMs:
+    if ledger.clock_ms >= program.kept_ms:
         program.lines = []
-    if granary.clockMs >= program.budgetKeptMs:
-        del granary.programs[name]
+    if ledger.clock_ms >= program.budget_kept_ms:
+        del ledger.programs[name]
     else:
-        due(granary, name, program)
+        due(ledger, name, program)
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -1,13 +1,15 @@
 from msgspec import Struct, field
 
-from frostpost.program_ledger.state import Coppice
+from frostpost.program_ledger.state import ProgramLedger
 from frostpost.virtual_synchrony.words import Member
-from .words import Claim, Duty, Mark, Program, Reservation, Runner
 
+from .records import Claim, Mark, Program, Reservation, Runner
+from .words import Duty
 
-class Granary(Struct):
+
+class Ledger(Struct):
     index: int = 0
-    clockMs: int = 0
+    clock_ms: int = 0
     members: tuple[Member, ...] = ()
     cores: tuple[str, ...] = ()
     voters: tuple[str, ...] = ()
@@ -19,10 +21,10 @@
     leaving: dict[str, int] = {}
     running: dict[str, int] = {}
     configs: dict[str, Mark] = {}
-    configIndex: int = 0
+    config_index: int = 0
     duties: dict[str, Duty] = {}
     expiries: list[tuple[int, str, str]] = []
     fired: dict[str, int] = {}
     rules: int = 1
     past: dict[str, list[Mark]] = {}
-    coppice: Coppice = field(default_factory=Coppice)
+    program_ledger: ProgramLedger = field(default_factory=ProgramLedger)
--- a/frostpost/ledger/words.py
+++ b/frostpost/ledger/words.py
@@ -4,60 +4,7 @@
 from frostpost.virtual_synchrony.events import Open, SetVoters
 from frostpost.virtual_synchrony.words import Member
 
-
-class Line(Struct, array_like=True, frozen=True):
-    input: str
-    output: str
-    sum: int
-
-
-class Program(Struct, array_like=True):
-    budget: int
-    keepMs: int
-    spent: int = 0
-    reserved: int = 0
-    turn: int = 0
-    touchedMs: int = 0
-    lines: list[Line] = []
-    keptMs: int = 0
-    budgetKeepMs: int = 0
-    budgetKeptMs: int = 0
-    dueMs: int = 0
-
-
-class Reservation(Struct, array_like=True, frozen=True):
-    program: str
-    owner: Member
-    amount: int
-    runner: str
-
-
-class Claim(Struct, array_like=True):
-    digest: str
-    owner: Member
-    windowMs: int
-    status: str = "held"
-    verdict: bytes = b""
-    endedMs: int = -1
-
-
-class Runner(Struct, array_like=True, frozen=True):
-    name: str
-    instance: str
-    host: str
-    port: int
-    pool: str
-    cell: str
-    room: int
-
-
-class Mark(Struct, array_like=True, frozen=True):
-    version: int
-    digest: str
-    size: int
-    source: str
-    number: int
-    index: int
+from .records import Line, Runner
 
 
 class Duty(Struct, array_like=True):
@@ -69,18 +16,18 @@
 
 class Tick(Struct, array_like=True, frozen=True, tag="tick"):
     fence: int
-    elapsedMs: int
+    elapsed_ms: int
 
 
 class Reserve(Struct, array_like=True, frozen=True, tag="reserve"):
     program: str
     amount: int
     budget: int
-    keepMs: int
+    keep_ms: int
     pools: tuple[str, ...]
     candidates: tuple[tuple[str, str], ...]
     marks: tuple[tuple[str, int], ...]
-    budgetKeepMs: int = 0
+    budget_keep_ms: int = 0
 
 
 class Settle(Struct, array_like=True, frozen=True, tag="settle"):
@@ -96,7 +43,7 @@
 class ClaimKey(Struct, array_like=True, frozen=True, tag="claim"):
     key: str
     digest: str
-    windowMs: int
+    window_ms: int
 
 
 class Finish(Struct, array_like=True, frozen=True, tag="finish"):
@@ -123,7 +70,7 @@
     path: str
     digest: str
     size: int
-    ifVersion: int
+    if_version: int
     source: str
     number: int
     bases: tuple[tuple[str, int], ...]
@@ -133,7 +80,7 @@
     path: str
     digest: str
     size: int
-    ifVersion: int
+    if_version: int
     source: str
     number: int
 
@@ -150,7 +97,7 @@
 class Fire(Struct, array_like=True, frozen=True, tag="fire"):
     fence: int
     path: str
-    atS: int
+    at_s: int
     change: SetConfig | None
 
 
--- a/frostpost/placement/judge.py
+++ b/frostpost/placement/judge.py
@@ -9,10 +9,10 @@
     room: int = 1
     prefixes: frozenset[str] = frozenset()
     leaving: bool = False
-    heardMs: int = -(1 << 40)
-    faultMs: int = -(1 << 40)
+    heard_ms: int = -(1 << 40)
+    fault_ms: int = -(1 << 40)
     faults: int = 0
-    inFlight: int = 0
+    in_flight: int = 0
 
 
 class Weights(Struct, frozen=True):
@@ -20,8 +20,8 @@
     load: float = 1.5
     cell: float = 0.3
     jitter: float = 0.2
-    staleMs: int = 5000
-    restMs: int = 1000
+    stale_ms: int = 5000
+    rest_ms: int = 1000
 
 
 class Question(Struct, frozen=True):
@@ -29,12 +29,12 @@
     cell: str
     chain: tuple[str, ...]
     salt: str
-    nowMs: int
+    now_ms: int
     tried: frozenset[str] = frozenset()
     leaving: frozenset[str] = frozenset()
 
 
-def chainOf(lines):
+def chain_of(lines):
     digests, last = [], b""
     for line in lines:
         last = blake2b(last + line.input.encode() + b"\0" + line.output.encode(), digest_size=8).digest()
@@ -42,35 +42,35 @@
     return tuple(digests)
 
 
-def vetoPool(question, runner, status, weights):
+def veto_pool(question, runner, status, weights):
     return runner.pool not in question.pools
 
 
-def vetoTried(question, runner, status, weights):
+def veto_tried(question, runner, status, weights):
     return runner.name in question.tried
 
 
-def vetoLeaving(question, runner, status, weights):
+def veto_leaving(question, runner, status, weights):
     return status.leaving or f"{runner.name}/{runner.instance}" in question.leaving
 
 
-def vetoInstance(question, runner, status, weights):
+def veto_instance(question, runner, status, weights):
     return bool(status.instance) and status.instance != runner.instance
 
 
-def vetoFull(question, runner, status, weights):
-    return status.inFlight >= runner.room
+def veto_full(question, runner, status, weights):
+    return status.in_flight >= runner.room
 
 
-def vetoResting(question, runner, status, weights):
-    restMs = weights.restMs * min(status.faults, 5)
-    return status.faults > 0 and question.nowMs - status.faultMs < restMs
+def veto_resting(question, runner, status, weights):
+    rest_ms = weights.rest_ms * min(status.faults, 5)
+    return status.faults > 0 and question.now_ms - status.fault_ms < rest_ms
 
 
-VETOES = (vetoPool, vetoTried, vetoLeaving, vetoInstance, vetoFull, vetoResting)
+VETOES = (veto_pool, veto_tried, veto_leaving, veto_instance, veto_full, veto_resting)
 
 
-def scorePrefix(question, runner, status, weights):
+def score_prefix(question, runner, status, weights):
     if not question.chain:
         return 0.0
     held = 0
@@ -81,22 +81,22 @@
     return weights.prefix * held / len(question.chain)
 
 
-def scoreLoad(question, runner, status, weights):
-    fresh = question.nowMs - status.heardMs < weights.staleMs
+def score_load(question, runner, status, weights):
+    fresh = question.now_ms - status.heard_ms < weights.stale_ms
     reported = status.load if fresh else 1.0
-    return -weights.load * max(reported, status.inFlight) / max(1, runner.room)
+    return -weights.load * max(reported, status.in_flight) / max(1, runner.room)
 
 
-def scoreCell(question, runner, status, weights):
+def score_cell(question, runner, status, weights):
     return weights.cell if runner.cell == question.cell else 0.0
 
 
-def scoreJitter(question, runner, status, weights):
+def score_jitter(question, runner, status, weights):
     spot = blake2b(f"{question.salt}/{runner.name}".encode(), digest_size=2).digest()
     return weights.jitter * int.from_bytes(spot, "big") / 65535
 
 
-SCORES = (scorePrefix, scoreLoad, scoreCell, scoreJitter)
+SCORES = (score_prefix, score_load, score_cell, score_jitter)
 
 
 def explain(question, runners, statuses, weights):
@@ -111,5 +111,5 @@
 
 def rank(question, runners, statuses, weights):
     judged = explain(question, runners, statuses, weights)
-    rows = [r for r in judged if not r[1]] or [r for r in judged if r[1] == [vetoResting.__name__]]
+    rows = [r for r in judged if not r[1]] or [r for r in judged if r[1] == [veto_resting.__name__]]
     return [row[0] for row in sorted(rows, key=lambda row: (-row[3], row[0].name))]
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -7,8 +7,8 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.context import now_ms
-from frostpost.proxy.words import ClientBounds
 from frostpost.daemon.news import say
+from frostpost.proxy.words import ClientBounds
 
 from . import names, routing
 from .server import Server, reply
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -8,9 +8,9 @@
 
 from frostpost.cluster.context import now_ms
 from frostpost.cluster.tracing import taken, traced
+from frostpost.daemon.news import say
 from frostpost.proxy import failures
 from frostpost.proxy.words import ClientBounds, Sink
-from frostpost.daemon.news import say
 
 from .calls import call_of
 from .server import Server, close_after, reply
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -2,7 +2,6 @@
 
 import json
 from hashlib import sha256
-from math import isfinite
 
 import msgspec
 from cerberus import Validator
@@ -12,20 +11,12 @@
 from frostpost.proxy.words import ClientBounds, Route, Routing, Service
 
 from .documents import BoundItem, Document, Engine
+from .strict_json import RoutingInvalid, read_json
 
 KINDS = ("safe", "unsafe", "idempotent", "streaming")
 MOST_TAKEN = 64
 
 
-class RoutingInvalid(Struct, frozen=True, tag="RoutingInvalid"):
-    path: str
-    text: str
-
-
-class DoubledKey(ValueError):
-    """An object that names one key twice."""
-
-
 class Stored(Struct):
     """What is kept under one version: the document, and the digests of the requests that led to it."""
 
@@ -53,34 +44,6 @@
 )
 
 
-def without_doubles(pairs):
-    found = dict(pairs)
-    if len(found) != len(pairs):
-        raise DoubledKey("an object names a key twice")
-    return found
-
-
-def no_constant(text):
-    raise ValueError(f"{text} is no number")
-
-
-def finite(text):
-    value = float(text)
-    return value if isfinite(value) else no_constant(text)
-
-
-def read_json(body):
-    """Result[object, RoutingInvalid] of bytes."""
-    try:
-        text = body.decode("utf-8")
-        if "\\ud" in text.lower():
-            msgspec.json.decode(body)
-        document = json.loads(text, object_pairs_hook=without_doubles, parse_constant=no_constant, parse_float=finite)
-    except (ValueError, RecursionError, msgspec.DecodeError) as fault:
-        return Error(RoutingInvalid("", str(fault)[:200]))
-    return Ok(document) if isinstance(document, dict) else Error(RoutingInvalid("", "is no object"))
-
-
 def shaped(validator, document):
     """Result[document, RoutingInvalid]"""
     if validator.validate(document, normalize=False):
--- a/frostpost/program_ledger/apply.py
+++ b/frostpost/program_ledger/apply.py
@@ -1,4 +1,4 @@
-"""One step of the turn ledger: (coppice, clock, members, voters, op) -> verdict."""
+"""One step of the turn ledger: (program_ledger, clock, members, voters, op) -> verdict."""
 
 from heapq import heappop
 
@@ -37,17 +37,17 @@
     return type(op) in STEPS or type(op) in NAMED
 
 
-def act(coppice, now_ms, members, voters, op):
+def act(program_ledger, now_ms, members, voters, op):
     """members, voters: names. Raises KeyError for an operation that isn't the turn ledger's."""
     if type(op) in NAMED:
-        return NAMED[type(op)](coppice, members, voters, op)
-    return STEPS[type(op)](coppice, now_ms, op)
+        return NAMED[type(op)](program_ledger, members, voters, op)
+    return STEPS[type(op)](program_ledger, now_ms, op)
 
 
-def expire_tomb(coppice, now_ms, name):
-    if coppice.tombs.get(name, 0) <= now_ms:
-        coppice.tombs.pop(name, None)
-        coppice.refused.pop(name, None)
+def expire_tomb(program_ledger, now_ms, name):
+    if program_ledger.tombs.get(name, 0) <= now_ms:
+        program_ledger.tombs.pop(name, None)
+        program_ledger.refused.pop(name, None)
 
 
 EXPIRE = {
@@ -59,8 +59,8 @@
 }
 
 
-def expire(coppice, now_ms):
-    while coppice.expiries and coppice.expiries[0][0] <= now_ms:
-        _, kind, name = heappop(coppice.expiries)
-        EXPIRE[kind](coppice, now_ms, name)
-    placement.forget(coppice, now_ms)
+def expire(program_ledger, now_ms):
+    while program_ledger.expiries and program_ledger.expiries[0][0] <= now_ms:
+        _, kind, name = heappop(program_ledger.expiries)
+        EXPIRE[kind](program_ledger, now_ms, name)
+    placement.forget(program_ledger, now_ms)
--- a/frostpost/program_ledger/keys.py
+++ b/frostpost/program_ledger/keys.py
@@ -7,14 +7,14 @@
 from .words import Claimed, Ended, KeyAnswered, KeyAtWork, NoAttempt
 
 
-def claim(coppice, now_ms, op):
-    if tomb(op) in coppice.tombs:
+def claim(program_ledger, now_ms, op):
+    if tomb(op) in program_ledger.tombs:
         return NoAttempt(op.attempt)
-    held = coppice.keys.get(op.key)
+    held = program_ledger.keys.get(op.key)
     if held is None:
         until_ms = now_ms + op.window_ms
-        coppice.keys[op.key] = Key(op.attempt, until_ms)
-        heappush(coppice.expiries, (until_ms, "key", op.key))
+        program_ledger.keys[op.key] = Key(op.attempt, until_ms)
+        heappush(program_ledger.expiries, (until_ms, "key", op.key))
         return Claimed()
     if held.answered:
         return KeyAnswered(held.answer)
@@ -25,8 +25,8 @@
     return f"{op.attempt}|{op.key}"
 
 
-def resolve(coppice, now_ms, op):
-    held = coppice.keys.get(op.key)
+def resolve(program_ledger, now_ms, op):
+    held = program_ledger.keys.get(op.key)
     if held is None or held.attempt != op.attempt:
         return NoAttempt(op.attempt)
     if not held.answered:
@@ -34,17 +34,17 @@
     return Ended()
 
 
-def disclaim(coppice, now_ms, op):
-    held = coppice.keys.get(op.key)
+def disclaim(program_ledger, now_ms, op):
+    held = program_ledger.keys.get(op.key)
     if held is not None and held.attempt == op.attempt:
         if held.answered:
             return NoAttempt(op.attempt)
-        del coppice.keys[op.key]
-    entomb(coppice, now_ms, tomb(op))
+        del program_ledger.keys[op.key]
+    entomb(program_ledger, now_ms, tomb(op))
     return Ended()
 
 
-def expire_key(coppice, now_ms, name):
-    held = coppice.keys.get(name)
+def expire_key(program_ledger, now_ms, name):
+    held = program_ledger.keys.get(name)
     if held is not None and held.until_ms <= now_ms:
-        del coppice.keys[name]
+        del program_ledger.keys[name]
--- a/frostpost/program_ledger/placement.py
+++ b/frostpost/program_ledger/placement.py
@@ -11,14 +11,14 @@
 FORGET_MS = 60000
 
 
-def place(coppice, now_ms, op, attempt=None):
+def place(program_ledger, now_ms, op, attempt=None):
     """Name of the runner that costs least, its use counted; None where no candidate has a free slot."""
     previous = attempt.previous if attempt else op.previous
-    turn = coppice.turns.get(previous) if previous else None
+    turn = program_ledger.turns.get(previous) if previous else None
     parts = () if attempt else op.parts
     best, best_cost = None, 0
     for candidate in op.candidates:
-        use = coppice.runners.get(candidate.runner)
+        use = program_ledger.runners.get(candidate.runner)
         active = use.active if use else 0
         if active >= candidate.slots:
             continue
@@ -30,7 +30,7 @@
             best, best_cost = candidate.runner, cost
     if best is None:
         return None
-    use = coppice.runners.setdefault(best, RunnerUse())
+    use = program_ledger.runners.setdefault(best, RunnerUse())
     use.active += 1
     use.used_ms = now_ms
     if not attempt:
@@ -59,12 +59,12 @@
         use.tokens -= use.parts.pop(oldest)
 
 
-def leave(coppice, runner):
-    use = coppice.runners.get(runner)
+def leave(program_ledger, runner):
+    use = program_ledger.runners.get(runner)
     if use is not None and use.active:
         use.active -= 1
 
 
-def forget(coppice, now_ms):
-    for name in [n for n, u in coppice.runners.items() if not u.active and now_ms - u.used_ms > FORGET_MS]:
-        del coppice.runners[name]
+def forget(program_ledger, now_ms):
+    for name in [n for n, u in program_ledger.runners.items() if not u.active and now_ms - u.used_ms > FORGET_MS]:
+        del program_ledger.runners[name]
--- a/frostpost/program_ledger/state.py
+++ b/frostpost/program_ledger/state.py
@@ -52,7 +52,7 @@
     used_ms: int = 0
 
 
-class Coppice(Struct, array_like=True):
+class ProgramLedger(Struct, array_like=True):
     """tombs: attempts that are over, until when; refused: what those that were refused were told."""
 
     turns: dict[str, Turn] = {}
--- a/frostpost/proxy/parsing.py
+++ b/frostpost/proxy/parsing.py
@@ -1,7 +1,7 @@
 """Reading a runner's answer: head, body and whatever comes after it."""
 
-from twisted.web.http import _ChunkedTransferDecoder, _IdentityTransferDecoder
 from twisted.web._newclient import HTTPParser, ParseError
+from twisted.web.http import _ChunkedTransferDecoder, _IdentityTransferDecoder
 
 BODYLESS = (204, 304)
 HEAD_LINES = 256
--- a/frostpost/proxy/words.py
+++ b/frostpost/proxy/words.py
@@ -3,7 +3,7 @@
 Times are milliseconds, header names and values are bytes, ids are text.
 """
 
-from typing import Callable
+from collections.abc import Callable
 
 from msgspec import Struct
 
--- a/frostpost/simulator/blows.py
+++ b/frostpost/simulator/blows.py
@@ -13,62 +13,62 @@
         worlds.start(world, name)
 
 
-def killOne(world, random, power=False):
+def kill_one(world, random, power=False):
     name = random.choice(sorted(world.nodes))
     worlds.kill(world, name, power)
     worlds.at(world, random.uniform(50, 3000), "call", revive, name)
 
 
-def powerOne(world, random):
-    killOne(world, random, True)
+def power_one(world, random):
+    kill_one(world, random, True)
 
 
-def allDown(world, random):
+def all_down(world, random):
     for name in world.nodes:
         worlds.kill(world, name, True)
         worlds.at(world, random.uniform(100, 1500), "call", revive, name)
 
 
-def votersDown(world):
+def voters_down(world):
     for name in storages(world):
         worlds.kill(world, name, True)
         worlds.at(world, 100 + 10 * len(name), "call", revive, name)
 
 
-def powerAfterAck(world, random):
+def power_after_ack(world, random):
     world.trap = True
     for name in storages(world):
-        world.nodes[name].disk.delayMs = 40
-        worlds.at(world, 1500, "call", quickDisk, name)
+        world.nodes[name].disk.delay_ms = 40
+        worlds.at(world, 1500, "call", quick_disk, name)
 
 
-def freezeOne(world, random):
+def freeze_one(world, random):
     name = random.choice(sorted(world.nodes))
     worlds.freeze(world, name)
     worlds.at(world, random.uniform(50, 3500), "call", worlds.thaw, name)
 
 
-def cutSome(world, random):
+def cut_some(world, random):
     left, right = split(random, world.nodes)
-    worlds.cut(world, left, right, oneWay=random.random() < 0.3)
+    worlds.cut(world, left, right, one_way=random.random() < 0.3)
     worlds.at(world, random.uniform(100, 3000), "call", mend)
 
 
-def cutPairs(world, random):
+def cut_pairs(world, random):
     for _ in range(random.randint(1, 4)):
         a, b = random.sample(sorted(world.nodes), 2)
-        worlds.cut(world, [a], [b], oneWay=random.random() < 0.5)
+        worlds.cut(world, [a], [b], one_way=random.random() < 0.5)
     worlds.at(world, random.uniform(100, 4000), "call", mend)
 
 
-def cutZone(world, random):
+def cut_zone(world, random):
     cell = random.choice("abc")
     inside = [n.name for n in world.nodes.values() if n.cell == cell]
     worlds.cut(world, inside, [n for n in world.nodes if n not in inside])
     worlds.at(world, random.uniform(100, 4000), "call", mend)
 
 
-def cutThree(world, random):
+def cut_three(world, random):
     left, rest = split(random, world.nodes)
     worlds.cut(world, left, rest)
     if len(rest) > 1:
@@ -78,35 +78,35 @@
 
 def mend(world):
     world.cuts.clear()
-    world.lossRate = 0.0
+    world.loss_rate = 0.0
 
 
 def lossy(world, random):
-    world.lossRate = random.uniform(0.01, 0.2)
+    world.loss_rate = random.uniform(0.01, 0.2)
     worlds.at(world, random.uniform(100, 2000), "call", mend)
 
 
-def slowDisk(world, random):
+def slow_disk(world, random):
     name = random.choice(storages(world))
-    world.nodes[name].disk.delayMs = random.choice([50, 400, 1500])
-    worlds.at(world, random.uniform(200, 2500), "call", quickDisk, name)
+    world.nodes[name].disk.delay_ms = random.choice([50, 400, 1500])
+    worlds.at(world, random.uniform(200, 2500), "call", quick_disk, name)
 
 
-def quickDisk(world, name):
-    world.nodes[name].disk.delayMs = 3
+def quick_disk(world, name):
+    world.nodes[name].disk.delay_ms = 3
 
 
 def storages(world):
     return [n.name for n in world.nodes.values() if n.role == "storage"]
 
 
-def loseDisk(world, random):
+def lose_disk(world, random):
     full = [
         n
         for n in storages(world)
         if world.nodes[n].core is not None
-        and world.nodes[n].core.hedge.primary.ready
-        and world.nodes[n].core.hedge.primary.opened
+        and world.nodes[n].core.synchrony.primary.ready
+        and world.nodes[n].core.synchrony.primary.opened
     ]
     if len(full) < len(storages(world)):
         return
@@ -117,24 +117,24 @@
 
 
 FAULTS = {
-    "kill": killOne,
-    "power": powerOne,
-    "allDown": allDown,
-    "freeze": freezeOne,
-    "cut": cutSome,
-    "pairs": cutPairs,
-    "three": cutThree,
-    "zone": cutZone,
+    "kill": kill_one,
+    "power": power_one,
+    "all_down": all_down,
+    "freeze": freeze_one,
+    "cut": cut_some,
+    "pairs": cut_pairs,
+    "three": cut_three,
+    "zone": cut_zone,
     "lossy": lossy,
-    "slowDisk": slowDisk,
-    "loseDisk": loseDisk,
-    "ackPower": powerAfterAck,
+    "slow_disk": slow_disk,
+    "lose_disk": lose_disk,
+    "ack_power": power_after_ack,
 }
 
 
 def heal(world):
     mend(world)
     for name, node in world.nodes.items():
-        node.disk.delayMs = 3
+        node.disk.delay_ms = 3
         revive(world, name)
         worlds.thaw(world, name)
--- a/frostpost/simulator/checks.py
+++ b/frostpost/simulator/checks.py
@@ -35,7 +35,7 @@
     return found
 
 
-def idOf(stage):
+def id_of(stage):
     key = stage.configuration.id
     return (key, stage.configuration.members) if stage.transitional else (key, ())
 
@@ -46,11 +46,11 @@
         seen = set()
         for stage in life.stages:
             if life.member not in stage.configuration.members:
-                yield Broken("2.2", f"{life.member} installed {idOf(stage)} without being in it")
+                yield Broken("2.2", f"{life.member} installed {id_of(stage)} without being in it")
             for entry in stage.delivered:
                 key = (entry.configuration, entry.ordinal)
                 if entry.configuration != stage.configuration.id:
-                    yield Broken("1.3", f"{life.member} delivered {key} in {idOf(stage)}")
+                    yield Broken("1.3", f"{life.member} delivered {key} in {id_of(stage)}")
                 if key in seen:
                     yield Broken("1.4", f"{life.member} delivered {key} twice")
                 seen.add(key)
@@ -74,7 +74,7 @@
     for life in found.values():
         last = None
         for stage in life.stages:
-            for node in [("conf", idOf(stage)), *(("m", e.configuration, e.ordinal) for e in stage.delivered)]:
+            for node in [("conf", id_of(stage)), *(("m", e.configuration, e.ordinal) for e in stage.delivered)]:
                 nodes.add(node)
                 if last is not None and node not in edges[last]:
                     edges[last].add(node)
@@ -102,22 +102,22 @@
         for group in regulars(life):
             said = ordinals(group)
             if said != list(range(1, len(said) + 1)):
-                yield Broken("5", f"{life.member} delivered {said[:20]} in {idOf(group[0])} (6.3)")
+                yield Broken("5", f"{life.member} delivered {said[:20]} in {id_of(group[0])} (6.3)")
 
 
-def selfDelivery(found, sent):
+def self_delivery(found, sent):
     for life in found.values():
         for group in regulars(life)[:-1]:
             mine = sent.get((life.member, group[0].configuration.id), 0)
             if mine > len(ordinals(group)):
-                yield Broken("3", f"{life.member} sent {mine} in {idOf(group[0])}, delivered fewer")
+                yield Broken("3", f"{life.member} sent {mine} in {id_of(group[0])}, delivered fewer")
 
 
 def atomicity(found):
     held = {}
     for life in found.values():
         for stage, after in zip(life.stages, life.stages[1:]):
-            key = (idOf(stage), idOf(after))
+            key = (id_of(stage), id_of(after))
             said = [e.ordinal for e in stage.delivered]
             other, said0 = held.setdefault(key, (life.member, said))
             if said0 != said:
@@ -139,11 +139,11 @@
                 )
                 if not groups:
                     if not stage.transitional and (other is None or not other.failed):
-                        yield Broken("7.2", f"{member} never installed {idOf(stage)}")
+                        yield Broken("7.2", f"{member} never installed {id_of(stage)}")
                     continue
                 last = other.stages[-1].configuration.id == stage.configuration.id
                 if top not in ordinals(groups[0]) and not (last and other.failed):
-                    yield Broken("7.1", f"{life.member} delivered {top} in {idOf(stage)}, {member} did not")
+                    yield Broken("7.1", f"{life.member} delivered {top} in {id_of(stage)}, {member} did not")
 
 
 def settled(found):
@@ -151,8 +151,8 @@
     for member, life in alive.items():
         last = life.stages[-1]
         for other in last.configuration.members:
-            if other not in alive or idOf(alive[other].stages[-1]) != idOf(last):
-                yield Broken("2.1", f"{member} rests in {idOf(last)}, {other} does not")
+            if other not in alive or id_of(alive[other].stages[-1]) != id_of(last):
+                yield Broken("2.1", f"{member} rests in {id_of(last)}, {other} does not")
 
 
 def evs(history, sent):
@@ -161,7 +161,7 @@
         *basics(found),
         *order(found),
         *causal(found),
-        *selfDelivery(found, sent),
+        *self_delivery(found, sent),
         *atomicity(found),
         *safety(found),
         *settled(found),
