--- a/frostpost/simulator/chores.py
+++ b/frostpost/simulator/chores.py
@@ -2,20 +2,22 @@
 
 from frostpost.testbed.runner import CUTS
 from frostpost.testbed.templates import TEMPLATES, TENANTS
+
 from . import valley as valleys
+from . import valley_calls
 from .gusts import show
 from .valley import later
 
 MODES = (*CUTS, "stall", "bare503", "endless")
 
 
-def anyRunner(valley, random):
+def any_runner(valley, random):
     address = random.choice(sorted(valley.backs))
     return valley.net.hosts[address], valley.backs[address]
 
 
 def misbehave(valley, random, mode=None):
-    _, runner = anyRunner(valley, random)
+    _, runner = any_runner(valley, random)
     runner.mode = mode or random.choice(MODES)
     later(valley, random.uniform(200, 1500), behave, runner)
 
@@ -25,24 +27,24 @@
 
 
 def replace(valley, random, careless=None):
-    host, old = anyRunner(valley, random)
+    host, old = any_runner(valley, random)
     others = [r for r in valley.backs.values() if r.pool != old.pool]
     last = not any(r is not old and r.pool == old.pool and not r.away for r in valley.backs.values())
     host.die()
     host.boot()
     pool = random.choice(others).pool if random.random() < 0.5 and not last else old.pool
     careless = random.random() < 0.5 if careless is None else careless
-    name = f"{pool}-{len(valley.runnerNotes.lines)}"
-    valleys.raiseRunner(valley, host, name, pool, old.room, careless=careless and pool != old.pool)
+    name = f"{pool}-{len(valley.runner_notes.lines)}"
+    valleys.raise_runner(valley, host, name, pool, old.room, careless=careless and pool != old.pool)
     later(valley, random.uniform(0, 1500), show, valley)
 
 
 def leave(valley, random):
-    _, runner = anyRunner(valley, random)
+    _, runner = any_runner(valley, random)
     if sum(r.pool == runner.pool and not r.away for r in valley.backs.values()) < 2:
         return
     runner.leaving = runner.away = True
-    valley.runnerNotes.say("changed", runner=runner.name, mode=runner.mode, leaving=True)
+    valley.runner_notes.say("changed", runner=runner.name, mode=runner.mode, leaving=True)
     later(valley, 5000, stay, valley, runner)
 
 
@@ -52,12 +54,12 @@
         host = valley.net.hosts[row["host"]]
         host.die()
         host.boot()
-        valleys.raiseRunner(valley, host, f"{runner.pool}-{len(valley.runnerNotes.lines)}", runner.pool, runner.room)
+        valleys.raise_runner(valley, host, f"{runner.pool}-{len(valley.runner_notes.lines)}", runner.pool, runner.room)
         show(valley)
 
 
 def drain(valley, random):
-    _, runner = anyRunner(valley, random)
+    _, runner = any_runner(valley, random)
     if sum(r.pool == runner.pool and not r.away for r in valley.backs.values()) < 2:
         return
     runner.away = True
@@ -69,8 +71,8 @@
 
 def operator(valley, random, path, method, document, kind, headers=None, door=None, **facts):
     door = door or random.choice(list(valley.daemons))
-    askedMs = int(valleys.nowMs(valley))
-    box = valleys.call(valley, door, path, method, document, headers)
+    asked_ms = int(valleys.clock_ms(valley))
+    box = valley_calls.call(valley, door, path, method, document, headers)
 
     def look():
         if not box:
@@ -80,7 +82,7 @@
         valley.notes.say(
             kind,
             status=status,
-            askedMs=askedMs,
+            asked_ms=asked_ms,
             version=said.get("version"),
             fault=said.get("fault"),
             door=door,
@@ -91,7 +93,7 @@
     return box
 
 
-def valueOf(valley):
+def value_of(valley):
     valley.amends += 1
     return 1000 + valley.amends
 
@@ -99,10 +101,10 @@
 def amend(valley, random, two=True):
     version = max((n["version"] or 0 for n in valley.notes.lines if n["kind"] == "configured"), default=1)
     headers = {"if-match": f'"{version}"'} if two else None
-    ifMatch = version if two else None
+    if_match = version if two else None
     for _ in range(2 if two else 1):
-        value = valueOf(valley)
-        parameters = {**TENANTS["hlidar"]["parameters"], "checkOutput": value}
+        value = value_of(valley)
+        parameters = {**TENANTS["hlidar"]["parameters"], "check_output": value}
         if random.random() < 0.5:
             operator(
                 valley,
@@ -113,7 +115,7 @@
                 "configured",
                 headers,
                 value=value,
-                ifMatch=ifMatch,
+                if_match=if_match,
             )
         else:
             operator(
@@ -121,22 +123,22 @@
                 random,
                 "/v1/config/tenants/hlidar",
                 "PATCH",
-                {"parameters": {"checkOutput": value}},
+                {"parameters": {"check_output": value}},
                 "configured",
                 headers,
                 value=value,
-                ifMatch=ifMatch,
+                if_match=if_match,
             )
 
 
 def wrong(valley, random):
-    value = valueOf(valley)
+    value = value_of(valley)
     operator(
         valley,
         random,
         "/v1/config/tenants/hlidar",
         "PATCH",
-        {"parameters": {"checkOutput": value, "keepMs": 1}},
+        {"parameters": {"check_output": value, "keep_ms": 1}},
         "configured",
         value=value,
     )
@@ -147,10 +149,10 @@
     operator(valley, random, "/v1/config/templates/clerks", "PUT", template, "enlarged")
 
 
-def wholeSet(valley, random):
-    value, askedMs = valueOf(valley), valleys.nowMs(valley)
-    parameters = {**TENANTS["hlidar"]["parameters"], "checkOutput": value}
-    box = valleys.call(
+def whole_set(valley, random):
+    value, asked_ms = value_of(valley), valleys.clock_ms(valley)
+    parameters = {**TENANTS["hlidar"]["parameters"], "check_output": value}
+    box = valley_calls.call(
         valley,
         random.choice(list(valley.daemons)),
         "/v1/config",
@@ -163,27 +165,29 @@
             return later(valley, 5, look)
         status, raw = box[0]
         version = json.decode(raw).get("versions", {}).get("tenants/hlidar") if status == 200 else None
-        valley.notes.say("configured", status=status, askedMs=int(askedMs), version=version, value=value, ifMatch=None)
+        valley.notes.say(
+            "configured", status=status, asked_ms=int(asked_ms), version=version, value=value, if_match=None
+        )
 
     look()
 
 
 def voters(valley, random):
     standing = [n for n, d in valley.daemons.items() if d.settings.role == "storage"]
-    held = valley.daemons[standing[0]].ctx.core.granary.voters
+    held = valley.daemons[standing[0]].ctx.core.ledger.voters
     spare = [n for n in standing if n not in held]
     change = {"add": spare[0]} if spare else {"remove": random.choice(standing)}
     operator(valley, random, "/v1/voters", "POST", change, "voted")
 
 
 CHORES = {
-    "wholeSet": wholeSet,
+    "whole_set": whole_set,
     "voters": voters,
     "misbehave": misbehave,
     "replace": replace,
-    "runnerLeaves": leave,
+    "runner_leaves": leave,
     "drain": drain,
     "amend": amend,
-    "wrongConfig": wrong,
-    "largeConfig": large,
+    "wrong_config": wrong,
+    "large_config": large,
 }
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -6,10 +6,11 @@
 import cappa
 from msgspec import Struct, json
 
+from frostpost.daemon.core import Decided
 from frostpost.ledger.words import Look
 from frostpost.virtual_synchrony.events import Asked, Changed
 from frostpost.virtual_synchrony.words import Beat, Roster
-from frostpost.daemon.core import Decided
+
 from . import world as worlds
 from .storm import encode, serves
 
@@ -28,77 +29,77 @@
     return counted
 
 
-def flow(world, random, perSecond, asked, untilMs):
-    if world.nowMs >= untilMs:
+def flow(world, random, per_second, asked, until_ms):
+    if world.now_ms >= until_ms:
         return
-    worlds.at(world, random.expovariate(perSecond / 1000), "call", flow, random, perSecond, asked, untilMs)
+    worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
     node = random.choice([n for n in world.nodes.values() if serves(world, n)])
-    asked[(node.place.member, node.core.hedge.number + 1)] = world.nowMs
+    asked[(node.place.member, node.core.synchrony.number + 1)] = world.now_ms
     worlds.feed(world, node.name, Asked(worlds.clock(world, node), encode(Look())))
 
 
-def measure(members, perSecond, seed=1):
+def measure(members, per_second, seed=1):
     world = worlds.make(seed, *FLEETS[members])
     worlds.run(world, 3000)
     tally, asked, took = Counter(), {}, []
 
     def heard(world, node, answer):
         if isinstance(answer, Decided):
-            took.append(world.nowMs - asked[(node.place.member, answer.number)])
+            took.append(world.now_ms - asked[(node.place.member, answer.number)])
 
     world.tap = heard
     kept, worlds.send = worlds.send, count(world, tally)
     syncs = sum(n.disk.syncs for n in world.nodes.values())
     counts = Counter()
     for node in world.nodes.values():
-        counts.subtract(node.core.hedge.counts)
+        counts.subtract(node.core.synchrony.counts)
     try:
-        flow(world, Random(seed), perSecond, asked, world.nowMs + SPAN_MS)
-        worlds.run(world, world.nowMs + SPAN_MS + 500)
+        flow(world, Random(seed), per_second, asked, world.now_ms + SPAN_MS)
+        worlds.run(world, world.now_ms + SPAN_MS + 500)
     finally:
         worlds.send = kept
     for node in world.nodes.values():
-        counts.update(node.core.hedge.counts)
+        counts.update(node.core.synchrony.counts)
     took.sort()
     many = len(took)
     return {
         "members": members,
-        "perSecond": perSecond,
+        "per_second": per_second,
         "ordered": many,
-        "messagesEach": round(tally["messages"] / many, 2),
+        "messages_each": round(tally["messages"] / many, 2),
         "batches": counts["batches"],
-        "entriesABatch": round(many / counts["batches"], 2),
-        "syncsEach": round((sum(n.disk.syncs for n in world.nodes.values()) - syncs) / many, 2),
-        "beatsASecond": round(tally["beats"] / (SPAN_MS + 500) * 1000),
-        "virtualMs": {"median": round(took[many // 2], 1), "99": round(took[int(many * 0.99)], 1)},
+        "entries_aBatch": round(many / counts["batches"], 2),
+        "syncs_each": round((sum(n.disk.syncs for n in world.nodes.values()) - syncs) / many, 2),
+        "beats_aSecond": round(tally["beats"] / (SPAN_MS + 500) * 1000),
+        "virtual_ms": {"median": round(took[many // 2], 1), "99": round(took[int(many * 0.99)], 1)},
     }
 
 
 def whole(world):
     alive = [n for n in world.nodes.values() if n.core is not None]
-    ids = {n.core.hedge.configuration.id for n in alive}
+    ids = {n.core.synchrony.configuration.id for n in alive}
     return len(ids) == 1 and all(serves(world, n) for n in alive)
 
 
-def viewChange(members, victim, seed=1):
+def view_change(members, victim, seed=1):
     world = worlds.make(seed, *FLEETS[members])
     worlds.run(world, 3000)
-    fromMs = world.nowMs
+    from_ms = world.now_ms
     worlds.kill(world, victim)
     done = []
 
     def heard(world, node, answer):
         if isinstance(answer, Changed) and not answer.transitional:
-            done.append(world.nowMs)
+            done.append(world.now_ms)
 
     world.tap = heard
     while not done or not whole(world):
-        worlds.run(world, world.nowMs + 1)
+        worlds.run(world, world.now_ms + 1)
     return {
         "members": members,
         "killed": victim,
-        "installedMs": round(done[0] - fromMs),
-        "servedMs": round(world.nowMs - fromMs),
+        "installed_ms": round(done[0] - from_ms),
+        "served_ms": round(world.now_ms - from_ms),
     }
 
 
@@ -110,11 +111,11 @@
 def main():
     command = cappa.parse(Costs)
     for members in FLEETS:
-        for perSecond in (20, 200, 1000):
-            print(json.encode(measure(members, perSecond, command.seed)).decode(), flush=True)
+        for per_second in (20, 200, 1000):
+            print(json.encode(measure(members, per_second, command.seed)).decode(), flush=True)
     for members in (4, 8, 16, 32):
         for victim in ("s1", "c1"):
-            print(json.encode(viewChange(members, victim, command.seed)).decode(), flush=True)
+            print(json.encode(view_change(members, victim, command.seed)).decode(), flush=True)
     return 0
 
 
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -1,89 +1,90 @@
 from expression import Ok
 from twisted.internet.defer import succeed
 
+from frostpost.background import shelves
+from frostpost.daemon import life
+from frostpost.daemon.heart import ask
 from frostpost.http_api import carry, control, faults, lookups, turns
 from frostpost.ledger.words import Done, Settle, Unclaim
 from frostpost.placement import judge
-from frostpost.daemon import life
-from frostpost.daemon.heart import ask
-from frostpost.background import shelves
+
 from . import plants
 
 KEPT = {"close": turns.Stream.close, "read": lookups.read, "load": shelves.load}
 
 
-def anyFault(reason):
+def any_fault(reason):
     return reason is not None
 
 
-def unclaimAll(ctx, op, waitMs):
-    return ask(ctx, Unclaim(op.key) if getattr(op, "status", "") == "unknown" else op, waitMs)
+def unclaim_all(ctx, op, wait_ms):
+    return ask(ctx, Unclaim(op.key) if getattr(op, "status", "") == "unknown" else op, wait_ms)
 
 
-def takeAsWhole(stream, reason):
+def take_as_whole(stream, reason):
     stream.ended, stream.bad = stream.held is not None, None
     return KEPT["close"](stream, None if stream.ended else reason)
 
 
-def spendNothing(reservation, used, line):
+def spend_nothing(reservation, used, line):
     return Settle(reservation, 0, line)
 
 
-def hasty(ctx, op, waitMs):
-    answer = ask(ctx, op, waitMs)
+def hasty(ctx, op, wait_ms):
+    answer = ask(ctx, op, wait_ms)
     return succeed(Ok(Done(0))) if isinstance(op, Settle) and op.line is not None else answer
 
 
-def atOnce(ctx, index, what):
+def at_once(ctx, index, what):
     return True
 
 
-def heedNothing(request, held):
+def heed_nothing(request, held):
     return Ok(held)
 
 
-def anyRunner(ctx, runner):
+def any_runner(ctx, runner):
     return True
 
 
-def anyService(ctx, go, client, base):
+def any_service(ctx, go, client, base):
     return succeed(True)
 
 
-def hurried(ctx, test, waitMs):
+def hurried(ctx, test, wait_ms):
     return succeed(True)
 
 
-def loseBodies(ctx, folder):
+def lose_bodies(ctx, folder):
     fault = KEPT["load"](ctx, folder)
     ctx.shelf = type(ctx.shelf)(ctx.shelf.me)
     return fault
 
 
-def lastVerdict(run):
+def last_verdict(run):
     said = KEPT["read"](run)
     kept, LAST[:] = list(LAST), [said] if said.is_ok() else list(LAST)
     return kept[0] if kept else said
 
 
 LAST = []
-UNHEEDING = tuple(v for v in judge.VETOES if v is not judge.vetoLeaving)
+UNHEEDING = tuple(v for v in judge.VETOES if v is not judge.veto_leaving)
 DOORS = {
-    "retryOnce": [(lookups, "unsent", anyFault)],
-    "keyFreed": [(lookups, "ask", unclaimAll)],
-    "partialTaken": [(turns.Stream, "close", takeAsWhole)],
-    "splice": [(turns, "unsent", anyFault)],
-    "spendNothing": [(turns, "Settle", spendNothing)],
-    "endFirst": [(turns, "ask", hasty)],
-    "ackAtOnce": [(control, "everywhere", atOnce)],
-    "heedNothing": [(control, "ifMatch", heedNothing)],
-    "sendLeaving": [(carry, "mayRun", anyRunner), (carry, "proved", anyService), (judge, "VETOES", UNHEEDING)],
-    "anyService": [(carry, "proved", anyService)],
-    "leaveEarly": [(life, "until", hurried)],
-    "noLease": plants.PLANTS["noLease"],
-    "loseBodies": [(shelves, "load", loseBodies)],
-    "lastVerdict": [(lookups, "read", lastVerdict)],
-    "denyRun": [(lookups.faults, "Unknown", faults.RunnersFull)],
+    "retry_once": [(lookups, "unsent", any_fault)],
+    "key_freed": [(lookups, "ask", unclaim_all)],
+    "partial_taken": [(turns.Stream, "close", take_as_whole)],
+    "splice": [(turns, "unsent", any_fault)],
+    "spend_nothing": [(turns, "Settle", spend_nothing)],
+    "end_first": [(turns, "ask", hasty)],
+    "ack_at_once": [(control, "everywhere", at_once)],
+    "heed_nothing": [(control, "if_match", heed_nothing)],
+    "send_leaving": [(carry, "may_run", any_runner), (carry, "proved", any_service), (judge, "VETOES", UNHEEDING)],
+    "any_service": [(carry, "proved", any_service)],
+    "leave_early": [(life, "until", hurried)],
+    "no_lease": plants.PLANTS["no_lease"],
+    "lose_bodies": [(shelves, "load", lose_bodies)],
+    "last_verdict": [(lookups, "read", last_verdict)],
+    "deny_run": [(lookups.faults, "Unknown", faults.RunnersFull)],
 }
 
 
--- a/frostpost/simulator/drives.py
+++ b/frostpost/simulator/drives.py
@@ -21,7 +21,7 @@
     lasting: dict[str, Sheet] = {}
     held: dict[int, Sheet] = {}
     serial: int = 100
-    delayMs: float = 3.0
+    delay_ms: float = 3.0
     room: int = 1 << 40
     syncs: int = 0
     armed: int = -1
@@ -42,7 +42,7 @@
     return sum(len(s.data) for s in drive.names.values())
 
 
-def filesOf(drive):
+def files_of(drive):
     def open_(path, flags, mode=0o644):
         touch(drive, "open")
         drive.serial += 1
@@ -99,7 +99,7 @@
     )
 
 
-def cutShort(drive, jobs):
+def cut_short(drive, jobs):
     for call, args in jobs:
         drive.armed = drive.random.randrange(8)
         try:
@@ -109,8 +109,8 @@
     drive.armed = -1
 
 
-def losePower(drive, jobs):
-    cutShort(drive, jobs)
+def lose_power(drive, jobs):
+    cut_short(drive, jobs)
     names = dict(drive.lasting)
     for path, sheet in drive.names.items():
         if drive.random.random() < 0.5 or drive.lasting.get(path) is sheet:
@@ -123,7 +123,7 @@
 
 
 def kill(drive, jobs):
-    cutShort(drive, jobs)
+    cut_short(drive, jobs)
     drive.held = {}
 
 
--- a/frostpost/simulator/gusts.py
+++ b/frostpost/simulator/gusts.py
@@ -1,25 +1,27 @@
 from frostpost.testbed import platform as platforms
-from . import drives, valley as valleys
+
+from . import drives, valley_calls
+from . import valley as valleys
 from .valley import kill, later, revive, warn
 
 
-def anyDaemon(valley, random, role=None):
+def any_daemon(valley, random, role=None):
     return random.choice([n for n, d in valley.daemons.items() if role in (None, d.settings.role)])
 
 
-def killOne(valley, random, power=False):
-    name = anyDaemon(valley, random)
+def kill_one(valley, random, power=False):
+    name = any_daemon(valley, random)
     kill(valley, name, power)
     later(valley, random.uniform(50, 3000), revive, valley, name)
 
 
-def powerOne(valley, random):
-    killOne(valley, random, True)
+def power_one(valley, random):
+    kill_one(valley, random, True)
 
 
-def allDown(valley, random):
+def all_down(valley, random):
     power = random.random() < 0.5
-    lost = anyDaemon(valley, random, "storage")
+    lost = any_daemon(valley, random, "storage")
     for name in valley.daemons:
         kill(valley, name, power)
         later(valley, random.uniform(100, 1500), revive, valley, name)
@@ -35,14 +37,14 @@
         and n != lost
         and d.host.alive
         and d.ctx is not None
-        and d.ctx.core.hedge.primary.ready
-        and d.ctx.core.hedge.primary.opened
+        and d.ctx.core.synchrony.primary.ready
+        and d.ctx.core.synchrony.primary.opened
     ]
     return len(full) * 2 > sum(d.settings.role == "storage" for d in valley.daemons.values())
 
 
-def loseDisk(valley, random):
-    name = anyDaemon(valley, random, "storage")
+def lose_disk(valley, random):
+    name = any_daemon(valley, random, "storage")
     if not whole(valley, name):
         return
     kill(valley, name, True)
@@ -50,8 +52,8 @@
     later(valley, random.uniform(50, 2000), revive, valley, name)
 
 
-def rotDisk(valley, random):
-    name = anyDaemon(valley, random, "storage")
+def rot_disk(valley, random):
+    name = any_daemon(valley, random, "storage")
     if not whole(valley, name):
         return
     kill(valley, name)
@@ -59,84 +61,84 @@
     later(valley, random.uniform(50, 1000), revive, valley, name)
 
 
-def diskFaults(valley, random):
-    name = anyDaemon(valley, random, "storage")
+def disk_faults(valley, random):
+    name = any_daemon(valley, random, "storage")
     if whole(valley, name):
         valley.daemons[name].drive.broken[random.choice(("write", "sync", "open", "replace"))] = random.randint(1, 3)
 
 
-def fullDisk(valley, random):
-    drive = valley.daemons[anyDaemon(valley, random, "storage")].drive
+def full_disk(valley, random):
+    drive = valley.daemons[any_daemon(valley, random, "storage")].drive
     drive.room = drives.used(drive) + random.randint(0, 200)
-    later(valley, random.uniform(300, 3000), makeRoom, drive)
+    later(valley, random.uniform(300, 3000), make_room, drive)
 
 
-def makeRoom(drive):
+def make_room(drive):
     drive.room = 1 << 40
 
 
-def slowDisk(valley, random):
-    drive = valley.daemons[anyDaemon(valley, random)].drive
-    drive.delayMs = random.choice([50, 400, 1500, 3500])
-    later(valley, random.uniform(500, 4500), quickDisk, drive)
+def slow_disk(valley, random):
+    drive = valley.daemons[any_daemon(valley, random)].drive
+    drive.delay_ms = random.choice([50, 400, 1500, 3500])
+    later(valley, random.uniform(500, 4500), quick_disk, drive)
 
 
-def quickDisk(drive):
-    drive.delayMs = 3.0
+def quick_disk(drive):
+    drive.delay_ms = 3.0
 
 
-def freezeOne(valley, random):
-    host = valley.daemons[anyDaemon(valley, random)].host
+def freeze_one(valley, random):
+    host = valley.daemons[any_daemon(valley, random)].host
     host.freeze()
     later(valley, random.uniform(50, 4000), host.thaw)
 
 
-def freezeEdge(valley, random):
-    host = valley.daemons[anyDaemon(valley, random, "edge")].host
+def freeze_edge(valley, random):
+    host = valley.daemons[any_daemon(valley, random, "edge")].host
     host.freeze()
     later(valley, random.uniform(3000, 7000), host.thaw)
 
 
-def powerAfterEnd(valley, random):
+def power_after_end(valley, random):
     def told(note):
         if note["kind"] == "answered" and note["status"] == 200 and "end" in (note["lines"] or [{}])[-1]:
             valley.notes.tap = None
-            later(valley, 0, everyVoterDown, valley, random)
+            later(valley, 0, every_voter_down, valley, random)
 
     valley.notes.tap = told
 
 
-def everyVoterDown(valley, random):
+def every_voter_down(valley, random):
     for name, daemon in valley.daemons.items():
         if daemon.settings.role == "storage":
             kill(valley, name, True)
             later(valley, random.uniform(50, 500), revive, valley, name)
 
 
-def freezeRunner(valley, random):
+def freeze_runner(valley, random):
     address = random.choice(sorted(valley.backs))
     valley.net.hosts[address].freeze()
-    valley.backs[address].frozenMs = int(valleys.nowMs(valley))
-    later(valley, random.uniform(50, 4000), thawRunner, valley, address)
+    valley.backs[address].frozen_ms = int(valleys.clock_ms(valley))
+    later(valley, random.uniform(50, 4000), thaw_runner, valley, address)
 
 
-def thawRunner(valley, address):
+def thaw_runner(valley, address):
     valley.net.hosts[address].thaw()
     later(valley, 60, awake, valley.backs[address])
 
 
 def awake(runner):
-    runner.frozenMs = 0
+    runner.frozen_ms = 0
 
 
-def cut(valley, left, right, oneWay=False):
+def cut(valley, left, right, one_way=False):
     for a in left:
         for b in right:
             x, y = valley.daemons[a].host.address, valley.daemons[b].host.address
-            valley.net.cuts |= {(x, y)} if oneWay else {(x, y), (y, x)}
+            valley.net.cuts |= {(x, y)} if one_way else {(x, y), (y, x)}
 
 
-def cutSome(valley, random):
+def cut_some(valley, random):
     names = list(valley.daemons)
     random.shuffle(names)
     at = random.randint(1, len(names) - 1)
@@ -144,34 +146,34 @@
     later(valley, random.uniform(100, 4000), valley.net.cuts.clear)
 
 
-def cutPairs(valley, random):
+def cut_pairs(valley, random):
     for _ in range(random.randint(1, 3)):
         a, b = random.sample(sorted(valley.daemons), 2)
         cut(valley, [a], [b], random.random() < 0.5)
     later(valley, random.uniform(100, 4000), valley.net.cuts.clear)
 
 
-def cutZone(valley, random):
+def cut_zone(valley, random):
     cell = random.choice("abc")
     inside = [n for n, d in valley.daemons.items() if d.settings.cell == cell]
     cut(valley, inside, [n for n in valley.daemons if n not in inside])
     later(valley, random.uniform(100, 4000), valley.net.cuts.clear)
 
 
-def cutCore(valley, random):
+def cut_core(valley, random):
     core = [n for n, d in valley.daemons.items() if d.settings.role == "core"]
     cut(valley, core, [n for n in valley.daemons if n not in core])
     later(valley, random.uniform(100, 4000), valley.net.cuts.clear)
 
 
-def jumpClock(valley, random):
-    daemon = valley.daemons[anyDaemon(valley, random)]
-    daemon.wallS += random.choice((-7200, -30, 30, 7200))
+def jump_clock(valley, random):
+    daemon = valley.daemons[any_daemon(valley, random)]
+    daemon.wall_s += random.choice((-7200, -30, 30, 7200))
 
 
 def roll(valley, random):
-    name = anyDaemon(valley, random)
-    if all(valleys.ready(valley, n) for n in valley.daemons):
+    name = any_daemon(valley, random)
+    if all(valley_calls.ready(valley, n) for n in valley.daemons):
         warn(valley, name)
         later(valley, 32000, kill, valley, name)
         follow(valley, name)
@@ -184,18 +186,18 @@
         valleys.start(valley, name)
 
 
-def platformStale(valley, random):
-    valley.platform.lagS = random.choice((0.5, 3.0, 6.0))
-    later(valley, random.uniform(500, 5000), platformWell, valley)
+def platform_stale(valley, random):
+    valley.platform.lag_s = random.choice((0.5, 3.0, 6.0))
+    later(valley, random.uniform(500, 5000), platform_well, valley)
 
 
-def platformWell(valley):
-    valley.platform.lagS, valley.platform.perSecond = 0.5, 4.0
+def platform_well(valley):
+    valley.platform.lag_s, valley.platform.per_second = 0.5, 4.0
 
 
-def platformBusy(valley, random):
-    valley.platform.perSecond = valley.platform.tokens = 0.2
-    later(valley, random.uniform(500, 4000), platformWell, valley)
+def platform_busy(valley, random):
+    valley.platform.per_second = valley.platform.tokens = 0.2
+    later(valley, random.uniform(500, 4000), platform_well, valley)
 
 
 def show(valley):
@@ -203,35 +205,35 @@
 
 
 CORE = {
-    "kill": killOne,
-    "power": powerOne,
-    "allDown": allDown,
-    "loseDisk": loseDisk,
-    "rotDisk": rotDisk,
-    "diskFaults": diskFaults,
-    "fullDisk": fullDisk,
-    "slowDisk": slowDisk,
-    "freeze": freezeOne,
-    "cut": cutSome,
-    "pairs": cutPairs,
-    "zone": cutZone,
-    "cutCore": cutCore,
-    "jumpClock": jumpClock,
-    "freezeEdge": freezeEdge,
-    "powerAfterEnd": powerAfterEnd,
+    "kill": kill_one,
+    "power": power_one,
+    "all_down": all_down,
+    "lose_disk": lose_disk,
+    "rot_disk": rot_disk,
+    "disk_faults": disk_faults,
+    "full_disk": full_disk,
+    "slow_disk": slow_disk,
+    "freeze": freeze_one,
+    "cut": cut_some,
+    "pairs": cut_pairs,
+    "zone": cut_zone,
+    "cut_core": cut_core,
+    "jump_clock": jump_clock,
+    "freeze_edge": freeze_edge,
+    "power_after_end": power_after_end,
 }
-PLATFORM = {"platformStale": platformStale, "platformBusy": platformBusy, "freezeRunner": freezeRunner}
+PLATFORM = {"platform_stale": platform_stale, "platform_busy": platform_busy, "freeze_runner": freeze_runner}
 
 
 def heal(valley):
     valley.net.cuts.clear()
-    platformWell(valley)
+    platform_well(valley)
     for name, daemon in valley.daemons.items():
-        quickDisk(daemon.drive)
-        makeRoom(daemon.drive)
+        quick_disk(daemon.drive)
+        make_room(daemon.drive)
         daemon.drive.broken.clear()
         daemon.host.thaw()
         revive(valley, name)
     for address, runner in valley.backs.items():
-        thawRunner(valley, address)
+        thaw_runner(valley, address)
         runner.mode = "well"
--- a/frostpost/simulator/hosts.py
+++ b/frostpost/simulator/hosts.py
@@ -20,7 +20,7 @@
         "ports",
         "wires",
         "jobs",
-        "threadMs",
+        "thread_ms",
         "cell",
         "breaks",
     )
@@ -28,7 +28,7 @@
     def __init__(self, net, name, address, cell="a"):
         self.net, self.name, self.address, self.cell = net, name, address, cell
         self.life, self.alive, self.powered = 0, False, True
-        self.threadMs, self.breaks = (lambda: 1.0), []
+        self.thread_ms, self.breaks = (lambda: 1.0), []
         self.boot()
 
     def boot(self):
@@ -41,8 +41,8 @@
     def seconds(self):
         return self.clock.seconds()
 
-    def callLater(self, delayS, call, *args, **facts):
-        return self.clock.callLater(delayS, self.guarded, self.life, call, args, facts)
+    def callLater(self, delay_s, call, *args, **facts):
+        return self.clock.callLater(delay_s, self.guarded, self.life, call, args, facts)
 
     def guarded(self, life, call, args, facts):
         if life == self.life and self.alive:
@@ -54,12 +54,12 @@
     def getDelayedCalls(self):
         return self.clock.getDelayedCalls()
 
-    def dueS(self):
+    def due_s(self):
         if not self.alive or self.frozen or not self.clock.calls:
             return None
         return self.clock.calls[0].getTime()
 
-    def catchUp(self):
+    def catch_up(self):
         behind = self.net.clock.seconds() - self.clock.seconds()
         if behind >= 0 and self.alive and not self.frozen:
             self.clock.advance(max(0.0, behind))
@@ -70,7 +70,7 @@
         if self.frozen:
             self.queue.append((call, args))
             return
-        self.catchUp()
+        self.catch_up()
         self.guarded(self.life, call, args, {})
 
     def freeze(self):
@@ -81,11 +81,11 @@
         if not self.frozen:
             return
         self.frozen, queue, self.queue = False, self.queue, []
-        self.catchUp()
+        self.catch_up()
         for call, args in queue:
             self.enter(call, *args)
 
-    def inThread(self, call, *args):
+    def in_thread(self, call, *args):
         done = Deferred()
         job = (call, args)
         self.jobs.append(job)
@@ -99,7 +99,7 @@
                 return
             done.callback(result)
 
-        self.callLater(self.threadMs() / 1000, work)
+        self.callLater(self.thread_ms() / 1000, work)
         return done
 
     def die(self, power=False):
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -1,25 +1,16 @@
 from collections import defaultdict
 
-from frostpost.ledger.apply import apply, decodeOp, encode
-from frostpost.ledger.state import Granary
-from frostpost.ledger.words import (
-    ClaimKey,
-    ConfigSet,
-    Done,
-    Open,
-    Reserved,
-    SetConfig,
-    Settle,
-    Unclaim,
-    Won,
-)
+from frostpost.daemon.core import Decided
+from frostpost.ledger.apply import apply, decode_op, encode
+from frostpost.ledger.state import Ledger
+from frostpost.ledger.words import ClaimKey, ConfigSet, Done, Open, Reserved, SetConfig, Settle, Unclaim, Won
 from frostpost.virtual_synchrony.events import Applied
 from frostpost.virtual_synchrony.state import majority
-from frostpost.daemon.core import Decided
+
 from .checks import Broken
 
 
-def oneOrder(history):
+def one_order(history):
     order = {}
     for _, member, answer in history:
         if isinstance(answer, Applied):
@@ -31,7 +22,7 @@
 
 def kept(history, order):
     mine = {(e.sender, e.number): i for i, e in order.items() if e.number}
-    for atMs, member, answer in history:
+    for at_ms, member, answer in history:
         if isinstance(answer, Decided) and answer.verdict is not None:
             if (member, answer.number) not in mine:
                 yield Broken("ledger.kept", f"{member}'s {answer.number} was decided and is lost")
@@ -42,16 +33,16 @@
     for node in world.nodes.values():
         if node.core is None:
             continue
-        granary = node.core.granary
-        known = states.setdefault(granary.index, (node.name, encode(granary)))
-        if known[1] != encode(granary):
-            yield Broken("ledger.state", f"{node.name} and {known[0]} differ at {granary.index}")
+        ledger = node.core.ledger
+        known = states.setdefault(ledger.index, (node.name, encode(ledger)))
+        if known[1] != encode(ledger):
+            yield Broken("ledger.state", f"{node.name} and {known[0]} differ at {ledger.index}")
 
 
 def primaries(order):
     last = None
     for index in sorted(order):
-        op = decodeOp(order[index].payload)
+        op = decode_op(order[index].payload)
         if not isinstance(op, Open):
             continue
         id = order[index].configuration
@@ -65,26 +56,26 @@
         last = (id, {m.name for m in op.members})
 
 
-def budgets(order, verdicts, budgetOf):
+def budgets(order, verdicts, budget_of):
     spent = defaultdict(int)
     for entry in order.values():
-        op = decodeOp(entry.payload)
+        op = decode_op(entry.payload)
         if isinstance(op, Settle):
-            entryOf = order[op.reservation]
-            granted = verdicts.get((entryOf.sender, entryOf.number))
+            entry_of = order[op.reservation]
+            granted = verdicts.get((entry_of.sender, entry_of.number))
             if not isinstance(granted, Reserved) or op.used > granted.amount:
                 yield Broken("budget", f"{op.used} handed out against {granted}")
-            spent[decodeOp(entryOf.payload).program] += op.used
+            spent[decode_op(entry_of.payload).program] += op.used
     for program, units in spent.items():
-        if units > budgetOf:
-            yield Broken("budget", f"{program} was handed {units} of {budgetOf}")
+        if units > budget_of:
+            yield Broken("budget", f"{program} was handed {units} of {budget_of}")
 
 
 def keys(order, verdicts):
     held = {}
     for index in sorted(order):
         entry = order[index]
-        op = decodeOp(entry.payload)
+        op = decode_op(entry.payload)
         said = verdicts.get((entry.sender, entry.number))
         if isinstance(op, ClaimKey) and said and isinstance(said, Won):
             if op.key in held:
@@ -98,7 +89,7 @@
     acked = {}
     for index in sorted(order):
         entry = order[index]
-        op = decodeOp(entry.payload)
+        op = decode_op(entry.payload)
         said = verdicts.get((entry.sender, entry.number))
         if isinstance(op, SetConfig) and said and isinstance(said, ConfigSet):
             key = (op.path, said.version)
@@ -108,12 +99,12 @@
 
 
 def replayed(order):
-    granary, verdicts = Granary(), {}
+    ledger, verdicts = Ledger(), {}
     for index in range(1, max(order, default=0) + 1):
         entry = order.get(index)
         if entry is None:
             return verdicts, [Broken("ledger.order", f"nobody applied {index}")]
-        granary, verdict = apply(granary, entry)
+        ledger, verdict = apply(ledger, entry)
         if verdict is not None:
             verdicts[(entry.sender, entry.number)] = verdict
     return verdicts, []
@@ -126,8 +117,8 @@
                 yield Broken("ledger.told", f"{member} was told otherwise of {answer.number}")
 
 
-def ledger(world, budgetOf):
-    order, broken = oneOrder(world.history)
+def ledger(world, budget_of):
+    order, broken = one_order(world.history)
     verdicts, gaps = replayed(order)
     return [
         *broken,
@@ -136,7 +127,7 @@
         *told(world.history, verdicts),
         *agreed(world),
         *primaries(order),
-        *budgets(order, verdicts, budgetOf),
+        *budgets(order, verdicts, budget_of),
         *keys(order, verdicts),
         *configs(order, verdicts),
     ]
--- a/frostpost/simulator/main.py
+++ b/frostpost/simulator/main.py
@@ -7,20 +7,19 @@
 import cappa
 from msgspec import Struct, json
 
+from . import whole
 from .blows import FAULTS
 from .plants import PLANTS, planted
 from .play import play
-from . import whole
-
 
 SHAPES = {"quick": (2, 3, 2), "full": (8, 3, 5), "voters": (2, 5, 2)}
 
 
 def one(job):
-    seed, shape, kinds, gapMs, plant = job
+    seed, shape, kinds, gap_ms, plant = job
     edges, storages, cores = SHAPES[shape]
     with planted(plant):
-        _, report = play(seed, edges, storages, cores, kinds or None, gapMs=gapMs, voters=3)
+        _, report = play(seed, edges, storages, cores, kinds or None, gap_ms=gap_ms, voters=3)
     return report
 
 
@@ -30,7 +29,7 @@
     seeds: Annotated[int, cappa.Arg(long=True, help="how many seeds")] = 100
     shape: Annotated[str, cappa.Arg(long=True, help=f"one of {', '.join(SHAPES)}")] = "quick"
     kinds: Annotated[list[str], cappa.Arg(long="--kind", help=f"faults: {', '.join(FAULTS)}; all if not given")] = []
-    gapMs: Annotated[int, cappa.Arg(long="--gap-ms", help="the longest wait between two faults")] = 2500
+    gap_ms: Annotated[int, cappa.Arg(long="--gap-ms", help="the longest wait between two faults")] = 2500
     plant: Annotated[str, cappa.Arg(long=True, help=f"a fault planted in the code: {', '.join(PLANTS)}")] = ""
     whole: Annotated[bool, cappa.Arg(long=True, help="the whole path: doors, callers, runners and list as well")] = (
         False
@@ -41,20 +40,20 @@
     workers: Annotated[int, cappa.Arg(long=True)] = 8
 
 
-def oneWhole(job):
-    seed, shape, planned, gapMs, kinds = job
-    return whole.play(seed, *SHAPES[shape], kinds=kinds or None, planned=planned, gapMs=gapMs)[1]
+def one_whole(job):
+    seed, shape, planned, gap_ms, kinds = job
+    return whole.play(seed, *SHAPES[shape], kinds=kinds or None, planned=planned, gap_ms=gap_ms)[1]
 
 
-def sweepWhole(command):
+def sweep_whole(command):
     jobs = [
-        (s, command.shape, command.planned, min(command.gapMs, 1800), command.kinds)
+        (s, command.shape, command.planned, min(command.gap_ms, 1800), command.kinds)
         for s in range(command.first, command.first + command.seeds)
     ]
-    startS, broken, backs, faults, tally = time.monotonic(), Counter(), [], 0, Counter()
+    start_s, broken, backs, faults, tally = time.monotonic(), Counter(), [], 0, Counter()
     with ProcessPoolExecutor(command.workers) as pool:
-        for report in pool.map(oneWhole, jobs):
-            backs.append(report.backMs)
+        for report in pool.map(one_whole, jobs):
+            backs.append(report.back_ms)
             faults += len(report.trace)
             tally.update(report.callers["verdicts"])
             broken.update({b.never for b in report.broken})
@@ -66,10 +65,10 @@
             {
                 "seeds": len(jobs),
                 "faults": faults,
-                "brokenSeeds": dict(broken),
+                "broken_seeds": dict(broken),
                 "verdicts": dict(tally.most_common()),
-                "backMs": {"median": backs[len(backs) // 2], "most": backs[-1]},
-                "seconds": round(time.monotonic() - startS, 1),
+                "back_ms": {"median": backs[len(backs) // 2], "most": backs[-1]},
+                "seconds": round(time.monotonic() - start_s, 1),
             }
         ).decode()
     )
@@ -79,19 +78,19 @@
 def main():
     command = cappa.parse(Weather)
     if command.whole and command.shape in SHAPES and set(command.kinds) <= set(whole.ALL):
-        return sweepWhole(command)
+        return sweep_whole(command)
     unknown = [k for k in command.kinds if k not in FAULTS]
     if unknown or command.shape not in SHAPES or command.plant not in ("", *PLANTS):
         print(f"UnknownWord: {unknown or command.shape} {command.plant}", file=sys.stderr)
         return 64
     jobs = [
-        (s, command.shape, command.kinds, command.gapMs, command.plant)
+        (s, command.shape, command.kinds, command.gap_ms, command.plant)
         for s in range(command.first, command.first + command.seeds)
     ]
-    startS, broken, backs, totals = time.monotonic(), Counter(), [], Counter()
+    start_s, broken, backs, totals = time.monotonic(), Counter(), [], Counter()
     with ProcessPoolExecutor(command.workers) as pool:
         for report in pool.map(one, jobs, chunksize=4):
-            backs.append(report.backMs)
+            backs.append(report.back_ms)
             totals.update(
                 asked=report.asked,
                 decided=report.decided,
@@ -107,10 +106,10 @@
         json.encode(
             {
                 "seeds": len(jobs),
-                "brokenSeeds": dict(broken),
-                "backMs": {"median": backs[len(backs) // 2], "most": backs[-1]},
+                "broken_seeds": dict(broken),
+                "back_ms": {"median": backs[len(backs) // 2], "most": backs[-1]},
                 **totals,
-                "seconds": round(time.monotonic() - startS, 1),
+                "seconds": round(time.monotonic() - start_s, 1),
             }
         ).decode()
     )
--- a/frostpost/simulator/net.py
+++ b/frostpost/simulator/net.py
@@ -15,31 +15,31 @@
     def barred(self, here, there):
         return (here, there) in self.cuts
 
-    def delayS(self, here, there):
+    def link_delay_s(self, here, there):
         a, b = self.hosts.get(here), self.hosts.get(there)
-        baseMs = 0.5 if a and b and a.cell != b.cell else 0.1
-        return (baseMs + self.random.expovariate(5)) / 1000
+        base_ms = 0.5 if a and b and a.cell != b.cell else 0.1
+        return (base_ms + self.random.expovariate(5)) / 1000
 
 
-def connect(net, host, address, port, factory, waitS):
-    connector = Connector(net, host, (address, port), factory, waitS)
+def connect(net, host, address, port, factory, wait_s):
+    connector = Connector(net, host, (address, port), factory, wait_s)
     connector.connect()
     return connector
 
 
 class Connector:
-    __slots__ = ("net", "host", "there", "factory", "waitS", "life", "state", "wire", "endS")
+    __slots__ = ("net", "host", "there", "factory", "wait_s", "life", "state", "wire", "end_s")
 
-    def __init__(self, net, host, there, factory, waitS):
-        self.net, self.host, self.there, self.factory, self.waitS = net, host, there, factory, waitS
-        self.life, self.state, self.wire, self.endS = host.life, "new", None, 0.0
+    def __init__(self, net, host, there, factory, wait_s):
+        self.net, self.host, self.there, self.factory, self.wait_s = net, host, there, factory, wait_s
+        self.life, self.state, self.wire, self.end_s = host.life, "new", None, 0.0
 
     def connect(self):
-        self.state, self.endS = "connecting", self.net.clock.seconds() + self.waitS
+        self.state, self.end_s = "connecting", self.net.clock.seconds() + self.wait_s
         self.net.connects += 1
         self.factory.doStart()
         self.factory.startedConnecting(self)
-        self.net.clock.callLater(self.net.delayS(self.host.address, self.there[0]), self.arrive)
+        self.net.clock.callLater(self.net.link_delay_s(self.host.address, self.there[0]), self.arrive)
 
     def stopConnecting(self):
         self.fail(UserError())
@@ -74,12 +74,12 @@
         other = wires.Wire(self.net, target, self.there, (here, self.net.serial))
         mine.other, other.other, self.wire, self.state = other, mine, mine, "answered"
         target.enter(serve, port.factory, other)
-        self.net.clock.callLater(self.net.delayS(there, here), self.made)
+        self.net.clock.callLater(self.net.link_delay_s(there, here), self.made)
 
     def again(self):
-        if self.net.clock.seconds() >= self.endS:
+        if self.net.clock.seconds() >= self.end_s:
             return self.fail(TimeoutError())
-        self.net.clock.callLater(min(0.1, self.waitS / 4), self.arrive)
+        self.net.clock.callLater(min(0.1, self.wait_s / 4), self.arrive)
 
     def made(self):
         self.host.enter(self.begin)
--- a/frostpost/simulator/placing.py
+++ b/frostpost/simulator/placing.py
@@ -7,13 +7,13 @@
 from msgspec import Struct, json
 
 from frostpost.ledger.programs import line
-from frostpost.ledger.words import Runner
-from frostpost.placement.judge import Question, Status, Weights, chainOf, rank
+from frostpost.ledger.records import Runner
+from frostpost.placement.judge import Question, Status, Weights, chain_of, rank
 
 POLICIES = {
     "ours": Weights(),
-    "noJitter": Weights(jitter=0.0),
-    "leastLoad": Weights(prefix=0.0, cell=0.0, jitter=0.001),
+    "no_jitter": Weights(jitter=0.0),
+    "least_load": Weights(prefix=0.0, cell=0.0, jitter=0.001),
     "random": Weights(prefix=0.0, load=0.0, cell=0.0, jitter=1.0),
 }
 SPAN_S, REPORT_S, THINK_S = 60.0, 0.5, 0.4
@@ -43,55 +43,55 @@
         back.held.pop(next(iter(back.held)))
 
 
-def report(daemons, backs, nowMs):
+def report(daemons, backs, now_ms):
     for statuses in daemons:
         for back in backs:
             held = statuses[back.runner.name]
-            held.load, held.heardMs = float(back.running), nowMs
+            held.load, held.heard_ms = float(back.running), now_ms
             held.prefixes = frozenset(back.held)
 
 
-def simulate(weights, seed, perSecond=24.0, daemonsMany=8, runnersMany=9, room=24):
+def simulate(weights, seed, per_second=24.0, daemons_many=8, runners_many=9, room=24):
     random, tally, events, serial = Random(seed), Tally(), [], 0
-    backs = [Back(Runner(f"r{n}", f"i{n}", "", n, "pool", "abc"[n % 3], room)) for n in range(runnersMany)]
-    daemons = [{b.runner.name: Status(instance=b.runner.instance) for b in backs} for _ in range(daemonsMany)]
+    backs = [Back(Runner(f"r{n}", f"i{n}", "", n, "pool", "abc"[n % 3], room)) for n in range(runners_many)]
+    daemons = [{b.runner.name: Status(instance=b.runner.instance) for b in backs} for _ in range(daemons_many)]
 
-    def push(atS, kind, *rest):
+    def push(at_s, kind, *rest):
         nonlocal serial
         serial += 1
-        heappush(events, (atS, serial, kind, rest))
+        heappush(events, (at_s, serial, kind, rest))
 
     push(0.0, "report")
     push(0.0, "program")
     while events:
-        nowS, _, kind, rest = heappop(events)
-        if nowS > SPAN_S:
+        now_s, _, kind, rest = heappop(events)
+        if now_s > SPAN_S:
             break
         if kind == "report":
-            report(daemons, backs, int(nowS * 1000))
-            push(nowS + REPORT_S, "report")
+            report(daemons, backs, int(now_s * 1000))
+            push(now_s + REPORT_S, "report")
         elif kind == "program":
-            push(nowS + random.expovariate(perSecond), "program")
+            push(now_s + random.expovariate(per_second), "program")
             shared = [line(f"prompt {random.randrange(6)} part {n}", "ok") for n in range(2)]
-            push(nowS, "turn", f"p{serial}", shared, 2 + random.randrange(4))
+            push(now_s, "turn", f"p{serial}", shared, 2 + random.randrange(4))
         elif kind == "turn":
-            turn(nowS, rest, weights, random, backs, daemons, tally, push)
+            turn(now_s, rest, weights, random, backs, daemons, tally, push)
         else:
             back, status, name, lines, left = rest
             back.running -= 1
-            status.inFlight -= 1
+            status.in_flight -= 1
             lines = [*lines, line(f"{name} {left}", "output")]
-            remember(back, chainOf(lines))
+            remember(back, chain_of(lines))
             if left > 1:
-                push(nowS + random.expovariate(1 / THINK_S), "turn", name, lines, left - 1)
+                push(now_s + random.expovariate(1 / THINK_S), "turn", name, lines, left - 1)
     return backs, tally
 
 
-def turn(nowS, rest, weights, random, backs, daemons, tally, push):
+def turn(now_s, rest, weights, random, backs, daemons, tally, push):
     name, lines, left = rest
     spot = random.randrange(len(daemons))
-    chain = chainOf(lines)
-    question = Question(("pool",), "abc"[spot % 3], chain, f"{name}/{left}", int(nowS * 1000))
+    chain = chain_of(lines)
+    question = Question(("pool",), "abc"[spot % 3], chain, f"{name}/{left}", int(now_s * 1000))
     ranked = rank(question, [b.runner for b in backs], daemons[spot], weights)
     chosen = next((b for r in ranked for b in backs if b.runner is r and b.running < r.room), None)
     if chosen is None:
@@ -104,31 +104,31 @@
     chosen.running += 1
     chosen.total += 1
     chosen.most = max(chosen.most, chosen.running)
-    daemons[spot][chosen.runner.name].inFlight += 1
-    tookMs = START_MS + LINE_MS * (len(chain) - held) + PIECE_MS * random.randint(4, 24) + SLOW_MS * chosen.running
-    tally.took.append(tookMs)
-    push(nowS + tookMs / 1000, "done", chosen, daemons[spot][chosen.runner.name], name, lines, left)
+    daemons[spot][chosen.runner.name].in_flight += 1
+    took_ms = START_MS + LINE_MS * (len(chain) - held) + PIECE_MS * random.randint(4, 24) + SLOW_MS * chosen.running
+    tally.took.append(took_ms)
+    push(now_s + took_ms / 1000, "done", chosen, daemons[spot][chosen.runner.name], name, lines, left)
 
 
-def measure(policy, seeds, perSecond):
+def measure(policy, seeds, per_second):
     rows = []
     for seed in seeds:
-        backs, tally = simulate(POLICIES[policy], seed, perSecond)
+        backs, tally = simulate(POLICIES[policy], seed, per_second)
         took = sorted(tally.took)
         totals = [b.total for b in backs]
         rows.append(
             {
                 "hits": round(tally.hits / max(1, tally.lines), 3),
-                "p50Ms": round(took[len(took) // 2]),
-                "p99Ms": round(took[int(len(took) * 0.99)]),
-                "turnedAway": tally.turned,
+                "p50_ms": round(took[len(took) // 2]),
+                "p99_ms": round(took[int(len(took) * 0.99)]),
+                "turned_away": tally.turned,
                 "spread": round(max(totals) / (sum(totals) / len(totals)), 2),
-                "mostAtOnce": max(b.most for b in backs),
+                "most_at_once": max(b.most for b in backs),
             }
         )
     middle = {k: sorted(r[k] for r in rows)[len(rows) // 2] for k in rows[0]}
     range_ = {k: [min(r[k] for r in rows), max(r[k] for r in rows)] for k in rows[0]}
-    return {"policy": policy, "perSecond": perSecond, "median": middle, "range": range_}
+    return {"policy": policy, "per_second": per_second, "median": middle, "range": range_}
 
 
 @cappa.command(name="placing", help="Compare our placement with least-load and random choices of our own.")
@@ -138,9 +138,9 @@
 
 def main():
     command = cappa.parse(Placing)
-    for perSecond in (12.0, 24.0, 48.0):
+    for per_second in (12.0, 24.0, 48.0):
         for policy in POLICIES:
-            print(json.encode(measure(policy, range(1, command.seeds + 1), perSecond)).decode(), flush=True)
+            print(json.encode(measure(policy, range(1, command.seeds + 1), per_second)).decode(), flush=True)
     return 0
 
 
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -2,82 +2,83 @@
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger import keys, programs
+from frostpost.ledger.records import Mark
+from frostpost.ledger.words import ConfigSet, Won
 from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
 from frostpost.virtual_synchrony.events import Delivered
-from frostpost.ledger.words import ConfigSet, Mark, Won
 
 
-def ackUnsynced(hedge, out):
-    order = hedge.order
+def ack_unsynced(synchrony, out):
+    order = synchrony.order
     while order.top + 1 in order.held:
         order.top += 1
-        if hedge.storage and hedge.primary.readyAt >= 0:
-            settling.record(hedge, out, order.held[order.top])
-    if not hedge.recovery:
-        ordering.acknowledge(hedge, out, order.top)
+        if synchrony.storage and synchrony.primary.ready_at >= 0:
+            settling.record(synchrony, out, order.held[order.top])
+    if not synchrony.recovery:
+        ordering.acknowledge(synchrony, out, order.top)
 
 
-def anyVoter(primary, present):
+def any_voter(primary, present):
     return any(v in present for v in primary.voters)
 
 
-def oldLength(plan, name):
+def old_length(plan, name):
     return plan[name].memory.length
 
 
-def eagerDeliver(hedge, out):
-    hedge.order.safe = max(hedge.order.safe, hedge.order.top)
-    order = hedge.order
+def eager_deliver(synchrony, out):
+    synchrony.order.safe = max(synchrony.order.safe, synchrony.order.top)
+    order = synchrony.order
     while order.delivered < order.safe and order.delivered < order.top:
         order.delivered += 1
         entry = order.held[order.delivered]
-        out.answers.append(Delivered(entry, False, hedge.primary.able))
-        if hedge.primary.able:
-            settling.act(hedge, out, entry)
+        out.answers.append(Delivered(entry, False, synchrony.primary.able))
+        if synchrony.primary.able:
+            settling.act(synchrony, out, entry)
 
 
-def everLeased(hedge, nowMs):
-    return hedge.primary.opened
+def ever_leased(synchrony, now_ms):
+    return synchrony.primary.opened
 
 
-def freeClaim(granary, entry, op):
+def free_claim(ledger, entry, op):
     return Won(entry.index)
 
 
-def noCompare(granary, entry, op):
-    mark = granary.configs.get(op.path)
-    version = op.ifVersion + 1
-    granary.configs[op.path] = Mark(version, op.digest, op.size, op.source, op.number, entry.index)
+def no_compare(ledger, entry, op):
+    mark = ledger.configs.get(op.path)
+    version = op.if_version + 1
+    ledger.configs[op.path] = Mark(version, op.digest, op.size, op.source, op.number, entry.index)
     return ConfigSet(version, entry.index) if mark is None or version else None
 
 
-def looseReserve(granary, entry, op):
-    program = granary.programs.get(op.program)
+def loose_reserve(ledger, entry, op):
+    program = ledger.programs.get(op.program)
     if program is not None:
         program.spent = 0
-    return KEPT["reserve"](granary, entry, op)
+    return KEPT["reserve"](ledger, entry, op)
 
 
-def eagerDrain(hedge, out):
-    hedge.primary.settled = True
-    KEPT["drain"](hedge, out)
+def eager_drain(synchrony, out):
+    synchrony.primary.settled = True
+    KEPT["drain"](synchrony, out)
 
 
-def forget(hedge, out, record):
-    return hedge.wrote
+def forget(synchrony, out, record):
+    return synchrony.wrote
 
 
-def noUnlatch(hedge, out, index, state):
-    opened = hedge.primary.opened
-    KEPT["refill"](hedge, out, index, state)
-    hedge.primary.opened = opened
+def no_unlatch(synchrony, out, index, state):
+    opened = synchrony.primary.opened
+    KEPT["refill"](synchrony, out, index, state)
+    synchrony.primary.opened = opened
 
 
-def noUnion(hedge, out):
-    hedge.recovery.owed = {}
+def no_union(synchrony, out):
+    synchrony.recovery.owed = {}
 
 
-def lateSelf(hedge, out, entries):
+def late_self(synchrony, out, entries):
     return None
 
 
@@ -87,19 +88,19 @@
     "refill": settling.refill,
 }
 PLANTS = {
-    "ackUnsynced": [(ordering, "advance", ackUnsynced), (recovery, "advance", ackUnsynced)],
-    "minorityPrimary": [(settling, "majorities", anyVoter), (recovery, "majorities", anyVoter)],
-    "baseBeforeRebroadcast": [(settling, "lengthOf", oldLength)],
-    "deliverUnsafe": [(ordering, "deliver", eagerDeliver)],
-    "noLease": [(watch, "leaseOk", everLeased)],
-    "freeClaim": [(keys, "claim", freeClaim)],
-    "noCompare": [(applying, "config", noCompare)],
-    "budgetForgotten": [(programs, "reserve", looseReserve)],
-    "noRebroadcast": [(recovery, "rebroadcast", noUnion)],
-    "applyBeforeOpen": [(settling, "drain", eagerDrain)],
-    "forgetPromise": [(membership, "write", forget)],
-    "waitForOpen": [(settling, "refill", noUnlatch)],
-    "dropOwn": [(ordering, "take", lateSelf)],
+    "ack_unsynced": [(ordering, "advance", ack_unsynced), (recovery, "advance", ack_unsynced)],
+    "minority_primary": [(settling, "majorities", any_voter), (recovery, "majorities", any_voter)],
+    "base_before_rebroadcast": [(settling, "length_of", old_length)],
+    "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
+    "no_lease": [(watch, "lease_ok", ever_leased)],
+    "free_claim": [(keys, "claim", free_claim)],
+    "no_compare": [(applying, "config", no_compare)],
+    "budget_forgotten": [(programs, "reserve", loose_reserve)],
+    "no_rebroadcast": [(recovery, "rebroadcast", no_union)],
+    "apply_before_open": [(settling, "drain", eager_drain)],
+    "forget_promise": [(membership, "write", forget)],
+    "wait_for_open": [(settling, "refill", no_unlatch)],
+    "drop_own": [(ordering, "take", late_self)],
 }
 
 
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -3,6 +3,7 @@
 from msgspec import Struct
 
 from frostpost.virtual_synchrony.state import Bounds
+
 from . import world as worlds
 from .blows import FAULTS, heal
 from .checks import Broken, evs
@@ -16,7 +17,7 @@
 class Report(Struct):
     seed: int
     broken: list
-    backMs: float
+    back_ms: float
     asked: int
     decided: int
     sent: int
@@ -26,36 +27,36 @@
 
 def back(world):
     nodes = list(world.nodes.values())
-    ids = {n.core.hedge.configuration.id for n in nodes if n.core}
+    ids = {n.core.synchrony.configuration.id for n in nodes if n.core}
     return len(ids) == 1 and all(serves(world, n) for n in nodes)
 
 
-TIGHT = Bounds(rewriteEntries=60, pieceBytes=1500, batch=16)
+TIGHT = Bounds(rewrite_entries=60, piece_bytes=1500, batch=16)
 
 
 def play(
-    seed, edges=2, storages=3, cores=2, kinds=None, stormMs=STORM_MS, bounds=None, prepare=None, gapMs=2500, voters=0
+    seed, edges=2, storages=3, cores=2, kinds=None, storm_ms=STORM_MS, bounds=None, prepare=None, gap_ms=2500, voters=0
 ):
     world = worlds.make(seed, edges, storages, cores, bounds or (TIGHT if seed % 2 else None), voters)
     random = Random(seed * 7919 + 1)
-    state = Work(random, untilMs=stormMs + 3000)
+    state = Work(random, until_ms=storm_ms + 3000)
     world.tap = tap(state)
     if prepare:
         prepare(world)
     worlds.at(world, 1500, "call", work, state)
     worlds.at(world, 1500, "call", watch, state)
-    storm(world, random, stormMs, sorted(kinds or FAULTS), gapMs)
-    worlds.run(world, stormMs)
+    storm(world, random, storm_ms, sorted(kinds or FAULTS), gap_ms)
+    worlds.run(world, storm_ms)
     heal(world)
-    healedMs, backMs = world.nowMs, -1.0
-    while world.nowMs < healedMs + BACK_MS:
-        worlds.run(world, world.nowMs + 100)
+    healed_ms, back_ms = world.now_ms, -1.0
+    while world.now_ms < healed_ms + BACK_MS:
+        worlds.run(world, world.now_ms + 100)
         if back(world):
-            backMs = world.nowMs - healedMs
+            back_ms = world.now_ms - healed_ms
             break
-    worlds.run(world, max(world.nowMs, state.untilMs) + 1500)
+    worlds.run(world, max(world.now_ms, state.until_ms) + 1500)
     broken = [*state.breaks[:3], *evs(world.history, world.ordered), *ledger(world, BUDGET)]
-    if backMs < 0:
+    if back_ms < 0:
         broken.append(Broken("back", f"not served again {BACK_MS} ms after the healing"))
-    installs = sum(n.core.hedge.counts.get("installs", 0) for n in world.nodes.values() if n.core)
-    return world, Report(seed, broken, backMs, state.asked, state.decided, world.sent, installs, world.trace)
+    installs = sum(n.core.synchrony.counts.get("installs", 0) for n in world.nodes.values() if n.core)
+    return world, Report(seed, broken, back_ms, state.asked, state.decided, world.sent, installs, world.trace)
--- a/frostpost/simulator/recording.py
+++ b/frostpost/simulator/recording.py
@@ -14,14 +14,14 @@
 class Recording(Struct, kw_only=True):
     plant: Annotated[str, cappa.Arg(help=f"one of {', '.join(PLANTS)}")]
     seeds: Annotated[list[int], cappa.Arg(long="--seed", help="a seed that the plant breaks; may be given again")]
-    gapMs: Annotated[int, cappa.Arg(long="--gap-ms")] = 500
+    gap_ms: Annotated[int, cappa.Arg(long="--gap-ms")] = 500
     folder: Annotated[str, cappa.Arg(long=True)] = "tests/traces"
 
 
-def lives(plant, seed, gapMs):
+def lives(plant, seed, gap_ms):
     def run():
         with planted(plant):
-            return play(seed, gapMs=gapMs)
+            return play(seed, gap_ms=gap_ms)
 
     for name in ("s1", "s2", "s3", "c1", "c2", "e1"):
         yield from traces.record(f"{plant} {seed} {name}", name, run)
@@ -41,7 +41,7 @@
     found = [
         t
         for seed in command.seeds
-        for t in lives(command.plant, seed, command.gapMs)
+        for t in lives(command.plant, seed, command.gap_ms)
         if len(t.inputs) > 5 and breaks(t, command.plant)
     ]
     if not found:
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -2,8 +2,10 @@
 
 from msgspec import Struct, field, msgpack
 
+from frostpost.daemon.core import Decided, lease_ok
 from frostpost.ledger import duties
 from frostpost.ledger.programs import line
+from frostpost.ledger.records import Runner
 from frostpost.ledger.words import (
     ClaimKey,
     Drain,
@@ -11,7 +13,6 @@
     Release,
     Reserve,
     Reserved,
-    Runner,
     Runners,
     SetConfig,
     Settle,
@@ -21,9 +22,9 @@
 )
 from frostpost.virtual_synchrony.events import Asked, SetVoters
 from frostpost.virtual_synchrony.state import majority
-from frostpost.daemon.core import Decided, leaseOk
+
 from . import world as worlds
-from .blows import FAULTS, votersDown
+from .blows import FAULTS, voters_down
 from .checks import Broken
 
 encode = msgpack.Encoder().encode
@@ -33,40 +34,40 @@
 
 class Work(Struct):
     random: Random
-    everyMs: float = 15.0
-    untilMs: float = 0.0
+    every_ms: float = 15.0
+    until_ms: float = 0.0
     asked: int = 0
     decided: int = 0
     breaks: list = []
-    firstMs: dict = field(default_factory=dict)
+    first_ms: dict = field(default_factory=dict)
 
 
 def ask(world, name, op):
     node = world.nodes[name]
     if node.core is not None:
-        world.ops[(node.place.member, node.core.hedge.number + 1)] = op
+        world.ops[(node.place.member, node.core.synchrony.number + 1)] = op
     worlds.feed(world, name, Asked(worlds.clock(world, node), encode(op)))
 
 
 def serves(world, node):
-    return node.core is not None and not node.frozen and leaseOk(node.core, worlds.clock(world, node))
+    return node.core is not None and not node.frozen and lease_ok(node.core, worlds.clock(world, node))
 
 
 def work(world, state):
-    if world.nowMs > state.untilMs:
+    if world.now_ms > state.until_ms:
         return
     random = state.random
-    worlds.at(world, random.expovariate(1 / state.everyMs), "call", work, state)
+    worlds.at(world, random.expovariate(1 / state.every_ms), "call", work, state)
     able = [n for n in world.nodes.values() if serves(world, n)]
     if not able:
         return
     node = random.choice(able)
     state.asked += 1
-    granary, me = node.core.granary, node.place.member
-    fence = duties.held(granary, "list", me)
-    if fence and not granary.runners:
+    ledger, me = node.core.ledger, node.place.member
+    fence = duties.held(ledger, "list", me)
+    if fence and not ledger.runners:
         return ask(world, node.name, Runners(fence, RUNNERS))
-    fence = duties.held(granary, "ticks", me)
+    fence = duties.held(ledger, "ticks", me)
     if fence and random.random() < 0.3:
         return ask(world, node.name, Tick(fence, 50))
     kind = random.random()
@@ -87,7 +88,7 @@
     elif kind < 0.8:
         ask(world, node.name, ClaimKey(f"k{random.randrange(40)}", "d", 1 << 40))
     elif kind < 0.95:
-        mark = granary.configs.get("templates/t")
+        mark = ledger.configs.get("templates/t")
         ask(
             world,
             node.name,
@@ -100,8 +101,8 @@
 
 
 def revote(world, node, random):
-    hedge, before = node.core.hedge, node.core.granary.voters
-    full = {n for n, p in hedge.peers.items() if p.ready and p.configuration == hedge.configuration.id}
+    synchrony, before = node.core.synchrony, node.core.ledger.voters
+    full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
     if spare and len(before) < 5 and random.random() < 0.6:
         after = (*before, random.choice(spare))
@@ -110,8 +111,8 @@
         after = tuple(v for v in before if v != gone)
     else:
         return
-    if majority(after, full | ({node.name} if hedge.primary.ready else set())):
-        ask(world, node.name, SetVoters(hedge.configuration.id, before, after))
+    if majority(after, full | ({node.name} if synchrony.primary.ready else set())):
+        ask(world, node.name, SetVoters(synchrony.configuration.id, before, after))
 
 
 def tap(state):
@@ -121,7 +122,7 @@
         state.decided += 1
         if world.trap:
             world.trap = False
-            worlds.at(world, 0, "call", votersDown)
+            worlds.at(world, 0, "call", voters_down)
         op = world.ops.get((node.place.member, answer.number))
         follow(world, node, state.random, op, answer.verdict)
 
@@ -129,17 +130,17 @@
 
 
 def follow(world, node, random, asked, verdict):
-    waitMs = random.random() * 150
+    wait_ms = random.random() * 150
     if isinstance(verdict, Reserved):
         op = (
             Release(verdict.index)
             if random.random() < 0.2
             else Settle(verdict.index, random.randint(0, verdict.amount), line("in", f"out{verdict.index}"))
         )
-        worlds.at(world, waitMs, "call", later, node.name, node.life, op)
+        worlds.at(world, wait_ms, "call", later, node.name, node.life, op)
     elif isinstance(verdict, Won):
         op = Unclaim(asked.key) if random.random() < 0.2 else Finish(asked.key, "done", b"v")
-        worlds.at(world, waitMs, "call", later, node.name, node.life, op)
+        worlds.at(world, wait_ms, "call", later, node.name, node.life, op)
 
 
 def later(world, name, life, op):
@@ -153,29 +154,29 @@
 
 
 def watch(world, state):
-    if world.nowMs > state.untilMs + 20000:
+    if world.now_ms > state.until_ms + 20000:
         return
     worlds.at(world, 40, "call", watch, state)
     leased = []
     for node in world.nodes.values():
         if node.core is None or node.frozen:
             continue
-        hedge = node.core.hedge
-        id = hedge.configuration.id
-        if hedge.primary.opened:
-            state.firstMs.setdefault(id, world.nowMs)
+        synchrony = node.core.synchrony
+        id = synchrony.configuration.id
+        if synchrony.primary.opened:
+            state.first_ms.setdefault(id, world.now_ms)
         if serves(world, node):
             leased.append((node.name, id))
     for name, id in leased:
-        for other, sinceMs in state.firstMs.items():
-            if other > id and world.nowMs > sinceMs + world.bounds.leaseMs + 1:
+        for other, since_ms in state.first_ms.items():
+            if other > id and world.now_ms > since_ms + world.bounds.lease_ms + 1:
                 state.breaks.append(Broken("lease", f"{name} serves under {id} after {other}"))
 
 
-def storm(world, random, untilMs, kinds, gapMs=2500):
-    atMs = 2500.0
-    while atMs < untilMs:
+def storm(world, random, until_ms, kinds, gap_ms=2500):
+    at_ms = 2500.0
+    while at_ms < until_ms:
         kind = random.choice(kinds)
-        worlds.at(world, atMs - world.nowMs, "call", FAULTS[kind], random)
-        world.trace.append((round(atMs), kind))
-        atMs += random.uniform(20, gapMs)
+        worlds.at(world, at_ms - world.now_ms, "call", FAULTS[kind], random)
+        world.trace.append((round(at_ms), kind))
+        at_ms += random.uniform(20, gap_ms)
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -2,6 +2,7 @@
 
 from msgspec import Struct, field, msgpack
 
+from frostpost.daemon import core as cores
 from frostpost.virtual_synchrony.events import (
     Applied,
     Changed,
@@ -12,10 +13,10 @@
     Rewrite,
     Synced,
 )
-from frostpost.virtual_synchrony.memory import Log, replay, replayOne
+from frostpost.virtual_synchrony.memory import Log, replay, replay_one
 from frostpost.virtual_synchrony.state import Bounds
 from frostpost.virtual_synchrony.words import Ack, Complete, Place
-from frostpost.daemon import core as cores
+
 from . import world as worlds
 from .checks import Broken
 
@@ -27,7 +28,7 @@
     seeds: tuple[str, ...]
     voters: tuple[str, ...]
     records: list[Record]
-    nowMs: int
+    now_ms: int
     inputs: list[Input] = []
 
 
@@ -42,7 +43,7 @@
 def recorder(name, traces):
     start, feed = worlds.start, worlds.feed
 
-    def startOne(world, node):
+    def start_one(world, node):
         if node == name:
             traces.append([list(world.nodes[node].disk.lasting), []])
         start(world, node)
@@ -50,13 +51,13 @@
             held = world.nodes[node]
             traces[-1].insert(0, (held.place, worlds.clock(world, held)))
 
-    def feedOne(world, node, input):
+    def feed_one(world, node, input):
         held = world.nodes[node]
         if node == name and held.core is not None and not held.frozen:
             traces[-1][-1].append(input)
         feed(world, node, input)
 
-    return startOne, feedOne
+    return start_one, feed_one
 
 
 def save(trace, path):
@@ -73,20 +74,20 @@
     if isinstance(record, Rewrite):
         life.log = replay(record.records)
     else:
-        replayOne(life.log, record)
+        replay_one(life.log, record)
 
 
 def play(trace):
-    core, out = cores.begin(trace.place, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.nowMs)
+    core, out = cores.begin(trace.place, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.now_ms)
     life, wrote = Life(replay(trace.records)), 0
-    life.applied = core.hedge.applied
+    life.applied = core.synchrony.applied
     for input in (None, *trace.inputs):
         if input is not None:
-            if isinstance(input, Synced) and input.upTo > wrote:
-                input = Synced(input.nowMs, wrote)
+            if isinstance(input, Synced) and input.up_to > wrote:
+                input = Synced(input.now_ms, wrote)
             if isinstance(input, Synced):
-                done = [w for n, w in life.unsynced if n <= input.upTo]
-                life.unsynced = [(n, w) for n, w in life.unsynced if n > input.upTo]
+                done = [w for n, w in life.unsynced if n <= input.up_to]
+                life.unsynced = [(n, w) for n, w in life.unsynced if n > input.up_to]
                 for record in done:
                     last(life, record)
             core, out = cores.step(core, input)
@@ -97,16 +98,16 @@
 
 
 def manners(core, life, out):
-    storage = core.hedge.storage
+    storage = core.synchrony.storage
     for _, body in out.sends:
         if isinstance(body, Complete) and storage and life.log.epoch < body.id.epoch:
             yield Broken("promise", f"{body.id} was completed before its promise was synced")
-        if isinstance(body, Ack) and storage and core.hedge.primary.readyAt >= 0:
+        if isinstance(body, Ack) and storage and core.synchrony.primary.ready_at >= 0:
             if life.log.primary == body.id and life.log.length < life.log.base + body.top:
                 yield Broken("ack", f"{body.top} of {body.id} was acknowledged and not synced")
             life.acked = (body.id, body.top)
     id, top = life.acked
-    for log in (life.log, core.hedge.log):
+    for log in (life.log, core.synchrony.log):
         if log.primary == id and log.length < log.base + top:
             yield Broken("cut", f"{top} of {id} was acknowledged and cut off")
     for answer in out.answers:
@@ -116,7 +117,7 @@
             case Delivered(entry, _, True) if entry.ordinal == 1:
                 life.opened = True
             case Filled(index, _):
-                life.applied, life.opened = index, core.hedge.primary.settled
+                life.applied, life.opened = index, core.synchrony.primary.settled
             case Applied(entry):
                 if not life.opened:
                     yield Broken("open", f"{entry.index} was applied before its Open")
@@ -134,7 +135,7 @@
     finally:
         worlds.start, worlds.feed = kept
     traces = []
-    for (place, nowMs), records, inputs in lives:
+    for (place, now_ms), records, inputs in lives:
         seeds = tuple(f"@{n}:1" for n in list(world.nodes)[:3])
-        traces.append(Trace(note, place, world.bounds, seeds, world.voters, records, nowMs, inputs))
+        traces.append(Trace(note, place, world.bounds, seeds, world.voters, records, now_ms, inputs))
     return traces
--- a/frostpost/simulator/valley.py
+++ b/frostpost/simulator/valley.py
@@ -1,14 +1,17 @@
 from random import Random
 
-from msgspec import Struct, convert, json
+from msgspec import Struct, convert
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
 from frostpost.daemon.assembly import assemble, raise_
-from frostpost.daemon.life import Hand, make as makeLife
+from frostpost.daemon.life import Hand
+from frostpost.daemon.life import make as make_life
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.settings import Settings
-from frostpost.testbed import callers, platform as platforms, runner as runners
+from frostpost.testbed import platform as platforms
+from frostpost.testbed import runner as runners
 from frostpost.testbed.notes import Notes
+
 from . import drives
 from .hosts import Host
 from .net import Net
@@ -24,7 +27,7 @@
     ctx: object = None
     hand: object = None
     exits: list = []
-    wallS: float = 1.8e9
+    wall_s: float = 1.8e9
 
 
 class Valley(Struct):
@@ -38,20 +41,20 @@
     crowd: object = None
     callers: Host | None = None
     notes: Notes | None = None
-    runnerNotes: Notes | None = None
+    runner_notes: Notes | None = None
     trace: list = []
     planned: list = []
     amends: int = 0
 
 
-def addHost(valley, name, cell):
+def add_host(valley, name, cell):
     address = f"127.1.0.{len(valley.net.hosts) + 1}"
     host = Host(valley.net, name, address, cell)
     valley.net.hosts[address] = host
     return host
 
 
-def settingsOf(name, role, cell, address, seeds, voters, bounds, doors):
+def settings_of(name, role, cell, address, seeds, voters, bounds, doors):
     return convert(
         {
             "name": name,
@@ -59,7 +62,7 @@
             "cell": cell,
             "host": address,
             "port": PORT,
-            "httpPort": HTTP,
+            "http_port": HTTP,
             "seeds": seeds,
             "voters": voters,
             "data": f"/{name}" if role == "storage" else "",
@@ -75,17 +78,17 @@
     random = Random(seed)
     valley = Valley(seed, random, Net(random))
     seconds = valley.net.clock.seconds
-    valley.notes, valley.runnerNotes = Notes(None, seconds), Notes(None, seconds)
-    raisePlatform(valley)
-    valley.callers = addHost(valley, "callers", "a")
-    raiseRunners(valley, pools)
+    valley.notes, valley.runner_notes = Notes(None, seconds), Notes(None, seconds)
+    raise_platform(valley)
+    valley.callers = add_host(valley, "callers", "a")
+    raise_runners(valley, pools)
     names = [
         (letter + str(n + 1), role, "abc"[n % 3])
         for role, letter, many in (("storage", "s", storages), ("core", "c", cores), ("edge", "e", edges))
         for n in range(many)
     ]
     voters = [n for n, role, _ in names if role == "storage"]
-    hosts = {name: addHost(valley, name, cell) for name, _, cell in names}
+    hosts = {name: add_host(valley, name, cell) for name, _, cell in names}
     seeds = [f"{hosts[n].address}:{PORT}" for n, role, _ in names if role != "edge"][:3]
     for name, role, cell in names:
         add(valley, name, role, cell, hosts[name], seeds, voters, bounds or {}, doors)
@@ -95,15 +98,15 @@
 
 
 def add(valley, name, role, cell, host, seeds, voters, bounds, doors=None):
-    settings = settingsOf(name, role, cell, host.address, seeds, voters, bounds, doors or {})
+    settings = settings_of(name, role, cell, host.address, seeds, voters, bounds, doors or {})
     drive = drives.Drive(Random(valley.random.random()))
     valley.daemons[name] = Daemon(host, settings, drive)
-    host.threadMs = lambda: drive.delayMs * (0.5 + valley.random.random())
+    host.thread_ms = lambda: drive.delay_ms * (0.5 + valley.random.random())
 
 
-def raisePlatform(valley):
-    host = addHost(valley, "platform", "a")
-    valley.platform = platforms.Platform(lagS=0.5, seconds=valley.net.clock.seconds)
+def raise_platform(valley):
+    host = add_host(valley, "platform", "a")
+    valley.platform = platforms.Platform(lag_s=0.5, seconds=valley.net.clock.seconds)
     listen(host, 80, platforms.build(valley.platform, host))
 
 
@@ -111,23 +114,23 @@
     TCP4ServerEndpoint(host, port).listen(site)
 
 
-def raiseRunners(valley, pools):
+def raise_runners(valley, pools):
     for pool, many, room in pools:
         for n in range(many):
-            host = addHost(valley, f"{pool}{n + 1}", "abc"[n % 3])
-            raiseRunner(valley, host, f"{pool}{n + 1}", pool, room)
+            host = add_host(valley, f"{pool}{n + 1}", "abc"[n % 3])
+            raise_runner(valley, host, f"{pool}{n + 1}", pool, room)
     platforms.show(valley.platform, list(valley.rows))
     valley.platform.pages[0] = (-1.0, list(valley.rows))
 
 
-def raiseRunner(valley, host, name, pool, room, listed=True, careless=False):
-    serial = len(valley.runnerNotes.lines) + len(valley.backs)
+def raise_runner(valley, host, name, pool, room, listed=True, careless=False):
+    serial = len(valley.runner_notes.lines) + len(valley.backs)
     runner = runners.Runner(
         name, f"i{serial}-{len(valley.backs)}", pool, host.cell, room, valley.random.randrange(1 << 30)
     )
     runner.careless = careless
     valley.backs[host.address] = runner
-    listen(host, 80, runners.build(host, runner, valley.runnerNotes))
+    listen(host, 80, runners.build(host, runner, valley.runner_notes))
     row = {
         "name": name,
         "instance": runner.instance,
@@ -142,15 +145,15 @@
     return runner
 
 
-def machineOf(valley, daemon):
+def machine_of(valley, daemon):
     token = Random(valley.random.random())
     return Machine(
         seconds=daemon.host.seconds,
-        wallS=lambda: daemon.wallS + daemon.host.seconds(),
-        inThread=daemon.host.inThread,
+        wall_s=lambda: daemon.wall_s + daemon.host.seconds(),
+        in_thread=daemon.host.in_thread,
         token=lambda size: token.randbytes(size).hex(),
-        sleep=lambda waitS: None,
-        files=drives.filesOf(daemon.drive),
+        sleep=lambda wait_s: None,
+        files=drives.files_of(daemon.drive),
     )
 
 
@@ -158,11 +161,11 @@
     daemon = valley.daemons[name]
     daemon.host.boot()
     try:
-        daemon.ctx, site = assemble(daemon.settings, daemon.host, machineOf(valley, daemon))
+        daemon.ctx, site = assemble(daemon.settings, daemon.host, machine_of(valley, daemon))
     except OSError as fault:
         return exited(valley, name, type(fault).__name__)
     daemon.hand = Hand(daemon.ctx, lambda: daemon.host.callLater(0, exited, valley, name, None))
-    daemon.ctx.life = makeLife(daemon.hand)
+    daemon.ctx.life = make_life(daemon.hand)
     raise_(daemon.ctx, site, daemon.hand, lambda failure: exited(valley, name, failure.type.__name__))
 
 
@@ -181,7 +184,7 @@
     if not daemon.host.alive:
         return
     jobs = daemon.host.die(power)
-    (drives.losePower if power else drives.kill)(daemon.drive, jobs)
+    (drives.lose_power if power else drives.kill)(daemon.drive, jobs)
 
 
 def revive(valley, name):
@@ -195,80 +198,27 @@
         daemon.host.enter(daemon.ctx.life.leave)
 
 
-def later(valley, waitMs, call, *args):
-    return valley.net.clock.callLater(waitMs / 1000, call, *args)
+def later(valley, wait_ms, call, *args):
+    return valley.net.clock.callLater(wait_ms / 1000, call, *args)
 
 
-def nowMs(valley):
+def clock_ms(valley):
     return valley.net.clock.seconds() * 1000
 
 
-def run(valley, untilMs):
+def run(valley, until_ms):
     net, hosts = valley.net, list(valley.net.hosts.values())
     while True:
-        dueS = [net.clock.calls[0].getTime()] if net.clock.calls else []
-        dueS += [d for h in hosts if (d := h.dueS()) is not None]
-        atS = min(dueS, default=untilMs / 1000)
-        if atS > untilMs / 1000:
-            net.clock.advance(max(0.0, untilMs / 1000 - net.clock.seconds()))
+        due_s = [net.clock.calls[0].getTime()] if net.clock.calls else []
+        due_s += [d for h in hosts if (d := h.due_s()) is not None]
+        at_s = min(due_s, default=until_ms / 1000)
+        if at_s > until_ms / 1000:
+            net.clock.advance(max(0.0, until_ms / 1000 - net.clock.seconds()))
             return
-        net.clock.advance(max(0.0, atS - net.clock.seconds()))
+        net.clock.advance(max(0.0, at_s - net.clock.seconds()))
         if len(hosts) != len(net.hosts):
             hosts = list(net.hosts.values())
         for host in hosts:
-            d = host.dueS()
-            if d is not None and d <= atS:
-                host.catchUp()
-
-
-def doors(valley):
-    return [f"{d.host.address}:{HTTP}" for n, d in valley.daemons.items() if d.settings.role == "edge"]
-
-
-def ready(valley, name):
-    from frostpost.daemon.core import leaseOk
-
-    daemon = valley.daemons[name]
-    ctx = daemon.ctx
-    return (
-        daemon.host.alive
-        and not daemon.host.frozen
-        and ctx is not None
-        and not ctx.leaving
-        and leaseOk(ctx.core, int(nowMs(valley)))
-        and ctx.honoured >= ctx.needConfig
-    )
-
-
-def crowd(valley, seconds, factor, tag="p"):
-    valley.callers.catchUp()
-    valley.crowd = callers.Crowd(valley.callers, doors(valley), valley.seed, valley.notes, tag)
-    over = []
-    callers.arrivals(valley.crowd, seconds, factor, lambda: over.append(True))
-    return over
-
-
-def call(valley, name, path, method="GET", document=None, headers=None):
-    from treq.client import HTTPClient
-    from twisted.web.client import Agent
-
-    from frostpost.http_api.carry import ByNumber
-
-    host, box = valley.callers, []
-    host.catchUp()
-    client = HTTPClient(Agent.usingEndpointFactory(host, ByNumber(host, 1)))
-    daemon = valley.daemons[name]
-    done = client.request(
-        method,
-        f"http://{daemon.host.address}:{HTTP}{path}",
-        data=None if document is None else callers.bodyOf(host, json.encode(document)),
-        headers=headers or {},
-        timeout=20,
-        reactor=host,
-    )
-
-    def body(response):
-        return response.content().addCallback(lambda raw: box.append((response.code, raw)))
-
-    done.addCallback(body).addErrback(lambda f: box.append((0, f.type.__name__.encode())))
-    return box
+            d = host.due_s()
+            if d is not None and d <= at_s:
+                host.catch_up()
--- /dev/null
+++ b/frostpost/simulator/valley_calls.py
@@ -0,0 +1,60 @@
+"""Calls into a simulated fleet: its addresses, whether a daemon is ready, one call, a crowd of callers."""
+
+from msgspec import json
+
+from frostpost.testbed import callers
+
+from .valley import HTTP, clock_ms
+
+
+def doors(valley):
+    return [f"{d.host.address}:{HTTP}" for n, d in valley.daemons.items() if d.settings.role == "edge"]
+
+
+def ready(valley, name):
+    from frostpost.daemon.core import lease_ok
+
+    daemon = valley.daemons[name]
+    ctx = daemon.ctx
+    return (
+        daemon.host.alive
+        and not daemon.host.frozen
+        and ctx is not None
+        and not ctx.leaving
+        and lease_ok(ctx.core, int(clock_ms(valley)))
+        and ctx.honoured >= ctx.need_config
+    )
+
+
+def crowd(valley, seconds, factor, tag="p"):
+    valley.callers.catch_up()
+    valley.crowd = callers.Crowd(valley.callers, doors(valley), valley.seed, valley.notes, tag)
+    over = []
+    callers.arrivals(valley.crowd, seconds, factor, lambda: over.append(True))
+    return over
+
+
+def call(valley, name, path, method="GET", document=None, headers=None):
+    from treq.client import HTTPClient
+    from twisted.web.client import Agent
+
+    from frostpost.http_api.carry import ByNumber
+
+    host, box = valley.callers, []
+    host.catch_up()
+    client = HTTPClient(Agent.usingEndpointFactory(host, ByNumber(host, 1)))
+    daemon = valley.daemons[name]
+    done = client.request(
+        method,
+        f"http://{daemon.host.address}:{HTTP}{path}",
+        data=None if document is None else callers.body_of(host, json.encode(document)),
+        headers=headers or {},
+        timeout=20,
+        reactor=host,
+    )
+
+    def body(response):
+        return response.content().addCallback(lambda raw: box.append((response.code, raw)))
+
+    done.addCallback(body).addErrback(lambda f: box.append((0, f.type.__name__.encode())))
+    return box
--- a/frostpost/simulator/wires.py
+++ b/frostpost/simulator/wires.py
@@ -1,9 +1,9 @@
 from collections import deque
 
 from twisted.internet.address import IPv4Address
+from twisted.internet.defer import succeed
 from twisted.internet.error import CannotListenError, ConnectionDone, ConnectionLost
 from twisted.internet.interfaces import IConsumer, IPushProducer, ITCPTransport
-from twisted.internet.defer import succeed
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
@@ -23,7 +23,7 @@
         "other",
         "protocol",
         "out",
-        "outBytes",
+        "out_bytes",
         "busy",
         "closing",
         "connected",
@@ -33,16 +33,16 @@
         "paused",
         "reading",
         "fin",
-        "stuckS",
+        "stuck_s",
         "__weakref__",
     )
 
     def __init__(self, net, host, here, there):
         self.net, self.host, self.life, self.here, self.there = net, host, host.life, here, there
         self.other = self.protocol = self.producer = None
-        self.out, self.outBytes, self.busy, self.closing, self.connected = deque(), 0, False, False, True
+        self.out, self.out_bytes, self.busy, self.closing, self.connected = deque(), 0, False, False, True
         self.streaming = self.held = self.fin = False
-        self.paused, self.reading, self.stuckS = False, True, 0.0
+        self.paused, self.reading, self.stuck_s = False, True, 0.0
         host.wires.append(self)
 
     @property
@@ -57,8 +57,8 @@
         if not self.connected or self.finishing or not data:
             return
         self.out.append(bytes(data))
-        self.outBytes += len(data)
-        if self.producer is not None and self.outBytes > KERNEL and not self.held:
+        self.out_bytes += len(data)
+        if self.producer is not None and self.out_bytes > KERNEL and not self.held:
             self.held = True
             self.producer.pauseProducing()
         pump(self)
@@ -125,12 +125,12 @@
         return False
 
 
-def pump(wire, delayS=None):
+def pump(wire, delay_s=None):
     if wire.busy or not (wire.out or wire.finishing or wire.fin):
         return
     wire.busy = True
-    waitS = wire.net.delayS(wire.here[0], wire.there[0]) if delayS is None else delayS
-    wire.net.clock.callLater(waitS, pumped, wire)
+    wait_s = wire.net.link_delay_s(wire.here[0], wire.there[0]) if delay_s is None else delay_s
+    wire.net.clock.callLater(wait_s, pumped, wire)
 
 
 def passing(wire):
@@ -145,14 +145,14 @@
     target = other.host
     gone = target.life != other.life or not target.alive
     if not passing(wire) or gone and not target.powered:
-        wire.stuckS += RETRY_S
-        if wire.stuckS > PATIENCE_S:
+        wire.stuck_s += RETRY_S
+        if wire.stuck_s > PATIENCE_S:
             return lost(wire, ConnectionLost())
         return pump(wire, RETRY_S)
-    wire.stuckS = 0.0
+    wire.stuck_s = 0.0
     if gone or not other.connected:
         wire.out.clear()
-        return lost(wire, ConnectionLost() if wire.outBytes else ConnectionDone())
+        return lost(wire, ConnectionLost() if wire.out_bytes else ConnectionDone())
     if not other.reading or target.frozen:
         return pump(wire, RETRY_S) if target.frozen else None
     moved = 0
@@ -160,7 +160,7 @@
         data = wire.out.popleft()
         moved += len(data)
         target.enter(received, other, data)
-    wire.outBytes -= moved
+    wire.out_bytes -= moved
     drained(wire)
     if not wire.out and (wire.fin or wire.finishing):
         if wire.connected:
@@ -170,7 +170,7 @@
 
 
 def drained(wire):
-    if wire.producer is None or not wire.connected or wire.outBytes > KERNEL // 2:
+    if wire.producer is None or not wire.connected or wire.out_bytes > KERNEL // 2:
         return
     if wire.held or not wire.streaming:
         wire.held = False
@@ -203,11 +203,11 @@
 
 def reset(wire, reason):
     other = wire.other
-    wire.net.clock.callLater(wire.net.delayS(wire.here[0], wire.there[0]), resetThere, wire, other)
+    wire.net.clock.callLater(wire.net.link_delay_s(wire.here[0], wire.there[0]), reset_there, wire, other)
     lost(wire, reason)
 
 
-def resetThere(wire, other):
+def reset_there(wire, other):
     if other is not None and passing(wire):
         lost(other, ConnectionLost())
 
@@ -219,7 +219,7 @@
         return
     kept = b"".join(wire.out)[:KERNEL]
     wire.out = deque([kept] if kept else ())
-    wire.outBytes, wire.fin, wire.producer = len(kept), True, None
+    wire.out_bytes, wire.fin, wire.producer = len(kept), True, None
     pump(wire)
 
 
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -3,19 +3,19 @@
 
 from msgspec import Struct, field
 
+from frostpost.daemon import core as cores
 from frostpost.virtual_synchrony import events
+from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
 from frostpost.virtual_synchrony.memory import replay
 from frostpost.virtual_synchrony.state import Bounds
-from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
 from frostpost.virtual_synchrony.words import SPEAKS, Batch, Member, Place
-from frostpost.daemon import core as cores
 
 
 class Disk(Struct):
     lasting: list = []
     written: list = []
     syncing: int = 0
-    delayMs: int = 3
+    delay_ms: int = 3
     boots: int = 0
     wrote: int = 0
     syncs: int = 0
@@ -31,7 +31,7 @@
     life: int = 0
     frozen: bool = False
     queue: list = []
-    skewMs: int = 0
+    skew_ms: int = 0
 
 
 class World(Struct):
@@ -40,11 +40,11 @@
     bounds: Bounds
     nodes: dict[str, Node]
     voters: tuple[str, ...]
-    nowMs: float = 0.0
+    now_ms: float = 0.0
     queue: list = []
     serial: int = 0
     cuts: set = set()
-    lossRate: float = 0.0
+    loss_rate: float = 0.0
     history: list = []
     sent: int = 0
     trace: list = []
@@ -54,9 +54,9 @@
     trap: bool = False
 
 
-def make(seed, edges=2, storages=3, coresCount=2, bounds=None, voters=0):
+def make(seed, edges=2, storages=3, cores_count=2, bounds=None, voters=0):
     nodes = {}
-    for role, letter, many in (("storage", "s", storages), ("core", "c", coresCount), ("edge", "e", edges)):
+    for role, letter, many in (("storage", "s", storages), ("core", "c", cores_count), ("edge", "e", edges)):
         for i in range(many):
             nodes[f"{letter}{i + 1}"] = Node(f"{letter}{i + 1}", role, "abc"[i % 3])
     voters = tuple(n for n in nodes if n[0] == "s")[: voters or storages]
@@ -66,9 +66,9 @@
     return world
 
 
-def at(world, delayMs, kind, *rest):
+def at(world, delay_ms, kind, *rest):
     world.serial += 1
-    heappush(world.queue, (world.nowMs + delayMs, world.serial, kind, rest))
+    heappush(world.queue, (world.now_ms + delay_ms, world.serial, kind, rest))
 
 
 def start(world, name):
@@ -82,8 +82,8 @@
     log = replay(node.disk.lasting)
     node.frozen, node.queue, node.disk.syncing = False, [], 0
     node.disk.written, node.disk.wrote = [], 0
-    node.core, out = cores.begin(node.place, world.bounds, seeds, world.voters, log, int(world.nowMs) + node.skewMs)
-    note(world, name, events.Changed(node.core.hedge.configuration, False))
+    node.core, out = cores.begin(node.place, world.bounds, seeds, world.voters, log, int(world.now_ms) + node.skew_ms)
+    note(world, name, events.Changed(node.core.synchrony.configuration, False))
     perform(world, node, out)
     at(world, world.random.random() * 20, "tick", name, node.life)
 
@@ -112,7 +112,7 @@
 def note(world, name, answer):
     node = world.nodes[name]
     member = node.place.member
-    world.history.append((round(world.nowMs, 3), member, answer))
+    world.history.append((round(world.now_ms, 3), member, answer))
 
 
 def feed(world, name, input):
@@ -127,7 +127,7 @@
 
 
 def clock(world, node):
-    return int(world.nowMs) + node.skewMs
+    return int(world.now_ms) + node.skew_ms
 
 
 def perform(world, node, out):
@@ -148,8 +148,8 @@
     if not node.disk.syncing and node.disk.written:
         node.disk.syncing = len(node.disk.written)
         node.disk.syncs += 1
-        delayMs = node.disk.delayMs * (0.5 + world.random.random())
-        at(world, delayMs, "synced", node.name, node.life, node.disk.wrote)
+        delay_ms = node.disk.delay_ms * (0.5 + world.random.random())
+        at(world, delay_ms, "synced", node.name, node.life, node.disk.wrote)
 
 
 def send(world, node, target, body):
@@ -160,18 +160,18 @@
     other = world.nodes.get(target)
     if other is None or (node.name, target) in world.cuts:
         return
-    if world.lossRate and world.random.random() < world.lossRate:
+    if world.loss_rate and world.random.random() < world.loss_rate:
         return
     far = 0.5 if other.cell != node.cell else 0.1
     at(world, far + world.random.expovariate(2), "arrive", target, node.place, body)
 
 
-def run(world, untilMs):
-    while world.queue and world.queue[0][0] <= untilMs:
-        whenMs, _, kind, rest = heappop(world.queue)
-        world.nowMs = max(world.nowMs, whenMs)
+def run(world, until_ms):
+    while world.queue and world.queue[0][0] <= until_ms:
+        when_ms, _, kind, rest = heappop(world.queue)
+        world.now_ms = max(world.now_ms, when_ms)
         handle(world, kind, rest)
-    world.nowMs = max(world.nowMs, untilMs)
+    world.now_ms = max(world.now_ms, until_ms)
 
 
 def handle(world, kind, rest):
@@ -219,9 +219,9 @@
             feed(world, name, Received(clock(world, node), item[0], item[1]))
 
 
-def cut(world, left, right, oneWay=False):
+def cut(world, left, right, one_way=False):
     for a in left:
         for b in right:
             world.cuts.add((a, b))
-            if not oneWay:
+            if not one_way:
                 world.cuts.add((b, a))
--- a/frostpost/tenant_config/shapes.py
+++ b/frostpost/tenant_config/shapes.py
@@ -36,12 +36,12 @@
     "pools": {"type": "list", "minlength": 1, "required": True, "schema": {"type": "string", "regex": WORD.pattern}},
     "repeat": either({"type": "string", "allowed": ["free", "once", "keyed"]}),
     "urgency": either({"type": "string", "allowed": ["urgent", "normal", "batch"]}),
-    "limitMs": either(whole(1, 600000)),
-    "keepMs": either(whole(1000, 2592000000)),
+    "limit_ms": either(whole(1, 600000)),
+    "keep_ms": either(whole(1000, 2592000000)),
     "budget": either(whole(1, 1000000000)),
-    "budgetKeepMs": either(whole(1000, 2592000000)),
-    "maxOutput": either(whole(1, 100000)),
-    "keyWindowMs": either(whole(60000, 3600000)),
+    "budget_keep_ms": either(whole(1000, 2592000000)),
+    "max_output": either(whole(1, 100000)),
+    "key_window_ms": either(whole(60000, 3600000)),
 }
 TEMPLATE = {
     "parameters": {
@@ -94,12 +94,12 @@
 DEFAULTS = {
     "repeat": "once",
     "urgency": "normal",
-    "limitMs": 30000,
-    "keepMs": 3600000,
+    "limit_ms": 30000,
+    "keep_ms": 3600000,
     "budget": 10000,
-    "budgetKeepMs": 7200000,
-    "maxOutput": 256,
-    "keyWindowMs": 60000,
+    "budget_keep_ms": 7200000,
+    "max_output": 256,
+    "key_window_ms": 60000,
 }
 
 
--- a/frostpost/tenant_config/shelf.py
+++ b/frostpost/tenant_config/shelf.py
@@ -15,14 +15,14 @@
 class Pull(Struct):
     item: Item
     frm: str
-    askedMs: int
+    asked_ms: int
     data: bytearray
 
 
 class Shelf(Struct):
     me: str
     chunk: int = 262144
-    resendMs: int = 400
+    resend_ms: int = 400
     bodies: dict[str, bytes] = {}
     items: dict[str, dict[int, Item]] = {}
     vector: dict[str, int] = {}
@@ -35,21 +35,21 @@
     body: bytes
 
 
-def digestOf(body):
+def digest_of(body):
     return blake2b(body, digest_size=16).hexdigest()
 
 
 def put(shelf, body):
     number = shelf.vector.get(shelf.me, 0)
     number = max([number, *shelf.items.get(shelf.me, {})]) + 1
-    item = Item(shelf.me, number, digestOf(body), len(body))
+    item = Item(shelf.me, number, digest_of(body), len(body))
     return shelf, Store(item, body)
 
 
-def stored(shelf, item, body, nowMs):
+def stored(shelf, item, body, now_ms):
     if item.digest:
         shelf.bodies[item.digest] = body
-        shelf.since[item.digest] = nowMs
+        shelf.since[item.digest] = now_ms
     shelf.items.setdefault(item.source, {})[item.number] = item
     held = shelf.items[item.source]
     number = shelf.vector.get(item.source, 0)
@@ -76,7 +76,7 @@
     return [(frm, NewsTell(tuple(found)))] if found else []
 
 
-def told(shelf, frm, message, nowMs):
+def told(shelf, frm, message, now_ms):
     sends, stores = [], []
     for source, number, digest, size in message.items:
         item = Item(source, number, digest, size)
@@ -87,15 +87,15 @@
             continue
         pull = shelf.pulls.get(digest)
         if pull is None:
-            shelf.pulls[digest] = Pull(item, frm, nowMs, bytearray())
+            shelf.pulls[digest] = Pull(item, frm, now_ms, bytearray())
             sends.append((frm, BodyAsk(digest, 0)))
-        elif nowMs - pull.askedMs > shelf.resendMs:
-            pull.frm, pull.askedMs = frm, nowMs
+        elif now_ms - pull.asked_ms > shelf.resend_ms:
+            pull.frm, pull.asked_ms = frm, now_ms
             sends.append((frm, BodyAsk(digest, len(pull.data))))
     return shelf, sends, stores
 
 
-def bodyAsked(shelf, frm, message):
+def body_asked(shelf, frm, message):
     body = shelf.bodies.get(message.digest)
     if body is None:
         return []
@@ -103,17 +103,17 @@
     return [(frm, BodyPiece(message.digest, message.offset, len(body), data))]
 
 
-def bodyPieced(shelf, frm, message, nowMs):
+def body_pieced(shelf, frm, message, now_ms):
     pull = shelf.pulls.get(message.digest)
     if pull is None or message.offset != len(pull.data):
         return shelf, [], []
     pull.data += message.data
-    pull.askedMs = nowMs
+    pull.asked_ms = now_ms
     if len(pull.data) < message.total:
         return shelf, [(frm, BodyAsk(message.digest, len(pull.data)))], []
     del shelf.pulls[message.digest]
     body = bytes(pull.data)
-    if digestOf(body) != message.digest:
+    if digest_of(body) != message.digest:
         return shelf, [], []
     return shelf, [], [Store(pull.item, body)]
 
--- a/frostpost/tenant_config/stamp.py
+++ b/frostpost/tenant_config/stamp.py
@@ -12,12 +12,12 @@
     pools: tuple[str, ...]
     repeat: str
     urgency: str
-    limitMs: int
-    keepMs: int
+    limit_ms: int
+    keep_ms: int
     budget: int
-    maxOutput: int
-    keyWindowMs: int
-    budgetKeepMs: int = 7200000
+    max_output: int
+    key_window_ms: int
+    budget_keep_ms: int = 7200000
     marks: tuple[tuple[str, int], ...] = ()
 
 
@@ -49,7 +49,7 @@
     return value
 
 
-def stamp(tenantName, template, tenant, marks=()):
+def stamp(tenant_name, template, tenant, marks=()):
     values, faults = parameters(template, tenant)
     lanes = {}
     for name, shape in template["lanes"].items():
@@ -63,7 +63,7 @@
                 faults += [Fault(f"{path}/{key}", str(t)) for t in said]
             continue
         filled["pools"] = tuple(filled["pools"])
-        lanes[name] = Lane(tenantName, name, marks=tuple(marks), **filled)
+        lanes[name] = Lane(tenant_name, name, marks=tuple(marks), **filled)
     if faults:
         return Error(ConfigInvalid(tuple(faults)))
     return Ok(lanes)
@@ -81,8 +81,8 @@
     return base
 
 
-def checkTenant(name, tenant, template):
-    def withTemplate(document):
+def check_tenant(name, tenant, template):
+    def with_template(document):
         if template is None:
             return Error(ConfigInvalid((Fault("/template", "no such template"),)))
         for n, calendar in enumerate(document.get("calendars", ())):
@@ -94,17 +94,17 @@
                 )
         return stamp(name, template, document)
 
-    return check("tenants", tenant).bind(withTemplate)
+    return check("tenants", tenant).bind(with_template)
 
 
-def checkTemplate(template, tenants):
-    def withTenants(document):
+def check_template(template, tenants):
+    def with_tenants(document):
         faults = []
         for name, tenant in [("", {}), *tenants]:
-            stamped = checkTenant(name, tenant, document) if name else stamp(name, document, tenant)
+            stamped = check_tenant(name, tenant, document) if name else stamp(name, document, tenant)
             if stamped.is_error():
                 where = f"/tenants/{name}" if name else ""
                 faults += [Fault(where + f.path, f.text) for f in stamped.error.faults]
         return Error(ConfigInvalid(tuple(faults))) if faults else Ok(document)
 
-    return check("templates", template).bind(withTenants)
+    return check("templates", template).bind(with_tenants)
--- a/frostpost/testbed/backs.py
+++ b/frostpost/testbed/backs.py
@@ -16,7 +16,7 @@
 }
 
 
-def rowOf(runner, port):
+def row_of(runner, port):
     return {
         "name": runner.name,
         "instance": runner.instance,
@@ -29,10 +29,10 @@
 
 
 def raise_(seed, notes, ready):
-    platform, rows, pending = platforms.Platform(lagS=0.2), [], []
+    platform, rows, pending = platforms.Platform(lag_s=0.2), [], []
 
     def listening(port, runner):
-        rows.append(rowOf(runner, port.getHost().port))
+        rows.append(row_of(runner, port.getHost().port))
 
     number = 0
     for pools in POOLS.values():
--- a/frostpost/testbed/callers.py
+++ b/frostpost/testbed/callers.py
@@ -13,6 +13,7 @@
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 
 from frostpost.http_api.carry import ByNumber
+
 from .notes import Notes
 from .templates import DEPLOYMENTS
 
@@ -29,7 +30,7 @@
 
 
 class Crowd:
-    __slots__ = ("reactor", "client", "doors", "random", "notes", "serial", "open", "tag", "most", "endS")
+    __slots__ = ("reactor", "client", "doors", "random", "notes", "serial", "open", "tag", "most", "end_s")
 
     def __init__(self, reactor, doors, seed, notes, tag="p", most=600):
         pool = HTTPConnectionPool(reactor)
@@ -40,13 +41,13 @@
         self.serial, self.open, self.tag, self.most = 0, 0, tag, most
 
 
-def bodyOf(reactor, raw):
+def body_of(reactor, raw):
     return FileBodyProducer(BytesIO(raw), Cooperator(scheduler=lambda call: reactor.callLater(0, call)))
 
 
-def rest(reactor, waitS):
+def rest(reactor, wait_s):
     done = Deferred()
-    reactor.callLater(waitS, done.callback, None)
+    reactor.callLater(wait_s, done.callback, None)
     return done
 
 
@@ -55,13 +56,13 @@
     crowd.serial += 1
     request = f"{crowd.tag}{crowd.serial}"
     door = crowd.random.choice(crowd.doors)
-    startS = crowd.reactor.seconds()
+    start_s = crowd.reactor.seconds()
     crowd.notes.say("asked", request=request, path=path, document=document, door=door)
     status, whole, raw, retry = 0, False, b"", None
     try:
         response = yield crowd.client.post(
             f"http://{door}{path}",
-            bodyOf(crowd.reactor, json.encode(document)),
+            body_of(crowd.reactor, json.encode(document)),
             headers={"x-request": [request], "content-type": ["application/json"]},
             unbuffered=True,
         )
@@ -79,16 +80,16 @@
             lines.append(json.decode(line)) if line else None
         except DecodeError:
             whole = False
-    tookMs = round((crowd.reactor.seconds() - startS) * 1000, 1)
+    took_ms = round((crowd.reactor.seconds() - start_s) * 1000, 1)
     crowd.notes.say(
-        "answered", request=request, status=status, whole=whole, lines=lines, retryAfter=retry, tookMs=tookMs
+        "answered", request=request, status=status, whole=whole, lines=lines, retry_after=retry, took_ms=took_ms
     )
     return status, whole, lines, retry
 
 
 @inlineCallbacks
 def look(crowd, path):
-    door, askedMs = crowd.random.choice(crowd.doors), int(crowd.notes.seconds() * 1000)
+    door, asked_ms = crowd.random.choice(crowd.doors), int(crowd.notes.seconds() * 1000)
     try:
         response = yield crowd.client.get(f"http://{door}{path}", timeout=5, reactor=crowd.reactor)
         raw = yield response.content()
@@ -96,7 +97,7 @@
     except Exception as fault:
         crowd.notes.say("unread", path=path, fault=type(fault).__name__)
         return
-    crowd.notes.say("read", path=path, door=door, askedMs=askedMs, status=response.code, document=document)
+    crowd.notes.say("read", path=path, door=door, asked_ms=asked_ms, status=response.code, document=document)
 
 
 @inlineCallbacks
@@ -141,11 +142,11 @@
 
 def arrivals(crowd, seconds, factor, done):
     reactor = crowd.reactor
-    crowd.endS = reactor.seconds() + seconds
+    crowd.end_s = reactor.seconds() + seconds
     running = []
 
     def arrive(tenant, lane, rate, lookups):
-        if reactor.seconds() >= crowd.endS:
+        if reactor.seconds() >= crowd.end_s:
             return
         running.append(program(crowd, tenant, lane, lookups))
         reactor.callLater(crowd.random.expovariate(rate * factor), arrive, tenant, lane, rate, lookups)
@@ -156,8 +157,8 @@
                 arrive(tenant, lane, rate, shape["lookups"])
 
     def check():
-        if reactor.seconds() >= crowd.endS and (crowd.open == 0 or reactor.seconds() > crowd.endS + 40):
-            crowd.notes.say("over", stillOpen=crowd.open)
+        if reactor.seconds() >= crowd.end_s and (crowd.open == 0 or reactor.seconds() > crowd.end_s + 40):
+            crowd.notes.say("over", still_open=crowd.open)
             done()
         else:
             reactor.callLater(0.1, check)
@@ -182,7 +183,7 @@
     crowd = Crowd(reactor, command.doors, command.seed, Notes(command.notes), command.tag)
 
     def over():
-        crowd.endS = min(crowd.endS, reactor.seconds())
+        crowd.end_s = min(crowd.end_s, reactor.seconds())
 
     reactor.addSystemEventTrigger(
         "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(over))
--- a/frostpost/testbed/contests.py
+++ b/frostpost/testbed/contests.py
@@ -1,12 +1,12 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from .fleet import call, ready, waitFor
+from .fleet import call, ready, wait_for
 
 
 def insist(fleet, names, path, method, document, gos=20):
     for _ in range(gos):
-        waitFor(lambda: ready(fleet, names), 20)
+        wait_for(lambda: ready(fleet, names), 20)
         said = call(fleet, names[0], path, method, document, 40)
         if said[0] not in (0, 500, 503, 504):
             return said
@@ -23,7 +23,7 @@
             door,
             path,
             "PUT",
-            {"template": "kitchens", "parameters": {"keepMs": 600000 + 2 * n + k}},
+            {"template": "kitchens", "parameters": {"keep_ms": 600000 + 2 * n + k}},
             15,
             {"if-match": str(version)},
         )
@@ -43,7 +43,7 @@
     facts["races"] = won
     facts["invalid"] = insist(fleet, doors, "/v1/config/tenants/tamar", "PUT", {"template": "none"})[0]
     notes = {f"n{i}": "x" * 1000 for i in range(20000)}
-    startS = time.monotonic()
+    start_s = time.monotonic()
     facts["large"] = insist(
         fleet,
         doors,
@@ -51,4 +51,4 @@
         "PUT",
         {"lanes": {"one": {"kind": "turn", "pools": ["hmodel"]}}, "notes": notes},
     )
-    facts["largeMs"] = round((time.monotonic() - startS) * 1000)
+    facts["large_ms"] = round((time.monotonic() - start_s) * 1000)
--- a/frostpost/testbed/fleet.py
+++ b/frostpost/testbed/fleet.py
@@ -19,7 +19,7 @@
     role: str
     cell: str
     port: int
-    httpPort: int
+    http_port: int
     path: str
     process: object = None
 
@@ -28,7 +28,7 @@
     folder: str
     daemons: dict[str, Daemon] = {}
     backs: object = None
-    listPort: int = 0
+    list_port: int = 0
     runners: list[dict] = []
     python: str = sys.executable
     seeds: list[str] = []
@@ -65,14 +65,14 @@
     return fleet
 
 
-def settingsOf(fleet, daemon, extra=""):
+def settings_of(fleet, daemon, extra=""):
     voters = [d.name for d in fleet.daemons.values() if d.role == "storage"]
     data = f'data = "{fleet.folder}/{daemon.name}.data"\n' if daemon.role == "storage" else ""
     return (
         f'name = "{daemon.name}"\nrole = "{daemon.role}"\ncell = "{daemon.cell}"\n'
-        f'host = "127.0.0.1"\nport = {daemon.port}\nhttpPort = {daemon.httpPort}\n'
+        f'host = "127.0.0.1"\nport = {daemon.port}\nhttp_port = {daemon.http_port}\n'
         f"seeds = {json.encode(fleet.seeds).decode()}\nvoters = {json.encode(voters).decode()}\n{data}"
-        f'list = "http://127.0.0.1:{fleet.listPort}/runners"\nhooks = "{fleet.folder}/{daemon.name}.hooks"\n{extra}'
+        f'list = "http://127.0.0.1:{fleet.list_port}/runners"\nhooks = "{fleet.folder}/{daemon.name}.hooks"\n{extra}'
     )
 
 
@@ -81,19 +81,19 @@
     fleet.daemons[name] = Daemon(name, role, cell, inner, http, os.path.join(fleet.folder, f"{name}.toml"))
 
 
-def raiseBacks(fleet, seed=1):
+def raise_backs(fleet, seed=1):
     fleet.backs = subprocess.Popen(
         [fleet.python, "-m", "frostpost.testbed.backs", f"{fleet.folder}/runners.notes", "--seed", str(seed)],
         stdout=subprocess.PIPE,
     )
     said = json.decode(fleet.backs.stdout.readline())
-    fleet.listPort, fleet.runners = said["list"], said["runners"]
+    fleet.list_port, fleet.runners = said["list"], said["runners"]
 
 
 def start(fleet, name, extra=""):
     daemon = fleet.daemons[name]
     with open(daemon.path, "w") as file:
-        file.write(settingsOf(fleet, daemon, extra))
+        file.write(settings_of(fleet, daemon, extra))
     log = open(f"{fleet.folder}/{name}.log", "ab")
     daemon.process = subprocess.Popen(
         [fleet.python, "-m", fleet.program, daemon.path],
@@ -113,7 +113,7 @@
     daemon = fleet.daemons[name]
     data = document if isinstance(document, bytes) else (json.encode(document) if document is not None else None)
     request = urllib.request.Request(
-        f"http://127.0.0.1:{daemon.httpPort}{path}", data=data, method=method, headers=headers or {}
+        f"http://127.0.0.1:{daemon.http_port}{path}", data=data, method=method, headers=headers or {}
     )
     try:
         with urllib.request.urlopen(request, timeout=timeout) as response:
@@ -126,12 +126,12 @@
         return 0, {"fault": {"type": type(fault).__name__}}
 
 
-def waitFor(test, limitS, everyS=0.05):
-    endS = time.monotonic() + limitS
-    while time.monotonic() < endS:
+def wait_for(test, limit_s, every_s=0.05):
+    end_s = time.monotonic() + limit_s
+    while time.monotonic() < end_s:
         if test():
             return True
-        time.sleep(everyS)
+        time.sleep(every_s)
     return False
 
 
@@ -139,14 +139,14 @@
     return all(call(fleet, n, "/v1/ready", timeout=2)[0] == 200 for n in names or fleet.daemons)
 
 
-def raise_(fleet, seed=1, waitS=60):
-    raiseBacks(fleet, seed)
+def raise_(fleet, seed=1, wait_s=60):
+    raise_backs(fleet, seed)
     for name in fleet.daemons:
         start(fleet, name)
-    return waitFor(lambda: ready(fleet), waitS)
+    return wait_for(lambda: ready(fleet), wait_s)
 
 
-def stampAll(fleet, door=None):
+def stamp_all(fleet, door=None):
     door = door or next(n for n, d in fleet.daemons.items() if d.role == "edge")
     said = []
     for name, template in TEMPLATES.items():
@@ -158,7 +158,7 @@
 
 def load(fleet, seconds, factor=1.0, seed=1, tag="p", doors=None):
     edges = doors or [n for n, d in fleet.daemons.items() if d.role == "edge"]
-    words = [w for n in edges for w in ("--door", f"127.0.0.1:{fleet.daemons[n].httpPort}")]
+    words = [w for n in edges for w in ("--door", f"127.0.0.1:{fleet.daemons[n].http_port}")]
     return subprocess.Popen(
         [
             fleet.python,
--- a/frostpost/testbed/main.py
+++ b/frostpost/testbed/main.py
@@ -13,7 +13,6 @@
 from .notes import read
 from .proofs import PROOFS
 
-
 PLANNED = ("upgrade", "roll", "calm", "races", "drains", "grow", "clocks")
 
 
@@ -43,11 +42,11 @@
 def prove(name, size, factor, seed, folder, before=""):
     fleet = fleets.lay(folder, size)
     fleet.before = os.path.abspath(before) if before else ""
-    facts, startS = {}, time.monotonic()
+    facts, start_s = {}, time.monotonic()
     try:
         if not fleets.raise_(fleet, seed):
             return {"proof": name, "breaches": [{"never": "back", "text": "the fleet did not come up"}]}
-        said = fleets.stampAll(fleet)
+        said = fleets.stamp_all(fleet)
         facts["stamped"] = [s for s, _ in said]
         time.sleep(1)
         load = fleets.load(fleet, 600, factor, seed)
@@ -59,7 +58,7 @@
             load.terminate()
             load.wait()
         over = fleets.load(fleet, 3, factor, seed + 1, tag="z")
-        facts["afterExit"] = over.wait(90)
+        facts["after_exit"] = over.wait(90)
     finally:
         fleets.end(fleet)
     notes = read(f"{folder}/callers.notes")
@@ -71,7 +70,7 @@
         "facts": facts,
         "callers": summary(notes),
         "after": summary(late),
-        "seconds": round(time.monotonic() - startS, 1),
+        "seconds": round(time.monotonic() - start_s, 1),
     }
 
 
@@ -92,19 +91,19 @@
     return 1 if broken else 0
 
 
-def keepUp(command):
+def keep_up(command):
     fleet = fleets.lay(command.folder, command.size)
     try:
         if not fleets.raise_(fleet):
             print("FleetNotReady: see the logs in the folder", file=sys.stderr)
             return 1
         for name, daemon in fleet.daemons.items():
-            print(f"{name} {daemon.role} {daemon.cell} http://127.0.0.1:{daemon.httpPort}")
+            print(f"{name} {daemon.role} {daemon.cell} http://127.0.0.1:{daemon.http_port}")
         if command.stamp:
-            print([s for s, _ in fleets.stampAll(fleet)])
+            print([s for s, _ in fleets.stamp_all(fleet)])
         print("ready", flush=True)
-        endS = time.monotonic() + (command.seconds or 1 << 30)
-        while time.monotonic() < endS:
+        end_s = time.monotonic() + (command.seconds or 1 << 30)
+        while time.monotonic() < end_s:
             time.sleep(0.2)
     except KeyboardInterrupt:
         pass
@@ -115,7 +114,7 @@
 
 def main():
     command = cappa.parse(Scarecrow).command
-    return proofs(command) if isinstance(command, ProofCommand) else keepUp(command)
+    return proofs(command) if isinstance(command, ProofCommand) else keep_up(command)
 
 
 if __name__ == "__main__":
--- a/frostpost/testbed/memories.py
+++ b/frostpost/testbed/memories.py
@@ -7,27 +7,27 @@
 
 class Seen(Struct):
     what: str
-    fromMs: int
-    toMs: int
+    from_ms: int
+    to_ms: int
     lines: list
 
 
-def textOf(note):
+def text_of(note):
     return "".join(f"{note['run']}:{k} " for k in range(1, note["total"] + 1))
 
 
-def seenBy(callerNotes, found, runs):
+def seen_by(caller_notes, found, runs):
     programs = defaultdict(list)
     for request, notes in runs.items():
         ask = found.get(request)
         if ask is not None and ask.kind == "turns":
             key = (ask.tenant, ask.document["program"])
-            programs[key] += [Seen(request, ask.askedMs, n["atMs"], n["history"]) for n in notes]
-    for note in callerNotes:
+            programs[key] += [Seen(request, ask.asked_ms, n["at_ms"], n["history"]) for n in notes]
+    for note in caller_notes:
         if note["kind"] == "read" and note["status"] in (200, 404):
             _, _, _, tenant, _, program = note["path"].split("/")
             lines = [[x["input"], x["output"]] for x in note["document"].get("history", ())]
-            programs[(tenant, program)].append(Seen("read", note["askedMs"], note["atMs"], lines))
+            programs[(tenant, program)].append(Seen("read", note["asked_ms"], note["at_ms"], lines))
     return programs
 
 
@@ -36,7 +36,7 @@
     for ask in found.values():
         if ask.kind == "turns" and ended(ask):
             text = "".join(line["text"] for line in ask.lines if "piece" in line)
-            kept[(ask.tenant, ask.document["program"])].append((ask.answeredMs, [ask.document["input"], text]))
+            kept[(ask.tenant, ask.document["program"])].append((ask.answered_ms, [ask.document["input"], text]))
     return kept
 
 
@@ -45,21 +45,21 @@
     for request, notes in runs.items():
         ask = found.get(request)
         if ask is not None and ask.kind == "turns":
-            lines[(ask.tenant, ask.document["program"])] += [(n["atMs"], [n["input"], textOf(n)]) for n in notes]
+            lines[(ask.tenant, ask.document["program"])] += [(n["at_ms"], [n["input"], text_of(n)]) for n in notes]
     return lines
 
 
-def histories(callerNotes, found, runs):
+def histories(caller_notes, found, runs):
     kept, real = answered(found), known(found, runs)
-    for key, seen in seenBy(callerNotes, found, runs).items():
+    for key, seen in seen_by(caller_notes, found, runs).items():
         order = [line for _, line in sorted(real[key], key=lambda r: r[0])]
         for one in seen:
             spots = [order.index(line) if line in order else -1 for line in one.lines]
             if -1 in spots or spots != sorted(set(spots)):
                 yield Breach("history", f"{key} {one.what}: changed, foreign or out of order lines")
-            for atMs, line in kept[key]:
-                if atMs < one.fromMs and line not in one.lines:
+            for at_ms, line in kept[key]:
+                if at_ms < one.from_ms and line not in one.lines:
                     yield Breach("history", f"{key} {one.what}: lacks what was answered")
             for other in seen:
-                if other.toMs < one.fromMs and one.lines[: len(other.lines)] != other.lines:
+                if other.to_ms < one.from_ms and one.lines[: len(other.lines)] != other.lines:
                     yield Breach("history", f"{key} {one.what}: doesn't go on from {other.what}")
--- a/frostpost/testbed/notes.py
+++ b/frostpost/testbed/notes.py
@@ -11,7 +11,7 @@
         self.lines, self.seconds, self.tap = [], seconds, None
 
     def say(self, kind, **facts):
-        note = {"kind": kind, "atMs": int(self.seconds() * 1000), **facts}
+        note = {"kind": kind, "at_ms": int(self.seconds() * 1000), **facts}
         if self.file is not None:
             self.file.write(json.encode(note) + b"\n")
         else:
--- a/frostpost/testbed/platform.py
+++ b/frostpost/testbed/platform.py
@@ -1,5 +1,5 @@
+from collections.abc import Callable
 from time import monotonic
-from typing import Callable
 
 from klein import Klein
 from msgspec import Struct, json
@@ -7,13 +7,13 @@
 
 
 class Platform(Struct):
-    lagS: float = 0.5
-    perSecond: float = 4.0
+    lag_s: float = 0.5
+    per_second: float = 4.0
     tokens: float = 4.0
-    lastS: float = 0.0
+    last_s: float = 0.0
     pages: list[tuple[float, list[dict]]] = []
     asked: int = 0
-    turnedAway: int = 0
+    turned_away: int = 0
     seconds: Callable = monotonic
 
 
@@ -21,8 +21,8 @@
     platform.pages.append((platform.seconds(), rows))
 
 
-def seen(platform, nowS):
-    shown = [rows for atS, rows in platform.pages if nowS - atS >= platform.lagS]
+def seen(platform, now_s):
+    shown = [rows for at_s, rows in platform.pages if now_s - at_s >= platform.lag_s]
     return shown[-1] if shown else []
 
 
@@ -31,17 +31,17 @@
 
     @app.route("/runners", methods=["GET"])
     def runners(request):
-        nowS = platform.seconds()
+        now_s = platform.seconds()
         platform.asked += 1
-        platform.tokens = min(platform.perSecond, platform.tokens + (nowS - platform.lastS) * platform.perSecond)
-        platform.lastS = nowS
+        platform.tokens = min(platform.per_second, platform.tokens + (now_s - platform.last_s) * platform.per_second)
+        platform.last_s = now_s
         if platform.tokens < 1:
-            platform.turnedAway += 1
+            platform.turned_away += 1
             request.setResponseCode(429)
             request.setHeader("retry-after", "1")
             return b"{}"
         platform.tokens -= 1
-        return json.encode({"runners": seen(platform, nowS)})
+        return json.encode({"runners": seen(platform, now_s)})
 
     @app.route("/runners", methods=["PUT"])
     def change(request):
--- a/frostpost/testbed/proofs.py
+++ b/frostpost/testbed/proofs.py
@@ -6,7 +6,7 @@
 
 from . import fleet as fleets
 from .contests import races
-from .fleet import call, kill, ready, send, start, waitFor
+from .fleet import call, kill, ready, send, start, wait_for
 
 
 def hook(fleet, name, **facts):
@@ -14,7 +14,7 @@
         file.write(json.encode(facts))
 
 
-def statusOf(fleet, name):
+def status_of(fleet, name):
     return call(fleet, name, "/v1/status", timeout=3)[1]
 
 
@@ -23,21 +23,21 @@
 
 
 def sequencer(fleet):
-    return statusOf(fleet, one(fleet, "storage"))["configuration"]["sequencer"]
+    return status_of(fleet, one(fleet, "storage"))["configuration"]["sequencer"]
 
 
 def holder(fleet, duty):
-    return statusOf(fleet, one(fleet, "storage"))["duties"][duty]["holder"]
+    return status_of(fleet, one(fleet, "storage"))["duties"][duty]["holder"]
 
 
-def again(fleet, name, waitS=30):
+def again(fleet, name, wait_s=30):
     start(fleet, name)
-    startS = time.monotonic()
-    up = waitFor(lambda: ready(fleet, [name]), waitS)
-    return {"daemon": name, "back": up, "backMs": round((time.monotonic() - startS) * 1000)}
+    start_s = time.monotonic()
+    up = wait_for(lambda: ready(fleet, [name]), wait_s)
+    return {"daemon": name, "back": up, "back_ms": round((time.monotonic() - start_s) * 1000)}
 
 
-def killEach(fleet, facts):
+def kill_each(fleet, facts):
     victims = [one(fleet, "edge"), sequencer(fleet), one(fleet, "storage")]
     for name in dict.fromkeys([*victims, holder(fleet, "list")]):
         kill(fleet, name)
@@ -45,12 +45,12 @@
         facts.setdefault("restarts", []).append(again(fleet, name))
 
 
-def freezeEach(fleet, facts):
+def freeze_each(fleet, facts):
     for name in (one(fleet, "edge"), sequencer(fleet), one(fleet, "storage")):
         send(fleet, name, signal.SIGSTOP)
         time.sleep(2.5)
         send(fleet, name, signal.SIGCONT)
-        facts.setdefault("thawed", []).append(waitFor(lambda: ready(fleet), 20))
+        facts.setdefault("thawed", []).append(wait_for(lambda: ready(fleet), 20))
 
 
 def cuts(fleet, facts):
@@ -69,7 +69,7 @@
         time.sleep(2.5)
         for name in fleet.daemons:
             hook(fleet, name)
-        facts.setdefault("mended", []).append(waitFor(lambda: ready(fleet), 20))
+        facts.setdefault("mended", []).append(wait_for(lambda: ready(fleet), 20))
 
 
 def roll(fleet, facts):
@@ -80,39 +80,39 @@
         facts.setdefault("restarts", []).append(again(fleet, name))
 
 
-def allDown(fleet, facts):
+def all_down(fleet, facts):
     for name in fleet.daemons:
         send(fleet, name, signal.SIGKILL)
     for daemon in fleet.daemons.values():
         daemon.process.wait()
-    startS = time.monotonic()
+    start_s = time.monotonic()
     for name in fleet.daemons:
         start(fleet, name)
-    facts["back"] = waitFor(lambda: ready(fleet), 60)
-    facts["backMs"] = round((time.monotonic() - startS) * 1000)
+    facts["back"] = wait_for(lambda: ready(fleet), 60)
+    facts["back_ms"] = round((time.monotonic() - start_s) * 1000)
 
 
-def loseDisk(fleet, facts):
+def lose_disk(fleet, facts):
     name = one(fleet, "storage")
     kill(fleet, name)
     shutil.rmtree(f"{fleet.folder}/{name}.data")
     time.sleep(1)
     facts["restart"] = again(fleet, name)
     other = one(fleet, "storage", (name,))
-    facts["refilled"] = waitFor(lambda: statusOf(fleet, other)["peers"][name]["ready"], 20)
+    facts["refilled"] = wait_for(lambda: status_of(fleet, other)["peers"][name]["ready"], 20)
     kill(fleet, other)
-    facts["servedWithoutOther"] = waitFor(lambda: ready(fleet, [n for n in fleet.daemons if n != other]), 10)
-    facts["otherBack"] = again(fleet, other)
+    facts["served_without_other"] = wait_for(lambda: ready(fleet, [n for n in fleet.daemons if n != other]), 10)
+    facts["other_back"] = again(fleet, other)
 
 
-def slowDisk(fleet, facts):
+def slow_disk(fleet, facts):
     name = one(fleet, "storage")
-    hook(fleet, name, syncDelayMs=2500)
+    hook(fleet, name, sync_delay_ms=2500)
     time.sleep(4)
-    facts["unwell"] = statusOf(fleet, name)["unwell"]
-    facts["othersServe"] = ready(fleet, [n for n, d in fleet.daemons.items() if d.role == "edge"])
+    facts["unwell"] = status_of(fleet, name)["unwell"]
+    facts["others_serve"] = ready(fleet, [n for n, d in fleet.daemons.items() if d.role == "edge"])
     hook(fleet, name)
-    facts["well"] = waitFor(lambda: ready(fleet), 20)
+    facts["well"] = wait_for(lambda: ready(fleet), 20)
 
 
 def runners(fleet, facts):
@@ -121,14 +121,14 @@
     rows = list(fleet.runners)
     for pool in ("hmodel", "tlookup"):
         row = next(r for r in rows if r["pool"] == pool)
-        for mode in ("beforeHeaders", "inPiece", "beforeEnd", "stall"):
+        for mode in ("before_headers", "in_piece", "before_end", "stall"):
             change(row, mode=mode)
             time.sleep(1)
         change(row, mode="well", leaving=True)
         time.sleep(1)
         rows = [r for r in rows if r != row]
         request = urllib.request.Request(
-            f"http://127.0.0.1:{fleet.listPort}/runners", json.encode({"runners": rows}), method="PUT"
+            f"http://127.0.0.1:{fleet.list_port}/runners", json.encode({"runners": rows}), method="PUT"
         )
         urllib.request.urlopen(request).read()
         time.sleep(2)
@@ -153,25 +153,25 @@
 def clocks(fleet, facts):
     fleet.program = "frostpost.testbed.skewed"
     for name in fleet.daemons:
-        facts.setdefault("restarts", []).append(roundOne(fleet, name))
-    for jumpS in (-3600, 7200):
+        facts.setdefault("restarts", []).append(round_one(fleet, name))
+    for jump_s in (-3600, 7200):
         for name in [one(fleet, "edge"), sequencer(fleet), *(n for n in fleet.daemons if n[0] == "s")]:
             with open(f"{fleet.folder}/{name}.skew", "w") as file:
-                file.write(str(jumpS))
-        before = statusOf(fleet, one(fleet, "storage"))["applied"]
-        facts.setdefault("goesOn", []).append(
-            waitFor(lambda: ready(fleet) and statusOf(fleet, one(fleet, "storage"))["applied"] > before + 50, 20)
+                file.write(str(jump_s))
+        before = status_of(fleet, one(fleet, "storage"))["applied"]
+        facts.setdefault("goes_on", []).append(
+            wait_for(lambda: ready(fleet) and status_of(fleet, one(fleet, "storage"))["applied"] > before + 50, 20)
         )
 
 
 def upgrade(fleet, facts):
-    facts["before"] = [statusOf(fleet, n).get("rules") for n in fleet.daemons]
+    facts["before"] = [status_of(fleet, n).get("rules") for n in fleet.daemons]
     fleet.before = ""
     roll(fleet, facts)
-    facts["rules"] = waitFor(lambda: all(statusOf(fleet, n).get("rules") == 2 for n in fleet.daemons), 20)
+    facts["rules"] = wait_for(lambda: all(status_of(fleet, n).get("rules") == 2 for n in fleet.daemons), 20)
 
 
-def roundOne(fleet, name):
+def round_one(fleet, name):
     send(fleet, name, signal.SIGTERM)
     fleet.daemons[name].process.wait(40)
     return again(fleet, name)
@@ -182,7 +182,7 @@
 
 def crowd(fleet, facts):
     extra = fleets.load(fleet, 4, factor=CROWD, seed=9, tag="q")
-    facts["crowdExit"] = extra.wait(90)
+    facts["crowd_exit"] = extra.wait(90)
 
 
 def grow(fleet, facts):
@@ -192,8 +192,8 @@
     fleets.extend(fleet, "s9", "storage", "b")
     fleets.extend(fleet, "e9", "edge", "c")
     facts["joined"] = [again(fleet, "s9"), again(fleet, "e9")]
-    facts["full"] = waitFor(lambda: statusOf(fleet, edge)["peers"]["s9"]["ready"], 20)
-    facts["tooFew"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old})[0]
+    facts["full"] = wait_for(lambda: status_of(fleet, edge)["peers"]["s9"]["ready"], 20)
+    facts["too_few"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old})[0]
     facts["added"] = call(fleet, edge, "/v1/voters", "POST", {"add": "s9"})
     facts["emptied"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old})
     send(fleet, old, signal.SIGTERM)
@@ -202,8 +202,8 @@
     other = one(fleet, "storage", (old,))
     kill(fleet, other)
     rest = [n for n in fleet.daemons if n not in (old, other)]
-    facts["servedWithoutAnother"] = waitFor(lambda: ready(fleet, rest), 10)
-    facts["otherBack"] = again(fleet, other)
+    facts["served_without_another"] = wait_for(lambda: ready(fleet, rest), 10)
+    facts["other_back"] = again(fleet, other)
 
 
 def calm(fleet, facts):
@@ -212,13 +212,13 @@
 
 PROOFS = {
     "calm": calm,
-    "kill": killEach,
-    "freeze": freezeEach,
+    "kill": kill_each,
+    "freeze": freeze_each,
     "cuts": cuts,
     "roll": roll,
-    "allDown": allDown,
-    "loseDisk": loseDisk,
-    "slowDisk": slowDisk,
+    "all_down": all_down,
+    "lose_disk": lose_disk,
+    "slow_disk": slow_disk,
     "runners": runners,
     "drains": drains,
     "crowd": crowd,
--- a/frostpost/testbed/runner.py
+++ b/frostpost/testbed/runner.py
@@ -5,8 +5,9 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Site
 
-from frostpost.placement.judge import chainOf
 from frostpost.ledger.programs import line
+from frostpost.placement.judge import chain_of
+
 from .notes import Notes
 
 
@@ -17,11 +18,11 @@
     cell: str
     room: int
     seed: int
-    pieceMs: float = 8.0
-    startMs: float = 10.0
-    lineMs: float = 4.0
-    lookupMs: float = 40.0
-    prefixRoom: int = 400
+    piece_ms: float = 8.0
+    start_ms: float = 10.0
+    line_ms: float = 4.0
+    lookup_ms: float = 40.0
+    prefix_room: int = 400
     running: int = 0
     serial: int = 0
     leaving: bool = False
@@ -29,7 +30,7 @@
     careless: bool = False
     away: bool = False
     flood: int = 0
-    frozenMs: int = 0
+    frozen_ms: int = 0
     prefixes: dict[str, bool] = {}
     hits: int = 0
     misses: int = 0
@@ -39,18 +40,18 @@
     for digest in chain:
         runner.prefixes.pop(digest, None)
         runner.prefixes[digest] = True
-    while len(runner.prefixes) > runner.prefixRoom:
+    while len(runner.prefixes) > runner.prefix_room:
         runner.prefixes.pop(next(iter(runner.prefixes)))
 
 
-CUTS = ("beforeHeaders", "inPiece", "beforeEnd")
+CUTS = ("before_headers", "in_piece", "before_end")
 
 
-def heldMs(runner, notes):
-    return int(notes.seconds() * 1000) - runner.frozenMs if runner.frozenMs else 0
+def held_for_ms(runner, notes):
+    return int(notes.seconds() * 1000) - runner.frozen_ms if runner.frozen_ms else 0
 
 
-def cutOff(request):
+def cut_off(request):
     channel = getattr(request, "channel", None)
     if channel is not None and channel.transport is not None:
         channel.transport.abortConnection()
@@ -59,13 +60,13 @@
 def build(reactor, runner: Runner, notes: Notes):
     app, random = Klein(), Random(runner.seed)
 
-    def later(waitMs, call, *args):
-        return reactor.callLater(waitMs / 1000 * (0.7 + 0.6 * random.random()), call, *args)
+    def later(wait_ms, call, *args):
+        return reactor.callLater(wait_ms / 1000 * (0.7 + 0.6 * random.random()), call, *args)
 
-    def turn(request, asked, runId, total):
+    def turn(request, asked, run_id, total):
         done, state = Deferred(), {"gone": False}
         history = asked["history"]
-        chain = chainOf([line(i, o) for i, o in history])
+        chain = chain_of([line(i, o) for i, o in history])
         held = 0
         for digest in chain:
             if digest not in runner.prefixes:
@@ -75,18 +76,18 @@
 
         def gone(_):
             state["gone"] = True
-            finish("callerGone")
+            finish("caller_gone")
 
         request.notifyFinish().addErrback(gone)
 
         def finish(how):
             if not done.called:
                 runner.running -= 1
-                notes.say("ended", runner=runner.name, run=runId, how=how)
+                notes.say("ended", runner=runner.name, run=run_id, how=how)
                 done.callback(b"")
 
         def cut():
-            cutOff(request)
+            cut_off(request)
             finish(runner.mode)
 
         def piece(n):
@@ -94,24 +95,24 @@
                 return
             if runner.mode == "stall" and n == 3:
                 return
-            if runner.mode == "beforeHeaders" and n == 1 or runner.mode == "beforeEnd" and n > total:
+            if runner.mode == "before_headers" and n == 1 or runner.mode == "before_end" and n > total:
                 return cut()
             request.setHeader("content-type", "application/x-ndjson")
             if n > total:
-                text = "".join(f"{runId}:{k} " for k in range(1, total + 1))
-                remember(runner, chainOf([line(i, o) for i, o in history] + [line(asked["input"], text)]))
+                text = "".join(f"{run_id}:{k} " for k in range(1, total + 1))
+                remember(runner, chain_of([line(i, o) for i, o in history] + [line(asked["input"], text)]))
                 request.write(json.encode({"end": True, "used": total}) + b"\n")
                 return finish("whole")
-            raw = json.encode({"n": n, "text": f"{runId}:{n} " + "x" * runner.flood, "units": 1}) + b"\n"
-            if runner.mode == "inPiece" and n == 2:
+            raw = json.encode({"n": n, "text": f"{run_id}:{n} " + "x" * runner.flood, "units": 1}) + b"\n"
+            if runner.mode == "in_piece" and n == 2:
                 request.write(raw[: len(raw) // 2])
                 return later(1, cut)
             if runner.mode == "endless" and n == 2:
                 return endless(request, state)
             request.write(raw)
-            later(runner.pieceMs, piece, n + 1)
+            later(runner.piece_ms, piece, n + 1)
 
-        later(runner.startMs + runner.lineMs * (len(chain) - held), piece, 1)
+        later(runner.start_ms + runner.line_ms * (len(chain) - held), piece, 1)
         return done
 
     def endless(request, state):
@@ -119,27 +120,27 @@
             request.write(b"x" * 65536)
             later(1, endless, request, state)
 
-    def lookup(request, asked, runId):
+    def lookup(request, asked, run_id):
         done = Deferred()
 
         def finish():
             runner.running -= 1
-            notes.say("ended", runner=runner.name, run=runId, how=runner.mode)
-            if runner.mode in ("beforeHeaders", "stall"):
-                return runner.mode == "stall" or cutOff(request)
-            body = json.encode({"result": {"run": runId, "echo": asked["input"]}})
+            notes.say("ended", runner=runner.name, run=run_id, how=runner.mode)
+            if runner.mode in ("before_headers", "stall"):
+                return runner.mode == "stall" or cut_off(request)
+            body = json.encode({"result": {"run": run_id, "echo": asked["input"]}})
             request.setHeader("content-type", "application/json")
             if runner.mode == "bare503":
                 request.setResponseCode(503)
                 return done.callback(b"{}")
-            if runner.mode in ("inPiece", "beforeEnd"):
-                request.write(body[: len(body) // 2 if runner.mode == "inPiece" else -1])
-                return later(1, cutOff, request)
+            if runner.mode in ("in_piece", "before_end"):
+                request.write(body[: len(body) // 2 if runner.mode == "in_piece" else -1])
+                return later(1, cut_off, request)
             if runner.mode == "endless":
                 return endless(request, {"gone": False})
             done.callback(body)
 
-        later(runner.lookupMs, finish)
+        later(runner.lookup_ms, finish)
         return done
 
     @app.route("/identity", methods=["GET"])
@@ -162,12 +163,12 @@
             return json.encode({"ran": False})
         runner.serial += 1
         runner.running += 1
-        runId = f"{runner.name}.{runner.instance}.{runner.serial}"
-        total = min(asked.get("maxOutput", 0), 100 if runner.flood else 3 + random.randrange(6))
+        run_id = f"{runner.name}.{runner.instance}.{runner.serial}"
+        total = min(asked.get("max_output", 0), 100 if runner.flood else 3 + random.randrange(6))
         notes.say(
             "ran",
             runner=runner.name,
-            run=runId,
+            run=run_id,
             request=asked["request"],
             of=asked["kind"],
             tenant=asked["tenant"],
@@ -177,12 +178,12 @@
             pool=runner.pool,
             input=asked["input"],
             history=asked.get("history"),
-            maxOutput=asked.get("maxOutput"),
+            max_output=asked.get("max_output"),
             config=asked.get("config"),
-            heldMs=heldMs(runner, notes),
+            held_ms=held_for_ms(runner, notes),
         )
         request.notifyFinish().addErrback(lambda _: None)
-        return turn(request, asked, runId, total) if asked["kind"] == "turn" else lookup(request, asked, runId)
+        return turn(request, asked, run_id, total) if asked["kind"] == "turn" else lookup(request, asked, run_id)
 
     @app.route("/load", methods=["GET"])
     def load(request):
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -9,9 +9,9 @@
 from frostpost.cluster import asking, lease
 from frostpost.cluster import leaf as leaves
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.program_ledger.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
 from frostpost.daemon.machine import Machine
-from frostpost.turn_store import client as silo
+from frostpost.program_ledger.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
+from frostpost.turn_store import client as turn_store
 
 from .scale_counts import count_kinds
 
@@ -158,7 +158,7 @@
     ok = yield timed(load, reactor, load.begun_ms, asking.ask(leaf, begin, WAIT_MS), Begun)
     if not ok:
         return
-    bodied = timed(load, reactor, load.put_ms, silo.put(leaf, this, load.body, WAIT_MS), None)
+    bodied = timed(load, reactor, load.put_ms, turn_store.put(leaf, this, load.body, WAIT_MS), None)
     end = asking.tell(leaf, End(this, 360, KEEP_MS, len(load.body)))
     ended = yield timed(load, reactor, load.ended_ms, end, Ended)
     yield bodied
--- a/frostpost/testbed/scale_ring.py
+++ b/frostpost/testbed/scale_ring.py
@@ -10,52 +10,52 @@
 
 from frostpost.cluster import ring, serving
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.ledger.apply import encode
 from frostpost.daemon import news
 from frostpost.daemon.machine import Machine
+from frostpost.ledger.apply import encode
 
 from .scale_counts import count_kinds, count_links, cpu_s, memory_mb
 
 
-def ledger(house, whole):
-    granary = house.ctx.core.granary
-    coppice = granary.coppice
+def ledger(replica, whole):
+    ledger = replica.ctx.core.ledger
+    program_ledger = ledger.program_ledger
     sizes = {
-        name: len(getattr(coppice, name))
+        name: len(getattr(program_ledger, name))
         for name in ("turns", "attempts", "accounts", "keys", "runners", "tombs", "expiries")
     }
-    return sizes | ({"bytes": len(encode(granary))} if whole else {})
+    return sizes | ({"bytes": len(encode(ledger))} if whole else {})
 
 
-def sight(house, whole):
-    ctx = house.ctx
-    if house.waiting:
+def sight(replica, whole):
+    ctx = replica.ctx
+    if replica.waiting:
         return {"waiting": True}
     return {
-        "name": house.settings.name,
+        "name": replica.settings.name,
         "cpu_s": cpu_s(),
         "memory_mb": round(memory_mb(), 1),
         "at_s": reactor.seconds(),
         "sequencing": serving.sequencing(ctx),
-        "lag_ms": round(ctx.lagMs, 1),
+        "lag_ms": round(ctx.lag_ms, 1),
         "counts": dict(ctx.counts),
-        "ordered": dict(ctx.core.hedge.counts),
+        "ordered": dict(ctx.core.synchrony.counts),
         "syncs": ctx.disk.syncs,
-        "silo_syncs": house.silo.syncs,
-        "epoch": ctx.core.hedge.configuration.id.epoch,
-        "sessions": len(house.sessions.leaves),
-        "ledger": ledger(house, whole),
+        "silo_syncs": replica.turn_store.syncs,
+        "epoch": ctx.core.synchrony.configuration.id.epoch,
+        "sessions": len(replica.sessions.leaves),
+        "ledger": ledger(replica, whole),
     }
 
 
 class Asked(LineReceiver):
     delimiter = b"\n"
 
-    def __init__(self, house):
-        self.house = house
+    def __init__(self, replica):
+        self.replica = replica
 
     def lineReceived(self, line):
-        self.sendLine(json.encode(sight(self.house, line == b"whole")))
+        self.sendLine(json.encode(sight(self.replica, line == b"whole")))
 
     def connectionLost(self, reason=None):
         if reactor.running:
@@ -74,10 +74,10 @@
         if reactor.running:
             reactor.stop()
 
-    house = ring.assemble(settings, reactor, Machine(), stop)
-    house.send = count_kinds(house.ctx)
-    reactor.callWhenRunning(ring.start, house)
-    reactor.callWhenRunning(StandardIO, Asked(house))
+    replica = ring.assemble(settings, reactor, Machine(), stop)
+    replica.send = count_kinds(replica.ctx)
+    reactor.callWhenRunning(ring.start, replica)
+    reactor.callWhenRunning(StandardIO, Asked(replica))
     signal.alarm(600)
     reactor.run()
     return max(status, default=0)
--- a/frostpost/testbed/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -1,4 +1,4 @@
-"""What state costs by its size, measured in this process: the ledger, its snapshot, the silo."""
+"""What state costs by its size, measured in this process: the ledger, its snapshot, the turn_store."""
 
 import os
 import sys
@@ -11,10 +11,10 @@
 
 from msgspec import json, msgpack
 
+from frostpost.ledger.apply import decode_op
 from frostpost.program_ledger.apply import act
-from frostpost.program_ledger.state import Coppice
+from frostpost.program_ledger.state import ProgramLedger
 from frostpost.program_ledger.words import Begin, Candidate, Claim, End, Resolve
-from frostpost.ledger.apply import decodeOp
 from frostpost.turn_store import serving
 from frostpost.turn_store.segments import SiloFiles, open_log, read_spot, write_batch
 
@@ -55,29 +55,29 @@
     return kept, round(held / count)
 
 
-def apply_all(coppice, ops, now_ms=0):
+def apply_all(program_ledger, ops, now_ms=0):
     for op in ops:
-        act(coppice, now_ms, (), (), op)
+        act(program_ledger, now_ms, (), (), op)
 
 
 def grown(programs, turns, candidates):
-    coppice = Coppice()
+    program_ledger = ProgramLedger()
     for program in range(programs):
         for number in range(turns):
-            apply_all(coppice, turn_ops(program, number, candidates))
-    return coppice
+            apply_all(program_ledger, turn_ops(program, number, candidates))
+    return program_ledger
 
 
 def measure_ledger(programs, turns):
-    """-> costs for each turn, and the coppice that holds them all."""
+    """-> costs for each turn, and the program_ledger that holds them all."""
     count, few = programs * turns, max(1, programs // 8)
     _, memory_bytes = held_bytes(few * turns, lambda: grown(few, turns, runners(8)))
     begun_s = process_time()
-    coppice = grown(programs, turns, runners(8))
+    program_ledger = grown(programs, turns, runners(8))
     grown_s, begun_s = process_time() - begun_s, process_time()
-    snapshot = encode(coppice)
+    snapshot = encode(program_ledger)
     encode_s, begun_s = process_time() - begun_s, process_time()
-    msgpack.decode(snapshot, type=Coppice)
+    msgpack.decode(snapshot, type=ProgramLedger)
     return {
         "programs": programs,
         "turns": count,
@@ -86,34 +86,34 @@
         "begin_and_end_us": round(grown_s / count * 1e6, 1),
         "encode_us_per_turn": round(encode_s / count * 1e6, 3),
         "decode_us_per_turn": round((process_time() - begun_s) / count * 1e6, 3),
-    }, coppice
+    }, program_ledger
 
 
 def measure_accounts(count):
     """Programs of one turn each: what a program costs beside its turns."""
-    coppice, memory_bytes = held_bytes(count, lambda: grown(count, 1, runners(1)))
+    program_ledger, memory_bytes = held_bytes(count, lambda: grown(count, 1, runners(1)))
     return {
         "programs": count,
         "memory_bytes_per_program_of_one_turn": memory_bytes,
-        "snapshot_bytes_per_program_of_one_turn": round(len(encode(coppice)) / count),
+        "snapshot_bytes_per_program_of_one_turn": round(len(encode(program_ledger)) / count),
     }
 
 
 def claimed(count):
-    coppice = Coppice()
+    program_ledger = ProgramLedger()
     for n in range(count):
         key = name_of(n, 1)
-        apply_all(coppice, (Claim(key, key, KEEP_MS), Resolve(key, key, os.urandom(ANSWER_BYTES))))
-    return coppice
+        apply_all(program_ledger, (Claim(key, key, KEEP_MS), Resolve(key, key, os.urandom(ANSWER_BYTES))))
+    return program_ledger
 
 
 def measure_keys(count):
-    coppice, memory_bytes = held_bytes(count, lambda: claimed(count))
+    program_ledger, memory_bytes = held_bytes(count, lambda: claimed(count))
     return {
         "keys": count,
         "answer_bytes": ANSWER_BYTES,
         "memory_bytes_per_key": memory_bytes,
-        "snapshot_bytes_per_key": round(len(encode(coppice)) / count),
+        "snapshot_bytes_per_key": round(len(encode(program_ledger)) / count),
     }
 
 
@@ -127,28 +127,28 @@
     """A Begin by the number of runners it names: its bytes, and its cost at delivery (read and applied)."""
     found = {}
     for count in counts:
-        coppice, candidates = Coppice(), runners(count)
+        program_ledger, candidates = ProgramLedger(), runners(count)
         payloads = [[encode(op) for op in turn_ops(program, 0, candidates)] for program in range(ROUNDS)]
 
         def deliver():
             for pair in payloads:
-                apply_all(coppice, map(decodeOp, pair))
+                apply_all(program_ledger, map(decode_op, pair))
 
         found[str(count)] = {"begin_bytes": len(payloads[0][0]), "begin_and_end_us": each_us(ROUNDS, deliver)}
     return found
 
 
 def measure_chain(turns):
-    coppice, last = Coppice(), turns - 1
+    program_ledger, last = ProgramLedger(), turns - 1
     for number in range(turns):
-        apply_all(coppice, turn_ops(1, number, runners(8)))
+        apply_all(program_ledger, turn_ops(1, number, runners(8)))
     begin, _ = turn_ops(1, turns, runners(8))
     first = turn_ops(2, 0, runners(8))[0]
 
     def often(op):
         def job():
             for n in range(ROUNDS):
-                act(coppice, 0, (), (), op)
+                act(program_ledger, 0, (), (), op)
 
         return job
 
@@ -156,23 +156,23 @@
         "turns_before": last + 1,
         "begin_us": each_us(ROUNDS, often(begin)),
         "begin_of_a_first_turn_us": each_us(ROUNDS, often(first)),
-        "verdict_bytes": len(encode(act(coppice, 0, (), (), begin))),
+        "verdict_bytes": len(encode(act(program_ledger, 0, (), (), begin))),
     }
 
 
-def measure_repair(coppice):
+def measure_repair(program_ledger):
     """What one look for bodies that are lacking costs (five a second)."""
-    house = SimpleNamespace(silo=SimpleNamespace(index=dict.fromkeys(coppice.turns, (0, 0, 0))))
-    count, wall_s = len(coppice.turns), []
+    replica = SimpleNamespace(turn_store=SimpleNamespace(index=dict.fromkeys(program_ledger.turns, (0, 0, 0))))
+    count, wall_s = len(program_ledger.turns), []
     for _ in range(5):
         begun_s = perf_counter()
-        serving.lacking(house, coppice.turns)
+        serving.lacking(replica, program_ledger.turns)
         wall_s.append(perf_counter() - begun_s)
     return {"turns": count, "us_per_turn": round(min(wall_s) / count * 1e6, 4)}
 
 
-def measure_silo(folder, body_bytes, count, batch):
-    log, index, _, _ = open_log(os.path.join(folder, f"silo-{body_bytes}"), SiloFiles(), 8 << 20)
+def measure_turn_store(folder, body_bytes, count, batch):
+    log, index, _, _ = open_log(os.path.join(folder, f"turn_store-{body_bytes}"), SiloFiles(), 8 << 20)
     bodies = [(name_of(n, body_bytes), os.urandom(body_bytes)) for n in range(count)]
     used_s, begun_s = process_time(), perf_counter()
     for at in range(0, count, batch):
@@ -199,16 +199,16 @@
     with TemporaryDirectory(prefix="scale-") as folder:
         keys = measure_keys(20000)
         accounts = measure_accounts(20000)
-        ledger, coppice = measure_ledger(options.programs, options.turns)
+        ledger, program_ledger = measure_ledger(options.programs, options.turns)
         found = {
             "ledger": ledger,
             "accounts": accounts,
             "keys": keys,
             "index": measure_index(50000),
-            "repair": measure_repair(coppice),
+            "repair": measure_repair(program_ledger),
             "candidates": measure_candidates((8, 32, 200)),
             "chain": measure_chain(options.turns),
-            "turn_store": [measure_silo(folder, 2000, 4000, 10), measure_silo(folder, 16000, 2000, 10)],
+            "turn_store": [measure_turn_store(folder, 2000, 4000, 10), measure_turn_store(folder, 16000, 2000, 10)],
             "peak_memory_mb": round(getrusage(RUSAGE_SELF).ru_maxrss / 1024),
         }
     print(json.format(json.encode(found), indent=1).decode())
--- a/frostpost/testbed/told.py
+++ b/frostpost/testbed/told.py
@@ -2,7 +2,6 @@
 
 from .templates import TEMPLATES, TENANTS
 
-
 NOT_RUN = {
     "Overfilled",
     "NoPrimary",
@@ -32,14 +31,14 @@
     lane: str
     kind: str
     document: dict
-    askedMs: int
-    answeredMs: int = 0
+    asked_ms: int
+    answered_ms: int = 0
     status: int = 0
     whole: bool = False
     lines: list = []
 
 
-def laneOf(tenant, lane):
+def lane_of(tenant, lane):
     template, tenant = TEMPLATES[TENANTS[tenant]["template"]], TENANTS[tenant]
     given = tenant.get("parameters", {})
 
@@ -55,15 +54,15 @@
     for note in notes:
         if note["kind"] == "asked":
             _, _, _, tenant, _, lane, kind = note["path"].split("/")
-            found[note["request"]] = Ask(note["request"], tenant, lane, kind, note["document"], note["atMs"])
+            found[note["request"]] = Ask(note["request"], tenant, lane, kind, note["document"], note["at_ms"])
         elif note["kind"] == "answered":
             ask = found[note["request"]]
-            ask.answeredMs, ask.status = note["atMs"], note["status"]
+            ask.answered_ms, ask.status = note["at_ms"], note["status"]
             ask.whole, ask.lines = note["whole"], note["lines"]
     return found
 
 
-def faultOf(ask):
+def fault_of(ask):
     for line in ask.lines:
         if isinstance(line, dict) and "fault" in line:
             return line["fault"]["type"]
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -1,4 +1,4 @@
-"""An edge's side of the silo: bodies put on a majority of the voters, and fetched from any ring daemon."""
+"""An edge's side of the turn_store: bodies put on a majority of the voters, and fetched from any ring daemon."""
 
 from expression import Error, Ok
 from msgspec import Struct
@@ -7,6 +7,7 @@
 from frostpost.cluster import lease
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
+
 from .cache import cache_of, cached, remember
 from .serving import cut_short
 
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -1,13 +1,13 @@
-"""Segment files of the silo: scanned when opened, written in a thread, read at an offset."""
+"""Segment files of the turn_store: scanned when opened, written in a thread, read at an offset."""
 
 import os
+from collections.abc import Callable
 from contextlib import suppress
-from typing import Callable
 
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
-from frostpost.write_ahead_log import disk as furrows
 from frostpost.daemon.machine import Files
+from frostpost.write_ahead_log import disk as write_ahead_logs
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(tuple[str, bytes]).decode
@@ -26,7 +26,7 @@
     files: SiloFiles
     segment_bytes: int
     number: int = 0
-    furrow: furrows.Furrow | None = None
+    write_ahead_log: write_ahead_logs.WriteAheadLog | None = None
 
 
 class Written(Struct):
@@ -45,11 +45,11 @@
     """-> log, index, sizes by segment number, faults; the last segment is the open one."""
     log, index, sizes, faults = Log(folder, files, segment_bytes), {}, {}, []
     files.makedirs(folder, exist_ok=True)
-    furrows.syncFolder(files, os.path.dirname(folder))
+    write_ahead_logs.sync_folder(files, os.path.dirname(folder))
     for number in sorted(int(name) for name in files.listdir(folder) if name.isdigit()):
         close_log(log)
-        log.furrow, payloads, fault = furrows.open_(folder, name_of(number), files)
-        log.number, sizes[number] = number, log.furrow.size
+        log.write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, name_of(number), files)
+        log.number, sizes[number] = number, log.write_ahead_log.size
         index.update(spots_of(number, payloads))
         if fault is not None:
             faults.append(fault)
@@ -59,7 +59,7 @@
 def spots_of(number, payloads):
     spots, offset = {}, 0
     for payload in payloads:
-        length = furrows.HEAD.size + len(payload)
+        length = write_ahead_logs.HEAD.size + len(payload)
         with suppress(DecodeError, ValidationError):
             spots[decode(payload)[0]] = (number, offset, length)
         offset += length
@@ -68,7 +68,7 @@
 
 def roll(log):
     close_log(log)
-    log.furrow, _, _ = furrows.open_(log.folder, name_of(log.number + 1), log.files)
+    log.write_ahead_log, _, _ = write_ahead_logs.open_(log.folder, name_of(log.number + 1), log.files)
     log.number += 1
 
 
@@ -77,18 +77,18 @@
     written, at = Written({}, {}), 0
     try:
         while at < len(batch):
-            if log.furrow is None or log.furrow.size >= log.segment_bytes:
+            if log.write_ahead_log is None or log.write_ahead_log.size >= log.segment_bytes:
                 roll(log)
-            chunk, spots, offset = [], {}, log.furrow.size
+            chunk, spots, offset = [], {}, log.write_ahead_log.size
             while at < len(batch) and (not chunk or offset < log.segment_bytes):
                 chunk.append(encode(batch[at]))
-                length = furrows.HEAD.size + len(chunk[-1])
+                length = write_ahead_logs.HEAD.size + len(chunk[-1])
                 spots[batch[at][0]] = (log.number, offset, length)
                 offset, at = offset + length, at + 1
-            furrows.append(log.furrow, chunk)
-            furrows.sync(log.furrow)
+            write_ahead_logs.append(log.write_ahead_log, chunk)
+            write_ahead_logs.sync(log.write_ahead_log)
             written.spots.update(spots)
-            written.sizes[log.number] = log.furrow.size
+            written.sizes[log.number] = log.write_ahead_log.size
     except OSError as fault:
         written.fault = fault
         mend(log)
@@ -96,18 +96,18 @@
 
 
 def mend(log):
-    if log.furrow is not None:
+    if log.write_ahead_log is not None:
         try:
-            log.files.ftruncate(log.furrow.fd, log.furrow.size)
+            log.files.ftruncate(log.write_ahead_log.fd, log.write_ahead_log.size)
         except OSError:
             close_log(log)
 
 
 def close_log(log):
-    if log.furrow is not None:
+    if log.write_ahead_log is not None:
         with suppress(OSError):
-            furrows.close(log.furrow)
-        log.furrow = None
+            write_ahead_logs.close(log.write_ahead_log)
+        log.write_ahead_log = None
 
 
 def read_spot(log, spot):
@@ -121,7 +121,7 @@
             log.files.close(fd)
     except OSError:
         return None
-    found = furrows.readAt(raw, 0)
+    found = write_ahead_logs.read_at(raw, 0)
     if found is None or found[2] != length:
         return None
     try:
--- a/frostpost/turn_store/serving.py
+++ b/frostpost/turn_store/serving.py
@@ -5,6 +5,7 @@
 from msgspec import Struct
 
 from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
+
 from . import store
 
 MESSAGE_BYTES = 1_500_000
@@ -33,27 +34,27 @@
     tried: dict[str, Tried] = {}
 
 
-def received(house, frm_address, body):
+def received(replica, frm_address, body):
     """Takes SiloPut, SiloGet and SiloGot; -> whether it was one of them."""
     if isinstance(body, SiloPut):
-        store.put(house.silo, body.turn, body.data).addCallback(
-            lambda synced: house.send(frm_address, SiloDone(body.boot, body.number, synced))
+        store.put(replica.turn_store, body.turn, body.data).addCallback(
+            lambda synced: replica.send(frm_address, SiloDone(body.boot, body.number, synced))
         )
     elif isinstance(body, SiloGet):
-        house.send(frm_address, SiloGot(body.boot, body.number, found(house.silo, body.turns)))
+        replica.send(frm_address, SiloGot(body.boot, body.number, found(replica.turn_store, body.turns)))
     elif isinstance(body, SiloGot):
-        got(house, frm_address, body)
+        got(replica, frm_address, body)
     else:
         return False
     return True
 
 
-def found(silo, turns):
+def found(turn_store, turns):
     items, total = [], 0
     for turn in dict.fromkeys(turns):
         if total >= MESSAGE_BYTES:
             break
-        data = store.get(silo, turn)
+        data = store.get(turn_store, turn)
         if data is not None:
             items.append((turn, data))
             total += len(data)
@@ -65,20 +66,20 @@
     return sum(len(data) for _, data in items) >= MESSAGE_BYTES
 
 
-def lacking(house, turns):
+def lacking(replica, turns):
     """The turns among these whose bodies are not held."""
-    return set(turns) - house.silo.index.keys()
+    return set(turns) - replica.turn_store.index.keys()
 
 
-def repair(house, live_turns, peers):
+def repair(replica, live_turns, peers):
     """Asks peers ("@host:port") for what is lacking; call it every 200 ms or so."""
-    silo, missing = house.silo, lacking(house, live_turns)
-    silo.missing = len(missing)
-    state = repairing(house)
+    turn_store, missing = replica.turn_store, lacking(replica, live_turns)
+    turn_store.missing = len(missing)
+    state = repairing(replica)
     state.tried = {turn: tried for turn, tried in state.tried.items() if turn in missing}
-    now = store.now_ms(silo)
+    now = store.now_ms(turn_store)
     state.asks = {peer: ask for peer, ask in state.asks.items() if peer in peers and now < ask.until_ms}
-    if not missing or not peers or not store.has_room(silo):
+    if not missing or not peers or not store.has_room(turn_store):
         return
     batches = {peer: [] for peer in peers if peer not in state.asks}
     for turn in live_turns:
@@ -88,40 +89,40 @@
             break
         tried = state.tried.setdefault(turn, Tried())
         turns = batches.get(peers[(crc32(turn.encode()) + tried.count) % len(peers)])
-        if now >= tried.again_ms and turn not in silo.pending and turns is not None and len(turns) < BATCH_TURNS:
+        if now >= tried.again_ms and turn not in turn_store.pending and turns is not None and len(turns) < BATCH_TURNS:
             turns.append(turn)
     for peer, turns in batches.items():
         if turns:
-            ask_peer(house, state, peer, tuple(turns), len(peers))
+            ask_peer(replica, state, peer, tuple(turns), len(peers))
 
 
-def repairing(house):
-    if house.silo.repairing is None:
-        house.silo.repairing = Repair(int(house.machine.token(4), 16))
-    return house.silo.repairing
+def repairing(replica):
+    if replica.turn_store.repairing is None:
+        replica.turn_store.repairing = Repair(int(replica.machine.token(4), 16))
+    return replica.turn_store.repairing
 
 
-def ask_peer(house, state, peer, turns, count_peers):
-    now = store.now_ms(house.silo)
+def ask_peer(replica, state, peer, turns, count_peers):
+    now = store.now_ms(replica.turn_store)
     state.number += 1
     state.asks[peer] = Ask(state.number, turns, now + AGAIN_MS)
     for turn in turns:
         tried = state.tried[turn]
         tried.count += 1
         tried.again_ms = now + (ROUND_MS if tried.count % count_peers == 0 else AGAIN_MS)
-    house.send(peer, SiloGet(state.boot, state.number, turns))
+    replica.send(peer, SiloGet(state.boot, state.number, turns))
 
 
-def got(house, frm_address, body):
-    state = house.silo.repairing
+def got(replica, frm_address, body):
+    state = replica.turn_store.repairing
     ask = state.asks.get(frm_address) if state is not None else None
     if ask is None or body.boot != state.boot or body.number != ask.number:
         return
     del state.asks[frm_address]
     for turn, data in body.items:
         if turn in ask.turns:
-            store.put(house.silo, turn, data)
-    now, brought = store.now_ms(house.silo), {turn for turn, _ in body.items}
+            store.put(replica.turn_store, turn, data)
+    now, brought = store.now_ms(replica.turn_store), {turn for turn, _ in body.items}
     short = cut_short(body.items)
     for turn in ask.turns:
         tried = state.tried.get(turn)
--- a/frostpost/turn_store/store.py
+++ b/frostpost/turn_store/store.py
@@ -1,12 +1,13 @@
 """Bodies of turns on a storage daemon's disk; in memory only where each one lies."""
 
 import os
-from typing import Callable
+from collections.abc import Callable
 
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.write_ahead_log.disk import SyncLost
+
 from .segments import Log, SiloFiles, close_log, name_of, open_log, read_spot, write_batch
 
 SEGMENT_BYTES = 8 << 20
@@ -15,7 +16,7 @@
 MIN_AGE_MS = 120_000
 
 
-class Silo(Struct):
+class TurnStore(Struct):
     """index: turn -> (segment, offset, length); young: when turns that may not expire yet were put."""
 
     machine: object
@@ -39,8 +40,8 @@
     repairing: object = None
 
 
-def now_ms(silo):
-    return int(silo.machine.seconds() * 1000)
+def now_ms(turn_store):
+    return int(turn_store.machine.seconds() * 1000)
 
 
 def open_(
@@ -53,161 +54,164 @@
     queue_bytes=QUEUE_BYTES,
     min_age_ms=MIN_AGE_MS,
 ):
-    """Scans <data_folder>/silo; `tell` hears Torn and Corrupt now, each OSError (SyncLost too) later."""
+    """Scans <data_folder>/turn_store; `tell` hears Torn and Corrupt now, each OSError (SyncLost too) later."""
     log, index, sizes, faults = open_log(os.path.join(data_folder, "turn_store"), files, segment_bytes)
-    silo = Silo(machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000))
+    turn_store = TurnStore(
+        machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000)
+    )
     for fault in faults:
         tell(fault)
-    return silo
+    return turn_store
 
 
-def held(silo, turn):
-    return turn in silo.index
+def held(turn_store, turn):
+    return turn in turn_store.index
 
 
-def used_bytes(silo):
-    return sum(silo.sizes.values()) + silo.queued_bytes
+def used_bytes(turn_store):
+    return sum(turn_store.sizes.values()) + turn_store.queued_bytes
 
 
-def has_room(silo, count_bytes=0):
+def has_room(turn_store, count_bytes=0):
     return (
-        not silo.lost
-        and used_bytes(silo) + count_bytes <= silo.disk_bytes
-        and silo.queued_bytes + count_bytes <= silo.queue_bytes
+        not turn_store.lost
+        and used_bytes(turn_store) + count_bytes <= turn_store.disk_bytes
+        and turn_store.queued_bytes + count_bytes <= turn_store.queue_bytes
     )
 
 
-def put(silo, turn, data):
+def put(turn_store, turn, data):
     """-> Deferred[bool]: True once the body is synced, False if it could not be kept."""
-    if turn in silo.index and not silo.lost:
-        keep_young(silo, turn)
+    if turn in turn_store.index and not turn_store.lost:
+        keep_young(turn_store, turn)
         return succeed(True)
-    if turn not in silo.pending:
-        if not has_room(silo, len(data)):
+    if turn not in turn_store.pending:
+        if not has_room(turn_store, len(data)):
             return succeed(False)
-        enqueue(silo, turn, data)
+        enqueue(turn_store, turn, data)
     waiting = Deferred()
-    silo.pending[turn].append(waiting)
-    write_next(silo)
+    turn_store.pending[turn].append(waiting)
+    write_next(turn_store)
     return waiting
 
 
-def enqueue(silo, turn, data):
-    silo.pending[turn] = []
-    silo.queue.append((turn, data))
-    silo.queued_bytes += len(data)
+def enqueue(turn_store, turn, data):
+    turn_store.pending[turn] = []
+    turn_store.queue.append((turn, data))
+    turn_store.queued_bytes += len(data)
 
 
-def keep_young(silo, turn):
-    silo.young.pop(turn, None)
-    silo.young[turn] = now_ms(silo)
+def keep_young(turn_store, turn):
+    turn_store.young.pop(turn, None)
+    turn_store.young[turn] = now_ms(turn_store)
 
 
-def write_next(silo):
-    if silo.busy or silo.lost or not silo.queue:
+def write_next(turn_store):
+    if turn_store.busy or turn_store.lost or not turn_store.queue:
         return
-    batch, silo.queue = silo.queue, []
-    silo.busy, silo.guarded = True, silo.log.number
-    silo.machine.inThread(write_batch, silo.log, batch).addCallbacks(
-        lambda written: settle(silo, batch, written), lambda failure: settle(silo, batch, None, failure.value)
+    batch, turn_store.queue = turn_store.queue, []
+    turn_store.busy, turn_store.guarded = True, turn_store.log.number
+    turn_store.machine.in_thread(write_batch, turn_store.log, batch).addCallbacks(
+        lambda written: settle(turn_store, batch, written),
+        lambda failure: settle(turn_store, batch, None, failure.value),
     )
 
 
-def settle(silo, batch, written, fault=None):
-    silo.busy = False
-    silo.queued_bytes -= sum(len(data) for _, data in batch)
+def settle(turn_store, batch, written, fault=None):
+    turn_store.busy = False
+    turn_store.queued_bytes -= sum(len(data) for _, data in batch)
     if written is not None:
         fault = written.fault
-        silo.syncs += bool(written.spots)
-        silo.sizes.update(written.sizes)
+        turn_store.syncs += bool(written.spots)
+        turn_store.sizes.update(written.sizes)
         for turn, spot in written.spots.items():
-            if turn not in silo.index:
-                keep_young(silo, turn)
-            silo.index[turn] = spot
-    waiting = [(d, turn) for turn, _ in batch for d in silo.pending.pop(turn)]
+            if turn not in turn_store.index:
+                keep_young(turn_store, turn)
+            turn_store.index[turn] = spot
+    waiting = [(d, turn) for turn, _ in batch for d in turn_store.pending.pop(turn)]
     if fault is not None:
-        silo.lost = silo.lost or written is None or isinstance(fault, SyncLost)
-        waiting += drop_queue(silo) if silo.lost else []
-        silo.tell(fault)
+        turn_store.lost = turn_store.lost or written is None or isinstance(fault, SyncLost)
+        waiting += drop_queue(turn_store) if turn_store.lost else []
+        turn_store.tell(fault)
     synced = written.spots if written is not None else {}
     for deferred, turn in waiting:
         deferred.callback(turn in synced)
-    write_next(silo)
+    write_next(turn_store)
 
 
-def drop_queue(silo):
-    waiting = [(d, turn) for turn, _ in silo.queue for d in silo.pending.pop(turn)]
-    silo.queued_bytes -= sum(len(data) for _, data in silo.queue)
-    silo.queue = []
+def drop_queue(turn_store):
+    waiting = [(d, turn) for turn, _ in turn_store.queue for d in turn_store.pending.pop(turn)]
+    turn_store.queued_bytes -= sum(len(data) for _, data in turn_store.queue)
+    turn_store.queue = []
     return waiting
 
 
-def get(silo, turn):
+def get(turn_store, turn):
     """The body, or None; one that fails its checksum is no longer held."""
-    spot = silo.index.get(turn)
+    spot = turn_store.index.get(turn)
     if spot is None:
         return None
-    found = read_spot(silo.log, spot)
+    found = read_spot(turn_store.log, spot)
     if found is None or found[0] != turn:
-        del silo.index[turn]
-        silo.young.pop(turn, None)
+        del turn_store.index[turn]
+        turn_store.young.pop(turn, None)
         return None
     return found[1]
 
 
-def expire(silo, live):
+def expire(turn_store, live):
     """Drops old turns for which live(turn) is false and the segments without any other; -> turns dropped."""
-    now = now_ms(silo)
-    for turn, at_ms in list(silo.young.items()):
-        if now - at_ms < silo.min_age_ms:
+    now = now_ms(turn_store)
+    for turn, at_ms in list(turn_store.young.items()):
+        if now - at_ms < turn_store.min_age_ms:
             break
-        del silo.young[turn]
+        del turn_store.young[turn]
     dead = []
-    if now - silo.opened_ms >= silo.min_age_ms:
-        dead = [turn for turn in silo.index if turn not in silo.young and not live(turn)]
+    if now - turn_store.opened_ms >= turn_store.min_age_ms:
+        dead = [turn for turn in turn_store.index if turn not in turn_store.young and not live(turn)]
     for turn in dead:
-        del silo.index[turn]
-    live_bytes = dict.fromkeys(silo.sizes, 0)
-    for number, _, length in silo.index.values():
+        del turn_store.index[turn]
+    live_bytes = dict.fromkeys(turn_store.sizes, 0)
+    for number, _, length in turn_store.index.values():
         live_bytes[number] += length
-    shut = silo.guarded if silo.busy else silo.log.number
-    if not silo.busy and silo.log.furrow is None:
+    shut = turn_store.guarded if turn_store.busy else turn_store.log.number
+    if not turn_store.busy and turn_store.log.write_ahead_log is None:
         shut += 1
     for number in [n for n, total in live_bytes.items() if n < shut and not total]:
-        remove_segment(silo, number)
+        remove_segment(turn_store, number)
         del live_bytes[number]
-    if used_bytes(silo) * 2 > silo.disk_bytes:
-        move_sparse(silo, {n: total for n, total in live_bytes.items() if n < shut})
+    if used_bytes(turn_store) * 2 > turn_store.disk_bytes:
+        move_sparse(turn_store, {n: total for n, total in live_bytes.items() if n < shut})
     return len(dead)
 
 
-def remove_segment(silo, number):
+def remove_segment(turn_store, number):
     try:
-        silo.log.files.unlink(os.path.join(silo.log.folder, name_of(number)))
+        turn_store.log.files.unlink(os.path.join(turn_store.log.folder, name_of(number)))
     except FileNotFoundError:
         pass
     except OSError as fault:
-        silo.tell(fault)
+        turn_store.tell(fault)
         return
-    del silo.sizes[number]
+    del turn_store.sizes[number]
 
 
-def move_sparse(silo, live_bytes):
-    sparse = [n for n, total in live_bytes.items() if total * 2 < silo.sizes[n]]
-    if silo.lost or not sparse:
+def move_sparse(turn_store, live_bytes):
+    sparse = [n for n, total in live_bytes.items() if total * 2 < turn_store.sizes[n]]
+    if turn_store.lost or not sparse:
         return
     number = min(sparse, key=live_bytes.get)
-    for turn in [t for t, spot in silo.index.items() if spot[0] == number and t not in silo.pending]:
-        data = get(silo, turn)
+    for turn in [t for t, spot in turn_store.index.items() if spot[0] == number and t not in turn_store.pending]:
+        data = get(turn_store, turn)
         if data is not None:
-            enqueue(silo, turn, data)
-    write_next(silo)
+            enqueue(turn_store, turn, data)
+    write_next(turn_store)
 
 
-def close(silo):
+def close(turn_store):
     """Call when no batch is under way; what is queued and later puts are answered False."""
-    silo.lost = True
-    for deferred, _ in drop_queue(silo):
+    turn_store.lost = True
+    for deferred, _ in drop_queue(turn_store):
         deferred.callback(False)
-    if not silo.busy:
-        close_log(silo.log)
+    if not turn_store.busy:
+        close_log(turn_store.log)
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -49,33 +49,33 @@
 
 
 class Tick(Struct, frozen=True, array_like=True, tag=1):
-    nowMs: int
+    now_ms: int
 
 
 class Received(Struct, frozen=True, array_like=True, tag=2):
-    nowMs: int
+    now_ms: int
     place: Place
     body: Message
 
 
 class Asked(Struct, frozen=True, array_like=True, tag=3):
-    nowMs: int
+    now_ms: int
     payload: bytes
     end: bool = False
 
 
 class Synced(Struct, frozen=True, array_like=True, tag=4):
-    nowMs: int
-    upTo: int
+    now_ms: int
+    up_to: int
 
 
 class Stalled(Struct, frozen=True, array_like=True, tag=5):
-    nowMs: int
+    now_ms: int
     unwell: bool
 
 
 class Left(Struct, frozen=True, array_like=True, tag=6):
-    nowMs: int
+    now_ms: int
 
 
 Input = Tick | Received | Asked | Synced | Stalled | Left
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -5,167 +5,173 @@
 from .words import ConfigurationId, Exchange, Install, Plan, Propose, TurnAway
 
 
-def patience(hedge, desired):
-    rank = desired.index(hedge.me)
-    grown = set(desired) - set(hedge.configuration.members)
-    if gathered(hedge, desired):
-        return rank * hedge.bounds.proposalMs
-    base = hedge.bounds.joinMs if grown else hedge.bounds.beatMs // 2
-    return base + rank * hedge.bounds.proposalMs
+def patience(synchrony, desired):
+    rank = desired.index(synchrony.me)
+    grown = set(desired) - set(synchrony.configuration.members)
+    if gathered(synchrony, desired):
+        return rank * synchrony.bounds.proposal_ms
+    base = synchrony.bounds.join_ms if grown else synchrony.bounds.beat_ms // 2
+    return base + rank * synchrony.bounds.proposal_ms
 
 
-def sole(hedge):
+def sole(synchrony):
     """Whether the only voter stands in the configuration that it started with, which nobody has judged."""
-    voters = hedge.voters or hedge.log.voters or hedge.voters0
-    return hedge.storage and not hedge.primary.able and tuple(voters) == (hedge.name,)
+    voters = synchrony.voters or synchrony.log.voters or synchrony.voters0
+    return synchrony.storage and not synchrony.primary.able and tuple(voters) == (synchrony.name,)
 
 
-def gathered(hedge, desired):
+def gathered(synchrony, desired):
     """Whether nobody is left to wait for after a start: all voters of this log and all known members are there."""
-    voters = hedge.voters or hedge.log.voters
+    voters = synchrony.voters or synchrony.log.voters
     here = {m.name for m in desired}
-    return hedge.configuration.members == (hedge.me,) and bool(voters) and here.issuperset((*voters, *hedge.peers))
+    return (
+        synchrony.configuration.members == (synchrony.me,)
+        and bool(voters)
+        and here.issuperset((*voters, *synchrony.peers))
+    )
 
 
-def seek(hedge, out):
-    desired = desire(hedge)
-    if desired != hedge.desired:
-        hedge.desired, hedge.desiredMs = desired, hedge.nowMs
-    settled = hedge.recovery is None and hedge.proposal is None
-    if settled and set(desired) == set(hedge.configuration.members) and not sole(hedge):
-        hedge.desiredMs = hedge.nowMs
+def seek(synchrony, out):
+    desired = desire(synchrony)
+    if desired != synchrony.desired:
+        synchrony.desired, synchrony.desired_ms = desired, synchrony.now_ms
+    settled = synchrony.recovery is None and synchrony.proposal is None
+    if settled and set(desired) == set(synchrony.configuration.members) and not sole(synchrony):
+        synchrony.desired_ms = synchrony.now_ms
         return
-    sinceMs = hedge.desiredMs
-    if hedge.recovery:
-        sinceMs = max(sinceMs, hedge.recovery.startedMs + hedge.bounds.proposalMs)
-    if hedge.proposal is None and hedge.nowMs - sinceMs >= patience(hedge, desired):
-        propose(hedge, out, desired)
+    since_ms = synchrony.desired_ms
+    if synchrony.recovery:
+        since_ms = max(since_ms, synchrony.recovery.started_ms + synchrony.bounds.proposal_ms)
+    if synchrony.proposal is None and synchrony.now_ms - since_ms >= patience(synchrony, desired):
+        propose(synchrony, out, desired)
 
 
-def topEpoch(hedge):
-    seen = [p.promised.epoch for p in hedge.peers.values()]
-    return max([hedge.promised.epoch, hedge.log.epoch, *seen])
+def top_epoch(synchrony):
+    seen = [p.promised.epoch for p in synchrony.peers.values()]
+    return max([synchrony.promised.epoch, synchrony.log.epoch, *seen])
 
 
-def propose(hedge, out, members):
-    count(hedge, "proposals")
-    id = ConfigurationId(topEpoch(hedge) + 1, hedge.name, hedge.me.boot)
-    proposal = Proposal(id, tuple(members), elect(hedge, members), hedge.nowMs, hedge.nowMs)
-    hedge.proposal = proposal
+def propose(synchrony, out, members):
+    count(synchrony, "proposals")
+    id = ConfigurationId(top_epoch(synchrony) + 1, synchrony.name, synchrony.me.boot)
+    proposal = Proposal(id, tuple(members), elect(synchrony, members), synchrony.now_ms, synchrony.now_ms)
+    synchrony.proposal = proposal
     for member in members:
         out.sends.append((member.name, Propose(id, proposal.members, proposal.sequencer)))
 
 
-def proposed(hedge, out, frm, message):
-    known = hedge.recovery.id if hedge.recovery else None
+def proposed(synchrony, out, frm, message):
+    known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
-        return sayExchange(hedge, out)
-    if message.id <= hedge.promised or hedge.me not in message.members:
-        out.sends.append((frm, TurnAway(message.id, hedge.promised)))
+        return say_exchange(synchrony, out)
+    if message.id <= synchrony.promised or synchrony.me not in message.members:
+        out.sends.append((frm, TurnAway(message.id, synchrony.promised)))
         return
-    if hedge.proposal and hedge.proposal.id < message.id:
-        hedge.proposal = None
-    promise(hedge, out, frm, message)
+    if synchrony.proposal and synchrony.proposal.id < message.id:
+        synchrony.proposal = None
+    promise(synchrony, out, frm, message)
 
 
-def promise(hedge, out, frm, message):
-    hedge.promised = message.id
-    hedge.recovery = Recovery(message.id, frm, message.members, message.sequencer, hedge.nowMs, hedge.nowMs)
-    hedge.order.early = []
-    write(hedge, out, Booted(hedge.me.boot, message.id.epoch))
-    sayExchange(hedge, out)
+def promise(synchrony, out, frm, message):
+    synchrony.promised = message.id
+    synchrony.recovery = Recovery(
+        message.id, frm, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
+    )
+    synchrony.order.early = []
+    write(synchrony, out, Booted(synchrony.me.boot, message.id.epoch))
+    say_exchange(synchrony, out)
 
 
-def sayExchange(hedge, out):
-    order, id = hedge.order, hedge.recovery.id
+def say_exchange(synchrony, out):
+    order, id = synchrony.order, synchrony.recovery.id
     extra = tuple(sorted(o for o in order.held if o > order.top))
     said = Exchange(
         id,
-        hedge.configuration.id,
+        synchrony.configuration.id,
         order.top,
         extra,
         order.safe,
-        tuple(sorted(hedge.obligations)),
-        memory(hedge.log) if hedge.storage else None,
-        hedge.applied,
-        hedge.voters or hedge.voters0,
+        tuple(sorted(synchrony.obligations)),
+        memory(synchrony.log) if synchrony.storage else None,
+        synchrony.applied,
+        synchrony.voters or synchrony.voters0,
     )
-    out.sends.append((hedge.recovery.proposer, said))
+    out.sends.append((synchrony.recovery.proposer, said))
 
 
-def exchanged(hedge, out, frm, message):
-    proposal = hedge.proposal
+def exchanged(synchrony, out, frm, message):
+    proposal = synchrony.proposal
     if proposal is None or proposal.id != message.id:
         return
     proposal.exchanges[frm] = message
     if len(proposal.exchanges) == len(proposal.members) and not proposal.planned:
         proposal.planned = True
-        sayPlan(hedge, out)
+        say_plan(synchrony, out)
 
 
-def sayPlan(hedge, out):
-    proposal = hedge.proposal
+def say_plan(synchrony, out):
+    proposal = synchrony.proposal
     plan = Plan(proposal.id, dict(proposal.exchanges))
     for member in proposal.members:
         if member.name not in proposal.completes:
             out.sends.append((member.name, plan))
 
 
-def completed(hedge, out, frm, message):
-    proposal = hedge.proposal
+def completed(synchrony, out, frm, message):
+    proposal = synchrony.proposal
     if proposal is None:
-        if message.id == hedge.configuration.id:
+        if message.id == synchrony.configuration.id:
             out.sends.append((frm, Install(message.id)))
         return
     if proposal.id != message.id:
         return
     proposal.completes.add(frm)
     if len(proposal.completes) == len(proposal.members):
-        hedge.proposal = None
+        synchrony.proposal = None
         for member in proposal.members:
             out.sends.append((member.name, Install(proposal.id)))
 
 
-def turnedAway(hedge, out, frm, message):
-    peer = hedge.peers.get(frm)
+def turned_away(synchrony, out, frm, message):
+    peer = synchrony.peers.get(frm)
     if peer:
         peer.promised = max(peer.promised, message.promised)
-    if hedge.proposal and hedge.proposal.id == message.id:
-        count(hedge, "proposalsTurnedAway")
-        hedge.proposal = None
-        hedge.desiredMs = hedge.nowMs
+    if synchrony.proposal and synchrony.proposal.id == message.id:
+        count(synchrony, "proposals_turned_away")
+        synchrony.proposal = None
+        synchrony.desired_ms = synchrony.now_ms
 
 
-def shrink(hedge, out):
-    proposal = hedge.proposal
+def shrink(synchrony, out):
+    proposal = synchrony.proposal
     if proposal is None:
         return
-    waitMs = hedge.nowMs - proposal.startedMs
-    if waitMs >= hedge.bounds.proposalMs:
+    wait_ms = synchrony.now_ms - proposal.started_ms
+    if wait_ms >= synchrony.bounds.proposal_ms:
         heard = proposal.completes if proposal.planned else set(proposal.exchanges)
         missing = [m for m in proposal.members if m.name not in heard]
         for member in missing:
-            shun(hedge, member)
-        count(hedge, "shrunk")
-        hedge.proposal = None
-        kept = [m for m in desire(hedge) if m not in missing]
-        propose(hedge, out, kept or [hedge.me])
+            shun(synchrony, member)
+        count(synchrony, "shrunk")
+        synchrony.proposal = None
+        kept = [m for m in desire(synchrony) if m not in missing]
+        propose(synchrony, out, kept or [synchrony.me])
         return
-    if hedge.nowMs - proposal.sentMs >= hedge.bounds.resendMs:
-        proposal.sentMs = hedge.nowMs
+    if synchrony.now_ms - proposal.sent_ms >= synchrony.bounds.resend_ms:
+        proposal.sent_ms = synchrony.now_ms
         if proposal.planned:
-            sayPlan(hedge, out)
+            say_plan(synchrony, out)
         else:
             for member in proposal.members:
                 if member.name not in proposal.exchanges:
                     out.sends.append((member.name, Propose(proposal.id, proposal.members, proposal.sequencer)))
 
 
-def shun(hedge, member):
-    peer = hedge.peers.get(member.name)
+def shun(synchrony, member):
+    peer = synchrony.peers.get(member.name)
     if peer is None or peer.place.member != member:
         return
-    if hedge.nowMs - peer.shunnedMs > 20 * hedge.bounds.proposalMs:
+    if synchrony.now_ms - peer.shunned_ms > 20 * synchrony.bounds.proposal_ms:
         peer.shuns = 0
     peer.shuns = min(peer.shuns + 1, 4)
-    peer.shunnedMs = hedge.nowMs + hedge.bounds.proposalMs // 2 * (1 << peer.shuns)
+    peer.shunned_ms = synchrony.now_ms + synchrony.bounds.proposal_ms // 2 * (1 << peer.shuns)
--- a/frostpost/virtual_synchrony/memory.py
+++ b/frostpost/virtual_synchrony/memory.py
@@ -4,7 +4,7 @@
 from .words import ConfigurationId, Entry, Memory
 
 NOWHERE = ConfigurationId(0, "", 0)
-decodeVoters = msgpack.Decoder(SetVoters).decode
+decode_voters = msgpack.Decoder(SetVoters).decode
 VOTERS_HEAD = msgpack.encode(SetVoters(ConfigurationId(0, "", 0), (), ()))[:8]
 
 
@@ -27,11 +27,11 @@
 def replay(records):
     log = Log()
     for record in records:
-        replayOne(log, record)
+        replay_one(log, record)
     return log
 
 
-def replayOne(log, record):
+def replay_one(log, record):
     match record:
         case Booted(boot, epoch):
             log.boot, log.epoch = max(log.boot, boot), max(log.epoch, epoch)
@@ -57,4 +57,4 @@
 
 def coming(log):
     tail = log.entries[max(0, log.settled - log.start) :]
-    return tuple(decodeVoters(e.payload).after for e in tail if e.payload[:8] == VOTERS_HEAD)
+    return tuple(decode_voters(e.payload).after for e in tail if e.payload[:8] == VOTERS_HEAD)
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -1,170 +1,174 @@
-from .settling import act, record, sayReady
-from .state import count, names, sequencer
 from .events import Delivered, Numbered, Overfull
+from .settling import act, record, say_ready
+from .state import count, names, sequencer
 from .words import Ack, Batch, Entry, Safe, Submit
 
 
-def asked(hedge, out, payload, end=False):
-    if not end and len(hedge.outbox) >= hedge.bounds.window:
-        count(hedge, "overfull")
-        out.answers.append(Overfull(len(hedge.outbox)))
+def asked(synchrony, out, payload, end=False):
+    if not end and len(synchrony.outbox) >= synchrony.bounds.window:
+        count(synchrony, "overfull")
+        out.answers.append(Overfull(len(synchrony.outbox)))
         return
-    hedge.number += 1
-    hedge.outbox[hedge.number] = payload
-    out.answers.append(Numbered(hedge.number))
-    push(hedge, out)
+    synchrony.number += 1
+    synchrony.outbox[synchrony.number] = payload
+    out.answers.append(Numbered(synchrony.number))
+    push(synchrony, out)
 
 
-def push(hedge, out):
-    if not hedge.primary.opened or hedge.recovery or not hedge.outbox:
+def push(synchrony, out):
+    if not synchrony.primary.opened or synchrony.recovery or not synchrony.outbox:
         return
-    first = max(hedge.submitted + 1, min(hedge.outbox))
-    payloads = tuple(hedge.outbox[n] for n in range(first, hedge.number + 1))
+    first = max(synchrony.submitted + 1, min(synchrony.outbox))
+    payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.number + 1))
     if payloads:
-        if hedge.submitted < min(hedge.outbox):
-            hedge.outboxMs = hedge.nowMs
-        hedge.submitted = hedge.number
-        out.sends.append((sequencer(hedge), Submit(hedge.configuration.id, min(hedge.outbox), first, payloads)))
+        if synchrony.submitted < min(synchrony.outbox):
+            synchrony.outbox_ms = synchrony.now_ms
+        synchrony.submitted = synchrony.number
+        out.sends.append(
+            (sequencer(synchrony), Submit(synchrony.configuration.id, min(synchrony.outbox), first, payloads))
+        )
 
 
-def submitted(hedge, out, frm, sender, message):
-    order = hedge.order
-    if message.id != hedge.configuration.id or hedge.recovery or not hedge.primary.openOrdered:
-        count(hedge, "foreign")
+def submitted(synchrony, out, frm, sender, message):
+    order = synchrony.order
+    if message.id != synchrony.configuration.id or synchrony.recovery or not synchrony.primary.open_ordered:
+        count(synchrony, "foreign")
         return
-    if sequencer(hedge) != hedge.name:
+    if sequencer(synchrony) != synchrony.name:
         return
     seen = max(order.seen.get(sender, 0), message.floor - 1)
     parked = order.parked[sender] = {n: p for n, p in order.parked.get(sender, {}).items() if n > seen}
     for number, payload in enumerate(message.payloads, message.first):
-        if seen < number <= seen + hedge.bounds.window:
+        if seen < number <= seen + synchrony.bounds.window:
             parked[number] = payload
     while seen + 1 in parked:
-        if order.next - order.safe > hedge.bounds.held:
-            count(hedge, "windowFull")
+        if order.next - order.safe > synchrony.bounds.held:
+            count(synchrony, "window_full")
             break
         seen += 1
         order.unsent.append(
-            Entry(message.id, order.next, hedge.primary.base + order.next, sender, seen, parked.pop(seen))
+            Entry(message.id, order.next, synchrony.primary.base + order.next, sender, seen, parked.pop(seen))
         )
         order.next += 1
     order.seen[sender] = seen
 
 
-def flush(hedge, out, force=False):
-    order = hedge.order
-    if hedge.recovery or not order.unsent or sequencer(hedge) != hedge.name:
+def flush(synchrony, out, force=False):
+    order = synchrony.order
+    if synchrony.recovery or not order.unsent or sequencer(synchrony) != synchrony.name:
         return
     if order.fanned > order.safe and not force:
         return
-    entries, order.unsent = tuple(order.unsent[: hedge.bounds.batch]), order.unsent[hedge.bounds.batch :]
+    entries, order.unsent = tuple(order.unsent[: synchrony.bounds.batch]), order.unsent[synchrony.bounds.batch :]
     order.fanned = entries[-1].ordinal
-    count(hedge, "batches")
-    count(hedge, "ordered", len(entries))
-    for name in names(hedge.configuration):
-        order.sentMs[name] = hedge.nowMs
-        if name != hedge.name:
-            out.sends.append((name, Batch(hedge.configuration.id, entries, order.safe)))
-    take(hedge, out, entries)
+    count(synchrony, "batches")
+    count(synchrony, "ordered", len(entries))
+    for name in names(synchrony.configuration):
+        order.sent_ms[name] = synchrony.now_ms
+        if name != synchrony.name:
+            out.sends.append((name, Batch(synchrony.configuration.id, entries, order.safe)))
+    take(synchrony, out, entries)
 
 
-def take(hedge, out, entries):
+def take(synchrony, out, entries):
     for entry in entries:
-        if entry.ordinal > hedge.order.delivered:
-            hedge.order.held.setdefault(entry.ordinal, entry)
-    advance(hedge, out)
+        if entry.ordinal > synchrony.order.delivered:
+            synchrony.order.held.setdefault(entry.ordinal, entry)
+    advance(synchrony, out)
 
 
-def batched(hedge, out, frm, message):
-    order = hedge.order
-    if message.id != hedge.configuration.id or hedge.recovery:
-        count(hedge, "foreign")
+def batched(synchrony, out, frm, message):
+    order = synchrony.order
+    if message.id != synchrony.configuration.id or synchrony.recovery:
+        count(synchrony, "foreign")
         return
-    take(hedge, out, message.entries)
+    take(synchrony, out, message.entries)
     order.safe = max(order.safe, message.safe)
-    deliver(hedge, out)
+    deliver(synchrony, out)
 
 
-def advance(hedge, out):
-    order = hedge.order
-    ready = hedge.storage and hedge.primary.readyAt >= 0
+def advance(synchrony, out):
+    order = synchrony.order
+    ready = synchrony.storage and synchrony.primary.ready_at >= 0
     while order.top + 1 in order.held:
         order.top += 1
         if ready:
-            record(hedge, out, order.held[order.top])
-    if hedge.recovery:
+            record(synchrony, out, order.held[order.top])
+    if synchrony.recovery:
         return
-    if ready and hedge.wrote > hedge.synced:
-        hedge.acksAt.append((hedge.wrote, order.top))
+    if ready and synchrony.wrote > synchrony.synced:
+        synchrony.acks_at.append((synchrony.wrote, order.top))
     else:
-        acknowledge(hedge, out, order.top)
+        acknowledge(synchrony, out, order.top)
 
 
-def acknowledge(hedge, out, top):
-    if top and not hedge.recovery:
-        out.sends.append((sequencer(hedge), Ack(hedge.configuration.id, top)))
+def acknowledge(synchrony, out, top):
+    if top and not synchrony.recovery:
+        out.sends.append((sequencer(synchrony), Ack(synchrony.configuration.id, top)))
 
 
-def acked(hedge, out, frm, message):
-    order = hedge.order
-    if message.id != hedge.configuration.id or hedge.recovery:
+def acked(synchrony, out, frm, message):
+    order = synchrony.order
+    if message.id != synchrony.configuration.id or synchrony.recovery:
         return
-    if sequencer(hedge) != hedge.name or message.top <= order.acks.get(frm, 0):
+    if sequencer(synchrony) != synchrony.name or message.top <= order.acks.get(frm, 0):
         return
     order.acks[frm] = message.top
-    order.sentMs[frm] = hedge.nowMs
-    mark = min(order.acks.get(n, 0) for n in names(hedge.configuration))
+    order.sent_ms[frm] = synchrony.now_ms
+    mark = min(order.acks.get(n, 0) for n in names(synchrony.configuration))
     if mark > order.safe:
-        for name in names(hedge.configuration):
-            out.sends.append((name, Safe(hedge.configuration.id, mark)))
+        for name in names(synchrony.configuration):
+            out.sends.append((name, Safe(synchrony.configuration.id, mark)))
 
 
-def safened(hedge, out, message):
-    if message.id != hedge.configuration.id or hedge.recovery:
+def safened(synchrony, out, message):
+    if message.id != synchrony.configuration.id or synchrony.recovery:
         return
-    hedge.order.safe = max(hedge.order.safe, message.mark)
-    deliver(hedge, out)
+    synchrony.order.safe = max(synchrony.order.safe, message.mark)
+    deliver(synchrony, out)
 
 
-def deliver(hedge, out):
-    order = hedge.order
+def deliver(synchrony, out):
+    order = synchrony.order
     while order.delivered < order.safe and order.delivered < order.top:
         order.delivered += 1
         entry = order.held.pop(order.delivered)
-        out.answers.append(Delivered(entry, False, hedge.primary.able))
-        if hedge.primary.able:
-            act(hedge, out, entry)
+        out.answers.append(Delivered(entry, False, synchrony.primary.able))
+        if synchrony.primary.able:
+            act(synchrony, out, entry)
 
 
-def synced(hedge, out, upTo):
-    hedge.synced = max(hedge.synced, upTo)
-    primary = hedge.primary
-    if primary.readyAt >= 0 and not primary.ready and hedge.synced >= primary.readyAt:
+def synced(synchrony, out, up_to):
+    synchrony.synced = max(synchrony.synced, up_to)
+    primary = synchrony.primary
+    if primary.ready_at >= 0 and not primary.ready and synchrony.synced >= primary.ready_at:
         primary.ready = True
-        if not hedge.recovery:
-            sayReady(hedge, out)
-    done = [top for at, top in hedge.acksAt if at <= hedge.synced]
+        if not synchrony.recovery:
+            say_ready(synchrony, out)
+    done = [top for at, top in synchrony.acks_at if at <= synchrony.synced]
     if done:
-        hedge.acksAt = [(at, top) for at, top in hedge.acksAt if at > hedge.synced]
-        acknowledge(hedge, out, max(done))
+        synchrony.acks_at = [(at, top) for at, top in synchrony.acks_at if at > synchrony.synced]
+        acknowledge(synchrony, out, max(done))
 
 
-def remind(hedge, out):
-    order = hedge.order
-    if hedge.recovery:
+def remind(synchrony, out):
+    order = synchrony.order
+    if synchrony.recovery:
         return
-    if hedge.primary.ready and not hedge.primary.opened:
-        sayReady(hedge, out)
-    if hedge.outbox and hedge.nowMs - hedge.outboxMs >= hedge.bounds.resendMs:
-        hedge.submitted = min(hedge.outbox) - 1
-        count(hedge, "handedInAgain")
-        push(hedge, out)
-    if sequencer(hedge) != hedge.name:
+    if synchrony.primary.ready and not synchrony.primary.opened:
+        say_ready(synchrony, out)
+    if synchrony.outbox and synchrony.now_ms - synchrony.outbox_ms >= synchrony.bounds.resend_ms:
+        synchrony.submitted = min(synchrony.outbox) - 1
+        count(synchrony, "handed_in_again")
+        push(synchrony, out)
+    if sequencer(synchrony) != synchrony.name:
         return
-    for name in names(hedge.configuration):
+    for name in names(synchrony.configuration):
         top = order.acks.get(name, 0)
-        if top < order.fanned and hedge.nowMs - order.sentMs.get(name, 0) >= hedge.bounds.resendMs:
-            order.sentMs[name] = hedge.nowMs
+        if top < order.fanned and synchrony.now_ms - order.sent_ms.get(name, 0) >= synchrony.bounds.resend_ms:
+            order.sent_ms[name] = synchrony.now_ms
             entries = [order.held[o] for o in range(top + 1, order.fanned + 1) if o in order.held]
-            count(hedge, "resent", len(entries[: hedge.bounds.batch]))
-            out.sends.append((name, Batch(hedge.configuration.id, tuple(entries[: hedge.bounds.batch]), order.safe)))
+            count(synchrony, "resent", len(entries[: synchrony.bounds.batch]))
+            out.sends.append(
+                (name, Batch(synchrony.configuration.id, tuple(entries[: synchrony.bounds.batch]), order.safe))
+            )
--- a/frostpost/virtual_synchrony/places.py
+++ b/frostpost/virtual_synchrony/places.py
@@ -12,5 +12,5 @@
     cell: str
     host: str
     port: int
-    httpPort: int
+    http_port: int
     speaks: int = 1
