--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -2,9 +2,9 @@
 
 from msgspec import msgpack
 
+from .events import Appended, Applied, Filled, Installed, Open, Snapshot, SnapshotAsked
 from .memory import NOWHERE
 from .state import Primary, count, majorities, names, role, sequencer, write
-from .events import Appended, Applied, Filled, Installed, Open, Snapshot, SnapshotAsked
 from .words import Entry, Fetch, Fill, Ready
 
 encode = msgpack.Encoder().encode
@@ -18,7 +18,7 @@
     return top
 
 
-def lengthOf(plan, name):
+def length_of(plan, name):
     said = plan[name]
     if said.memory.primary != said.last:
         return said.memory.length
@@ -31,7 +31,7 @@
         voters = max((e.voters for e in plan.values()), key=len, default=())
         able = bool(voters) and all(v in plan for v in voters)
         return Primary(able=able, donor=min(voters, default=""), voters=voters)
-    lengths = {n: lengthOf(plan, n) for n in memories}
+    lengths = {n: length_of(plan, n) for n in memories}
     donor = max(memories, key=lambda n: (memories[n].primary, lengths[n], n))
     best, base = memories[donor], lengths[donor]
     untouched = base <= 1 and all(v in plan for v in best.voters)
@@ -42,39 +42,39 @@
     return Primary(voters=best.voters)
 
 
-def prepare(hedge, out, plan):
-    primary, log = hedge.primary, hedge.log
-    if not primary.able or not hedge.storage:
+def prepare(synchrony, out, plan):
+    primary, log = synchrony.primary, synchrony.log
+    if not primary.able or not synchrony.storage:
         return
-    best, mine = plan[primary.donor].memory, plan[hedge.name].memory
+    best, mine = plan[primary.donor].memory, plan[synchrony.name].memory
     primary.same = bool(best and mine and best.primary == mine.primary)
-    fresh = best is None and log.primary == NOWHERE and hedge.name in primary.voters
+    fresh = best is None and log.primary == NOWHERE and synchrony.name in primary.voters
     if fresh or (primary.same and log.length >= primary.base):
-        becomeReady(hedge, out)
+        become_ready(synchrony, out)
 
 
-def becomeReady(hedge, out):
-    primary, log = hedge.primary, hedge.log
-    log.primary, log.base, log.voters = hedge.configuration.id, primary.base, primary.voters
+def become_ready(synchrony, out):
+    primary, log = synchrony.primary, synchrony.log
+    log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, primary.voters
     del log.entries[max(0, primary.base - log.start) :]
-    primary.readyAt = write(hedge, out, Installed(log.primary, log.base, log.voters))
-    later = {**hedge.waiting}
-    later.update({e.index: e for e in hedge.order.held.values() if e.ordinal <= hedge.order.top})
+    primary.ready_at = write(synchrony, out, Installed(log.primary, log.base, log.voters))
+    later = {**synchrony.waiting}
+    later.update({e.index: e for e in synchrony.order.held.values() if e.ordinal <= synchrony.order.top})
     while log.length + 1 in later:
-        record(hedge, out, later[log.length + 1])
-    if hedge.order.top:
-        hedge.acksAt.append((hedge.wrote, hedge.order.top))
-    drain(hedge, out)
+        record(synchrony, out, later[log.length + 1])
+    if synchrony.order.top:
+        synchrony.acks_at.append((synchrony.wrote, synchrony.order.top))
+    drain(synchrony, out)
 
 
-def record(hedge, out, entry):
-    if entry.index == hedge.log.length + 1:
-        hedge.log.entries.append(entry)
-        write(hedge, out, Appended(entry, hedge.log.settled))
+def record(synchrony, out, entry):
+    if entry.index == synchrony.log.length + 1:
+        synchrony.log.entries.append(entry)
+        write(synchrony, out, Appended(entry, synchrony.log.settled))
 
 
-def relog(hedge, out, entries):
-    log = hedge.log
+def relog(synchrony, out, entries):
+    log = synchrony.log
     for entry in entries:
         at = entry.index - log.start - 1
         if at < 0 or entry.index > log.length + 1:
@@ -82,159 +82,161 @@
         if at < len(log.entries) and log.entries[at].configuration == entry.configuration:
             continue
         del log.entries[at:]
-        record(hedge, out, entry)
+        record(synchrony, out, entry)
 
 
-def sayReady(hedge, out):
-    out.sends.append((sequencer(hedge), Ready(hedge.configuration.id)))
+def say_ready(synchrony, out):
+    out.sends.append((sequencer(synchrony), Ready(synchrony.configuration.id)))
 
 
-def readied(hedge, out, frm, message):
-    primary, order = hedge.primary, hedge.order
-    if message.id != hedge.configuration.id or not primary.able or hedge.recovery:
+def readied(synchrony, out, frm, message):
+    primary, order = synchrony.primary, synchrony.order
+    if message.id != synchrony.configuration.id or not primary.able or synchrony.recovery:
         return
-    if sequencer(hedge) != hedge.name:
+    if sequencer(synchrony) != synchrony.name:
         return
     primary.readies.add(frm)
-    if not primary.openOrdered and majorities(primary, primary.readies):
-        primary.openOrdered = True
-        cores = tuple(n for n in names(hedge.configuration) if role(hedge, n) == "core")
-        payload = encode(Open(hedge.configuration.members, cores, primary.voters))
-        order.unsent.append(Entry(hedge.configuration.id, 1, primary.base + 1, hedge.me, 0, payload))
+    if not primary.open_ordered and majorities(primary, primary.readies):
+        primary.open_ordered = True
+        cores = tuple(n for n in names(synchrony.configuration) if role(synchrony, n) == "core")
+        payload = encode(Open(synchrony.configuration.members, cores, primary.voters))
+        order.unsent.append(Entry(synchrony.configuration.id, 1, primary.base + 1, synchrony.me, 0, payload))
         order.next = 2
 
 
-def act(hedge, out, entry):
-    if entry.index > hedge.applied:
-        hedge.waiting[entry.index] = entry
-    hedge.primary.settled = hedge.primary.settled or entry.ordinal == 1
-    drain(hedge, out)
+def act(synchrony, out, entry):
+    if entry.index > synchrony.applied:
+        synchrony.waiting[entry.index] = entry
+    synchrony.primary.settled = synchrony.primary.settled or entry.ordinal == 1
+    drain(synchrony, out)
 
 
-def drain(hedge, out):
-    log, primary = hedge.log, hedge.primary
+def drain(synchrony, out):
+    log, primary = synchrony.log, synchrony.primary
     if not primary.settled:
         return
-    if hedge.waiting and hedge.storage and primary.readyAt >= 0:
-        first = min(hedge.waiting)
-        while hedge.applied + 1 < first and log.start <= hedge.applied < log.length:
-            apply(hedge, out, log.entries[hedge.applied - log.start])
-    while hedge.applied + 1 in hedge.waiting:
-        apply(hedge, out, hedge.waiting.pop(hedge.applied + 1))
+    if synchrony.waiting and synchrony.storage and primary.ready_at >= 0:
+        first = min(synchrony.waiting)
+        while synchrony.applied + 1 < first and log.start <= synchrony.applied < log.length:
+            apply(synchrony, out, log.entries[synchrony.applied - log.start])
+    while synchrony.applied + 1 in synchrony.waiting:
+        apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
 
 
-def apply(hedge, out, entry):
-    hedge.applied = entry.index
-    hedge.log.settled = max(hedge.log.settled, min(entry.index, hedge.log.length))
+def apply(synchrony, out, entry):
+    synchrony.applied = entry.index
+    synchrony.log.settled = max(synchrony.log.settled, min(entry.index, synchrony.log.length))
     out.answers.append(Applied(entry))
-    if entry.sender == hedge.me and entry.number:
-        for number in [n for n in hedge.outbox if n <= entry.number]:
-            del hedge.outbox[number]
-            hedge.outboxMs = hedge.nowMs
-    if entry.ordinal == 1 and entry.configuration == hedge.configuration.id:
-        unlatch(hedge)
+    if entry.sender == synchrony.me and entry.number:
+        for number in [n for n in synchrony.outbox if n <= entry.number]:
+            del synchrony.outbox[number]
+            synchrony.outbox_ms = synchrony.now_ms
+    if entry.ordinal == 1 and entry.configuration == synchrony.configuration.id:
+        unlatch(synchrony)
 
 
-def unlatch(hedge):
-    hedge.primary.settled = hedge.primary.opened = True
-    hedge.order.floor = min(hedge.outbox, default=hedge.number + 1)
-    hedge.submitted = hedge.order.floor - 1
+def unlatch(synchrony):
+    synchrony.primary.settled = synchrony.primary.opened = True
+    synchrony.order.floor = min(synchrony.outbox, default=synchrony.number + 1)
+    synchrony.submitted = synchrony.order.floor - 1
 
 
-def lacking(hedge):
-    primary = hedge.primary
+def lacking(synchrony):
+    primary = synchrony.primary
     if not primary.able:
         return 0
-    if hedge.storage:
-        if primary.readyAt >= 0:
+    if synchrony.storage:
+        if primary.ready_at >= 0:
             return 0
-        return hedge.log.length + 1 if primary.same else hedge.log.settled + 1
-    return hedge.applied + 1 if hedge.applied < primary.base else 0
+        return synchrony.log.length + 1 if primary.same else synchrony.log.settled + 1
+    return synchrony.applied + 1 if synchrony.applied < primary.base else 0
 
 
-def fetch(hedge, out):
-    first = lacking(hedge)
-    if not first or hedge.recovery or hedge.primary.donor == hedge.name:
+def fetch(synchrony, out):
+    first = lacking(synchrony)
+    if not first or synchrony.recovery or synchrony.primary.donor == synchrony.name:
         return
-    if hedge.nowMs - hedge.primary.fetchMs < hedge.bounds.resendMs:
+    if synchrony.now_ms - synchrony.primary.fetch_ms < synchrony.bounds.resend_ms:
         return
-    hedge.primary.fetchMs = hedge.nowMs
+    synchrony.primary.fetch_ms = synchrony.now_ms
     ready = sorted(
         n
-        for n in names(hedge.configuration)
-        if n in hedge.peers and hedge.peers[n].ready and hedge.peers[n].configuration == hedge.configuration.id
+        for n in names(synchrony.configuration)
+        if n in synchrony.peers
+        and synchrony.peers[n].ready
+        and synchrony.peers[n].configuration == synchrony.configuration.id
     )
-    if hedge.primary.source not in ready:
-        spot = sum(hedge.name.encode()) % len(ready) if ready else 0
-        hedge.primary.source = ready[spot] if ready else hedge.primary.donor
-        hedge.primary.piece = bytearray()
-    out.sends.append((hedge.primary.source, Fetch(hedge.configuration.id, first, len(hedge.primary.piece))))
+    if synchrony.primary.source not in ready:
+        spot = sum(synchrony.name.encode()) % len(ready) if ready else 0
+        synchrony.primary.source = ready[spot] if ready else synchrony.primary.donor
+        synchrony.primary.piece = bytearray()
+    out.sends.append((synchrony.primary.source, Fetch(synchrony.configuration.id, first, len(synchrony.primary.piece))))
 
 
-def fetched(hedge, out, frm, message):
-    log, primary = hedge.log, hedge.primary
-    if message.id != hedge.configuration.id or primary.readyAt < 0:
+def fetched(synchrony, out, frm, message):
+    log, primary = synchrony.log, synchrony.primary
+    if message.id != synchrony.configuration.id or primary.ready_at < 0:
         return
     if message.first <= log.start or message.offset:
         out.answers.append(SnapshotAsked(frm, message.id, message.offset))
         return
     entries = log.entries[message.first - log.start - 1 : primary.base - log.start]
-    out.sends.append((frm, Fill(message.id, tuple(entries[: hedge.bounds.batch]))))
+    out.sends.append((frm, Fill(message.id, tuple(entries[: synchrony.bounds.batch]))))
 
 
-def filled(hedge, out, frm, message):
-    primary, log = hedge.primary, hedge.log
-    if message.id != hedge.configuration.id or not lacking(hedge):
+def filled(synchrony, out, frm, message):
+    primary, log = synchrony.primary, synchrony.log
+    if message.id != synchrony.configuration.id or not lacking(synchrony):
         return
-    count(hedge, "filled", len(message.entries))
-    if hedge.storage:
-        relog(hedge, out, message.entries)
+    count(synchrony, "filled", len(message.entries))
+    if synchrony.storage:
+        relog(synchrony, out, message.entries)
         if not primary.same:
             last = message.entries[-1].index if message.entries else primary.base
             del log.entries[max(0, last - log.start) :]
             primary.same = True
         if log.length >= primary.base:
-            becomeReady(hedge, out)
+            become_ready(synchrony, out)
     else:
         for entry in message.entries:
-            if entry.index > hedge.applied:
-                hedge.waiting[entry.index] = entry
-        drain(hedge, out)
-    primary.fetchMs = -(1 << 40)
-    fetch(hedge, out)
+            if entry.index > synchrony.applied:
+                synchrony.waiting[entry.index] = entry
+        drain(synchrony, out)
+    primary.fetch_ms = -(1 << 40)
+    fetch(synchrony, out)
 
 
-def pieced(hedge, out, frm, message):
-    primary = hedge.primary
-    if message.id != hedge.configuration.id or not lacking(hedge):
+def pieced(synchrony, out, frm, message):
+    primary = synchrony.primary
+    if message.id != synchrony.configuration.id or not lacking(synchrony):
         return
-    if message.index != primary.pieceIndex or message.offset == 0:
-        primary.piece, primary.pieceIndex = bytearray(), message.index
+    if message.index != primary.piece_index or message.offset == 0:
+        primary.piece, primary.piece_index = bytearray(), message.index
     if message.offset != len(primary.piece):
         return
     primary.piece += message.data
-    waitMs = hedge.bounds.pieceBytes * 1000 // hedge.bounds.refillBytesS
-    primary.fetchMs = hedge.nowMs - hedge.bounds.resendMs + waitMs
+    wait_ms = synchrony.bounds.piece_bytes * 1000 // synchrony.bounds.refill_bytes_s
+    primary.fetch_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
     if len(primary.piece) >= message.total:
         state, primary.piece = bytes(primary.piece), bytearray()
         if blake2b(state, digest_size=16).hexdigest() == message.digest:
-            refill(hedge, out, message.index, state)
-    fetch(hedge, out)
+            refill(synchrony, out, message.index, state)
+    fetch(synchrony, out)
 
 
-def refill(hedge, out, index, state):
-    log, primary = hedge.log, hedge.primary
-    if index < hedge.applied:
+def refill(synchrony, out, index, state):
+    log, primary = synchrony.log, synchrony.primary
+    if index < synchrony.applied:
         return
-    count(hedge, "refilled")
-    hedge.applied = log.settled = index
+    count(synchrony, "refilled")
+    synchrony.applied = log.settled = index
     out.answers.append(Filled(index, state))
     if index > primary.base and not primary.opened:
-        unlatch(hedge)
-    hedge.waiting = {i: e for i, e in hedge.waiting.items() if i > index}
-    if hedge.storage:
+        unlatch(synchrony)
+    synchrony.waiting = {i: e for i, e in synchrony.waiting.items() if i > index}
+    if synchrony.storage:
         log.start, log.entries, primary.same = index, [], True
-        write(hedge, out, Snapshot(index, state))
+        write(synchrony, out, Snapshot(index, state))
         if index >= primary.base:
-            becomeReady(hedge, out)
-    drain(hedge, out)
+            become_ready(synchrony, out)
+    drain(synchrony, out)
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -8,42 +8,42 @@
 
 
 class Bounds(Struct, frozen=True):
-    detectMs: int = 500
-    proposalMs: int = 500
-    leaseMs: int = 1200
+    detect_ms: int = 500
+    proposal_ms: int = 500
+    lease_ms: int = 1200
     window: int = 256
     held: int = 4096
     batch: int = 256
-    pieceBytes: int = 262144
-    rewriteEntries: int = 20000
-    refillBytesS: int = 16 << 20
+    piece_bytes: int = 262144
+    rewrite_entries: int = 20000
+    refill_bytes_s: int = 16 << 20
 
     @property
-    def beatMs(self):
-        return self.detectMs // 5
+    def beat_ms(self):
+        return self.detect_ms // 5
 
     @property
-    def joinMs(self):
-        return self.detectMs // 2
+    def join_ms(self):
+        return self.detect_ms // 2
 
     @property
-    def resendMs(self):
-        return self.detectMs // 5
+    def resend_ms(self):
+        return self.detect_ms // 5
 
 
 class Peer(Struct):
     place: Place
-    heardMs: int = -(1 << 40)
+    heard_ms: int = -(1 << 40)
     hears: frozenset[Member] = frozenset()
     configuration: ConfigurationId = NOWHERE
     promised: ConfigurationId = NOWHERE
-    sentMs: int = 0
-    grantedMs: int = -(1 << 40)
+    sent_ms: int = 0
+    granted_ms: int = -(1 << 40)
     unwell: bool = False
     ready: bool = False
     applied: int = 0
     leaving: bool = False
-    shunnedMs: int = -(1 << 40)
+    shunned_ms: int = -(1 << 40)
     shuns: int = 0
     news: dict[str, int] = {}
     past: frozenset[Member] = frozenset()
@@ -53,8 +53,8 @@
     id: ConfigurationId
     members: tuple[Member, ...]
     sequencer: str
-    startedMs: int
-    sentMs: int
+    started_ms: int
+    sent_ms: int
     exchanges: dict[str, Exchange] = {}
     completes: set[str] = set()
     planned: bool = False
@@ -65,14 +65,14 @@
     proposer: str
     members: tuple[Member, ...]
     sequencer: str
-    startedMs: int
-    sentMs: int
+    started_ms: int
+    sent_ms: int
     plan: dict[str, Exchange] | None = None
     group: tuple[Member, ...] = ()
     wanted: frozenset[int] = frozenset()
     owed: dict[str, tuple[int, ...]] = {}
     complete: bool = False
-    syncAt: int = -1
+    sync_at: int = -1
 
 
 class Order(Struct):
@@ -84,7 +84,7 @@
     next: int = 1
     acks: dict[str, int] = {}
     sent: dict[str, int] = {}
-    sentMs: dict[str, int] = {}
+    sent_ms: dict[str, int] = {}
     seen: dict[Member, int] = {}
     parked: dict[Member, dict[int, bytes]] = {}
     unsent: list[Entry] = []
@@ -101,18 +101,18 @@
     coming: tuple[tuple[str, ...], ...] = ()
     readies: set[str] = set()
     ready: bool = False
-    readyAt: int = -1
+    ready_at: int = -1
     same: bool = False
     settled: bool = False
     opened: bool = False
-    openOrdered: bool = False
-    fetchMs: int = -(1 << 40)
+    open_ordered: bool = False
+    fetch_ms: int = -(1 << 40)
     piece: bytearray = field(default_factory=bytearray)
-    pieceIndex: int = -1
+    piece_index: int = -1
     source: str = ""
 
 
-class Hedge(Struct):
+class Synchrony(Struct):
     place: Place
     bounds: Bounds
     seeds: tuple[str, ...]
@@ -122,13 +122,13 @@
     configuration: Configuration
     promised: ConfigurationId
     voters: tuple[str, ...] = ()
-    installedMs: int = 0
+    installed_ms: int = 0
     peers: dict[str, Peer] = {}
-    nowMs: int = 0
-    beatMs: int = -(1 << 40)
-    rosterMs: int = -(1 << 40)
+    now_ms: int = 0
+    beat_ms: int = -(1 << 40)
+    roster_ms: int = -(1 << 40)
     desired: tuple[Member, ...] = ()
-    desiredMs: int = 0
+    desired_ms: int = 0
     obligations: frozenset[Member] = frozenset()
     proposal: Proposal | None = None
     recovery: Recovery | None = None
@@ -137,12 +137,12 @@
     applied: int = 0
     waiting: dict[int, Entry] = {}
     outbox: dict[int, bytes] = {}
-    outboxMs: int = 0
+    outbox_ms: int = 0
     submitted: int = 0
     number: int = 0
     wrote: int = 0
     synced: int = 0
-    acksAt: list[tuple[int, int]] = []
+    acks_at: list[tuple[int, int]] = []
     replays: list[tuple[str, object]] = []
     unwell: bool = False
     leaving: bool = False
@@ -158,35 +158,35 @@
         return self.place.member.name
 
 
-def count(hedge, what, by=1):
-    hedge.counts[what] = hedge.counts.get(what, 0) + by
+def count(synchrony, what, by=1):
+    synchrony.counts[what] = synchrony.counts.get(what, 0) + by
 
 
-def write(hedge, out, record):
-    if hedge.storage:
+def write(synchrony, out, record):
+    if synchrony.storage:
         out.writes.append(record)
-        hedge.wrote += 1
-    return hedge.wrote
+        synchrony.wrote += 1
+    return synchrony.wrote
 
 
 def names(configuration):
     return [m.name for m in configuration.members]
 
 
-def role(hedge, name):
-    if name == hedge.name:
-        return hedge.place.role
-    peer = hedge.peers.get(name)
+def role(synchrony, name):
+    if name == synchrony.name:
+        return synchrony.place.role
+    peer = synchrony.peers.get(name)
     return peer.place.role if peer else "edge"
 
 
-def sequencer(hedge):
-    return hedge.configuration.sequencer
+def sequencer(synchrony):
+    return synchrony.configuration.sequencer
 
 
-def elect(hedge, members):
+def elect(synchrony, members):
     held = sorted(m.name for m in members)
-    return next((n for n in held if role(hedge, n) == "core"), held[0])
+    return next((n for n in held if role(synchrony, n) == "core"), held[0])
 
 
 def majority(voters, present):
@@ -197,10 +197,10 @@
     return all(majority(v, present) for v in (primary.voters, *primary.coming))
 
 
-def begin(place, bounds, seeds, voters, log, nowMs):
+def begin(place, bounds, seeds, voters, log, now_ms):
     storage = place.role == "storage"
     single = ConfigurationId(log.epoch + 1, place.member.name, place.member.boot)
-    hedge = Hedge(
+    synchrony = Synchrony(
         place=place,
         bounds=bounds,
         seeds=tuple(seeds),
@@ -209,10 +209,10 @@
         log=log,
         configuration=Configuration(single, (place.member,), place.member.name),
         promised=single,
-        nowMs=nowMs,
-        installedMs=nowMs,
+        now_ms=now_ms,
+        installed_ms=now_ms,
         applied=log.settled,
     )
     out = Out()
-    write(hedge, out, Booted(place.member.boot, single.epoch))
-    return hedge, out
+    write(synchrony, out, Booted(place.member.boot, single.epoch))
+    return synchrony, out
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -1,6 +1,6 @@
 from . import membership, ordering, recovery, settling, watch
-from .state import Peer, count
 from .events import Asked, Left, Out, Received, Stalled, Synced, Tick
+from .state import Peer, count
 from .words import (
     Ack,
     Batch,
@@ -24,145 +24,145 @@
 EARLY = (Batch, Safe, Submit, Ready, Ack, Fetch)
 
 
-def step(hedge, input):
+def step(synchrony, input):
     out = Out()
-    overslept(hedge, input.nowMs)
+    overslept(synchrony, input.now_ms)
     match input:
         case Tick():
-            ticked(hedge, out)
+            ticked(synchrony, out)
         case Received(_, place, body):
-            if meet(hedge, place):
-                received(hedge, out, place.member.name, body)
+            if meet(synchrony, place):
+                received(synchrony, out, place.member.name, body)
         case Asked(_, payload, end):
-            ordering.asked(hedge, out, payload, end)
-        case Synced(_, upTo):
-            ordering.synced(hedge, out, upTo)
-            recovery.settle(hedge, out)
+            ordering.asked(synchrony, out, payload, end)
+        case Synced(_, up_to):
+            ordering.synced(synchrony, out, up_to)
+            recovery.settle(synchrony, out)
         case Stalled(_, unwell):
-            hedge.unwell = unwell
+            synchrony.unwell = unwell
         case Left():
-            hedge.leaving = True
-            watch.beat(hedge, out)
-            sayRoster(hedge, out)
-    loop(hedge, out)
-    return hedge, out
-
-
-def overslept(hedge, nowMs):
-    if nowMs - hedge.nowMs > hedge.bounds.detectMs:
-        count(hedge, "overslept")
-        for peer in hedge.peers.values():
-            peer.heardMs = peer.grantedMs = -(1 << 40)
+            synchrony.leaving = True
+            watch.beat(synchrony, out)
+            say_roster(synchrony, out)
+    loop(synchrony, out)
+    return synchrony, out
+
+
+def overslept(synchrony, now_ms):
+    if now_ms - synchrony.now_ms > synchrony.bounds.detect_ms:
+        count(synchrony, "overslept")
+        for peer in synchrony.peers.values():
+            peer.heard_ms = peer.granted_ms = -(1 << 40)
             peer.hears = frozenset()
-        hedge.proposal = None
-    hedge.nowMs = max(hedge.nowMs, nowMs)
+        synchrony.proposal = None
+    synchrony.now_ms = max(synchrony.now_ms, now_ms)
 
 
-def loop(hedge, out):
+def loop(synchrony, out):
     while True:
-        mine = [body for name, body in out.sends if name == hedge.name]
-        out.sends = [s for s in out.sends if s[0] != hedge.name]
-        replays, hedge.replays = hedge.replays, []
+        mine = [body for name, body in out.sends if name == synchrony.name]
+        out.sends = [s for s in out.sends if s[0] != synchrony.name]
+        replays, synchrony.replays = synchrony.replays, []
         for body in mine:
-            received(hedge, out, hedge.name, body)
+            received(synchrony, out, synchrony.name, body)
         for frm, body in replays:
-            received(hedge, out, frm, body)
-        ordering.flush(hedge, out)
-        if not any(name == hedge.name for name, _ in out.sends) and not hedge.replays:
+            received(synchrony, out, frm, body)
+        ordering.flush(synchrony, out)
+        if not any(name == synchrony.name for name, _ in out.sends) and not synchrony.replays:
             return
 
 
-def meet(hedge, place):
+def meet(synchrony, place):
     name = place.member.name
-    if name == hedge.name:
+    if name == synchrony.name:
         return False
-    peer = hedge.peers.get(name)
+    peer = synchrony.peers.get(name)
     if peer is None:
-        hedge.peers[name] = Peer(place)
-        hedge.beatMs = -(1 << 40)
+        synchrony.peers[name] = Peer(place)
+        synchrony.beat_ms = -(1 << 40)
     elif peer.place.member.boot != place.member.boot:
-        if place.member in peer.past and hedge.nowMs - peer.heardMs < 2 * hedge.bounds.detectMs:
-            count(hedge, "pastBoot")
+        if place.member in peer.past and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
+            count(synchrony, "past_boot")
             return False
-        hedge.peers[name] = Peer(place, past=(peer.past | {peer.place.member}))
-        hedge.beatMs = -(1 << 40)
+        synchrony.peers[name] = Peer(place, past=(peer.past | {peer.place.member}))
+        synchrony.beat_ms = -(1 << 40)
     elif peer.place != place:
         peer.place = place
     return True
 
 
-def ticked(hedge, out):
-    if hedge.nowMs - hedge.beatMs >= hedge.bounds.beatMs:
-        watch.beat(hedge, out)
-    if hedge.nowMs - hedge.rosterMs >= hedge.bounds.detectMs:
-        sayRoster(hedge, out)
-    membership.shrink(hedge, out)
-    membership.seek(hedge, out)
-    recovery.remind(hedge, out)
-    ordering.remind(hedge, out)
-    ordering.flush(hedge, out, force=True)
-    settling.fetch(hedge, out)
-
-
-def sayRoster(hedge, out):
-    hedge.rosterMs = hedge.nowMs
-    places = (hedge.place, *(p.place for p in hedge.peers.values()))
-    message = Roster(places, hedge.leaving)
-    known = {f"@{p.place.host}:{p.place.port}" for p in hedge.peers.values()}
-    mine = f"@{hedge.place.host}:{hedge.place.port}"
-    for seed in hedge.seeds:
+def ticked(synchrony, out):
+    if synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms:
+        watch.beat(synchrony, out)
+    if synchrony.now_ms - synchrony.roster_ms >= synchrony.bounds.detect_ms:
+        say_roster(synchrony, out)
+    membership.shrink(synchrony, out)
+    membership.seek(synchrony, out)
+    recovery.remind(synchrony, out)
+    ordering.remind(synchrony, out)
+    ordering.flush(synchrony, out, force=True)
+    settling.fetch(synchrony, out)
+
+
+def say_roster(synchrony, out):
+    synchrony.roster_ms = synchrony.now_ms
+    places = (synchrony.place, *(p.place for p in synchrony.peers.values()))
+    message = Roster(places, synchrony.leaving)
+    known = {f"@{p.place.host}:{p.place.port}" for p in synchrony.peers.values()}
+    mine = f"@{synchrony.place.host}:{synchrony.place.port}"
+    for seed in synchrony.seeds:
         if seed not in known and seed != mine:
             out.sends.append((seed, message))
-    for name in hedge.peers:
+    for name in synchrony.peers:
         out.sends.append((name, message))
 
 
-def rostered(hedge, frm, message):
-    hedge.peers[frm].leaving = message.leaving
+def rostered(synchrony, frm, message):
+    synchrony.peers[frm].leaving = message.leaving
     for place in message.places:
-        if place.member.name not in hedge.peers and place.member.name != hedge.name:
-            hedge.peers[place.member.name] = Peer(place)
+        if place.member.name not in synchrony.peers and place.member.name != synchrony.name:
+            synchrony.peers[place.member.name] = Peer(place)
 
 
-def received(hedge, out, frm, body):
-    recovering = hedge.recovery
+def received(synchrony, out, frm, body):
+    recovering = synchrony.recovery
     if recovering and isinstance(body, EARLY) and body.id == recovering.id:
-        if len(hedge.order.early) < hedge.bounds.held:
-            hedge.order.early.append((frm, body))
+        if len(synchrony.order.early) < synchrony.bounds.held:
+            synchrony.order.early.append((frm, body))
         return
     match body:
         case Beat():
-            watch.beaten(hedge, out, frm, body)
+            watch.beaten(synchrony, out, frm, body)
         case Roster():
-            rostered(hedge, frm, body)
+            rostered(synchrony, frm, body)
         case Propose():
-            membership.proposed(hedge, out, frm, body)
+            membership.proposed(synchrony, out, frm, body)
         case TurnAway():
-            membership.turnedAway(hedge, out, frm, body)
+            membership.turned_away(synchrony, out, frm, body)
         case Exchange():
-            membership.exchanged(hedge, out, frm, body)
+            membership.exchanged(synchrony, out, frm, body)
         case Plan():
-            recovery.planned(hedge, out, body)
+            recovery.planned(synchrony, out, body)
         case Rebroadcast():
-            recovery.rebroadcasted(hedge, out, body)
+            recovery.rebroadcasted(synchrony, out, body)
         case Complete():
-            membership.completed(hedge, out, frm, body)
+            membership.completed(synchrony, out, frm, body)
         case Install():
-            recovery.installed(hedge, out, body)
+            recovery.installed(synchrony, out, body)
         case Submit():
-            sender = hedge.me if frm == hedge.name else hedge.peers[frm].place.member
-            ordering.submitted(hedge, out, frm, sender, body)
+            sender = synchrony.me if frm == synchrony.name else synchrony.peers[frm].place.member
+            ordering.submitted(synchrony, out, frm, sender, body)
         case Batch():
-            ordering.batched(hedge, out, frm, body)
+            ordering.batched(synchrony, out, frm, body)
         case Ack():
-            ordering.acked(hedge, out, frm, body)
+            ordering.acked(synchrony, out, frm, body)
         case Safe():
-            ordering.safened(hedge, out, body)
+            ordering.safened(synchrony, out, body)
         case Ready():
-            settling.readied(hedge, out, frm, body)
+            settling.readied(synchrony, out, frm, body)
         case Fetch():
-            settling.fetched(hedge, out, frm, body)
+            settling.fetched(synchrony, out, frm, body)
         case Fill():
-            settling.filled(hedge, out, frm, body)
+            settling.filled(synchrony, out, frm, body)
         case Piece():
-            settling.pieced(hedge, out, frm, body)
+            settling.pieced(synchrony, out, frm, body)
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -2,97 +2,103 @@
 from .words import Beat, Install
 
 
-def alive(hedge, peer):
+def alive(synchrony, peer):
     return (
-        hedge.nowMs - peer.heardMs < hedge.bounds.detectMs
+        synchrony.now_ms - peer.heard_ms < synchrony.bounds.detect_ms
         and not peer.unwell
         and not peer.leaving
-        and hedge.nowMs >= peer.shunnedMs
+        and synchrony.now_ms >= peer.shunned_ms
     )
 
 
-def hearing(hedge):
-    mine = {p.place.member for p in hedge.peers.values() if alive(hedge, p)}
-    graph = {hedge.me: mine}
-    for peer in hedge.peers.values():
-        if alive(hedge, peer) and hedge.me in peer.hears:
+def hearing(synchrony):
+    mine = {p.place.member for p in synchrony.peers.values() if alive(synchrony, p)}
+    graph = {synchrony.me: mine}
+    for peer in synchrony.peers.values():
+        if alive(synchrony, peer) and synchrony.me in peer.hears:
             graph[peer.place.member] = peer.hears
     return graph
 
 
-def desire(hedge):
-    if hedge.unwell or hedge.leaving:
-        return (hedge.me,)
-    graph = hearing(hedge)
-    rest = sorted(graph, key=lambda m: (RANK[role(hedge, m.name)], m.name, m.boot))
+def desire(synchrony):
+    if synchrony.unwell or synchrony.leaving:
+        return (synchrony.me,)
+    graph = hearing(synchrony)
+    rest = sorted(graph, key=lambda m: (RANK[role(synchrony, m.name)], m.name, m.boot))
     while True:
         group = []
         for member in rest:
             if all(member in graph[g] and g in graph[member] for g in group):
                 group.append(member)
-        if hedge.me in group:
+        if synchrony.me in group:
             return tuple(group)
         rest = [m for m in rest if m not in group]
 
 
-def beat(hedge, out):
-    hedge.beatMs = hedge.nowMs
-    hears = tuple(p.place.member for p in hedge.peers.values() if alive(hedge, p))
-    for name, peer in hedge.peers.items():
+def beat(synchrony, out):
+    synchrony.beat_ms = synchrony.now_ms
+    hears = tuple(p.place.member for p in synchrony.peers.values() if alive(synchrony, p))
+    for name, peer in synchrony.peers.items():
         out.sends.append(
             (
                 name,
                 Beat(
-                    hedge.configuration.id,
-                    hedge.promised,
+                    synchrony.configuration.id,
+                    synchrony.promised,
                     hears,
-                    hedge.nowMs,
-                    peer.sentMs,
-                    hedge.unwell or hedge.leaving,
-                    hedge.primary.ready,
-                    hedge.applied,
-                    dict(hedge.news),
+                    synchrony.now_ms,
+                    peer.sent_ms,
+                    synchrony.unwell or synchrony.leaving,
+                    synchrony.primary.ready,
+                    synchrony.applied,
+                    dict(synchrony.news),
                 ),
             )
         )
 
 
-def beaten(hedge, out, frm, message):
-    peer = hedge.peers[frm]
-    peer.heardMs, peer.sentMs = hedge.nowMs, message.sentMs
+def beaten(synchrony, out, frm, message):
+    peer = synchrony.peers[frm]
+    peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
     peer.hears = frozenset(message.hears)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
     peer.news = message.news
-    agreed = message.configuration == hedge.configuration.id == message.promised
-    if agreed and message.echoMs > peer.grantedMs:
-        peer.grantedMs = message.echoMs
-    mine = hedge.configuration.id
-    if message.promised == mine and message.configuration != mine and mine.proposer == hedge.name:
-        if mine.boot == hedge.me.boot:
+    agreed = message.configuration == synchrony.configuration.id == message.promised
+    if agreed and message.echo_ms > peer.granted_ms:
+        peer.granted_ms = message.echo_ms
+    mine = synchrony.configuration.id
+    if message.promised == mine and message.configuration != mine and mine.proposer == synchrony.name:
+        if mine.boot == synchrony.me.boot:
             out.sends.append((frm, Install(mine)))
 
 
-def leaseOk(hedge, nowMs):
-    if not hedge.primary.opened or hedge.recovery is not None or hedge.leaving:
+def lease_ok(synchrony, now_ms):
+    if not synchrony.primary.opened or synchrony.recovery is not None or synchrony.leaving:
         return False
-    if hedge.applied < hedge.primary.base + 1:
+    if synchrony.applied < synchrony.primary.base + 1:
         return False
-    present = {hedge.name}
-    for name, peer in hedge.peers.items():
-        if nowMs - peer.grantedMs < hedge.bounds.leaseMs and peer.place.member in hedge.configuration.members:
+    present = {synchrony.name}
+    for name, peer in synchrony.peers.items():
+        if (
+            now_ms - peer.granted_ms < synchrony.bounds.lease_ms
+            and peer.place.member in synchrony.configuration.members
+        ):
             present.add(name)
-    voters = hedge.voters or hedge.voters0
+    voters = synchrony.voters or synchrony.voters0
     return sum(v in present for v in voters) * 2 > len(voters)
 
 
-def leaseLeftMs(hedge, nowMs):
+def lease_remaining_ms(synchrony, now_ms):
     """How long this daemon's own lease runs on; 0 if it has none."""
-    if not leaseOk(hedge, nowMs):
+    if not lease_ok(synchrony, now_ms):
         return 0
-    voters = hedge.voters or hedge.voters0
+    voters = synchrony.voters or synchrony.voters0
     granted = sorted(
-        (nowMs if v == hedge.name else hedge.peers[v].grantedMs if v in hedge.peers else -(1 << 40) for v in voters),
+        (
+            now_ms if v == synchrony.name else synchrony.peers[v].granted_ms if v in synchrony.peers else -(1 << 40)
+            for v in voters
+        ),
         reverse=True,
     )
-    return max(0, hedge.bounds.leaseMs - (nowMs - granted[len(voters) // 2]))
+    return max(0, synchrony.bounds.lease_ms - (now_ms - granted[len(voters) // 2]))
--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/words.py
@@ -54,8 +54,8 @@
     configuration: ConfigurationId
     promised: ConfigurationId
     hears: tuple[Member, ...]
-    sentMs: int
-    echoMs: int
+    sent_ms: int
+    echo_ms: int
     unwell: bool
     ready: bool
     applied: int
--- a/frostpost/write_ahead_log/disk.py
+++ b/frostpost/write_ahead_log/disk.py
@@ -18,10 +18,10 @@
 class Corrupt(Struct, frozen=True, tag="Corrupt"):
     path: str
     offset: int
-    movedTo: str
+    moved_to: str
 
 
-class Furrow(Struct):
+class WriteAheadLog(Struct):
     folder: str
     name: str
     files: Files = Files()
@@ -39,7 +39,7 @@
     return HEAD.pack(MAGIC, len(payload), serial, sum) + payload
 
 
-def readAt(data, offset):
+def read_at(data, offset):
     if offset + HEAD.size > len(data):
         return None
     magic, length, serial, sum = HEAD.unpack_from(data, offset)
@@ -55,7 +55,7 @@
 def survives(data, offset, serial):
     at = data.find(MAGIC, offset + 1)
     while at >= 0:
-        found = readAt(data, at)
+        found = read_at(data, at)
         if found and found[0] > serial:
             return True
         at = data.find(MAGIC, at + 1)
@@ -65,7 +65,7 @@
 def scan(data):
     payloads, offset, serial = [], 0, 0
     while offset < len(data):
-        found = readAt(data, offset)
+        found = read_at(data, offset)
         if found is None or found[0] != serial + 1:
             return payloads, offset, serial, survives(data, offset, serial)
         serial, payload, offset = found
@@ -75,27 +75,27 @@
 
 def open_(folder, name, files=Files()):
     files.makedirs(folder, exist_ok=True)
-    furrow = Furrow(folder, name, files)
-    data = files.read(furrow.path) if files.exists(furrow.path) else b""
+    write_ahead_log = WriteAheadLog(folder, name, files)
+    data = files.read(write_ahead_log.path) if files.exists(write_ahead_log.path) else b""
     payloads, offset, serial, corrupt = scan(data)
     fault = None
     if corrupt:
-        moved = f"{furrow.path}.corrupt-{offset}"
-        files.replace(furrow.path, moved)
-        fault = Corrupt(furrow.path, offset, moved)
+        moved = f"{write_ahead_log.path}.corrupt-{offset}"
+        files.replace(write_ahead_log.path, moved)
+        fault = Corrupt(write_ahead_log.path, offset, moved)
         payloads, offset, serial = [], 0, 0
     elif offset < len(data):
-        fault = Torn(furrow.path, offset)
-    furrow.fd = files.open(furrow.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+        fault = Torn(write_ahead_log.path, offset)
+    write_ahead_log.fd = files.open(write_ahead_log.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
     if offset < len(data) and not corrupt:
-        files.ftruncate(furrow.fd, offset)
-        files.fsync(furrow.fd)
-    furrow.serial, furrow.size = serial, offset
-    syncFolder(files, folder)
-    return furrow, payloads, fault
+        files.ftruncate(write_ahead_log.fd, offset)
+        files.fsync(write_ahead_log.fd)
+    write_ahead_log.serial, write_ahead_log.size = serial, offset
+    sync_folder(files, folder)
+    return write_ahead_log, payloads, fault
 
 
-def syncFolder(files, folder):
+def sync_folder(files, folder):
     fd = files.open(folder, os.O_RDONLY)
     try:
         files.fsync(fd)
@@ -103,8 +103,8 @@
         files.close(fd)
 
 
-def append(furrow, payloads):
-    parts, serial = [], furrow.serial
+def append(write_ahead_log, payloads):
+    parts, serial = [], write_ahead_log.serial
     for payload in payloads:
         serial += 1
         parts.append(seal(serial, payload))
@@ -112,27 +112,27 @@
     view = memoryview(data)
     try:
         while view:
-            view = view[furrow.files.write(furrow.fd, view) :]
+            view = view[write_ahead_log.files.write(write_ahead_log.fd, view) :]
     except OSError:
-        furrow.files.ftruncate(furrow.fd, furrow.size)
+        write_ahead_log.files.ftruncate(write_ahead_log.fd, write_ahead_log.size)
         raise
-    furrow.serial = serial
-    furrow.size += len(data)
+    write_ahead_log.serial = serial
+    write_ahead_log.size += len(data)
 
 
 class SyncLost(OSError):
     pass
 
 
-def sync(furrow):
+def sync(write_ahead_log):
     try:
-        furrow.files.fdatasync(furrow.fd)
+        write_ahead_log.files.fdatasync(write_ahead_log.fd)
     except OSError as fault:
         raise SyncLost(*fault.args) from fault
 
 
-def rewrite(furrow, payloads):
-    files, fresh = furrow.files, f"{furrow.path}.new"
+def rewrite(write_ahead_log, payloads):
+    files, fresh = write_ahead_log.files, f"{write_ahead_log.path}.new"
     data = b"".join(seal(n, p) for n, p in enumerate(payloads, 1))
     fd = files.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o644)
     try:
@@ -140,20 +140,20 @@
         while view:
             view = view[files.write(fd, view) :]
         files.fsync(fd)
-        files.replace(fresh, furrow.path)
+        files.replace(fresh, write_ahead_log.path)
     except OSError:
         files.close(fd)
         raise
-    old, furrow.fd = furrow.fd, fd
-    furrow.serial, furrow.size = len(payloads), len(data)
+    old, write_ahead_log.fd = write_ahead_log.fd, fd
+    write_ahead_log.serial, write_ahead_log.size = len(payloads), len(data)
     files.close(old)
     try:
-        syncFolder(files, furrow.folder)
+        sync_folder(files, write_ahead_log.folder)
     except OSError as fault:
         raise SyncLost(*fault.args) from fault
 
 
-def close(furrow):
-    if furrow.fd >= 0:
-        furrow.files.close(furrow.fd)
-        furrow.fd = -1
+def close(write_ahead_log):
+    if write_ahead_log.fd >= 0:
+        write_ahead_log.files.close(write_ahead_log.fd)
+        write_ahead_log.fd = -1
--- a/tests/test_copse_days.py
+++ b/tests/test_fleet_simulator_days.py
@@ -1,7 +1,6 @@
 import pytest
-
-from copse.main import SHAPES
-from copse.play import play
+from fleet_simulator.main import SHAPES
+from fleet_simulator.play import play
 
 PLANNED = ("add_storage", "drain", "retire", "roll_edge", "roll_storage")
 
--- a/tests/test_copse_founding.py
+++ b/tests/test_fleet_simulator_founding.py
@@ -1,10 +1,9 @@
 from random import Random
 
 import pytest
-
-from copse import stage as plays
-from copse import world as worlds
-from copse.world import Shape
+from fleet_simulator import stage as plays
+from fleet_simulator import world as worlds
+from fleet_simulator.world import Shape
 
 
 def founded(seed, waits_ms, shape=None):
--- a/tests/test_copse_plants.py
+++ b/tests/test_fleet_simulator_plants.py
@@ -1,7 +1,6 @@
 import pytest
-
-from copse.plants import PLANTS, planted
-from copse.play import play
+from fleet_simulator.plants import PLANTS, planted
+from fleet_simulator.play import play
 
 CAUGHT = {
     "claim_skipped": ("TWICE", [1], {}),
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -9,9 +9,9 @@
 from twisted.internet.testing import StringTransport
 
 from frostpost.cluster.context import Leaf
-from frostpost.proxy.failures import Unavailable
 from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
+from frostpost.proxy.failures import Unavailable
 
 SERVICES = [{"name": "s1", "max-connections": 9}]
 ROUTE = {"name": "r1", "host": "a", "path-prefix": "/x/", "route-class": "safe", "guard-ms": 900, "target": "s1"}
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -3,15 +3,15 @@
 import pytest
 import yaml
 from msgspec import json, msgpack, structs
+from test_cluster_lease import new_leaf
+from test_platform_front import Fleet
+from test_platform_settings import DOCUMENT
 from twisted.internet.task import Clock
 
 from frostpost.cluster import asking, tracing
+from frostpost.platform import main, settings
 from frostpost.program_ledger.words import End, Ended, LookRouting
 from frostpost.virtual_synchrony.outer import Told
-from frostpost.platform import main, settings
-from test_canopy_lease import new_leaf
-from test_platform_front import Fleet
-from test_platform_settings import DOCUMENT
 
 
 @pytest.fixture
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,9 +5,9 @@
 import pytest
 from msgspec import structs
 
-from frostpost.proxy.words import Call, Runner
 from frostpost.platform import listing
 from frostpost.platform.wire import wire
+from frostpost.proxy.words import Call, Runner
 
 ROOT = Path(__file__).parent.parent
 NAMES = """X-Attempt-Id X-Time-Remaining X-Operation-Key X-Target-Instance X-Server-Seal X-Not-Executed X-Instance-Load
--- /dev/null
+++ b/tests/test_program_ledger_placement.py
@@ -0,0 +1,111 @@
+import pytest
+
+from frostpost.program_ledger import apply as program_ledgers
+from frostpost.program_ledger.state import ProgramLedger
+from frostpost.program_ledger.words import Abort, Begin, Begun, Candidate, End, Move, NoPlace
+
+TWO = (Candidate("r0", 4), Candidate("r1", 4))
+PARTS = (("system", 5000), ("tools", 4000), ("first", 3000))
+
+
+def begin(program_ledger, name, candidates=TWO, parts=(), previous="", now_ms=0, cache=0, prompt_tokens=0):
+    op = Begin(
+        name, name, 0, 1, previous, 5000, candidates, tuple(parts), prompt_tokens=prompt_tokens, cache_tokens=cache
+    )
+    verdict = program_ledgers.act(program_ledger, now_ms, (), (), op)
+    return verdict.runner if isinstance(verdict, Begun) else verdict
+
+
+def test_attempts_with_nothing_read_spread_by_what_is_under_way():
+    program_ledger = ProgramLedger()
+    assert [begin(program_ledger, f"a{n}") for n in range(6)] == ["r0", "r1"] * 3
+
+
+def test_spread_is_by_the_share_of_slots_taken():
+    program_ledger, uneven = ProgramLedger(), (Candidate("small", 2), Candidate("large", 6))
+    assert sorted(begin(program_ledger, f"a{n}", uneven) for n in range(8)) == ["large"] * 6 + ["small"] * 2
+
+
+def test_runner_that_read_the_prefix_is_preferred_and_a_longer_prefix_more():
+    program_ledger = ProgramLedger()
+    assert begin(program_ledger, "x", TWO[1:], PARTS[:1]) == "r1"
+    assert begin(program_ledger, "y", TWO[:1], PARTS) == "r0"
+    for name in "xy":
+        program_ledgers.act(program_ledger, 0, (), (), Abort(name))
+    assert begin(program_ledger, "z", TWO[::-1], PARTS) == "r0"
+
+
+def test_parts_after_one_that_the_runner_lacks_do_not_count():
+    program_ledger = ProgramLedger()
+    begin(program_ledger, "x", TWO[1:], PARTS)
+    program_ledgers.act(program_ledger, 0, (), (), Abort("x"))
+    assert begin(program_ledger, "y", TWO, (("other", 1), *PARTS)) == "r0"
+
+
+def test_runner_of_the_turn_before_is_preferred_until_it_costs_more():
+    program_ledger = ProgramLedger()
+    assert begin(program_ledger, "a", TWO[1:], prompt_tokens=7000) == "r1"
+    program_ledgers.act(program_ledger, 0, (), (), End("a", 500, 60000))
+    assert [begin(program_ledger, f"b{n}", previous="a") for n in range(3)] == ["r1", "r1", "r0"]
+
+
+@pytest.mark.parametrize("slots", [1, 3])
+def test_never_more_under_way_than_slots_though_the_prefix_is_there(slots):
+    program_ledger, one = ProgramLedger(), (Candidate("r0", slots),)
+    assert [begin(program_ledger, f"a{n}", one, PARTS) for n in range(slots)] == ["r0"] * slots
+    assert begin(program_ledger, "more", one, PARTS) == NoPlace(20)
+    assert "more" not in program_ledger.attempts and "more" not in program_ledger.accounts
+    program_ledgers.act(program_ledger, 0, (), (), Abort("a0"))
+    assert begin(program_ledger, "more", one, PARTS) == "r0"
+
+
+def test_penalty_outweighs_what_was_read():
+    program_ledger = ProgramLedger()
+    begin(program_ledger, "x", TWO[:1], PARTS)
+    assert begin(program_ledger, "y", (Candidate("r0", 4, 20000), TWO[1]), PARTS) == "r1"
+
+
+def test_least_recently_used_parts_go_first_and_the_bound_holds():
+    program_ledger = ProgramLedger()
+    for n, part in enumerate("abcab"):
+        begin(program_ledger, f"x{n}", (Candidate("r0", 99),), [(part, 100)], cache=300)
+    begin(program_ledger, "d", (Candidate("r0", 99),), [("d", 150)], cache=300)
+    use = program_ledger.runners["r0"]
+    assert list(use.parts.items()) == [("b", 100), ("d", 150)] and use.tokens == 250
+
+
+def test_one_part_above_the_bound_is_held_alone_and_a_part_read_again_counts_once():
+    program_ledger = ProgramLedger()
+    for n in range(3):
+        begin(program_ledger, f"x{n}", (Candidate("r0", 9),), [("a", 10), ("big", 1000)], cache=300)
+    use = program_ledger.runners["r0"]
+    assert use.parts == {"big": 1000} and use.tokens == 1000
+
+
+def test_move_frees_the_old_runner_and_names_the_new_one():
+    program_ledger = ProgramLedger()
+    assert begin(program_ledger, "a") == "r0"
+    assert program_ledgers.act(program_ledger, 0, (), (), Move("a", TWO[1:])) == Begun("r1", ())
+    assert {n: u.active for n, u in program_ledger.runners.items()} == {"r0": 0, "r1": 1}
+
+
+def test_move_without_room_leaves_the_attempt_open_on_no_runner():
+    program_ledger, one = ProgramLedger(), (Candidate("r1", 1),)
+    begin(program_ledger, "full", one)
+    begin(program_ledger, "a", TWO[:1])
+    assert program_ledgers.act(program_ledger, 0, (), (), Move("a", one)) == NoPlace(20)
+    assert program_ledger.runners["r0"].active == 0 and "a" in program_ledger.attempts
+    program_ledgers.act(program_ledger, 0, (), (), Abort("a"))
+    assert {n: u.active for n, u in program_ledger.runners.items()} == {"r0": 0, "r1": 1}
+
+
+def test_idle_runner_is_forgotten_and_a_busy_one_is_not():
+    program_ledger = ProgramLedger()
+    begin(program_ledger, "a", (Candidate("idle", 1),), PARTS)
+    program_ledgers.act(program_ledger, 0, (), (), Abort("a"))
+    op = Begin("b", "b", 0, 1, "", 900000, (Candidate("busy", 1),))
+    program_ledgers.act(program_ledger, 0, (), (), op)
+    program_ledgers.expire(program_ledger, 60000)
+    assert set(program_ledger.runners) == {"idle", "busy"}
+    program_ledgers.expire(program_ledger, 60001)
+    assert set(program_ledger.runners) == {"busy"}
--- a/tests/test_drove_lookup.py
+++ b/tests/test_proxy_lookup.py
@@ -1,7 +1,6 @@
 import pytest
-
-from test_drove_stage import Stage, a_route, a_runner, answer_bytes
 from expression import Ok
+from test_proxy_stage import Stage, a_route, a_runner, answer_bytes
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
--- a/tests/test_drove_parts.py
+++ b/tests/test_proxy_parts.py
@@ -1,6 +1,5 @@
 import pytest
-
-from test_drove_stage import Stage, a_route, a_runner
+from test_proxy_stage import Stage, a_route, a_runner
 
 from frostpost.proxy.events import EventParser
 from frostpost.proxy.outcomes import Broken, NotSent
--- a/tests/test_drove_roster.py
+++ b/tests/test_proxy_roster.py
@@ -8,10 +8,10 @@
 
 from frostpost.cluster.context import Leaf
 from frostpost.cluster.lease import session
+from frostpost.daemon.machine import Machine
 from frostpost.proxy import roster
 from frostpost.proxy.words import Runner
 from frostpost.virtual_synchrony.places import Member, Place
-from frostpost.daemon.machine import Machine
 
 
 def a_runner(name, **more):
--- a/tests/test_drove_stage.py
+++ b/tests/test_proxy_stage.py
@@ -14,11 +14,11 @@
         vars(stub).update(dict.fromkeys(names))
 
 from frostpost.cluster.context import Leaf
+from frostpost.daemon.machine import Machine
 from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, End, Ended
 from frostpost.proxy import keyed, pool, serve, turn
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
-from frostpost.daemon.machine import Machine
 
 
 def a_route(**more):
--- a/tests/test_drove_stream.py
+++ b/tests/test_proxy_stream.py
@@ -1,7 +1,6 @@
 import pytest
-
-from test_drove_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
-from expression import Ok, Error
+from expression import Error, Ok
+from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
--- a/tests/test_silo_client.py
+++ b/tests/test_turn_store_client.py
@@ -2,14 +2,14 @@
 
 import pytest
 from expression import Ok
+from test_turn_store_drive import machine_of, outcome
 from twisted.internet.task import Clock
 
 from frostpost.cluster.context import Leaf
 from frostpost.proxy.failures import Unavailable
+from frostpost.turn_store import cache, client
 from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
 from frostpost.virtual_synchrony.places import Member
-from frostpost.turn_store import cache, client
-from test_silo_drive import machine_of, outcome
 
 RING = {f"s{n}": f"@s{n}:1" for n in range(3)}
 
