--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -103,7 +103,9 @@
     held.sequencer, held.heard_ms = place.member.name, now
     if grant.lease_ms > 0:
         held.until_ms = max(held.until_ms, grant.sent_ms + grant.lease_ms)
-    held.voters, held.version, held.honoured = grant.voters, grant.version, grant.honoured
+    held.voters, held.version = grant.voters, grant.version
+    # What every running lease has honoured stays so: no later lease is granted on an older routing.
+    held.honoured = max(held.honoured, grant.honoured)
     held.leaves = max(1, grant.leaves)
     if grant.draining and "drained" in leaf.extras:
         leaf.extras["drained"](grant.draining)
--- a/frostpost/cluster/operating.py
+++ b/frostpost/cluster/operating.py
@@ -1,4 +1,8 @@
-"""What control calls ask of the ring."""
+"""What control calls ask of the ring.
+
+Every function hands in an operation that is ordered after the call came: its verdict is delivered as safe, which takes an
+acknowledgement of a majority of the voters made since. Nothing here is answered from this daemon's own copy.
+"""
 
 from expression import Error, Ok
 from twisted.internet.defer import Deferred, inlineCallbacks
@@ -7,6 +11,7 @@
     LookRetired,
     LookRouting,
     Retire,
+    RoutingForgotten,
     RoutingHeld,
     RoutingMoved,
     RoutingSet,
@@ -19,6 +24,7 @@
 from .lease import renew, session
 
 STEP_MS = 20
+REMEMBER_RATIO = 150
 
 
 def pause(leaf, wait_ms):
@@ -28,14 +34,28 @@
 
 
 @inlineCallbacks
-def set_routing(leaf, base, version, body, wait_ms):
-    """-> Result[version, RoutingMoved | Unavailable]; Ok once every daemon with a running lease honours it."""
+def set_routing(leaf, base, version, body, digest, wait_ms):
+    """Replace the routing `base` -> Result[version, RoutingMoved | RoutingForgotten | Unavailable].
+
+    digest: tells this change from others of its number; one that was taken before is Ok again. Ok comes once every daemon
+    with a running lease honours this version or a later one. After Unavailable the change may be taken at any later time.
+    """
     until_ms = now_ms(leaf) + wait_ms
-    result = yield look(leaf, SetRouting(base, version, body), wait_ms)
+    change = SetRouting(base, version, body, digest, leaf.settings.ack_ms * REMEMBER_RATIO)
+    result = yield look(leaf, change, wait_ms)
     if result.is_error():
         return result
     if not isinstance(result.ok, RoutingSet):
-        return Error(result.ok if isinstance(result.ok, RoutingMoved) else Unavailable(RETRY_MS, "verdict"))
+        refused = isinstance(result.ok, (RoutingMoved, RoutingForgotten))
+        return Error(result.ok if refused else Unavailable(RETRY_MS, "verdict"))
+    result = yield honoured(leaf, version, until_ms - now_ms(leaf))
+    return result
+
+
+@inlineCallbacks
+def honoured(leaf, version, wait_ms):
+    """Wait until every daemon with a running lease honours a version that was taken -> Result[version, Unavailable]."""
+    until_ms = now_ms(leaf) + wait_ms
     while session(leaf).honoured < version:
         if now_ms(leaf) >= until_ms:
             return Error(Unavailable(RETRY_MS, "not honoured everywhere yet"))
@@ -52,9 +72,9 @@
     return result
 
 
-def look_routing(leaf, wait_ms):
-    """-> Deferred[Result[RoutingHeld, Unavailable]], as the ring's order has it now."""
-    return verdict_of(leaf, LookRouting(), RoutingHeld, wait_ms)
+def look_routing(leaf, wait_ms, version=0, digest=b""):
+    """-> Deferred[Result[RoutingHeld, Unavailable]], as the ring's order has it now, with what became of a change."""
+    return verdict_of(leaf, LookRouting(version, digest), RoutingHeld, wait_ms)
 
 
 def retire(leaf, name, wait_ms):
@@ -63,4 +83,5 @@
 
 
 def look_retired(leaf, name, wait_ms):
+    """-> Deferred[Result[RetireState, Unavailable]]: how far the emptying of a storage daemon is."""
     return verdict_of(leaf, LookRetired(name), None, wait_ms)
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -1,4 +1,9 @@
-"""Calls of the platform's operator, translated into the product's own operations."""
+"""Calls of the platform's operator, translated into the product's own operations.
+
+No answer rests on this daemon's own copy: each but a syntactic 400 and a 404 for an unknown path follows a verdict that
+was ordered after the call came. Where none comes in time, the answer is 503, well before the caller takes silence for a
+failure: a change may be taken then or not, and is known again when it is sent again.
+"""
 
 from importlib import import_module
 
@@ -7,13 +12,19 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.context import now_ms
+from frostpost.cluster.lease import lease_ok
 from frostpost.daemon.news import say
+from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import ClientBounds
 
 from . import names, routing
 from .server import Server, reply
 
-WAIT_MS, LEAST_WAIT_MS, RETRY_MS, MOST_CHANNELS = 900, 100, 100, 128
+# After this much silence a caller goes on to another daemon; it waits longer for a large body.
+SILENCE_MS, BYTES_PER_MS = 1000, 1000
+# Shares of the silence: for a verdict, for a verdict without a lease, and for the whole answer.
+CONTACT_RATIO, OUT_OF_TOUCH_RATIO, ANSWER_RATIO = 0.5, 0.2, 0.8
+RETRY_MS, MOST_CHANNELS = 100, 128
 BOUNDS = ClientBounds(body_bytes=64 << 20)
 JSON = (b"Content-Type", b"application/json")
 ROOT = b"/frostpost/"
@@ -25,14 +36,46 @@
 
     issue: int
     base: int
-    digest: str
+    digest: bytes
     make: object
 
 
+class Allowed(Struct):
+    """Until when a call may wait: for its verdict, and for its answer."""
+
+    contact_ms: int
+    answer_ms: int
+
+
+class Moved(Struct, frozen=True, tag="RoutingMoved"):
+    """Another version is current."""
+
+    version: int
+
+
+class Refused(Struct, frozen=True):
+    """Why a call isn't answered with 200, as the status and the error that its caller is told."""
+
+    status: int
+    error: object
+
+
 def operating():
     return import_module("frostpost.cluster.operating")
 
 
+def allowed(leaf, body_bytes=0):
+    """What a call that has just come may wait."""
+    now = now_ms(leaf)
+    contact = CONTACT_RATIO if lease_ok(leaf) else OUT_OF_TOUCH_RATIO
+    answer_ms = int(SILENCE_MS * ANSWER_RATIO) + body_bytes // BYTES_PER_MS
+    return Allowed(now + int(SILENCE_MS * contact), now + answer_ms)
+
+
+def remaining_ms(leaf, until_ms):
+    return max(0, until_ms - now_ms(leaf))
+
+
 def say_no(request, status, fault):
     reply(request, status, json.encode(fault), [JSON])
 
@@ -43,12 +86,12 @@
 
 
 def base_of(request):
-    value = request.getHeader(names.BASE)
-    return int(value) if value is not None and value.strip().isdigit() else None
+    value = (request.getHeader(names.BASE) or b"").strip()
+    return int(value) if value.isascii() and value.isdigit() and len(value) <= len(str(routing.MOST_ISSUE)) else None
 
 
 def asked(request, kind):
-    """Result[Change, RoutingInvalid] of a request."""
+    """Result[Change, RoutingInvalid] of a request; judged by what it says alone."""
     base = base_of(request)
     if base is None:
         return Error(routing.RoutingInvalid("X-Base-Revision", "is missing or no number"))
@@ -60,75 +103,78 @@
         lambda change: Change(
             change["issue"],
             base,
-            routing.digest(kind, change),
+            routing.digest(f"{kind} {base}", change),
             lambda held: routing.read_json(held).bind(lambda document: routing.check(routing.merge(document, change))),
         )
     )
 
 
-def wait_ms(leaf, until_ms):
-    return max(LEAST_WAIT_MS, until_ms - now_ms(leaf))
+def judged(change, held):
+    """Result[body to take in, Refused] of a change that wasn't taken, by the version that was looked up for it."""
+    if change.base != held.version:
+        return Error(Refused(412, Moved(held.version)))
+    if change.issue <= held.version:
+        return Error(Refused(400, routing.RoutingInvalid("issue", "is not above the current one")))
+    made = change.make(routing.document_of(held.body))
+    return made.map(lambda found: routing.to_body(found[0])).map_error(lambda error: Refused(400, error))
 
 
 @inlineCallbacks
-def honour(leaf, request, change, held, until_ms):
-    """A change that was taken already is acknowledged once the held version is honoured everywhere."""
-    result = yield operating().set_routing(leaf, change.base, held.version, held.body, wait_ms(leaf, until_ms))
-    if result.is_ok():
-        reply(request, 200, json.encode({"issue": change.issue}), [JSON])
-    else:
-        unavailable(request, result.error)
+def settle(leaf, change, until):
+    """Take a change in, or find it taken -> Result[version, Refused]."""
+    held = yield operating().look_routing(leaf, remaining_ms(leaf, until.contact_ms), change.issue, change.digest)
+    if held.is_error():
+        return Error(Refused(503, held.error))
+    held = held.ok
+    if held.uncertain:
+        return Error(Refused(503, Unavailable(RETRY_MS, "may have been taken too long ago to be known")))
+    if held.taken:
+        result = yield operating().honoured(leaf, change.issue, remaining_ms(leaf, until.answer_ms))
+        return result.map_error(lambda error: Refused(503, error))
+    body = judged(change, held)
+    if body.is_error():
+        return body
+    result = yield operating().set_routing(
+        leaf, change.base, change.issue, body.ok, change.digest, remaining_ms(leaf, until.answer_ms)
+    )
+    return result.map_error(refused)
 
 
-@inlineCallbacks
-def put(leaf, request, change, until_ms, again=False):
-    """Take a change in, or say why not; a change is looked for among those taken before it is judged."""
-    looked = yield operating().look_routing(leaf, wait_ms(leaf, until_ms))
-    if looked.is_error():
-        return unavailable(request, looked.error)
-    held = looked.ok
-    document, taken = routing.from_body(held.body)
-    if (change.issue, change.digest) in taken:
-        yield honour(leaf, request, change, held, until_ms)
-        return None
-    if again or change.base != held.version:
-        return say_no(request, 412, {"type": "RoutingMoved", "version": held.version})
-    if change.issue <= held.version:
-        return say_no(request, 400, routing.RoutingInvalid("issue", "is not above the current one"))
-    made = change.make(document)
-    if made.is_error():
-        return say_no(request, 400, made.error)
-    body = routing.to_body(made.ok[0], [*taken, (change.issue, change.digest)])
-    result = yield operating().set_routing(leaf, change.base, change.issue, body, wait_ms(leaf, until_ms))
-    if result.is_ok():
-        return reply(request, 200, json.encode({"issue": change.issue}), [JSON])
-    if isinstance(result.error, operating().RoutingMoved):
-        yield put(leaf, request, change, until_ms, again=True)
-        return None
-    return unavailable(request, result.error)
+def refused(error):
+    """How a caller is told why the ledger didn't take its change."""
+    if isinstance(error, operating().RoutingMoved):
+        return Refused(412, Moved(error.version))
+    return Refused(503, error)
 
 
 @inlineCallbacks
 def change_routing(leaf, request, kind):
+    until = allowed(leaf, len(request.body))
     change = asked(request, kind)
     if change.is_error():
         say_no(request, 400, change.error)
         return
-    yield put(leaf, request, change.ok, now_ms(leaf) + WAIT_MS + len(request.body) // 1000)
+    result = yield settle(leaf, change.ok, until)
+    if result.is_ok():
+        reply(request, 200, json.encode({"issue": change.ok.issue}), [JSON])
+    elif result.error.status == 503:
+        unavailable(request, result.error.error)
+    else:
+        say_no(request, result.error.status, result.error.error)
 
 
 @inlineCallbacks
 def query(leaf, request):
-    looked = yield operating().look_routing(leaf, WAIT_MS)
+    looked = yield operating().look_routing(leaf, remaining_ms(leaf, allowed(leaf).contact_ms))
     if looked.is_error():
         unavailable(request, looked.error)
     else:
-        reply(request, 200, routing.from_body(looked.ok.body)[0], [JSON])
+        reply(request, 200, routing.document_of(looked.ok.body), [JSON])
 
 
 @inlineCallbacks
 def retire(leaf, request, name, ask):
-    result = yield ask(leaf, name, WAIT_MS)
+    result = yield ask(leaf, name, remaining_ms(leaf, allowed(leaf).contact_ms))
     if result.is_error():
         unavailable(request, result.error)
         return
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -14,19 +14,20 @@
 from .strict_json import RoutingInvalid, read_json
 
 KINDS = ("safe", "unsafe", "idempotent", "streaming")
-MOST_TAKEN = 64
+MOST_ISSUE = (1 << 63) - 1
+DIGEST_BYTES = 16
+EMPTY = b'{"issue":0,"route-table":[],"service-table":[]}'
 
 
 class Stored(Struct):
-    """What is kept under one version: the document, and the digests of the requests that led to it."""
+    """What is kept under one version."""
 
     document: Raw
-    taken: list[tuple[int, str]] = []
 
 
 WHOLE = Validator(
     {
-        "issue": {"type": "integer", "required": True, "min": 1},
+        "issue": {"type": "integer", "required": True, "min": 1, "max": MOST_ISSUE},
         "route-table": {"type": "list", "required": True},
         "service-table": {"type": "list", "required": True},
         "limits": {"type": "dict", "nullable": True},
@@ -35,7 +36,7 @@
 )
 CHANGE = Validator(
     {
-        "issue": {"type": "integer", "required": True, "min": 1},
+        "issue": {"type": "integer", "required": True, "min": 1, "max": MOST_ISSUE},
         "upsert": {"type": "dict", "nullable": True, "valuesrules": {"type": ["list", "dict"]}},
         "remove": {"type": "dict", "nullable": True, "valuesrules": {"type": "list", "schema": {"type": "string"}}},
         "limits": {"type": "dict", "nullable": True},
@@ -204,22 +205,20 @@
 
 def digest(kind, document):
     """The same for two requests that say the same."""
-    return sha256(f"{kind} {json.dumps(document, sort_keys=True)}".encode()).hexdigest()[:32]
+    return sha256(f"{kind} {json.dumps(document, sort_keys=True)}".encode()).digest()[:DIGEST_BYTES]
 
 
-def to_body(document, taken=()):
+def to_body(document):
+    """The bytes that are kept and told to all daemons for a document."""
     text = json.dumps(document, separators=(",", ":"), allow_nan=False).encode()
-    return msgspec.json.encode(Stored(Raw(text), list(taken)[-MOST_TAKEN:]))
+    return msgspec.json.encode(Stored(Raw(text)))
 
 
-def from_body(body):
-    """(document's bytes, requests taken) of a stored body; an empty body is the empty configuration."""
-    if not body:
-        return b'{"issue":0,"route-table":[],"service-table":[]}', []
-    stored = msgspec.json.decode(body, type=Stored)
-    return bytes(stored.document), stored.taken
+def document_of(body):
+    """A document's bytes of a stored body; an empty body is the empty configuration."""
+    return bytes(msgspec.json.decode(body, type=Stored).document) if body else EMPTY
 
 
 def routing_from_body(body):
     """Routing of a stored body."""
-    return translate(msgspec.json.decode(from_body(body)[0], type=Document))
+    return translate(msgspec.json.decode(document_of(body), type=Document))
--- a/frostpost/program_ledger/settings.py
+++ b/frostpost/program_ledger/settings.py
@@ -1,19 +1,27 @@
 """The routing, one version after another, and storage daemons that are to be emptied."""
 
-from .words import NoAttempt, RetireState, RoutingHeld, RoutingMoved, RoutingSet
+from . import taken_changes
+from .words import NoAttempt, RetireState, RoutingForgotten, RoutingHeld, RoutingMoved, RoutingSet
 
 
 def set_routing(program_ledger, now_ms, op):
-    if op.version == program_ledger.routing_version and op.body == program_ledger.routing_body:
+    """Take a change on top of the version that it names; one that was taken already is told so, whatever came after."""
+    if taken_changes.was_taken(program_ledger, op.version, op.digest):
         return RoutingSet(op.version)
+    if taken_changes.may_be_forgotten(program_ledger, op.version):
+        return RoutingForgotten(op.version)
     if op.base != program_ledger.routing_version or op.version <= program_ledger.routing_version:
         return RoutingMoved(program_ledger.routing_version)
     program_ledger.routing_version, program_ledger.routing_body = op.version, op.body
+    taken_changes.remember(program_ledger, now_ms, op.version, op.digest, op.keep_ms)
     return RoutingSet(op.version)
 
 
 def look_routing(program_ledger, now_ms, op):
-    return RoutingHeld(program_ledger.routing_version, program_ledger.routing_body)
+    """The routing as it is at this place of the order."""
+    taken = taken_changes.was_taken(program_ledger, op.version, op.digest)
+    uncertain = not taken and taken_changes.may_be_forgotten(program_ledger, op.version)
+    return RoutingHeld(program_ledger.routing_version, program_ledger.routing_body, taken, uncertain)
 
 
 def retire(program_ledger, present, voters, op):
--- a/frostpost/program_ledger/state.py
+++ b/frostpost/program_ledger/state.py
@@ -52,8 +52,16 @@
     used_ms: int = 0
 
 
+class TakenChange(Struct, array_like=True):
+    """A change of the routing that was taken. digest: what it said; until_ms: when its time to be remembered is over."""
+
+    digest: bytes
+    until_ms: int
+
+
 class ProgramLedger(Struct, array_like=True):
-    """tombs: attempts that are over, until when; refused: what those that were refused were told."""
+    """tombs: attempts that are over, until when; refused: what those that were refused were told.
+    taken: changes of the routing by the version that they led to, oldest first; see `taken_changes`."""
 
     turns: dict[str, Turn] = {}
     attempts: dict[str, Attempt] = {}
@@ -66,3 +74,5 @@
     routing_body: bytes = b""
     retiring: dict[str, str] = {}
     expiries: list[tuple[int, str, str]] = []
+    taken: dict[int, TakenChange] = {}
+    forgotten_version: int = 0
--- a/frostpost/program_ledger/words.py
+++ b/frostpost/program_ledger/words.py
@@ -73,13 +73,20 @@
 
 
 class SetRouting(Struct, array_like=True, frozen=True, tag="setRouting"):
+    """Replace the routing `base` by `version`. digest: of the change as asked for, remembered for `keep_ms`."""
+
     base: int
     version: int
     body: bytes
+    digest: bytes
+    keep_ms: int
 
 
 class LookRouting(Struct, array_like=True, frozen=True, tag="lookRouting"):
-    pass
+    """Read the routing, and whether the change of this number and digest was taken."""
+
+    version: int = 0
+    digest: bytes = b""
 
 
 class Retire(Struct, array_like=True, frozen=True, tag="retire"):
@@ -152,8 +159,18 @@
 
 
 class RoutingHeld(Struct, array_like=True, frozen=True, tag="routingHeld"):
+    """The routing. taken: whether the change asked about led to a version; uncertain: whether that is forgotten."""
+
     version: int
     body: bytes
+    taken: bool = False
+    uncertain: bool = False
+
+
+class RoutingForgotten(Struct, array_like=True, frozen=True, tag="RoutingForgotten"):
+    """The change may have been taken, longer ago than is remembered."""
+
+    version: int
 
 
 class RetireState(Struct, array_like=True, frozen=True, tag="retireState"):
@@ -175,5 +192,6 @@
     | RoutingSet
     | RoutingMoved
     | RoutingHeld
+    | RoutingForgotten
     | RetireState
 )
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -120,7 +120,7 @@
 def change_routing(seed, size):
     """-> milliseconds until all leaves with a lease honour a new routing of that many bytes, None if they don't."""
     begun_s = reactor.seconds()
-    result = yield operating.set_routing(seed, 0, 1, os.urandom(size), CHANGE_MS)
+    result = yield operating.set_routing(seed, 0, 1, os.urandom(size), b"scale", CHANGE_MS)
     return round((reactor.seconds() - begun_s) * 1000, 1) if result.is_ok() else None
 
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -3,7 +3,6 @@
 
 import pytest
 from expression import Error, Ok
-from msgspec import Struct
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
@@ -11,38 +10,50 @@
 from frostpost.cluster.context import Leaf
 from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
+from frostpost.program_ledger import taken_changes
+from frostpost.program_ledger.apply import act
+from frostpost.program_ledger.state import ProgramLedger
+from frostpost.program_ledger.words import LookRouting, RoutingForgotten, RoutingMoved, RoutingSet, SetRouting
 from frostpost.proxy.failures import Unavailable
 
 SERVICES = [{"name": "s1", "max-connections": 9}]
 ROUTE = {"name": "r1", "host": "a", "path-prefix": "/x/", "route-class": "safe", "guard-ms": 900, "target": "s1"}
 
 
-class RoutingMoved(Struct):
-    version: int
-
-
 class Ring:
-    """Stands in for the product's operations; `race` is put in just before the next change."""
+    """Stands in for the product's operations on a real ledger; `race` is ordered just before the next change."""
 
-    RoutingMoved = RoutingMoved
+    RoutingMoved, RoutingForgotten = RoutingMoved, RoutingForgotten
 
     def __init__(self):
-        self.version, self.body, self.down, self.race, self.states, self.honoured = 0, b"", False, None, {}, []
-
-    def look_routing(self, leaf, wait_ms):
-        return succeed(
-            Error(Unavailable(250)) if self.down else Ok(SimpleNamespace(version=self.version, body=self.body))
+        self.ledger, self.down, self.race, self.states, self.waited, self.calls = (
+            ProgramLedger(),
+            False,
+            None,
+            {},
+            [],
+            [],
         )
 
-    def set_routing(self, leaf, base, version, body, wait_ms):
-        if self.race is not None:
-            (self.version, self.body), self.race = self.race, None
-        if (version, body) == (self.version, self.body):
-            self.honoured.append(version)
-            return succeed(Ok(version))
-        if base != self.version:
-            return succeed(Error(RoutingMoved(self.version)))
-        self.version, self.body = version, body
+    @property
+    def body(self):
+        return self.ledger.routing_body
+
+    def look_routing(self, leaf, wait_ms, version=0, digest=b""):
+        self.calls.append(wait_ms)
+        look = LookRouting(version, digest)
+        return succeed(Error(Unavailable(250)) if self.down else Ok(act(self.ledger, 0, (), (), look)))
+
+    def set_routing(self, leaf, base, version, body, digest, wait_ms):
+        self.calls.append(wait_ms)
+        race, self.race = self.race, None
+        if race is not None:
+            act(self.ledger, 0, (), (), race)
+        verdict = act(self.ledger, 0, (), (), SetRouting(base, version, body, digest, 1000))
+        return succeed(Ok(version) if isinstance(verdict, RoutingSet) else Error(verdict))
+
+    def honoured(self, leaf, version, wait_ms):
+        self.waited.append(version)
         return succeed(Ok(version))
 
     def retire(self, leaf, name, wait_ms):
@@ -71,7 +82,9 @@
         what.encode(),
         len(body),
     )
-    channel.dataReceived(head + (b"" if base is None else b"X-Base-Revision: %d\r\n" % base) + b"\r\n" + body)
+    channel.dataReceived(
+        head + (b"" if base is None else b"X-Base-Revision: %s\r\n" % str(base).encode("latin-1")) + b"\r\n" + body
+    )
     head, _, body = transport.value().partition(b"\r\n\r\n")
     return int(head.split()[1]), body
 
@@ -88,6 +101,12 @@
     return ask("POST", "Configuration.Modify", document, base)[0]
 
 
+def set_order(document, base):
+    """A change that another daemon hands in."""
+    digest = routing.digest("replace", document)
+    return SetRouting(base, document["issue"], routing.to_body(document), digest, 1000)
+
+
 def held():
     status, body = ask("GET", "Configuration.Query")
     return json.loads(body) if status == 200 else status
@@ -96,7 +115,7 @@
 def test_a_configuration_is_taken_read_back_and_taken_again(ring):
     assert held() == {"issue": 0, "route-table": [], "service-table": []}
     assert replace(whole(7), 0) == 200 and held() == whole(7)
-    assert replace(whole(7), 0) == 200 and ring.honoured == [7]
+    assert replace(whole(7), 0) == 200 and ring.waited == [7]
     assert replace(whole(7, odd=2), 0) == 412 and replace(whole(9), 0) == 412
 
 
@@ -113,7 +132,7 @@
 def test_a_change_taken_earlier_is_still_acknowledged(ring):
     replace(whole(7), 0)
     assert modify({"issue": 9, "remove": {"route-table": ["r1"]}}, 7) == 200
-    assert replace(whole(7), 0) == 200 and held()["issue"] == 9 and ring.honoured == [9]
+    assert replace(whole(7), 0) == 200 and held()["issue"] == 9 and ring.waited == [7]
 
 
 @pytest.mark.parametrize(
@@ -141,16 +160,54 @@
 
 def test_of_two_changes_at_once_one_wins(ring):
     replace(whole(7), 0)
-    ring.race = (8, routing.to_body(whole(8)))
+    ring.race = set_order(whole(8), 7)
     assert replace(whole(9), 7) == 412 and held() == whole(8)
 
 
 def test_the_same_change_at_two_daemons_at_once_is_acknowledged_by_both(ring):
     replace(whole(7), 0)
-    ring.race = (9, routing.to_body(whole(9), [(9, routing.digest("replace", whole(9)))]))
+    ring.race = set_order(whole(9), 7)
     assert replace(whole(9), 7) == 200 and held() == whole(9)
 
 
+def test_a_change_taken_hundreds_of_changes_ago_is_still_acknowledged(ring):
+    sent = [(whole(7), 0), *((whole(issue), issue - 1) for issue in range(8, 600))]
+    assert {replace(*order) for order in sent} == {200}
+    assert {replace(*order) for order in sent[::50]} == {200} and held()["issue"] == 599
+    assert replace(whole(8, odd=2), 7) == 412
+
+
+def test_a_change_of_a_forgotten_number_is_left_unclear(ring, monkeypatch):
+    monkeypatch.setattr(taken_changes, "MOST_REMEMBERED", 3)
+    for issue in range(7, 12):
+        assert replace(whole(issue), issue - 1 if issue > 7 else 0) == 200
+    assert [replace(whole(issue), issue - 1 if issue > 7 else 0) for issue in range(7, 12)] == [503, 503, 200, 200, 200]
+    assert replace(whole(12), 10) == 412
+
+
+def test_the_same_change_on_top_of_another_version_is_another_change(ring):
+    replace(whole(7), 0)
+    replace(whole(8), 7)
+    change = {"issue": 9, "remove": {"route-table": ["r1"]}}
+    assert modify(change, 8) == 200 and modify(change, 8) == 200 and modify(change, 7) == 412
+
+
+@pytest.mark.parametrize("issue", [1 << 63, 10**30])
+def test_a_number_that_no_ledger_holds_is_invalid(ring, issue):
+    assert replace(whole(issue), 0) == 400 and modify({"issue": issue}, 0) == 400
+
+
+@pytest.mark.parametrize("base", ["9" * 5000, "\xb2", "-1", "", "1 2"])
+def test_a_base_that_is_no_number_is_invalid(ring, base):
+    assert ask("POST", "Configuration.Replace", whole(7), base)[0] == 400
+
+
+def test_calls_wait_well_inside_the_silence_that_callers_bear(ring):
+    replace(whole(7), 0)
+    held()
+    assert len(ring.calls) == 3 and max(ring.calls) <= control.SILENCE_MS * control.ANSWER_RATIO
+
+
 def test_without_the_ring_the_answer_is_to_come_back(ring):
     ring.down = True
     assert replace(whole(7), 0) == 503 and held() == 503
--- a/tests/test_platform_routing.py
+++ b/tests/test_platform_routing.py
@@ -192,9 +192,8 @@
 
 def test_a_stored_body_is_read_back_whole():
     document, found = routing.parse(body()).ok
-    stored = routing.to_body(document, [(7, "d")])
-    text, taken = routing.from_body(stored)
-    assert json.loads(text) == DOCUMENT and taken == [(7, "d")]
+    stored = routing.to_body(document)
+    assert json.loads(routing.document_of(stored)) == DOCUMENT
     assert routing.routing_from_body(stored) == found
     assert routing.routing_from_body(b"").routes == ()
 
