--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -121,7 +121,7 @@
         for p in ctx.core.synchrony.peers.values()
         if p.place.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
-    turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers)
+    turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
     ctx.core.synchrony.news = {tenders.MISSING: replica.turn_store.missing}
 
 
--- a/frostpost/testbed/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -166,7 +166,7 @@
     count, wall_s = len(program_ledger.turns), []
     for _ in range(5):
         begun_s = perf_counter()
-        serving.lacking(replica, program_ledger.turns)
+        serving.lacking(replica.turn_store, program_ledger.turns)
         wall_s.append(perf_counter() - begun_s)
     return {"turns": count, "us_per_turn": round(min(wall_s) / count * 1e6, 4)}
 
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -9,7 +9,7 @@
 from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
 
 from .cache import cache_of, cached, remember
-from .serving import cut_short
+from .repair import cut_short
 
 RESEND_MS = 300
 ASK_OTHER_MS = 150
--- a/frostpost/turn_store/store.py
+++ b/frostpost/turn_store/store.py
@@ -36,6 +36,7 @@
     guarded: int = 0
     lost: bool = False
     missing: int = 0
+    counted: int = 0
     syncs: int = 0
     repairing: object = None
 
--- a/tests/test_turn_store_serving.py
+++ b/tests/test_turn_store_serving.py
@@ -62,13 +62,13 @@
     hold(net, "@s1:1", turns[:200])
     hold(net, "@s2:1", turns[100:])
     live = dict.fromkeys(turns)
-    assert serving.lacking(net.replicas["@s0:1"], turns) == set(turns)
+    assert serving.lacking(net.replicas["@s0:1"].turn_store, live) == turns
     net.repair("@s0:1", live)
     turn_store = net.replicas["@s0:1"].turn_store
     assert turn_store.missing == 300
     assert all(len(body.turns) <= 64 for _, _, body in net.sent if isinstance(body, SiloGet))
     net.repair("@s0:1", live, 12)
-    assert turn_store.missing == 0 and serving.lacking(net.replicas["@s0:1"], turns) == set()
+    assert turn_store.missing == 0 and serving.lacking(turn_store, live) == []
     assert store.get(turn_store, "t150") == b"body"
 
 
