--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -18,9 +18,10 @@
 
 
 def test_ci_installs_the_pins_from_wheels_only():
-    assert "pip install -q --disable-pip-version-check --only-binary :all: -r requirements.txt" in (
-        ROOT / ".ci" / "run"
-    ).read_text()
+    assert (
+        "pip install -q --disable-pip-version-check --only-binary :all: -r requirements.txt"
+        in (ROOT / ".ci" / "run").read_text()
+    )
 
 
 def test_every_dependency_is_pinned_to_one_version():
