--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/lookup.py
@@ -5,6 +5,7 @@
 from frostpost.cluster.context import count, now_ms
 
 from . import picking
+from .attempts import attempts_for, may_offer, record
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent
 from .run import run_once
@@ -22,19 +23,20 @@
 @inlineCallbacks
 def settle(leaf, route, service, call, until_ms, repeatable, watch):
     """Deferred Answer, ClientLeft or a failure; only a failure with a promise means that nothing ran."""
-    most = max(route.attempts, 2) if repeatable else max(route.attempts, 1)
+    attempts = attempts_for(route, repeatable)
     hold_ms, least_ms = hold_until_ms(leaf, route, until_ms), route.aim_ms // 10
-    tried, sends, maybe, whole, why = [], 0, None, None, ""
-    while sends < most and len(tried) < 2 * most + 2:
+    maybe, whole, why = None, None, ""
+    while may_offer(attempts):
         if until_ms - now_ms(leaf) < max(1, least_ms):
             break
-        runner = yield picking.place(leaf, route, service, tried, call.attempt, hold_ms)
+        runner = yield picking.place(leaf, route, service, attempts.picked, call.attempt, hold_ms)
         if runner is None:
             break
         if watch is not None and watch.left:
             return ClientLeft()
-        tried.append(runner.id)
+        attempts.picked.append(runner.id)
         outcome = yield run_once(leaf, runner, call, call.body, until_ms, watch)
+        record(attempts, outcome)
         if isinstance(outcome, NotSent):
             why = outcome.why
             if why == "left":
@@ -42,7 +44,6 @@
             if why in ("lease", "late"):
                 break
             continue
-        sends += 1
         if isinstance(outcome, NotRun):
             count(leaf, "turned_away")
             continue
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -6,6 +6,7 @@
 from frostpost.cluster.context import count, now_ms
 
 from . import picking, turn
+from .attempts import attempts_for, may_offer, record
 from .events import EventParser
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
 from .lookup import answer, hold_until_ms, retry_ms
@@ -101,8 +102,8 @@
 @inlineCallbacks
 def send_on(leaf, route, service, state, ordered, runner, body, until_ms):
     """Send to one runner after another while that is allowed; the last outcome, or a failure with a promise."""
-    most = max(route.attempts, 2) if route.resumable else max(route.attempts, 1)
-    tried, sends, call = [], 0, state.call
+    attempts, call = attempts_for(route, route.resumable), state.call
+    tried = attempts.picked
     hold_ms, outcome = hold_until_ms(leaf, route, until_ms), None
     if ordered and runner is None:
         runner = yield next_runner(leaf, route, service, state, ordered, tried, hold_ms, until_ms)
@@ -115,20 +116,19 @@
             return ClientLeft()
         tried.append(runner.id)
         outcome = yield run_once(leaf, runner, call, body, until_ms, state.watch, state.head, state.heard)
+        record(attempts, outcome)
         if isinstance(outcome, NotSent):
             if outcome.why in ("left", "late"):
                 return ClientLeft() if outcome.why == "left" else Late() if state.maybe else outcome
             if outcome.why == "lease" and not state.maybe:
                 return Unavailable(retry_ms(route), "lease")
-        else:
-            sends += 1
-            if not isinstance(outcome, NotRun):
-                state.maybe = True
-                if not may_resume(route, state, outcome):
-                    return outcome
-                state.joined = state.passed > 0
-                call = structs.replace(state.call, last_event=state.last_id)
-        if sends >= most or len(tried) > 2 * most + 2 or until_ms - now_ms(leaf) < max(1, route.aim_ms // 10):
+        elif not isinstance(outcome, NotRun):
+            state.maybe = True
+            if not may_resume(route, state, outcome):
+                return outcome
+            state.joined = state.passed > 0
+            call = structs.replace(state.call, last_event=state.last_id)
+        if not may_offer(attempts) or until_ms - now_ms(leaf) < max(1, route.aim_ms // 10):
             return outcome
         runner = yield next_runner(leaf, route, service, state, ordered, tried, hold_ms, until_ms)
 
--- /dev/null
+++ b/tests/test_proxy_attempts.py
@@ -0,0 +1,94 @@
+"""A try runs at no more runners than its route allows; what surely was not run may go elsewhere."""
+
+import pytest
+from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from twisted.internet.error import ConnectionLost
+from twisted.python.failure import Failure
+
+from frostpost.program_ledger.words import Begun, Move
+from frostpost.proxy import failures
+from frostpost.proxy.attempts import attempts_for, may_offer, record
+from frostpost.proxy.outcomes import Broken, ClientLeft, Late, NotRun, NotSent
+
+RUNNERS = [a_runner("r1"), a_runner("r2"), a_runner("r3")]
+REFUSED = answer_bytes(b"", status=b"503 Full", more=b"Not-Run: 1\r\n")
+ONE = b"id: 1\ndata: a\n\n"
+
+
+def lose(wire):
+    wire.connectionLost(Failure(ConnectionLost()))
+
+
+def opened(stage):
+    """Connections that were asked for."""
+    return len(stage.reactor.tcpClients)
+
+
+@pytest.mark.parametrize("attempts", [1, 2, 3])
+@pytest.mark.parametrize("kind, more", [("safe", {}), ("streaming", {"resumable": True})])
+def test_a_repeatable_try_runs_at_no_more_runners_than_its_route_allows(monkeypatch, kind, more, attempts):
+    stage = Stage([a_route(kind=kind, attempts=attempts, **more)], RUNNERS, monkeypatch)
+    stage.serve()
+    for number in range(attempts):
+        assert opened(stage) == number + 1
+        lose(stage.connect())
+    assert opened(stage) == attempts and [type(item) for item in stage.seen] == [failures.Unknown]
+
+
+def test_a_stream_cut_midway_is_not_resumed_beyond_its_attempts(monkeypatch):
+    stage = Stage([a_route(kind="streaming", resumable=True, attempts=1)], RUNNERS, monkeypatch)
+    stage.serve()
+    wire = stage.connect()
+    wire.dataReceived(HEAD + chunk(ONE))
+    lose(wire)
+    assert opened(stage) == 1 and stage.seen == [("head", 200), ("data", ONE), "cut"]
+
+
+def test_a_keyed_request_of_a_service_with_its_own_record_keeps_to_its_attempts(monkeypatch):
+    stage = Stage([a_route(kind="idempotent", attempts=1, weights=(("t", 1),))], [], monkeypatch)
+    stage.leaf.runners = {name: a_runner(name, service="t") for name in ("r1", "r2")}
+    stage.serve(key="k")
+    lose(stage.connect())
+    assert opened(stage) == 1 and [type(item) for item in stage.seen] == [failures.Unknown]
+
+
+@pytest.mark.parametrize("attempts", [1, 2])
+@pytest.mark.parametrize("kind, more", [
+    ("safe", {}), ("streaming", {"resumable": True}), ("streaming", {"resumable": True, "retained": True}),
+])  # fmt: skip
+def test_a_repeatable_try_that_was_refused_goes_to_another_runner_even_with_one_attempt(
+    monkeypatch, kind, more, attempts
+):
+    stage = Stage([a_route(kind=kind, attempts=attempts, **more)], RUNNERS, monkeypatch)
+    stage.verdicts[Move] = Begun("r2", ())
+    stage.serve()
+    stage.connect().dataReceived(REFUSED)
+    assert stage.seen == [] and opened(stage) == 2
+    stage.connect().dataReceived(REFUSED)
+    assert [type(item) for item in stage.seen] == [failures.Overloaded] and opened(stage) == 2
+
+
+@pytest.mark.parametrize("kind, more", [("unsafe", {}), ("idempotent", {}), ("streaming", {"retained": True})])
+def test_other_tries_are_offered_to_as_many_runners_as_their_route_allows(monkeypatch, kind, more):
+    stage = Stage([a_route(kind=kind, attempts=2, **more)], RUNNERS, monkeypatch)
+    stage.verdicts[Move] = Begun("r2", ())
+    stage.serve(key="k")
+    stage.connect().dataReceived(REFUSED)
+    assert stage.seen == [] and opened(stage) == 2
+    stage.connect().dataReceived(REFUSED)
+    assert [type(item) for item in stage.seen] == [failures.Overloaded] and opened(stage) == 2
+
+
+def test_only_sends_that_may_have_run_count_as_runs():
+    attempts = attempts_for(a_route(attempts=2), True)
+    for outcome in (NotSent("connect"), NotRun(503), Broken("x")):
+        assert may_offer(attempts)
+        record(attempts, outcome)
+    assert (attempts.runs, attempts.offers, may_offer(attempts)) == (1, 2, False)
+
+
+@pytest.mark.parametrize("outcome", [Broken("x"), Late(), ClientLeft()])
+def test_what_may_have_run_and_is_not_repeatable_goes_nowhere_else(outcome):
+    attempts = attempts_for(a_route(attempts=3), False)
+    record(attempts, outcome)
+    assert not may_offer(attempts)
