--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -78,6 +78,12 @@
         if not self.lost and not self.dirty:
             self.transport.resumeProducing()
 
+    def learn(self, head):
+        """What an answer's head tells of the connection itself."""
+        self.close = self.close or head.close
+        if head.keep_ms > 0:
+            self.keep_ms = head.keep_ms
+
     def _head(self, status, fields):
         if self.exchange is not None:
             self.exchange.heard_head(status, fields)
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -2,7 +2,24 @@
 
 from frostpost.cluster.context import now_ms
 
-from .outcomes import Broken, NotRun, NotSent, Whole
+from .sending import (
+    BodyEnded,
+    ConnectionFailed,
+    DataRead,
+    DrainConnection,
+    DropConnection,
+    Ended,
+    Finish,
+    GivenUp,
+    HeadRead,
+    NotWritten,
+    PassData,
+    PassHead,
+    Queued,
+    Wrote,
+    may_have_run,
+    step,
+)
 
 HOP = frozenset(
     (
@@ -18,33 +35,40 @@
         b"expect",
     )
 )
-PROMISES = (408, 429, 503)
+QUEUED, GIVEN_UP, BODY_ENDED = Queued(), GivenUp(), BodyEnded()
 WITH_BODY = (b"POST", b"PUT", b"PATCH")
 
 
 class Exchange:
-    """listener: head(RunnerHead), data(bytes), done(outcome); done comes once and last, unless stopped."""
+    """The shell of `sending`: one request, its connection, and the listener that is told.
+
+    listener: head(RunnerHead), data(bytes), done(outcome); done comes once and last, unless the request is given up.
+    """
 
-    __slots__ = ("leaf", "runner", "call", "body", "until_ms", "listener", "connection", "over", "written", "head")
+    __slots__ = ("body", "call", "connection", "head", "leaf", "listener", "runner", "state", "until_ms")
 
     def __init__(self, leaf, runner, call, body, until_ms, listener):
         self.leaf, self.runner, self.call, self.body = leaf, runner, call, body
         self.until_ms, self.listener = until_ms, listener
-        self.connection, self.over, self.written, self.head = None, False, False, None
+        self.connection, self.head, self.state = None, None, QUEUED
+
+    @property
+    def over(self):
+        """Whether it has ended, in whatever way."""
+        return isinstance(self.state, Ended)
 
     def stop(self):
-        """End it without a word to the listener; True if bytes of the request were written."""
-        if not self.over:
-            self.over = True
-            if self.connection is not None:
-                self.connection.drop()
-        return self.written
+        """Give it up without a word to the listener; True if the runner may have begun to run it."""
+        self.feed(GIVEN_UP)
+        return may_have_run(self.state)
 
     def pause(self):
+        """Read no more of the answer for now."""
         if not self.over and self.connection is not None:
             self.connection.pause()
 
     def resume(self):
+        """Read on."""
         if not self.over and self.connection is not None:
             self.connection.resume()
 
@@ -52,61 +76,51 @@
         """Write the request."""
         left_ms = self.until_ms - now_ms(self.leaf)
         data = request_bytes(self.leaf.wire, self.runner, self.call, self.body, left_ms)
-        self.connection, self.written = connection, True
+        self.connection = connection
+        self.feed(Wrote(connection.exchanges == 0))
         connection.start(self, data, self.call.method == b"HEAD")
 
     def not_sent(self, why):
-        self._done(NotSent(why))
+        """Nothing of it was or will be written."""
+        self.feed(NotWritten(why))
 
     def heard_head(self, status, fields):
+        """The head of an answer came on its connection."""
         head = self.head = self.leaf.wire.read_head(status, fields)
-        connection = self.connection
-        connection.close = connection.close or head.close
-        if head.keep_ms > 0:
-            connection.keep_ms = head.keep_ms
-        why = doubt(head, self.call, connection.exchanges == 1)
-        if why:
-            return self._drop(Broken(why))
-        if head.not_run or status == 421:
-            connection.detach()
-            return self._done(NotRun(status))
-        self.listener.head(head)
+        self.connection.learn(head)
+        self.feed(HeadRead(head))
 
     def heard_data(self, data):
-        if not self.over:
-            self.listener.data(data)
+        """A piece of the answer's body came."""
+        self.feed(DataRead(data))
 
     def heard_whole(self):
-        self._done(Whole())
+        """The answer's body ended as its head promised."""
+        self.feed(BODY_ENDED)
 
     def heard_broken(self, why):
-        self._done(Broken(why))
-
-    def _drop(self, outcome):
-        self.connection.drop()
-        self._done(outcome)
-
-    def _done(self, outcome):
-        if not self.over:
-            self.over = True
-            self.listener.done(outcome)
-
-
-def doubt(head, call, first):
-    """Why this head isn't that of the call's own run, or empty."""
-    refused = head.not_run or head.status == 421
-    if head.attempt != call.attempt and not (refused and first and not head.attempt):
-        return "attempt"
-    if any(n.lower() == b"content-encoding" and v.strip().lower() != b"identity" for n, v in head.headers):
-        return "encoding"
-    if 200 <= head.status < 300 and not head.sealed and not head.not_run:
-        return "unsealed"
-    if head.status in PROMISES and not head.not_run:
-        return "promise"
-    return ""
+        """The connection ended, or what came on it is no answer."""
+        self.feed(ConnectionFailed(why))
+
+    def feed(self, heard):
+        """Take one step and do what it asks for."""
+        self.state, actions = step(self.call, self.state, heard)
+        for action in actions:
+            match action:
+                case PassHead(head):
+                    self.listener.head(head)
+                case PassData(data):
+                    self.listener.data(data)
+                case DropConnection():
+                    self.connection.drop()
+                case DrainConnection():
+                    self.connection.detach()
+                case Finish(outcome):
+                    self.listener.done(outcome)
 
 
 def request_bytes(wire, runner, call, body, left_ms):
+    """The whole request as it goes to a runner."""
     lines = [call.method + b" " + call.uri + b" HTTP/1.1", b"Host: " + call.host.encode("latin-1")]
     for name, value in wire.request_headers(call, runner, left_ms):
         if name.lower() not in HOP:
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -10,7 +10,7 @@
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import turns
 from frostpost.program_ledger.words import Claim, Claimed, End, RoutingSet, SetRouting
-from frostpost.proxy import exchange, pool, serve, stream, turn
+from frostpost.proxy import pool, sending, serve, stream, turn
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
 from frostpost.virtual_synchrony import recovery, settling
@@ -68,7 +68,7 @@
 
 
 def echo_unread():
-    return [(exchange, "doubt", lambda head, call, first: "")]
+    return [(sending, "doubt", lambda head, call, fresh: "")]
 
 
 def cut_ended():
