--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -76,10 +76,15 @@
 
 
 def resumed_always():
+    kept = stream.attempts_for
+
     def may_resume(route, state, outcome):
         return isinstance(outcome, Broken) and not state.spliced
 
-    return [(stream, "may_resume", may_resume)]
+    def attempts_for(route, repeatable):
+        return kept(route, True)
+
+    return [(stream, "may_resume", may_resume), (stream, "attempts_for", attempts_for)]
 
 
 def tokens_forgotten():
