--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -13,6 +13,7 @@
 from frostpost.proxy.words import ClientBounds, Sink
 
 from .calls import call_of
+from .names import ATTEMPT
 from .server import Server, close_after, reply
 
 LEAVING_RETRY_MS, CUT_S, CHANNEL_SHARE = 50, 2, 0.6
@@ -99,13 +100,18 @@
     def head(self, status, headers):
         if self.over:
             return
-        self.status, self.headers = status, headers
+        self.status, self.headers = status, self.under_own_id(headers)
         low = {name.lower(): value for name, value in headers}
         if low.get(b"content-length", b"").isdigit():
             self.length = int(low[b"content-length"])
         if b"text/event-stream" in low.get(b"content-type", b""):
             self.begin()
 
+    def under_own_id(self, headers):
+        """Headers that name this request's attempt: what a key's first request was answered names that one's."""
+        own = self.request.requestHeaders.getRawHeaders(ATTEMPT, (b"",))[0]
+        return [(name, own if name.lower() == ATTEMPT else value) for name, value in headers]
+
     def data(self, piece):
         if self.over or not piece:
             return
--- a/frostpost/platform/server.py
+++ b/frostpost/platform/server.py
@@ -6,6 +6,7 @@
 from twisted.web.http import RESPONSES, HTTPChannel, HTTPFactory, Request
 
 LINGER_S, BODY_IDLES, SILENT_PEER_MS = 2, 4, 10000
+MOST_LENGTH_DIGITS = 18
 
 
 def close_after(request):
@@ -116,6 +117,18 @@
             self.begin_reading()
         return super().lineReceived(line)
 
+    def headerReceived(self, line):
+        """Refuse framing that another reader could take otherwise; the library reads the rest."""
+        name, _, value = line.partition(b":")
+        name, value = name.lower(), value.strip(b" \t")
+        if name == b"transfer-encoding" and value.lower() != b"chunked":
+            self.turn_away(400)
+            return False
+        if name == b"content-length" and len(value) > MOST_LENGTH_DIGITS:
+            self.turn_away(413 if value.isdigit() else 400)
+            return False
+        return super().headerReceived(line)
+
     def allHeadersReceived(self):
         self.in_head, idle_s = False, self.bounds.idle_ms / 1000
         if self.length == 0:
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -39,9 +39,18 @@
     return 0
 
 
+def single_values(headers):
+    """Value of each name in lower case; values of a name that comes more than once are joined, so that they fit none."""
+    found = {}
+    for name, value in headers:
+        low = name.lower()
+        found[low] = found[low] + b", " + value if low in found else value
+    return found
+
+
 def read_head(status, headers):
     """RunnerHead of a status and (name, value) pairs."""
-    found = {name.lower(): value for name, value in headers}
+    found = single_values(headers)
     connection = [value for name, value in headers if name.lower() == b"connection"]
     gone = HOP_BY_HOP | connection_names(connection)
     return RunnerHead(
@@ -49,7 +58,7 @@
         headers=[(name, value) for name, value in headers if name.lower() not in gone],
         attempt=found.get(ATTEMPT, b"").decode("latin-1"),
         not_run=status == 421 or NOT_RUN in found,
-        sealed=SEAL in found,
+        sealed=sum(name.lower() == SEAL for name, _ in headers) == 1 and bool(found[SEAL]),
         instance=found.get(INSTANCE, b"").decode("latin-1"),
         load=load_of(found[LOAD]) if LOAD in found else None,
         close=any(b"close" == token.strip().lower() for value in connection for token in value.split(b",")),
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import Protocol
 
-from .parsing import ResponseParser
+from .parsing import ResponseParser, Unreadable
 
 USER_TIMEOUT_MS = 2000
 DRAIN_S = 1.0
@@ -48,9 +48,9 @@
         if self.parser is None:
             return self.drop()
         try:
-            self.parser.dataReceived(data)
-        except Exception as error:
-            self._broken(type(error).__name__)
+            self.parser.read(data)
+        except Unreadable as error:
+            self._broken(str(error))
 
     def connectionLost(self, reason):
         self.lost = True
--- a/frostpost/proxy/parsing.py
+++ b/frostpost/proxy/parsing.py
@@ -1,10 +1,19 @@
 """Reading a runner's answer: head, body and whatever comes after it."""
 
-from twisted.web._newclient import HTTPParser, ParseError
-from twisted.web.http import _ChunkedTransferDecoder, _IdentityTransferDecoder
+import re
+
+from twisted.web._newclient import HEADER, HTTPParser, ParseError
+from twisted.web.http import _ChunkedTransferDecoder, _IdentityTransferDecoder, _MalformedChunkedDataError
 
 BODYLESS = (204, 304)
 HEAD_LINES = 256
+MOST_LENGTH_DIGITS = 18
+STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([0-9]{3})(?: [^\0\r]*)?")
+NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+
+
+class Unreadable(Exception):
+    """Bytes that are no proper answer."""
 
 
 class ResponseParser(HTTPParser):
@@ -12,16 +21,28 @@
 
     def __init__(self, bodyless, on_head, on_data, on_whole):
         self.bodyless, self.on_head, self.on_data, self.on_whole = bodyless, on_head, on_data, on_whole
-        self.fields, self.status = [], 0
+        self.fields, self.status, self.minor = [], 0, 1
+
+    def read(self, data):
+        """Take bytes in; raises Unreadable where they are no proper answer."""
+        try:
+            self.dataReceived(data)
+        except (ParseError, _MalformedChunkedDataError, ValueError) as error:
+            raise Unreadable(type(error).__name__) from error
+
+    def lineReceived(self, line):
+        if self.state == HEADER and line[:1] in (b" ", b"\t") and self._partialHeader is None:
+            raise ParseError("folded line before any header", line)
+        super().lineReceived(line)
 
     def statusReceived(self, status):
-        parts = status.split(b" ", 2)
-        if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or len(parts[1]) != 3 or not parts[1].isdigit():
+        found = STATUS_LINE.fullmatch(status)
+        if found is None:
             raise ParseError("no status line", status)
-        self.status = int(parts[1])
+        self.minor, self.status = int(found[1]), int(found[2])
 
     def headerReceived(self, name, value):
-        if not name or name != name.strip() or len(self.fields) >= HEAD_LINES:
+        if not NAME.fullmatch(name) or b"\r" in value or b"\0" in value or len(self.fields) >= HEAD_LINES:
             raise ParseError("bad header", name)
         self.fields.append((name, value))
 
@@ -33,7 +54,7 @@
             return self.connectionMade()
         lengths = {v for n, v in self.fields if n.lower() == b"content-length"}
         codings = [v.lower() for n, v in self.fields if n.lower() == b"transfer-encoding"]
-        if codings not in ([], [b"chunked"]) or len(lengths) > 1 or (codings and lengths):
+        if codings not in ([], [b"chunked"]) or len(lengths) > 1 or (codings and (lengths or not self.minor)):
             raise ParseError("unclear length", b"")
         length = _length(lengths)
         self.on_head(self.status, self.fields)
@@ -54,7 +75,7 @@
 
 def _length(lengths):
     for value in lengths:
-        if not value.isdigit():
+        if not value.isdigit() or len(value) > MOST_LENGTH_DIGITS:
             raise ParseError("bad length", value)
         return int(value)
     return None
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -88,6 +88,16 @@
     assert not head(503).not_run and not head(500).not_run
 
 
+@pytest.mark.parametrize("seals", [[], [b""], [b"s", b"t"], [b"s", b"s"]])
+def test_only_one_seal_that_says_something_is_a_seal(seals):
+    assert not wire().read_head(200, [(b"X-Server-Seal", seal) for seal in seals]).sealed
+
+
+def test_two_ids_of_an_attempt_fit_none():
+    found = wire().read_head(200, [(b"X-Attempt-Id", b"a1"), (b"x-attempt-id", b"a0")])
+    assert found.attempt not in ("", "a0", "a1")
+
+
 @pytest.mark.parametrize("value", [b"", b"1,2", b"a,b,c", b"-1,0,8"])
 def test_a_load_that_cannot_be_read_is_none(value):
     assert head(200, X_Instance_Load=value).load is None
