--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -5,10 +5,10 @@
 
 from frostpost.cluster.asking import ask, tell
 from frostpost.cluster.context import now_ms
-from frostpost.program_ledger.words import Claim, Claimed, Disclaim, KeyAnswered, KeyAtWork, Resolve
+from frostpost.program_ledger.words import Claim, Claimed, Disclaim, Ended, KeyAnswered, KeyAtWork, Resolve
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
-from .lookup import hand_over, retry_ms, settle
+from .lookup import hand_over, lasting_ms, retry_ms, settle
 from .outcomes import Answer
 
 DISCLAIM_MS = 300
@@ -48,24 +48,26 @@
     outcome = yield settle(leaf, route, service, call, until_ms, service.dedupes, None)
     if isinstance(outcome, Answer):
         outcome = yield resolve(leaf, key, call, outcome, until_ms)
-    elif outcome.promised:
-        yield disclaim(leaf, key, call)
+        return hand_over(leaf, outcome, sink)
     hand_over(leaf, outcome, sink)
+    if outcome.promised:
+        yield disclaim(leaf, key, call)
 
 
 @inlineCallbacks
 def resolve(leaf, key, call, whole, until_ms):
-    """The answer once it lasts, else a failure without a promise."""
+    """The answer once it lasts under this attempt's claim, else a failure without a promise."""
     resolved = Resolve(key, call.attempt, pack(whole))
-    result = yield ask(leaf, resolved, max(500, until_ms - now_ms(leaf)))
+    result = yield ask(leaf, resolved, lasting_ms(leaf, until_ms))
     if result.is_ok():
-        return whole
+        return whole if isinstance(result.ok, Ended) else Unknown("claim lost")
     tell(leaf, resolved)
     return Unknown("not resolved")
 
 
 @inlineCallbacks
 def disclaim(leaf, key, call):
+    """Withdraw a claim under which nothing ran."""
     operation = Disclaim(key, call.attempt)
     result = yield ask(leaf, operation, DISCLAIM_MS)
     if not result.is_ok():
--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/lookup.py
@@ -10,6 +10,8 @@
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent
 from .run import run_once
 
+LEAST_LASTING_MS = 200
+
 
 def retry_ms(route):
     return max(50, min(route.aim_ms // 4, 1000))
@@ -20,6 +22,11 @@
     return min(until_ms, now_ms(leaf) + route.aim_ms // 4)
 
 
+def lasting_ms(leaf, until_ms):
+    """How long an answer that came whole may wait for the ledger; not much past its time, when its client is gone."""
+    return max(LEAST_LASTING_MS, until_ms - now_ms(leaf))
+
+
 @inlineCallbacks
 def settle(leaf, route, service, call, until_ms, repeatable, watch):
     """Deferred Answer, ClientLeft or a failure; only a failure with a promise means that nothing ran."""
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -10,9 +10,8 @@
 
 from . import picking
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
-from .lookup import hold_until_ms, retry_ms
+from .lookup import hold_until_ms, lasting_ms, retry_ms
 
-LEAST_END_MS = 1000
 LEAST_ASK_MS = 200
 PAUSE_MS = 20
 KEEP_TICKS = 10
@@ -124,7 +123,7 @@
 @inlineCallbacks
 def close(leaf, route, call, tokens, data, until_ms):
     """True once the turn lasts: its body on a majority's disks and its end decided."""
-    wait_ms = max(LEAST_END_MS, until_ms - now_ms(leaf))
+    wait_ms = lasting_ms(leaf, until_ms)
     keep_ms = route.keep_ms + KEEP_TICKS * leaf.settings.tick_ms if route.retained else 0
     end = End(call.attempt, tokens, keep_ms=keep_ms, size=len(data) if keep_ms else 0)
     asked = [ask(leaf, end, wait_ms)]
--- /dev/null
+++ b/tests/test_proxy_fencing.py
@@ -0,0 +1,109 @@
+"""What a daemon may still do, and what it answers, once its lease, its time or its claim is gone."""
+
+import pytest
+from expression import Ok
+from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from twisted.internet.defer import Deferred
+
+from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, Disclaim, End, Ended, NoAttempt, Resolve
+from frostpost.proxy import failures
+
+REFUSED = answer_bytes(b"", status=b"503 Full", more=b"Not-Run: 1\r\n")
+ONE = b"id: 1\ndata: a\n\n"
+
+
+def stage(monkeypatch, kind, **more):
+    return Stage([a_route(kind=kind, **more)], [a_runner("r1")], monkeypatch)
+
+
+def kinds(items):
+    return [type(item) for item in items]
+
+
+def test_an_answer_under_a_key_that_is_another_attempts_is_not_handed_over(monkeypatch):
+    s = stage(monkeypatch, "idempotent")
+    s.verdicts[Resolve] = NoAttempt("a1")
+    s.serve(key="k")
+    s.connect().dataReceived(answer_bytes())
+    assert kinds(s.seen) == [failures.Unknown]
+
+
+def test_a_turn_that_the_ledger_does_not_know_any_more_is_not_ended_whole(monkeypatch):
+    s = stage(monkeypatch, "streaming", retained=True, keep_ms=9000)
+    s.verdicts[End] = NoAttempt("a1")
+    s.serve()
+    s.connect().dataReceived(HEAD + chunk(ONE) + b"0\r\n\r\n")
+    assert s.seen == [("head", 200), ("data", ONE), "cut"]
+
+
+def test_a_refused_key_is_answered_before_its_claim_is_withdrawn(monkeypatch):
+    s = stage(monkeypatch, "idempotent", attempts=1)
+    s.verdicts[Disclaim] = Deferred()
+    s.serve(key="k")
+    s.connect().dataReceived(REFUSED)
+    assert kinds(s.seen) == [failures.Overloaded] and s.asked[-1] == Disclaim("h|k", "a1") and s.leaf.flights == 1
+    s.verdicts[Disclaim].callback(Ok(Ended()))
+    assert s.leaf.flights == 0 and len(s.seen) == 1
+
+
+@pytest.mark.parametrize("kind, operation", [("idempotent", Resolve), ("streaming", End)])
+def test_an_answer_that_is_not_made_to_last_is_given_up_soon_after_its_time(monkeypatch, kind, operation):
+    s = stage(monkeypatch, kind, retained=kind == "streaming", keep_ms=9000)
+    s.waits = {}
+    kept = s.ask
+    for module in ("keyed", "turn"):
+        monkeypatch.setattr(f"frostpost.proxy.{module}.ask", lambda leaf, op, ms: noted(s, kept, leaf, op, ms))
+    s.serve(key="k", deadline_ms=1000)
+    wire = s.connect()
+    s.reactor.advance(0.99)
+    wire.dataReceived(answer_bytes() if kind == "idempotent" else HEAD + chunk(ONE) + b"0\r\n\r\n")
+    assert 10 <= s.waits[operation] < 250
+
+
+def noted(s, kept, leaf, op, ms):
+    s.waits[type(op)] = ms
+    return kept(leaf, op, ms)
+
+
+@pytest.mark.parametrize("kind, operation, verdict", [
+    ("idempotent", Claim, Claimed()), ("streaming", Begin, Begun("r1", ())),
+])  # fmt: skip
+@pytest.mark.parametrize("change", ["lease", "time", "runner"])
+def test_nothing_is_sent_when_what_allowed_it_ended_while_the_ledger_was_asked(
+    monkeypatch, kind, operation, verdict, change
+):
+    s = stage(monkeypatch, kind, retained=kind == "streaming", keep_ms=9000)
+    s.verdicts[operation] = asked = Deferred()
+    s.serve(key="k", deadline_ms=1000)
+    if change == "lease":
+        s.lease = False
+    elif change == "time":
+        s.reactor.advance(1.1)
+    else:
+        s.leaf.runners = {}
+    asked.callback(Ok(verdict))
+    for _ in range(30):
+        s.reactor.advance(0.02)
+    assert s.reactor.tcpClients == []
+    assert len(s.seen) == 1 and type(s.seen[0]) in (failures.Unavailable, failures.Overloaded)
+
+
+@pytest.mark.parametrize("kind", ["safe", "unsafe", "idempotent", "streaming"])
+def test_nothing_is_written_on_a_connection_that_comes_up_after_the_lease(monkeypatch, kind):
+    s = stage(monkeypatch, kind)
+    s.serve(key="k")
+    s.lease = False
+    wire = s.connect()
+    for _ in range(30):
+        s.reactor.advance(0.02)
+    assert wire.transport.value() == b"" and kinds(s.seen) == [failures.Unavailable]
+
+
+def test_a_key_whose_answer_comes_after_the_lease_gets_no_success(monkeypatch):
+    s = stage(monkeypatch, "idempotent")
+    s.verdicts[Resolve] = failures.Unavailable(9)
+    s.serve(key="k")
+    wire = s.connect()
+    s.lease = False
+    wire.dataReceived(answer_bytes())
+    assert kinds(s.seen) == [failures.Unknown] and kinds(s.told) == [Resolve]
