--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -40,7 +40,7 @@
 
 
 def single_values(headers):
-    """Value of each name in lower case; values of a name that comes more than once are joined, so that they fit none."""
+    """Value of each name in lower case; values of a name that comes again are joined, so that they fit none."""
     found = {}
     for name, value in headers:
         low = name.lower()
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import Protocol
 
-from .parsing import ResponseParser, Unreadable
+from .parsing import ResponseParser, UnreadableError
 
 USER_TIMEOUT_MS = 2000
 DRAIN_S = 1.0
@@ -49,7 +49,7 @@
             return self.drop()
         try:
             self.parser.read(data)
-        except Unreadable as error:
+        except UnreadableError as error:
             self._broken(str(error))
 
     def connectionLost(self, reason):
--- a/frostpost/proxy/parsing.py
+++ b/frostpost/proxy/parsing.py
@@ -12,7 +12,7 @@
 NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 
 
-class Unreadable(Exception):
+class UnreadableError(Exception):
     """Bytes that are no proper answer."""
 
 
@@ -24,11 +24,11 @@
         self.fields, self.status, self.minor = [], 0, 1
 
     def read(self, data):
-        """Take bytes in; raises Unreadable where they are no proper answer."""
+        """Take bytes in; raises UnreadableError where they are no proper answer."""
         try:
             self.dataReceived(data)
         except (ParseError, _MalformedChunkedDataError, ValueError) as error:
-            raise Unreadable(type(error).__name__) from error
+            raise UnreadableError(type(error).__name__) from error
 
     def lineReceived(self, line):
         if self.state == HEADER and line[:1] in (b" ", b"\t") and self._partialHeader is None:
--- a/tests/strict_http.py
+++ b/tests/strict_http.py
@@ -11,11 +11,11 @@
 FORBIDDEN = (b"\0", b"\r", b"\n")
 
 
-class Invalid(Exception):
+class InvalidError(Exception):
     """The bytes are no proper request."""
 
 
-class Incomplete(Exception):
+class IncompleteError(Exception):
     """More bytes have to come before the request is whole."""
 
 
@@ -33,7 +33,7 @@
     """(line, where the next one begins)."""
     end = data.find(b"\r\n", at)
     if end < 0:
-        raise Incomplete
+        raise IncompleteError
     return data[at:end], end + 2
 
 
@@ -49,10 +49,10 @@
         else:
             name, colon, value = line.partition(b":")
             if not colon or not TOKEN.fullmatch(name):
-                raise Invalid(line)
+                raise InvalidError(line)
             fields.append((name, value.strip(b" \t")))
         if any(byte in fields[-1][1] for byte in FORBIDDEN):
-            raise Invalid(line)
+            raise InvalidError(line)
 
 
 def read_chunks(data, at):
@@ -62,15 +62,15 @@
         line, at = line_of(data, at)
         size = line.partition(b";")[0]
         if not HEX.fullmatch(size):
-            raise Invalid(line)
+            raise InvalidError(line)
         left = int(size, 16)
         if not left:
             break
         if len(data) < at + left + 2:
-            raise Incomplete
+            raise IncompleteError
         body += data[at : at + left]
         if data[at + left : at + left + 2] != b"\r\n":
-            raise Invalid(data[at + left :])
+            raise InvalidError(data[at + left :])
         at += left + 2
     while True:
         line, at = line_of(data, at)
@@ -83,27 +83,27 @@
     lengths = [value for name, value in fields if name.lower() == b"content-length"]
     codings = [value.lower() for name, value in fields if name.lower() == b"transfer-encoding"]
     if codings and (lengths or codings != [b"chunked"]):
-        raise Invalid(codings)
+        raise InvalidError(codings)
     if codings:
         return read_chunks(data, at)
     if len(lengths) > 1 or lengths and not DIGITS.fullmatch(lengths[0]):
-        raise Invalid(lengths)
+        raise InvalidError(lengths)
     size = int(lengths[0]) if lengths and len(lengths[0]) < 12 else 0
     if lengths and len(lengths[0]) >= 12:
-        raise Invalid(lengths)
+        raise InvalidError(lengths)
     if len(data) < at + size:
-        raise Incomplete
+        raise IncompleteError
     return data[at : at + size], at + size
 
 
 def read_request(data, at=0):
-    """(ReadRequest, where the next one begins); raises Invalid or Incomplete."""
+    """(ReadRequest, where the next one begins); raises InvalidError or IncompleteError."""
     start, at = line_of(data, at)
     parts = start.split(b" ")
     if len(parts) != 3 or not TOKEN.fullmatch(parts[0]) or not TARGET.fullmatch(parts[1]):
-        raise Invalid(start)
+        raise InvalidError(start)
     if parts[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-        raise Invalid(start)
+        raise InvalidError(start)
     fields, at = read_fields(data, at)
     body, at = read_body(data, at, fields)
     return ReadRequest(parts[0], parts[1], parts[2], fields, body), at
@@ -116,7 +116,7 @@
         at += 2 * data.startswith(b"\r\n", at)
         try:
             request, at = read_request(data, at)
-        except (Invalid, Incomplete):
+        except (InvalidError, IncompleteError):
             break
         found.append(request)
     return found
--- a/tests/test_platform_front_properties.py
+++ b/tests/test_platform_front_properties.py
@@ -1,4 +1,4 @@
-"""Properties of how the front reads requests: whatever comes, it hands on proper requests, or answers 4xx, or closes."""
+"""How the front reads requests: whatever comes, it hands on proper requests, or answers 4xx, or closes."""
 
 from itertools import pairwise
 
@@ -19,19 +19,62 @@
 QUICK = settings(max_examples=500, deadline=None, derandomize=True)
 TOKENS = st.text("abcXYZ0-_", min_size=1, max_size=8).map(str.encode)
 VALUES = st.text('ab ,;=:/"\t\x80', max_size=12).map(lambda text: text.encode("latin-1"))
-PIECES = st.sampled_from([
-    b"GET", b"POST", b" ", b"/a/x", b"/a/x?y=1", b" HTTP/1.1", b" HTTP/1.0", b"\r\n", b"\r\n\r\n", b"\n", b"\r", b"\0",
-    b"Host: h\r\n", b"Host : h\r\n", b"X-Attempt-Id: a1\r\n", b"X-Attempt-Id: a2\r\n", b"Content-Length: 5\r\n",
-    b"Content-Length: 0\r\n", b"Content-Length: +5\r\n", b"Content-Length: 5, 5\r\n", b"Content-Length:5 5\r\n",
-    b"content-length: 3\r\n", b"Content-Length : 4\r\n", b" Content-Length: 4\r\n", b"Content-Length: 0x5\r\n",
-    b"Transfer-Encoding: chunked\r\n", b"Transfer-Encoding: Chunked \r\n", b"Transfer-Encoding: xchunked\r\n",
-    b"Transfer-Encoding: gzip, chunked\r\n", b"Transfer-Encoding:\r\n chunked\r\n", b"Transfer-Encoding: identity\r\n",
-    b"\x0bTransfer-Encoding: chunked\r\n", b"Transfer_Encoding: chunked\r\n", b"TE: chunked\r\n",
-    b"Connection: X-Attempt-Id, Content-Length\r\n", b"Expect: 100-continue\r\n", b"Upgrade: h2c\r\n",
-    b"X: a\rb\r\n", b"X: a\nContent-Length: 9\r\n", b"X\r\n", b": x\r\n", b"X:\r\n", b"0\r\n\r\n", b"5\r\nhello\r\n",
-    b"5;x=\"y\"\r\nhello\r\n", b"-1\r\n", b"0x2\r\nab\r\n", b"fffffffffffffffff\r\n", b"2\r\nabc\r\n", b"hello", b"ab",
-    b"GET /evil HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: evil\r\n\r\n",
-])  # fmt: skip
+PIECES = st.sampled_from(
+    [
+        b"GET",
+        b"POST",
+        b" ",
+        b"/a/x",
+        b"/a/x?y=1",
+        b" HTTP/1.1",
+        b" HTTP/1.0",
+        b"\r\n",
+        b"\r\n\r\n",
+        b"\n",
+        b"\r",
+        b"\0",
+        b"Host: h\r\n",
+        b"Host : h\r\n",
+        b"X-Attempt-Id: a1\r\n",
+        b"X-Attempt-Id: a2\r\n",
+        b"Content-Length: 5\r\n",
+        b"Content-Length: 0\r\n",
+        b"Content-Length: +5\r\n",
+        b"Content-Length: 5, 5\r\n",
+        b"Content-Length:5 5\r\n",
+        b"content-length: 3\r\n",
+        b"Content-Length : 4\r\n",
+        b" Content-Length: 4\r\n",
+        b"Content-Length: 0x5\r\n",
+        b"Transfer-Encoding: chunked\r\n",
+        b"Transfer-Encoding: Chunked \r\n",
+        b"Transfer-Encoding: xchunked\r\n",
+        b"Transfer-Encoding: gzip, chunked\r\n",
+        b"Transfer-Encoding:\r\n chunked\r\n",
+        b"Transfer-Encoding: identity\r\n",
+        b"\x0bTransfer-Encoding: chunked\r\n",
+        b"Transfer_Encoding: chunked\r\n",
+        b"TE: chunked\r\n",
+        b"Connection: X-Attempt-Id, Content-Length\r\n",
+        b"Expect: 100-continue\r\n",
+        b"Upgrade: h2c\r\n",
+        b"X: a\rb\r\n",
+        b"X: a\nContent-Length: 9\r\n",
+        b"X\r\n",
+        b": x\r\n",
+        b"X:\r\n",
+        b"0\r\n\r\n",
+        b"5\r\nhello\r\n",
+        b'5;x="y"\r\nhello\r\n',
+        b"-1\r\n",
+        b"0x2\r\nab\r\n",
+        b"fffffffffffffffff\r\n",
+        b"2\r\nabc\r\n",
+        b"hello",
+        b"ab",
+        b"GET /evil HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: evil\r\n\r\n",
+    ]
+)
 GARBLED = st.lists(PIECES, max_size=12).map(b"".join)
 FRAMED = st.tuples(st.lists(PIECES, max_size=4), st.lists(PIECES, max_size=5)).map(
     lambda parts: b"POST /a/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n%s\r\n%s" % tuple(map(b"".join, parts))
@@ -172,10 +215,16 @@
     return [value for other, value in request.fields if other.lower() == name.lower()]
 
 
-@pytest.mark.parametrize("line", [
-    b"Content-Length: " + b"9" * 5000, b"Content-Length: " + b"0" * 5000 + b"5", b"Host: h2",
-    b"Transfer-Encoding: identity", b"Transfer-Encoding: identity\r\nContent-Length: 5",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"Content-Length: " + b"9" * 5000,
+        b"Content-Length: " + b"0" * 5000 + b"5",
+        b"Host: h2",
+        b"Transfer-Encoding: identity",
+        b"Transfer-Encoding: identity\r\nContent-Length: 5",
+    ],
+)
 def test_a_line_that_no_proper_request_has_ends_in_an_answer(line):
     fleet = Fleet()
     fleet.channel.dataReceived(b"POST /a/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n" + line + b"\r\n\r\nhello")
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -76,13 +76,25 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "idempotent", "streaming"])
-@pytest.mark.parametrize("bad", [
-    answer(b"503 Full"), answer(b"429 Many"), answer(b"408 Late"), answer(b"503 Full", more=SEAL + b"Retry-After: 1\r\n"),
-    answer(more=b""), answer(more=b"X-Server-Seal: \r\n"), answer(more=SEAL + SEAL), answer(attempt=b"a0"),
-    answer(attempt=b""), answer(more=SEAL + b"Content-Encoding: gzip\r\n"), answer(more=SEAL + b"X-Not-Executed: 1\r\n"),
-    answer(more=SEAL + b"X-Attempt-Id: a0\r\n"), b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n" + SEAL + b"bad header\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n" + SEAL + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "bad",
+    [
+        answer(b"503 Full"),
+        answer(b"429 Many"),
+        answer(b"408 Late"),
+        answer(b"503 Full", more=SEAL + b"Retry-After: 1\r\n"),
+        answer(more=b""),
+        answer(more=b"X-Server-Seal: \r\n"),
+        answer(more=SEAL + SEAL),
+        answer(attempt=b"a0"),
+        answer(attempt=b""),
+        answer(more=SEAL + b"Content-Encoding: gzip\r\n"),
+        answer(more=SEAL + b"X-Not-Executed: 1\r\n"),
+        answer(more=SEAL + b"X-Attempt-Id: a0\r\n"),
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n" + SEAL + b"bad header\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n" + SEAL + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ],
+)
 def test_a_failure_of_ours_makes_no_promise_and_bears_nothing_of_the_runners(monkeypatch, kind, bad):
     path = Path(monkeypatch, kind=kind)
     path.ask(more=b"X-Operation-Key: k\r\n").dataReceived(bad)
--- a/tests/test_proxy_answer_properties.py
+++ b/tests/test_proxy_answer_properties.py
@@ -8,21 +8,54 @@
 from test_proxy_stage import Stage, a_route, a_runner
 
 from frostpost.proxy import failures
-from frostpost.proxy.parsing import ResponseParser, Unreadable
+from frostpost.proxy.parsing import ResponseParser, UnreadableError
 
 QUICK = settings(max_examples=400, deadline=None, derandomize=True)
 NAMES = st.text("abcXYZ09-_", min_size=1, max_size=6).map(lambda text: b"x-" + text.encode())
 VALUES = st.text('ab ,;=:"\x80', max_size=10).map(lambda text: text.strip().encode("latin-1"))
-PIECES = st.sampled_from([
-    b"HTTP/1.1 200 OK\r\n", b"HTTP/1.0 200 OK\r\n", b"HTTP/1.1 503 Full\r\n", b"HTTP/1.1 100 Continue\r\n\r\n",
-    b"HTTP/1.1 101 Up\r\n", b"HTTP/1.1 204 No\r\n", b"HTTP/2 200\r\n", b"HTTP/1.1 20\r\n", b"HTTP/1.1 +20 OK\r\n",
-    b"Attempt: a1\r\n", b"Attempt: a0\r\n", b"Seal: x\r\n", b"Not-Run: 1\r\n", b"Content-Length: 3\r\n",
-    b"Content-Length: 4\r\n", b"Content-Length: +3\r\n", b"Content-Length: 3, 3\r\n", b"Content-Length : 3\r\n",
-    b"Transfer-Encoding: chunked\r\n", b"Transfer-Encoding: gzip, chunked\r\n", b"Transfer-Encoding: identity\r\n",
-    b"Content-Encoding: gzip\r\n", b"Connection: close\r\n", b" folded\r\n", b"X: a\rb\r\n", b"X: \0\r\n", b"X\r\n",
-    b"\r\n", b"\n", b"\r", b"\0", b"out", b"3\r\nout\r\n", b"3;e=1\r\nout\r\n", b"0\r\n\r\n", b"0\r\nT: 1\r\n\r\n",
-    b"-3\r\nout\r\n", b"ffffffffffffffffffff\r\n", b"3\r\noutout\r\n",
-])  # fmt: skip
+PIECES = st.sampled_from(
+    [
+        b"HTTP/1.1 200 OK\r\n",
+        b"HTTP/1.0 200 OK\r\n",
+        b"HTTP/1.1 503 Full\r\n",
+        b"HTTP/1.1 100 Continue\r\n\r\n",
+        b"HTTP/1.1 101 Up\r\n",
+        b"HTTP/1.1 204 No\r\n",
+        b"HTTP/2 200\r\n",
+        b"HTTP/1.1 20\r\n",
+        b"HTTP/1.1 +20 OK\r\n",
+        b"Attempt: a1\r\n",
+        b"Attempt: a0\r\n",
+        b"Seal: x\r\n",
+        b"Not-Run: 1\r\n",
+        b"Content-Length: 3\r\n",
+        b"Content-Length: 4\r\n",
+        b"Content-Length: +3\r\n",
+        b"Content-Length: 3, 3\r\n",
+        b"Content-Length : 3\r\n",
+        b"Transfer-Encoding: chunked\r\n",
+        b"Transfer-Encoding: gzip, chunked\r\n",
+        b"Transfer-Encoding: identity\r\n",
+        b"Content-Encoding: gzip\r\n",
+        b"Connection: close\r\n",
+        b" folded\r\n",
+        b"X: a\rb\r\n",
+        b"X: \0\r\n",
+        b"X\r\n",
+        b"\r\n",
+        b"\n",
+        b"\r",
+        b"\0",
+        b"out",
+        b"3\r\nout\r\n",
+        b"3;e=1\r\nout\r\n",
+        b"0\r\n\r\n",
+        b"0\r\nT: 1\r\n\r\n",
+        b"-3\r\nout\r\n",
+        b"ffffffffffffffffffff\r\n",
+        b"3\r\noutout\r\n",
+    ]
+)
 GARBLED = st.lists(PIECES, max_size=12).map(b"".join)
 FRAMED = st.tuples(st.lists(PIECES, max_size=4), st.lists(PIECES, max_size=4)).map(
     lambda parts: b"HTTP/1.1 200 OK\r\nAttempt: a1\r\nSeal: x\r\n%s\r\n%s" % tuple(map(b"".join, parts))
@@ -48,7 +81,7 @@
             continue
         try:
             parser.read(piece)
-        except Unreadable:
+        except UnreadableError:
             return heads, b"".join(body), b"".join(rest) if rest else None, True
     return heads, b"".join(body), b"".join(rest) if rest else None, False
 
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -53,9 +53,14 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 2])
-@pytest.mark.parametrize("kind, more", [
-    ("safe", {}), ("streaming", {"resumable": True}), ("streaming", {"resumable": True, "retained": True}),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "kind, more",
+    [
+        ("safe", {}),
+        ("streaming", {"resumable": True}),
+        ("streaming", {"resumable": True, "retained": True}),
+    ],
+)
 def test_a_repeatable_try_that_was_refused_goes_to_another_runner_even_with_one_attempt(
     monkeypatch, kind, more, attempts
 ):
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -65,9 +65,13 @@
     return kept(leaf, op, ms)
 
 
-@pytest.mark.parametrize("kind, operation, verdict", [
-    ("idempotent", Claim, Claimed()), ("streaming", Begin, Begun("r1", ())),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "kind, operation, verdict",
+    [
+        ("idempotent", Claim, Claimed()),
+        ("streaming", Begin, Begun("r1", ())),
+    ],
+)
 @pytest.mark.parametrize("change", ["lease", "time", "runner"])
 def test_nothing_is_sent_when_what_allowed_it_ended_while_the_ledger_was_asked(
     monkeypatch, kind, operation, verdict, change
--- a/tests/test_proxy_strikes.py
+++ b/tests/test_proxy_strikes.py
@@ -304,12 +304,15 @@
 
 
 PLANTS = {
-    "one runner more": ([(lookup, "attempts_for", one_runner_more), (stream, "attempts_for", one_runner_more)], requests_struck),
+    "one runner more": (
+        [(lookup, "attempts_for", one_runner_more), (stream, "attempts_for", one_runner_more)],
+        requests_struck,
+    ),
     "reset taken for a refusal": ([(exchange, "step", reset_taken_for_refusal)], requests_struck),
     "cut taken for whole": ([(exchange, "step", cut_taken_for_whole)], answers_struck),
     "any head is the call's own": ([(sending, "doubt", lambda head, call, fresh: "")], late_answers),
     "surplus bytes ignored": ([(Connection, "drop", lambda connection: None)], surplus),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("plant", sorted(PLANTS))
