--- /dev/null
+++ b/frostpost/cluster/greeting.py
@@ -0,0 +1,42 @@
+"""The leader tells agents where the replicas are, so that an agent finds them though all its seeds are out of reach."""
+
+from frostpost.daemon.context import clock_ms
+from frostpost.virtual_synchrony.outer import Directory
+from frostpost.virtual_synchrony.state import names
+
+from . import serving
+
+# Agents whose lease ended up to this many lease times ago are greeted, once a lease time.
+LAPSED_LEASES = 50
+
+
+def configuration_places(synchrony):
+    """Where the members of the configuration are."""
+    others = [synchrony.peers[name].place for name in names(synchrony.configuration) if name in synchrony.peers]
+    return (synchrony.place, *others)
+
+
+def greet(replica, addresses):
+    """Tell the agents at some addresses where the replicas are."""
+    places = configuration_places(replica.ctx.core.synchrony)
+    for address in sorted(addresses):
+        replica.send(address, Directory(places))
+
+
+def greet_known(replica):
+    """A leader that has just opened greets all agents that it knows, so that they need not look for it."""
+    synchrony = replica.ctx.core.synchrony
+    if not serving.sequencing(replica.ctx) or replica.greeted == synchrony.configuration.id:
+        return
+    replica.greeted = synchrony.configuration.id
+    stored = {f"@{address}" for address in replica.leaves.addresses}
+    greet(replica, stored | {seen.address for seen in replica.sessions.leaves.values()})
+
+
+def greet_lapsed(replica):
+    """The leader greets agents whose lease ended of late: one that started anew may know no replica."""
+    if not serving.sequencing(replica.ctx):
+        return
+    now = clock_ms(replica.ctx)
+    since_ms = now - LAPSED_LEASES * replica.settings.lease_ms
+    greet(replica, {s.address for s in replica.sessions.leaves.values() if since_ms < s.until_ms <= now})
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -14,11 +14,10 @@
 from frostpost.virtual_synchrony.events import Left, Received
 from frostpost.virtual_synchrony.memory import NOWHERE, replay
 from frostpost.virtual_synchrony.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.virtual_synchrony.state import names
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
-from . import peers, serving, status, tenders
+from . import greeting, peers, serving, status, tenders
 from .replica import ROLE, Crash, Replica, ring_settings
 
 LEAVE_S = 0.4
@@ -91,7 +90,8 @@
     loop(replica, lambda: tenders.tend(ctx, replica.background, 2 * settings.tolerated + 1, settings.catch_up_ms), 0.15)
     loop(replica, lambda: tidy(replica), 10.0)
     loop(replica, lambda: peers.keep(replica.peers, ctx.core.synchrony), 1.0)
-    loop(replica, lambda: greet(replica), 0.03)
+    loop(replica, lambda: greeting.greet_known(replica), 0.03)
+    loop(replica, lambda: greeting.greet_lapsed(replica), settings.lease_ms / 1000)
     loop(replica, lambda: keep_leaves(replica), 1.0)
     say("started", name=settings.name, founding=list(charter))
 
@@ -125,25 +125,6 @@
     ctx.core.synchrony.news = {tenders.MISSING: replica.turn_store.missing}
 
 
-def greet(replica):
-    """A sequencer that has just opened tells the leaves that it knows, so that they need not look for it."""
-    ctx = replica.ctx
-    synchrony = ctx.core.synchrony
-    if not serving.sequencing(ctx) or replica.greeted == synchrony.configuration.id:
-        return
-    replica.greeted = synchrony.configuration.id
-    places = tuple(
-        p
-        for p in (
-            synchrony.place,
-            *(synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers),
-        )
-    )
-    known = {f"@{a}" for a in replica.leaves.addresses} | {s.address for s in replica.sessions.leaves.values()}
-    for address in sorted(known):
-        replica.send(address, Directory(places))
-
-
 def keep_leaves(replica):
     """Addresses of leaves heard of late, by the sequencer as renewals come, by the others from what it greets."""
     now = clock_ms(replica.ctx)
--- a/tests/test_platform_control_cuts.py
+++ b/tests/test_platform_control_cuts.py
@@ -9,6 +9,7 @@
 from fleet_simulator.notes import NEVER_MS
 from fleet_simulator.plants import planted
 
+from frostpost.cluster.lease import lease_ok
 from frostpost.platform.control import ANSWER_RATIO, SILENCE_MS
 
 CUT_MS = 20000
@@ -131,6 +132,20 @@
     caught_up(world, caller)
 
 
+@pytest.mark.parametrize("power", [False, True])
+@pytest.mark.parametrize("role", ["edge", "core"])
+def test_a_restart_while_the_only_seed_is_cut_off_finds_the_replicas(role, power):
+    world = opened("seed")
+    seed, from_ms = world.of("core")[0], world.now_ms()
+    cuts.cut(world, [seed], CUT_MS)
+    restarted = [daemon for daemon in world.of(role) if daemon is not seed][-1]
+    world.later(1000, worlds.kill, world, restarted, power)
+    world.later(1500, worlds.start, world, restarted)
+    world.run(from_ms + 1500 + world.notes.sheet["contact"])
+    assert lease_ok(restarted.owner)
+    assert role != "edge" or plays.ready(world, restarted)
+
+
 def test_of_two_cuts_that_overlap_each_refuses_every_call():
     world = opened()
     first, second, third = world.of("core")
