--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -66,8 +66,10 @@
 
 
 def write(write_ahead_log, names):
-    write_ahead_logs.append(write_ahead_log, [encode(names)] * COPIES)
-    write_ahead_logs.sync(write_ahead_log)
+    """Each copy is synced before the next is written: the later one proves that the first was there."""
+    for _ in range(COPIES):
+        write_ahead_logs.append(write_ahead_log, [encode(names)])
+        write_ahead_logs.sync(write_ahead_log)
 
 
 def written(_, leaf, names):
--- a/frostpost/daemon/machine.py
+++ b/frostpost/daemon/machine.py
@@ -18,6 +18,7 @@
     exists: Callable = os.path.exists
     makedirs: Callable = os.makedirs
     read: Callable = lambda path: read_whole(path)
+    pwrite: Callable = os.pwrite
 
 
 class Machine(Struct, frozen=True):
--- a/frostpost/simulator/drives.py
+++ b/frostpost/simulator/drives.py
@@ -6,6 +6,10 @@
 from frostpost.daemon.machine import Files
 
 
+# Small beside the log's batches, so that a power failure leaves holes in them.
+BLOCK_BYTES = 64
+
+
 class PowerCut(Exception):
     pass
 
@@ -64,6 +68,12 @@
         drive.held[fd].data += part
         return len(part)
 
+    def pwrite(fd, data, offset):
+        touch(drive, "write")
+        sheet = drive.held[fd]
+        sheet.data[offset : offset + len(data)] = data
+        return len(data)
+
     def sync(fd):
         touch(drive, "sync")
         drive.syncs += 1
@@ -96,6 +106,7 @@
         exists=lambda path: path in drive.names,
         makedirs=lambda path, exist_ok: None,
         read=read,
+        pwrite=pwrite,
     )
 
 
@@ -118,10 +129,21 @@
     for sheet in names.values():
         kept = drive.random.randint(sheet.synced, len(sheet.data)) if len(sheet.data) > sheet.synced else sheet.synced
         del sheet.data[kept:]
+        lose_blocks(drive, sheet)
         sheet.synced = len(sheet.data)
     drive.names, drive.lasting, drive.held = names, dict(names), {}
 
 
+def lose_blocks(drive, sheet):
+    """Some of what was not synced reads as zeros, though later parts of it last."""
+    if drive.random.random() < 0.5:
+        return
+    for start in range(sheet.synced, len(sheet.data), BLOCK_BYTES):
+        if drive.random.random() < 0.3:
+            end = min(start + BLOCK_BYTES, len(sheet.data))
+            sheet.data[start:end] = bytes(end - start)
+
+
 def kill(drive, jobs):
     cut_short(drive, jobs)
     drive.held = {}
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -8,6 +8,7 @@
 
 from frostpost.daemon.machine import Files
 from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import records
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(tuple[str, bytes]).decode
@@ -48,21 +49,19 @@
     write_ahead_logs.sync_folder(files, os.path.dirname(folder))
     for number in sorted(int(name) for name in files.listdir(folder) if name.isdigit()):
         close_log(log)
-        log.write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, name_of(number), files)
+        log.write_ahead_log, found, fault = write_ahead_logs.open_records(folder, name_of(number), files)
         log.number, sizes[number] = number, log.write_ahead_log.size
-        index.update(spots_of(number, payloads))
+        index.update(spots_of(number, found))
         if fault is not None:
             faults.append(fault)
     return log, index, sizes, faults
 
 
-def spots_of(number, payloads):
-    spots, offset = {}, 0
-    for payload in payloads:
-        length = write_ahead_logs.HEAD.size + len(payload)
+def spots_of(number, found):
+    spots = {}
+    for record in found:
         with suppress(DecodeError, ValidationError):
-            spots[decode(payload)[0]] = (number, offset, length)
-        offset += length
+            spots[decode(record.payload)[0]] = (number, record.offset, record.end - record.offset)
     return spots
 
 
@@ -82,7 +81,7 @@
             chunk, spots, offset = [], {}, log.write_ahead_log.size
             while at < len(batch) and (not chunk or offset < log.segment_bytes):
                 chunk.append(encode(batch[at]))
-                length = write_ahead_logs.HEAD.size + len(chunk[-1])
+                length = records.HEADER.size + len(chunk[-1])
                 spots[batch[at][0]] = (log.number, offset, length)
                 offset, at = offset + length, at + 1
             write_ahead_logs.append(log.write_ahead_log, chunk)
@@ -121,10 +120,10 @@
             log.files.close(fd)
     except OSError:
         return None
-    found = write_ahead_logs.read_at(raw, 0)
-    if found is None or found[2] != length:
+    found = records.read_at(raw, 0)
+    if found is None or found.end != length:
         return None
     try:
-        return decode(found[1])
+        return decode(found.payload)
     except (DecodeError, ValidationError):
         return None
--- a/frostpost/turn_store/store.py
+++ b/frostpost/turn_store/store.py
@@ -10,6 +10,8 @@
 
 from .segments import Log, SiloFiles, close_log, name_of, open_log, read_spot, write_batch
 
+# The name that earlier builds gave the folder: it stays, so that their bodies are found.
+FOLDER_ON_DISK = "silo"
 SEGMENT_BYTES = 8 << 20
 DISK_BYTES = 1 << 30
 QUEUE_BYTES = 32 << 20
@@ -54,8 +56,8 @@
     queue_bytes=QUEUE_BYTES,
     min_age_ms=MIN_AGE_MS,
 ):
-    """Scans <data_folder>/turn_store; `tell` hears Torn and Corrupt now, each OSError (SyncLost too) later."""
-    log, index, sizes, faults = open_log(os.path.join(data_folder, "turn_store"), files, segment_bytes)
+    """Scans the segments in the data folder; `tell` hears Torn and Corrupt now, each OSError (SyncLost too) later."""
+    log, index, sizes, faults = open_log(os.path.join(data_folder, FOLDER_ON_DISK), files, segment_bytes)
     turn_store = TurnStore(
         machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000)
     )
--- a/frostpost/write_ahead_log/disk.py
+++ b/frostpost/write_ahead_log/disk.py
@@ -1,101 +1,123 @@
+"""An append-only log in one file: opened, appended to, synced, and replaced by a rewritten one.
+
+What a sync covered outlasts a power failure. What is read when the log is opened may never have been synced, by a process
+that was killed or whose sync failed: it is written once more and synced before it is believed.
+"""
+
 import os
-from struct import Struct as Layout
-from zlib import crc32
 
 from msgspec import Struct
 
 from frostpost.daemon.machine import Files
 
-HEAD = Layout(">2sIQI")
-MAGIC = b"\xf0\x57"
+from .records import Record, Scan, scan, seal, seal_mark
+
+# Records are joined into writes of about this size, so that a large snapshot is copied once and not with all the rest.
+JOIN_BYTES = 1 << 20
+APPENDING = os.O_WRONLY | os.O_CREAT | os.O_APPEND
 
 
 class Torn(Struct, frozen=True, tag="Torn"):
+    """The file went on past the last believed record with bytes that no sync had covered; they were cut off."""
+
     path: str
     offset: int
 
 
 class Corrupt(Struct, frozen=True, tag="Corrupt"):
+    """Synced bytes were damaged; the whole file was moved aside and the log begins empty."""
+
     path: str
     offset: int
     moved_to: str
 
 
+class SyncLost(OSError):
+    """Whether what was written will last is unknown: the process has to end and read its disk again."""
+
+
 class WriteAheadLog(Struct):
+    """An open log. `synced_bytes`: how much of the file is known to be synced; `checksum`: of the last record.
+
+    `paced`: each large write is synced by itself, so that a large file holds up the syncs of others but shortly.
+    """
+
     folder: str
     name: str
     files: Files = Files()
     fd: int = -1
     serial: int = 0
     size: int = 0
+    synced_bytes: int = 0
+    checksum: int = 0
+    paced: bool = False
 
     @property
-    def path(self):
+    def path(self) -> str:
+        """Path of the log's file."""
         return os.path.join(self.folder, self.name)
 
 
-def seal(serial, payload):
-    sum = crc32(payload, crc32(serial.to_bytes(8, "big")))
-    return HEAD.pack(MAGIC, len(payload), serial, sum) + payload
+def open_(folder: str, name: str, files: Files = Files()) -> tuple[WriteAheadLog, list[bytes], Torn | Corrupt | None]:
+    """Return the open log, the payloads read from it, and what was wrong with its file."""
+    log, records, fault = open_records(folder, name, files)
+    return log, [record.payload for record in records], fault
+
 
+def open_records(
+    folder: str, name: str, files: Files = Files()
+) -> tuple[WriteAheadLog, list[Record], Torn | Corrupt | None]:
+    """Like `open_`, with the records as they lie in the file."""
+    files.makedirs(folder, exist_ok=True)
+    log = WriteAheadLog(folder, name, files)
+    data = files.read(log.path) if files.exists(log.path) else b""
+    found, fault = scan(data), None
+    if found.corrupt:
+        fault = set_aside(log, found.end)
+        data, found = b"", Scan()
+    elif found.end < len(data):
+        fault = Torn(log.path, found.end)
+    log.fd = files.open(log.path, APPENDING, 0o644)
+    make_durable(log, data, found)
+    log.serial, log.checksum = found.serial, found.checksum
+    log.size = log.synced_bytes = found.end
+    sync_folder(files, folder)
+    return log, found.records, fault
 
-def read_at(data, offset):
-    if offset + HEAD.size > len(data):
-        return None
-    magic, length, serial, sum = HEAD.unpack_from(data, offset)
-    end = offset + HEAD.size + length
-    if magic != MAGIC or end > len(data):
-        return None
-    payload = data[offset + HEAD.size : end]
-    if crc32(payload, crc32(serial.to_bytes(8, "big"))) != sum:
-        return None
-    return serial, payload, end
 
+def set_aside(log, offset):
+    moved_to = f"{log.path}.corrupt-{offset}"
+    log.files.replace(log.path, moved_to)
+    return Corrupt(log.path, offset, moved_to)
 
-def survives(data, offset, serial):
-    at = data.find(MAGIC, offset + 1)
-    while at >= 0:
-        found = read_at(data, at)
-        if found and found[0] > serial:
-            return True
-        at = data.find(MAGIC, at + 1)
-    return False
 
+def make_durable(log, data, found):
+    """Cut off what is not believed, write again what may be only in the page cache, and sync.
 
-def scan(data):
-    payloads, offset, serial = [], 0, 0
-    while offset < len(data):
-        found = read_at(data, offset)
-        if found is None or found[0] != serial + 1:
-            return payloads, offset, serial, survives(data, offset, serial)
-        serial, payload, offset = found
-        payloads.append(payload)
-    return payloads, offset, serial, False
+    After a failed sync the kernel may hold pages as clean that never reached the disk: a sync alone would not write them.
+    """
+    if not data:
+        return
+    if found.end < len(data):
+        log.files.ftruncate(log.fd, found.end)
+    if found.synced_bytes < found.end:
+        write_again(log, data[found.synced_bytes : found.end], found.synced_bytes)
+    log.files.fsync(log.fd)
 
 
-def open_(folder, name, files=Files()):
-    files.makedirs(folder, exist_ok=True)
-    write_ahead_log = WriteAheadLog(folder, name, files)
-    data = files.read(write_ahead_log.path) if files.exists(write_ahead_log.path) else b""
-    payloads, offset, serial, corrupt = scan(data)
-    fault = None
-    if corrupt:
-        moved = f"{write_ahead_log.path}.corrupt-{offset}"
-        files.replace(write_ahead_log.path, moved)
-        fault = Corrupt(write_ahead_log.path, offset, moved)
-        payloads, offset, serial = [], 0, 0
-    elif offset < len(data):
-        fault = Torn(write_ahead_log.path, offset)
-    write_ahead_log.fd = files.open(write_ahead_log.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-    if offset < len(data) and not corrupt:
-        files.ftruncate(write_ahead_log.fd, offset)
-        files.fsync(write_ahead_log.fd)
-    write_ahead_log.serial, write_ahead_log.size = serial, offset
-    sync_folder(files, folder)
-    return write_ahead_log, payloads, fault
+def write_again(log, data, offset):
+    fd = log.files.open(log.path, os.O_WRONLY)
+    try:
+        view = memoryview(data)
+        while view:
+            written = log.files.pwrite(fd, view, offset)
+            view, offset = view[written:], offset + written
+    finally:
+        log.files.close(fd)
 
 
-def sync_folder(files, folder):
+def sync_folder(files: Files, folder: str) -> None:
+    """Make the names in a folder durable."""
     fd = files.open(folder, os.O_RDONLY)
     try:
         files.fsync(fd)
@@ -103,57 +125,110 @@
         files.close(fd)
 
 
-def append(write_ahead_log, payloads):
-    parts, serial = [], write_ahead_log.serial
-    for payload in payloads:
-        serial += 1
-        parts.append(seal(serial, payload))
-    data = b"".join(parts)
-    view = memoryview(data)
+def append(log: WriteAheadLog, payloads: list[bytes]) -> None:
+    """Write records at the end of the file; a failed write leaves the log as it was."""
+    serial, checksum, size, parts, held_bytes = log.serial, log.checksum, log.size, [], 0
     try:
-        while view:
-            view = view[write_ahead_log.files.write(write_ahead_log.fd, view) :]
+        for payload in payloads:
+            serial += 1
+            header, checksum = seal(serial, payload, log.synced_bytes, checksum)
+            parts += (header, payload)
+            held_bytes += len(header) + len(payload)
+            if held_bytes >= JOIN_BYTES:
+                size += write_all(log, parts)
+                parts, held_bytes = [], 0
+        size += write_all(log, parts)
     except OSError:
-        write_ahead_log.files.ftruncate(write_ahead_log.fd, write_ahead_log.size)
+        take_back(log)
         raise
-    write_ahead_log.serial = serial
-    write_ahead_log.size += len(data)
+    log.serial, log.checksum, log.size = serial, checksum, size
 
 
-class SyncLost(OSError):
-    pass
+def write_all(log, parts):
+    """Write the parts to the end of the file; return how many bytes they are."""
+    data = b"".join(parts)
+    view = memoryview(data)
+    while view:
+        view = view[log.files.write(log.fd, view[:JOIN_BYTES]) :]
+        if log.paced and view:
+            log.files.fdatasync(log.fd)
+    return len(data)
 
 
-def sync(write_ahead_log):
+def take_back(log):
+    """Cut a failed write off; records after its remains would never be read again."""
     try:
-        write_ahead_log.files.fdatasync(write_ahead_log.fd)
+        log.files.ftruncate(log.fd, log.size)
     except OSError as fault:
         raise SyncLost(*fault.args) from fault
 
 
-def rewrite(write_ahead_log, payloads):
-    files, fresh = write_ahead_log.files, f"{write_ahead_log.path}.new"
-    data = b"".join(seal(n, p) for n, p in enumerate(payloads, 1))
-    fd = files.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o644)
+def sync(log: WriteAheadLog) -> None:
+    """Make all that was appended durable, or raise SyncLost."""
     try:
-        view = memoryview(data)
-        while view:
-            view = view[files.write(fd, view) :]
-        files.fsync(fd)
-        files.replace(fresh, write_ahead_log.path)
+        log.files.fdatasync(log.fd)
+    except OSError as fault:
+        raise SyncLost(*fault.args) from fault
+    log.synced_bytes = log.size
+    mark(log)
+
+
+def mark(log):
+    """Note behind the synced records that they are synced; the log is as good without the note."""
+    data, checksum = seal_mark(log.serial, log.size, log.checksum)
+    try:
+        log.size += write_all(log, [data])
+        log.checksum = checksum
     except OSError:
-        files.close(fd)
+        take_back(log)
+
+
+def prepare(log: WriteAheadLog, payloads: list[bytes]) -> WriteAheadLog:
+    """Write and sync a file that may replace the log; the log itself may be appended to meanwhile."""
+    fresh = WriteAheadLog(log.folder, f"{log.name}.new", log.files, paced=True)
+    fresh.fd = log.files.open(fresh.path, APPENDING | os.O_TRUNC, 0o644)
+    try:
+        extend(fresh, payloads)
+    except OSError:
+        close(fresh)
         raise
-    old, write_ahead_log.fd = write_ahead_log.fd, fd
-    write_ahead_log.serial, write_ahead_log.size = len(payloads), len(data)
-    files.close(old)
+    return fresh
+
+
+def extend(fresh, payloads):
+    """Append and sync; a failure is no loss here, since nothing relies on the file yet."""
+    append(fresh, payloads)
+    fresh.files.fsync(fresh.fd)
+    fresh.synced_bytes = fresh.size
+
+
+def adopt(log: WriteAheadLog, fresh: WriteAheadLog, payloads: list[bytes]) -> None:
+    """Put the prepared file in the log's place, with the payloads that were appended to the log meanwhile."""
     try:
-        sync_folder(files, write_ahead_log.folder)
+        if payloads:
+            extend(fresh, payloads)
+    except OSError:
+        close(fresh)
+        raise
+    old_fd = log.fd
+    try:
+        log.files.replace(fresh.path, log.path)
+        log.fd, log.serial, log.checksum = fresh.fd, fresh.serial, fresh.checksum
+        log.size, log.synced_bytes = fresh.size, fresh.synced_bytes
+        mark(log)
+        log.files.close(old_fd)
+        sync_folder(log.files, log.folder)
     except OSError as fault:
         raise SyncLost(*fault.args) from fault
 
 
-def close(write_ahead_log):
-    if write_ahead_log.fd >= 0:
-        write_ahead_log.files.close(write_ahead_log.fd)
-        write_ahead_log.fd = -1
+def rewrite(log: WriteAheadLog, payloads: list[bytes]) -> None:
+    """Replace all that the log holds."""
+    adopt(log, prepare(log, payloads), [])
+
+
+def close(log: WriteAheadLog) -> None:
+    """Close the log's file."""
+    if log.fd >= 0:
+        log.files.close(log.fd)
+        log.fd = -1
--- a/tests/disk_model.py
+++ b/tests/disk_model.py
@@ -26,7 +26,6 @@
     """The calls of the log and those that the turn store makes beside them."""
 
     pread: Callable = os.pread
-    pwrite: Callable = os.pwrite
     unlink: Callable = os.unlink
     listdir: Callable = os.listdir
 
