--- a/frostpost/admin/__init__.py
+++ b/frostpost/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' commands."""
--- a/frostpost/admin/asking.py
+++ b/frostpost/admin/asking.py
@@ -1,3 +1,5 @@
+"""Ask one daemon over HTTP, and print what comes back."""
+
 import sys
 import urllib.error
 import urllib.request
@@ -9,20 +11,27 @@
 
 
 class Door(Struct, frozen=True):
+    """The HTTP address of a daemon."""
+
     address: str
 
 
 class Unreached(Struct, frozen=True):
+    """No daemon answers at that address."""
+
     door: str
     why: str
 
 
 class TurnedAway(Struct, frozen=True):
+    """The daemon refused the request."""
+
     status: int
     fault: dict
 
 
 def ask(door, path, method="GET", document=None, headers=None, wait_s=30):
+    """Send a request; Ok(decoded JSON) or Error."""
     data = None if document is None else json.encode(document)
     request = urllib.request.Request(
         f"http://{door.address}{path}",
@@ -44,10 +53,12 @@
 
 
 def say(command, document, text):
+    """Print a result as JSON or as text, as the command asks."""
     print(json.format(json.encode(document), indent=2).decode() if command.json else text)
 
 
 def fail(command, error):
+    """Print an error to standard error and return the exit status."""
     if isinstance(error, Unreached):
         print(f"Unreached: {error.door}: {error.why}", file=sys.stderr)
         return UNREACHED
--- a/frostpost/admin/configs.py
+++ b/frostpost/admin/configs.py
@@ -1,3 +1,5 @@
+"""Commands that bring a folder of declarations into effect."""
+
 import os
 import sys
 
@@ -7,6 +9,7 @@
 
 
 def declared(folder):
+    """Return (documents by path, errors) of a folder."""
     found, faults = {}, []
     for kind in ("templates", "tenants"):
         base = os.path.join(folder, kind)
@@ -23,6 +26,7 @@
 
 
 def changes(door, found):
+    """Return the (path, document, version held) that differ, and an error or None."""
     plan = []
     for path, document in found.items():
         held = ask(door, f"/v1/config/{path}")
@@ -37,6 +41,7 @@
 
 
 def read(command):
+    """Return a folder's documents, or None after printing its errors."""
     found, faults = declared(command.folder)
     if faults or not found:
         for fault in faults or [f"{command.folder}: no templates/*.json or tenants/*.json"]:
@@ -46,6 +51,7 @@
 
 
 def planned(command, door):
+    """Return (exit status, changes to make); the changes are None after an error."""
     found = read(command)
     if found is None:
         return MISUSED, None
@@ -54,6 +60,7 @@
 
 
 def diff(command, door):
+    """Print what apply would change."""
     status, plan = planned(command, door)
     if plan is None:
         return status
@@ -63,6 +70,7 @@
 
 
 def apply_whole(command, door):
+    """Apply a folder as one change: all or nothing."""
     found = read(command)
     if found is None:
         return MISUSED
@@ -82,6 +90,7 @@
 
 
 def apply(command, door):
+    """Apply a folder, document by document."""
     if command.whole:
         return apply_whole(command, door)
     status, plan = planned(command, door)
@@ -100,6 +109,7 @@
 
 
 def get(command, door):
+    """Print one document or the list of all."""
     result = ask(door, f"/v1/config/{command.path}" if command.path else "/v1/config")
     if result.is_error():
         return fail(command, result.error)
--- a/frostpost/admin/doctor.py
+++ b/frostpost/admin/doctor.py
@@ -1,3 +1,5 @@
+"""Look for common faults of a fleet by the status of its daemons."""
+
 from concurrent.futures import ThreadPoolExecutor
 
 from msgspec import Struct, to_builtins
@@ -8,6 +10,8 @@
 
 
 class Finding(Struct, frozen=True):
+    """One problem found: where, its cause and what to do about it."""
+
     fault: str
     where: str
     cause: str
@@ -15,6 +19,8 @@
 
 
 def reach(places):
+    """Ask all daemons for their status, at once."""
+
     def one(place):
         return ask(Door(place["http"]), "/v1/status", wait_s=3)
 
@@ -23,11 +29,13 @@
 
 
 def silent(name, error):
+    """Return the finding for a daemon that does not answer."""
     why = error.fault.get("text", "") if isinstance(error, TurnedAway) else error.why
     return Finding("Silent", name, why, "see whether its process runs, and its log's last lines")
 
 
 def of_daemon(name, said):
+    """Yield the findings that one daemon's status shows."""
     if not said["primary"] or not said["serving"] and not said["leaving"]:
         yield Finding(
             "NoMajority",
@@ -87,6 +95,7 @@
 
 
 def together(found):
+    """Yield the findings that only the daemons' statuses together show."""
     statuses = {n: s for n, s in found.items()}
     ids = {(s["configuration"]["epoch"], s["configuration"]["proposer"]) for s in statuses.values()}
     if len(ids) > 1:
@@ -134,6 +143,7 @@
 
 
 def run(command, door):
+    """Run the doctor command."""
     first = ask(door, "/v1/status")
     if first.is_error():
         return fail(command, first.error)
--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -73,6 +73,7 @@
 
 
 def address_of(place):
+    """Return a daemon's inner address, `IP:port`."""
     return f"{place.host}:{place.port}"
 
 
@@ -94,6 +95,7 @@
 
 
 def state_of(facts):
+    """Return a storage daemon's state in a few words."""
     if facts["charter_waiting"]:
         return "waits for the charter"
     if facts.get("recovering"):
@@ -104,6 +106,7 @@
 
 
 def ring_row(name, facts):
+    """Return the columns for a storage daemon."""
     id, turn_store = facts.get("configuration", {}), facts["turn_store"]
     return [
         name,
@@ -119,6 +122,7 @@
 
 
 def leaf_row(name, facts):
+    """Return the columns for an edge or core daemon."""
     routing, runners = facts["routing"], facts["runners"]
     return [
         name,
@@ -134,6 +138,7 @@
 
 
 def table(rows):
+    """Return rows as lines with aligned columns."""
     if not rows:
         return []
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
@@ -141,6 +146,7 @@
 
 
 def text_of(fleet):
+    """Return a fleet as text."""
     chief = chief_of(fleet)
     lines = [f"voters: {', '.join(chief['voters'])}" if chief else "no primary"]
     lines += table([ring_row(*one) for one in sorted(fleet.ring.items())])
@@ -150,6 +156,7 @@
 
 
 def run(command, _):
+    """Run the fleet command."""
     addresses = {given: inner.resolved(given) for given in command.seed}
     fleet = gather([address for address in addresses.values() if address])
     fleet.seeds_silent += [given for given, address in addresses.items() if address is None]
--- a/frostpost/admin/inner.py
+++ b/frostpost/admin/inner.py
@@ -37,6 +37,7 @@
 
 
 def listen():
+    """Open a port for answers."""
     listener = socket.create_server(("", 0), backlog=1024)
     listener.setblocking(False)
     hearing = Hearing(listener, selectors.DefaultSelector())
@@ -45,6 +46,7 @@
 
 
 def close(hearing):
+    """Close the port and all its connections."""
     for connection in list(hearing.buffers):
         drop(hearing, connection)
     hearing.selector.close()
@@ -52,6 +54,7 @@
 
 
 def drop(hearing, connection):
+    """Close one connection."""
     hearing.selector.unregister(connection)
     del hearing.buffers[connection]
     connection.close()
--- a/frostpost/admin/main.py
+++ b/frostpost/admin/main.py
@@ -1,3 +1,5 @@
+"""The operators' command line."""
+
 import sys
 from typing import Annotated
 
@@ -13,6 +15,8 @@
 
 @cappa.command(name="apply", help="Bring the directory's declarations into effect; what is the same is left alone.")
 class Apply(Struct, kw_only=True):
+    """Arguments of apply."""
+
     folder: Annotated[str, cappa.Arg(help="folder with templates/*.json and tenants/*.json")]
     whole: Annotated[bool, cappa.Arg(long=True, help="take the folder as one: all or nothing, others removed")] = False
     door: DOOR
@@ -21,6 +25,8 @@
 
 @cappa.command(name="diff", help="Show what apply would change; exit status 1 if anything.")
 class Diff(Struct, kw_only=True):
+    """Arguments of diff."""
+
     folder: Annotated[str, cappa.Arg(help="folder with templates/*.json and tenants/*.json")]
     door: DOOR
     json: TEXT = False
@@ -28,6 +34,8 @@
 
 @cappa.command(name="get", help="Print one configuration, or the list of all.")
 class Get(Struct, kw_only=True):
+    """Arguments of get."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")] = ""
     door: DOOR
     json: TEXT = False
@@ -35,6 +43,8 @@
 
 @cappa.command(name="history", help="Print the kept versions of one configuration.")
 class History(Struct, kw_only=True):
+    """Arguments of history."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
     door: DOOR
     json: TEXT = False
@@ -42,6 +52,8 @@
 
 @cappa.command(name="rollback", help="Bring a kept version back, as a new version.")
 class Rollback(Struct, kw_only=True):
+    """Arguments of rollback."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
     version: Annotated[int, cappa.Arg(help="the version to bring back")]
     door: DOOR
@@ -50,6 +62,8 @@
 
 @cappa.command(name="remove", help="Remove one configuration; a template in use is turned away.")
 class Remove(Struct, kw_only=True):
+    """Arguments of remove."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
     door: DOOR
     json: TEXT = False
@@ -57,6 +71,8 @@
 
 @cappa.command(name="drain", help="Mark a runner as leaving, or as staying.")
 class Drain(Struct, kw_only=True):
+    """Arguments of drain."""
+
     runner: Annotated[str, cappa.Arg(help="the runner's name")]
     stay: Annotated[bool, cappa.Arg(long=True, help="take the mark away")] = False
     door: DOOR
@@ -65,24 +81,32 @@
 
 @cappa.command(name="status", help="Print one daemon's status.")
 class Status(Struct, kw_only=True):
+    """Arguments of status."""
+
     door: DOOR
     json: TEXT = False
 
 
 @cappa.command(name="members", help="Print the daemons that this one knows, and what each has reached.")
 class Members(Struct, kw_only=True):
+    """Arguments of members."""
+
     door: DOOR
     json: TEXT = False
 
 
 @cappa.command(name="runners", help="Print the runners with load and drain marks.")
 class Runners(Struct, kw_only=True):
+    """Arguments of runners."""
+
     door: DOOR
     json: TEXT = False
 
 
 @cappa.command(name="explain", help="Print why a runner would be selected for a lane.")
 class Explain(Struct, kw_only=True):
+    """Arguments of explain."""
+
     tenant: str
     lane: str
     door: DOOR
@@ -91,6 +115,8 @@
 
 @cappa.command(name="voters", help="Print the storage voters, or change them.")
 class Voters(Struct, kw_only=True):
+    """Arguments of voters."""
+
     add: Annotated[str, cappa.Arg(long=True, help="take this storage daemon in as a voter")] = ""
     remove: Annotated[str, cappa.Arg(long=True, help="empty this storage daemon: it votes no more")] = ""
     door: DOOR
@@ -99,6 +125,8 @@
 
 @cappa.command(name="doctor", help="Look for common faults; exit status 1 if any is found.")
 class Doctor(Struct, kw_only=True):
+    """Arguments of doctor."""
+
     door: DOOR
     json: TEXT = False
 
@@ -107,6 +135,8 @@
     name="fleet", help="Print every daemon of a fleet on the users' machines, asked over the inner addresses."
 )
 class Fleet(Struct, kw_only=True):
+    """Arguments of fleet."""
+
     seed: Annotated[list[str], cappa.Arg(long="--seed", required=True, help="IP:port, the inner address of any daemon")]
     doctor: Annotated[bool, cappa.Arg(long=True, help="look for common faults; exit status 1 if any is found")] = False
     json: TEXT = False
@@ -114,6 +144,8 @@
 
 @cappa.command(name="admin", help="The operators' command for frostpost.")
 class Pruner(Struct):
+    """The operators' command with its subcommands."""
+
     command: cappa.Subcommands[
         Apply
         | Diff
@@ -151,6 +183,7 @@
 
 
 def main():
+    """Run the command line; returns the exit status."""
     command = cappa.parse(Pruner).command
     return ACTS[type(command)](command, Door(getattr(command, "door", "")))
 
--- a/frostpost/admin/pasts.py
+++ b/frostpost/admin/pasts.py
@@ -1,7 +1,10 @@
+"""Commands about earlier versions of a document."""
+
 from .asking import DONE, ask, fail, say
 
 
 def history(command, door):
+    """Print the kept versions of a document."""
     result = ask(door, f"/v1/config/{command.path}/history")
     if result.is_error():
         return fail(command, result.error)
@@ -17,6 +20,7 @@
 
 
 def changed(command, result):
+    """Print a document's new version, or the error."""
     if result.is_error():
         return fail(command, result.error)
     say(command, result.ok, f"{command.path}: version {result.ok['version']}")
@@ -24,8 +28,10 @@
 
 
 def rollback(command, door):
+    """Bring a kept version back."""
     return changed(command, ask(door, f"/v1/config/{command.path}/rollback", "POST", {"version": command.version}))
 
 
 def remove(command, door):
+    """Remove a document."""
     return changed(command, ask(door, f"/v1/config/{command.path}", "DELETE"))
--- a/frostpost/admin/remedies.py
+++ b/frostpost/admin/remedies.py
@@ -8,6 +8,7 @@
 
 
 def unanswered(fleet, chief):
+    """Yield findings for daemons that do not answer."""
     retired = {n for n, state in (chief or {}).get("retiring", {}).items() if state == "completed"}
     for seed in fleet.seeds_silent:
         yield Finding(
@@ -33,6 +34,7 @@
 
 
 def primary(fleet, chief):
+    """Yield findings about the primary configuration."""
     waiting = [n for n, f in fleet.ring.items() if f["charter_waiting"]]
     if waiting:
         yield Finding(
@@ -63,6 +65,7 @@
 
 
 def voters(fleet, chief):
+    """Yield findings about the voters."""
     held, needed = chief["voters"], 2 * chief["tolerated"] + 1
     away = [v for v in held if v not in chief["members"]]
     if away:
@@ -98,11 +101,13 @@
 
 
 def zones_of(fleet):
+    """Return the zones that the fleet's daemons are in."""
     told = [f["zone"] for f in (*fleet.ring.values(), *fleet.leaves.values())]
     return {zone for zone in (*fleet.zones.values(), *told) if zone}
 
 
 def ring_daemons(fleet):
+    """Yield findings about storage daemons."""
     for name, facts in fleet.ring.items():
         if facts["disk_unwell"] or facts["turn_store"]["lost"]:
             yield Finding(
@@ -121,6 +126,7 @@
 
 
 def retiring(fleet, chief):
+    """Yield findings about storage daemons that are being retired."""
     held, needed = chief["voters"], 2 * chief["tolerated"] + 1
     staying = [n for n in chief["members"] if n not in chief["retiring"]]
     lacking = [
@@ -149,6 +155,7 @@
 
 
 def leaf_daemons(fleet, chief):
+    """Yield findings about edge and core daemons."""
     newest = max((f["routing"]["version"] for f in fleet.ring.values() if "routing" in f), default=0)
     for name, facts in fleet.leaves.items():
         if facts["lease_left_ms"] <= 0:
--- a/frostpost/admin/sights.py
+++ b/frostpost/admin/sights.py
@@ -1,7 +1,10 @@
+"""Commands that show status, members, runners and voters."""
+
 from .asking import DONE, ask, fail, say
 
 
 def shown(command, door, path, text, method="GET", document=None):
+    """Send a request and print its result by a text function."""
     result = ask(door, path, method, document)
     if result.is_error():
         return fail(command, result.error)
@@ -10,6 +13,7 @@
 
 
 def drain(command, door):
+    """Mark a runner as draining or staying."""
     return shown(
         command,
         door,
@@ -21,6 +25,8 @@
 
 
 def status(command, door):
+    """Print one daemon's status."""
+
     def text(said):
         held = said["configuration"]
         return "\n".join(
@@ -40,6 +46,8 @@
 
 
 def members(command, door):
+    """Print the daemons that one daemon knows."""
+
     def text(said):
         rows = [f"{said['name']:8} itself      applied {said['applied']}"]
         for name, peer in sorted(said["peers"].items()):
@@ -54,6 +62,7 @@
 
 
 def runners(command, door):
+    """Print the runners."""
     return shown(
         command,
         door,
@@ -67,6 +76,7 @@
 
 
 def explain(command, door):
+    """Print why a runner would be chosen for a route."""
     return shown(
         command,
         door,
@@ -79,6 +89,7 @@
 
 
 def voters(command, door):
+    """Print or change the voters."""
     if command.add or command.remove:
         document = {k: v for k, v in (("add", command.add), ("remove", command.remove)) if v}
         return shown(command, door, "/v1/voters", lambda said: f"voters: {', '.join(said['voters'])}", "POST", document)
--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -1,3 +1,5 @@
+"""Tenants' calendars: parameters that change at times given by cron expressions."""
+
 from datetime import UTC, datetime
 
 from croniter import croniter
@@ -9,17 +11,20 @@
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
 from frostpost.ledger import duties
-from frostpost.ledger.words import ConfigSet, Fire, SetConfig
+from frostpost.ledger.operations import Fire, SetConfig
+from frostpost.ledger.results import ConfigSet
 
 from . import shelves
 
 
 def due_s(cron, now_s):
+    """Return the last time at or before `now_s` (seconds, UTC) that a cron expression names."""
     moment = datetime.fromtimestamp(now_s, UTC)
     return int(croniter(cron, moment).get_prev(float))
 
 
 def amended(tenant, since_s, now_s):
+    """Return (time of the last due calendar, tenant with the changes of all due calendars)."""
     due = sorted((due_s(c["cron"], now_s + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
     late = [(at_s, n) for at_s, n in due if since_s < at_s <= now_s]
     if not late:
@@ -32,6 +37,7 @@
 
 @inlineCallbacks
 def fire_one(ctx, fence, path, now_s):
+    """Order the due calendar changes of one tenant."""
     version, tenant = ctx.documents[path][0], json.decode(shelves.body_of(ctx, path))
     ask_ms = ctx.settings.doors.ask_ms
     since_s = ctx.core.ledger.fired.get(path)
@@ -57,6 +63,7 @@
 
 @inlineCallbacks
 def calendars(ctx):
+    """Look through all tenants' calendars, if this daemon holds that duty."""
     fence = duties.held(ctx.core.ledger, "calendars", ctx.place.member)
     if not fence or not lease_ok(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.core.ledger.config_index:
         return
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -1,3 +1,5 @@
+"""Read the platform's list of runners and order its changes."""
+
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
@@ -7,11 +9,13 @@
 from frostpost.daemon.news import say
 from frostpost.http_api.reading import gather
 from frostpost.ledger import duties
+from frostpost.ledger.operations import Runners
 from frostpost.ledger.records import Runner
-from frostpost.ledger.words import Runners
 
 
 class Row(Struct):
+    """One runner in the platform's list."""
+
     name: str
     instance: str
     host: str
@@ -22,11 +26,14 @@
 
 
 class Page(Struct):
+    """The platform's list."""
+
     runners: list[Row]
 
 
 @inlineCallbacks
 def list_(ctx):
+    """Fetch the list if this daemon holds that duty, and order it if it changed."""
     fence = duties.held(ctx.core.ledger, "list", ctx.place.member)
     now = clock_ms(ctx)
     if not fence or not ctx.settings.list or now < ctx.list_ms or not lease_ok(ctx.core, now):
--- a/frostpost/background/meters.py
+++ b/frostpost/background/meters.py
@@ -1,3 +1,5 @@
+"""Metrics in the Prometheus text format."""
+
 from prometheus_client import CollectorRegistry
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
@@ -6,12 +8,15 @@
 
 
 class Meters:
+    """Collects a daemon's gauges and counters."""
+
     __slots__ = ("ctx",)
 
     def __init__(self, ctx):
         self.ctx = ctx
 
     def collect(self):
+        """Yield the current metrics."""
         ctx, synchrony = self.ctx, self.ctx.core.synchrony
         gauges = {
             "serving": int(lease_ok(ctx.core, clock_ms(ctx))),
@@ -35,6 +40,7 @@
 
 
 def gather(ctx):
+    """Return a registry of a daemon's metrics."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(Meters(ctx))
     return registry
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -1,3 +1,5 @@
+"""Poll the runners' load reports."""
+
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
@@ -5,11 +7,13 @@
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.http_api.reading import gather
-from frostpost.ledger.words import Drain
+from frostpost.ledger.operations import Drain
 from frostpost.placement.judge import Status
 
 
 class Report(Struct):
+    """A runner's load report."""
+
     runner: str
     instance: str
     load: float
@@ -20,6 +24,7 @@
 
 @inlineCallbacks
 def poll(ctx, runner):
+    """Ask one runner for its load and record its health; order a drain mark if it reports that it leaves."""
     status = ctx.statuses.setdefault(runner.name, Status())
     try:
         response = yield ctx.agent.get(
@@ -49,6 +54,7 @@
 
 
 def poll_all(ctx):
+    """Poll all runners, spread over the interval."""
     if ctx.place.role != "edge" and not ctx.flights:
         return
     listed = list(ctx.core.ledger.runners.values())
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -1,3 +1,5 @@
+"""Bodies of configuration documents: writing, replication, repair, and the routes made of them."""
+
 from msgspec import Raw, json, msgpack
 from twisted.internet.defer import Deferred, inlineCallbacks
 
@@ -17,6 +19,8 @@
 
 
 class Bodies:
+    """The log of bodies on a storage daemon's disk, with the stores that wait to be written."""
+
     __slots__ = ("write_ahead_log", "queue", "busy")
 
     def __init__(self, write_ahead_log):
@@ -24,6 +28,7 @@
 
 
 def load(ctx, folder):
+    """Read the bodies from disk; return the error found there, or None."""
     write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, "bodies", ctx.machine.files)
     ctx.bodies = Bodies(write_ahead_log)
     for payload in payloads:
@@ -33,21 +38,25 @@
 
 
 def send(ctx, sends):
+    """Send messages to peers."""
     for to, body in sends:
         ctx.links["send"](to, body)
 
 
 def news(ctx):
+    """Return this daemon's version vector and the configuration index that it honours."""
     return {**ctx.shelf.vector, "~honoured": ctx.honoured}
 
 
 def publish(ctx):
+    """Tell the peers this daemon's news with the next heartbeat."""
     ctx.core.synchrony.news = news(ctx)
     ctx.core.synchrony.beat_ms = -(1 << 40)
     ctx.reactor.callLater(0, tick, ctx)
 
 
 def keep(ctx, stores):
+    """Store bodies: on disk where there is one, else in memory."""
     if not stores:
         return
     if ctx.bodies is None:
@@ -61,11 +70,13 @@
 
 
 def write(write_ahead_log, payloads):
+    """Append payloads to a log and sync it."""
     write_ahead_logs.append(write_ahead_log, payloads)
     write_ahead_logs.sync(write_ahead_log)
 
 
 def flush(ctx):
+    """Write the waiting stores in one batch, and again after a second if the disk fails."""
     bodies = ctx.bodies
     if bodies.busy or not bodies.queue:
         return
@@ -93,6 +104,7 @@
 
 
 def put(ctx, body):
+    """Store a new body; Deferred of its item once it is on this daemon's disk."""
     _, store = shelves.put(ctx.shelf, body)
     answer = Deferred()
     if ctx.bodies is None:
@@ -106,6 +118,8 @@
 
 
 def spread(ctx, item):
+    """Deferred of whether a majority of the voters holds an item in time."""
+
     def held():
         holders = {n for n, p in ctx.core.synchrony.peers.items() if p.news.get(item.source, 0) >= item.number}
         if ctx.shelf.vector.get(item.source, 0) >= item.number:
@@ -116,6 +130,7 @@
 
 
 def received(ctx, frm, body):
+    """Handle a peer's message about bodies."""
     match body:
         case NewsAsk():
             send(ctx, shelves.asked(ctx.shelf, frm, body))
@@ -132,23 +147,28 @@
 
 
 def heard(ctx, frm, vector):
+    """Handle a peer's version vector."""
     send(ctx, shelves.heard(ctx.shelf, frm, vector))
 
 
 def parse_all(bodies):
+    """Parse bodies; return (version, document) by path."""
     return {path: (version, light(body)) for path, version, body in bodies}
 
 
 def light(body):
+    """Parse a body without its notes, which may be large and are not used."""
     parts = json.decode(body, type=dict[str, Raw])
     return {name: json.decode(part) for name, part in parts.items() if name != "notes"}
 
 
 def body_of(ctx, path):
+    """Return the body of a document's current version."""
     return ctx.shelf.bodies[ctx.core.ledger.configs[path].digest]
 
 
 def stamp_all(documents):
+    """Return the routes of all tenants by (tenant, route)."""
     lanes = {}
     for path, (version, tenant) in documents.items():
         if not path.startswith("tenants/"):
@@ -166,6 +186,7 @@
 
 @inlineCallbacks
 def honour(ctx):
+    """Make the routes of the ledger's current configuration once all its bodies are here."""
     ledger = ctx.core.ledger
     if ctx.stamping or ctx.honoured >= ledger.config_index:
         return
@@ -189,6 +210,7 @@
 
 
 def tidy(ctx):
+    """Drop bodies that no version refers to any more."""
     now = clock_ms(ctx)
     if now - ctx.pruned_ms < KEEP_MS // 10:
         return
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -1,11 +1,14 @@
+"""Advance the ledger's clock."""
+
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.ledger import duties
-from frostpost.ledger.words import Tick
+from frostpost.ledger.operations import Tick
 
 
 def tick_ledger(ctx):
+    """Order the milliseconds since the last tick, if this daemon holds that duty."""
     fence = duties.held(ctx.core.ledger, "ticks", ctx.place.member)
     now = clock_ms(ctx)
     if not fence or not lease_ok(ctx.core, now):
--- a/frostpost/daemon/__init__.py
+++ b/frostpost/daemon/__init__.py
@@ -0,0 +1,1 @@
+"""The daemon: settings, links, disk, event loop and assembly."""
--- a/frostpost/daemon/assembly.py
+++ b/frostpost/daemon/assembly.py
@@ -1,3 +1,5 @@
+"""Put a daemon together: state from disk, links, HTTP site and periodic jobs."""
+
 from msgspec import DecodeError, json
 from twisted.internet.endpoints import TCP4ServerEndpoint
 from twisted.internet.task import LoopingCall
@@ -8,7 +10,7 @@
 from frostpost.background.runners import poll_all
 from frostpost.background.ticking import tick_ledger
 from frostpost.http_api.app import build
-from frostpost.http_api.carry import agent
+from frostpost.http_api.http_client import agent
 from frostpost.http_api.lookups import wake
 from frostpost.tenant_config.shelf import Shelf
 from frostpost.virtual_synchrony.memory import replay
@@ -23,6 +25,7 @@
 
 
 def read_hooks(ctx):
+    """Read the test hooks that the settings name, if any."""
     if not ctx.settings.hooks:
         return
     try:
@@ -33,6 +36,7 @@
 
 
 def loops(ctx):
+    """Start the periodic jobs; an exception in one ends the daemon."""
     background = ctx.settings.background
     jobs = (
         (beat, TICK_MS / 1000),
@@ -63,6 +67,7 @@
 
 
 def assemble(settings, reactor, machine):
+    """Return (context, site) of a daemon; nothing listens yet."""
     boot = 1 + int(machine.token(6), 16)
     place = Place(
         Member(settings.name, boot),
@@ -104,6 +109,8 @@
 
 
 def raise_(ctx, site, hand, fallen):
+    """Listen for peers, then for HTTP, then start the periodic jobs."""
+
     def up(port):
         hand.close = port.stopListening
         loops(ctx)
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -1,9 +1,13 @@
+"""What the parts of a running daemon share."""
+
 from collections import deque
 
 from .machine import MACHINE
 
 
 class Context:
+    """All of a daemon's mutable state outside the pure core."""
+
     __slots__ = (
         "settings",
         "reactor",
@@ -60,8 +64,10 @@
 
 
 def clock_ms(ctx):
+    """Return the daemon's monotonic clock in whole milliseconds."""
     return int(ctx.machine.seconds() * 1000)
 
 
 def count(ctx, what, by=1):
+    """Add to a named counter."""
     ctx.counts[what] = ctx.counts.get(what, 0) + by
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -1,11 +1,14 @@
+"""The pure core: virtual synchrony with the ledger on top, as (core, input) -> (core, output)."""
+
 from hashlib import blake2b
 
 from msgspec import Struct
 
 from frostpost.ledger import duties
 from frostpost.ledger.apply import apply, decode_state, encode
+from frostpost.ledger.operations import Ballot, Rules
+from frostpost.ledger.results import Verdict
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import Ballot, Rules, Verdict
 from frostpost.virtual_synchrony import state as synchronies
 from frostpost.virtual_synchrony import watch
 from frostpost.virtual_synchrony.events import (
@@ -27,11 +30,15 @@
 
 
 class Decided(Struct, frozen=True, tag=20):
+    """The result of an operation that this daemon handed in; None if it was settled but is not known any more."""
+
     number: int
     verdict: Verdict | None
 
 
 class Core(Struct):
+    """State of the core: membership and order, the ledger, and the votes cast for duties."""
+
     synchrony: synchronies.Synchrony
     ledger: Ledger
     cached: bytes = b""
@@ -41,6 +48,7 @@
 
 
 def begin(place, bounds, seeds, voters, log, now_ms):
+    """Return (core, output) of a daemon that starts with the log read from its disk."""
     synchrony, out = synchronies.begin(place, bounds, seeds, voters, log, now_ms)
     ledger = decode_state(log.snapshot) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.settled - log.start)]:
@@ -51,6 +59,7 @@
 
 
 def step(core, input):
+    """Handle one input; return (core, output)."""
     _, out = synchrony_step(core.synchrony, input)
     told = settle_answers(core, out)
     while asks := ballots(core):
@@ -65,6 +74,7 @@
 
 
 def settle_answers(core, out):
+    """Apply what was delivered to the ledger; return the answers for the shell."""
     told = []
     for answer in out.answers:
         match answer:
@@ -85,6 +95,7 @@
 
 
 def follow(core):
+    """Take over the voters that the ledger holds."""
     voters, synchrony = core.ledger.voters, core.synchrony
     if voters and voters != synchrony.voters:
         synchrony.voters = synchrony.log.voters = voters
@@ -95,6 +106,7 @@
 
 
 def forgotten(core):
+    """Return the outcome of own operations that a snapshot already contains."""
     boot, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
     if boot != core.synchrony.me.boot:
         return []
@@ -105,6 +117,7 @@
 
 
 def send_piece(core, out, asked):
+    """Send a peer a piece of the ledger's snapshot."""
     synchrony = core.synchrony
     if core.cached_index < synchrony.log.start or not asked.offset and core.cached_index < synchrony.applied:
         core.cached, core.cached_index = encode(core.ledger), synchrony.applied
@@ -114,6 +127,7 @@
 
 
 def ballots(core):
+    """Return the encoded votes that this daemon has yet to cast."""
     synchrony, ledger = core.synchrony, core.ledger
     if not synchrony.primary.opened or synchrony.recovery or synchrony.leaving:
         return []
@@ -127,6 +141,7 @@
 
 
 def rules(core):
+    """Return the operation that raises the ledger's rules, once every member speaks the new version."""
     synchrony, ledger = core.synchrony, core.ledger
     if (
         ledger.rules >= SPEAKS
@@ -142,6 +157,7 @@
 
 
 def rewrite(core, out):
+    """Replace the log by a snapshot once enough entries have been applied."""
     synchrony, log = core.synchrony, core.synchrony.log
     settled = synchrony.applied - log.start
     if not synchrony.storage or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
@@ -165,4 +181,5 @@
 
 
 def lease_ok(core, now_ms):
+    """Tell whether the lease allows this daemon to serve at that time."""
     return watch.lease_ok(core.synchrony, now_ms)
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -1,3 +1,5 @@
+"""The log on disk: batches written and synced in a thread, and how well the disk keeps up."""
+
 from msgspec import msgpack
 
 from frostpost.virtual_synchrony.events import Probe, Record, Rewrite, Stalled, Synced
@@ -11,6 +13,8 @@
 
 
 class Keeper:
+    """Writes records in batches; marks the disk unwell when a sync takes too long or fails."""
+
     __slots__ = ("ctx", "write_ahead_log", "queue", "up_to", "busy", "since_ms", "unwell", "good", "probes", "syncs")
 
     def __init__(self, ctx, write_ahead_log):
@@ -19,11 +23,13 @@
         self.since_ms = 0
 
     def write(self, writes):
+        """Queue records."""
         self.queue += writes
         self.up_to += len(writes)
         self.next()
 
     def next(self):
+        """Write the queue as one batch, if no batch is being written."""
         if self.busy or not self.queue:
             return
         batch, self.queue = self.queue, []
@@ -34,6 +40,7 @@
         )
 
     def done(self, _, up_to):
+        """Tell the core how far records are synced, and write the next batch."""
         self.busy = False
         self.syncs += 1
         slow = clock_ms(self.ctx) - self.since_ms > self.ctx.core.synchrony.bounds.detect_ms
@@ -46,6 +53,7 @@
         self.next()
 
     def failed(self, failure, batch):
+        """Queue a failed batch again; a lost sync ends the daemon, since the page cache can't be trusted."""
         self.busy, self.good = False, 0
         count(self.ctx, "disk_faults")
         say("DiskFault", type=failure.type.__name__)
@@ -56,6 +64,7 @@
         self.turn(True)
 
     def turn(self, unwell):
+        """Mark the disk well or unwell, and tell the core."""
         if unwell != self.unwell:
             self.unwell = unwell
             say("DiskUnwell" if unwell else "DiskWell")
@@ -64,6 +73,7 @@
             feed(self.ctx, Stalled(clock_ms(self.ctx), unwell))
 
     def watch(self):
+        """Mark the disk unwell if a sync takes too long; probe an unwell disk."""
         if self.busy and clock_ms(self.ctx) - self.since_ms > self.ctx.core.synchrony.bounds.detect_ms:
             self.turn(True)
         if self.unwell and not self.busy:
@@ -74,19 +84,24 @@
 
 
 class Diskless:
+    """In the place of a Keeper on daemons without a disk."""
+
     __slots__ = ("syncs", "unwell")
 
     def __init__(self):
         self.syncs, self.unwell = 0, False
 
     def write(self, writes):
+        """Write nothing."""
         return None
 
     def watch(self):
+        """Watch nothing."""
         return None
 
 
 def store(machine, write_ahead_log, batch, delay_ms):
+    """Write one batch of records and sync it; runs in a thread."""
     if delay_ms:
         machine.sleep(delay_ms / 1000)
     at = max((n for n, r in enumerate(batch) if isinstance(r, Rewrite)), default=-1)
@@ -99,5 +114,6 @@
 
 
 def open_(folder, files):
+    """Open the log of a folder; return (log, records, error or None)."""
     write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, "log", files)
     return write_ahead_log, [decode(p) for p in payloads], fault
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -1,9 +1,12 @@
+"""Feed the core one input at a time, and hand its outputs to disk, links and waiting callers."""
+
 from expression import Error, Ok
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
 
 from frostpost.http_api.faults import NoPrimary, Overfilled, Undecided
-from frostpost.ledger.words import Finish, Release, Reserved, Settle, Unclaim, Won
+from frostpost.ledger.operations import Finish, Release, Settle, Unclaim
+from frostpost.ledger.results import Reserved, Won
 from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
 from frostpost.virtual_synchrony.events import (
     Applied,
@@ -27,12 +30,15 @@
 
 
 class Waiter(Struct):
+    """An operation that was handed in and the Deferred that waits for its result."""
+
     op: object
     answer: Deferred | None
     timer: object = None
 
 
 def feed(ctx, input):
+    """Queue an input and step the core until the queue is empty."""
     ctx.inputs.append(input)
     if ctx.stepping:
         return
@@ -51,6 +57,7 @@
 
 
 def answered(ctx, answer):
+    """Handle one answer of the core."""
     match answer:
         case cores.Decided(number, verdict):
             decided(ctx, number, verdict)
@@ -78,6 +85,7 @@
 
 
 def fire(waiter, result):
+    """Fire a waiter's Deferred once; False if it fired before."""
     answer, waiter.answer = waiter.answer, None
     if waiter.timer is not None and waiter.timer.active():
         waiter.timer.cancel()
@@ -88,6 +96,7 @@
 
 
 def decided(ctx, number, verdict):
+    """Hand an operation's result to its waiter; undo it if nobody waits any more."""
     waiter = ctx.waiters.pop(number, None)
     if waiter is None:
         return
@@ -97,6 +106,7 @@
 
 
 def undo(ctx, op, verdict):
+    """Give back what a late result reserved or claimed."""
     count(ctx, "late_verdicts")
     if isinstance(verdict, Reserved):
         tell(ctx, Release(verdict.index))
@@ -105,11 +115,13 @@
 
 
 def tell(ctx, op):
+    """Hand in an operation without waiting for its result."""
     ctx.asking.append(Waiter(op, None))
     feed(ctx, Asked(clock_ms(ctx), encode(op), isinstance(op, ENDS)))
 
 
 def ask(ctx, op, wait_ms):
+    """Hand in an operation; Deferred of Ok(result), or of Error after `wait_ms`."""
     must = isinstance(op, ENDS)
     answer = Deferred()
     if not must and not cores.lease_ok(ctx.core, clock_ms(ctx)):
@@ -123,6 +135,7 @@
 
 
 def received(ctx, frame):
+    """Handle a frame from a peer."""
     body, frm = frame.body, frame.place.member.name
     match body:
         case BodyAsk() | BodyPiece() | NewsAsk() | NewsTell():
@@ -134,10 +147,12 @@
 
 
 def tick(ctx):
+    """Feed the core the current time."""
     feed(ctx, Tick(clock_ms(ctx)))
 
 
 def beat(ctx):
+    """Feed the core the time, and measure how late the event loop is."""
     now = clock_ms(ctx)
     late_ms = max(0, now - ctx.ticked_ms - TICK_MS)
     ctx.ticked_ms = now
--- a/frostpost/daemon/life.py
+++ b/frostpost/daemon/life.py
@@ -1,3 +1,5 @@
+"""A daemon's life as a state machine: starting, serving, leaving, left."""
+
 from typing import Protocol
 
 from automat import TypeMachineBuilder
@@ -11,13 +13,24 @@
 
 
 class Life(Protocol):
-    def started(self) -> None: ...
-    def leave(self) -> None: ...
-    def emptied(self) -> None: ...
-    def crash(self) -> None: ...
+    """Inputs of the state machine."""
+
+    def started(self) -> None:
+        """The daemon listens."""
+
+    def leave(self) -> None:
+        """The daemon shall shut down."""
+
+    def emptied(self) -> None:
+        """All requests have ended."""
+
+    def crash(self) -> None:
+        """Something failed that the daemon can't go on with."""
 
 
 class Hand:
+    """What the state machine works on: the daemon, how to stop it, and its exit status."""
+
     __slots__ = ("ctx", "stop", "status", "close")
 
     def __init__(self, ctx, stop):
@@ -33,12 +46,14 @@
 
 @starting.upon(Life.started).to(serving)
 def began(life: Life, hand: Hand) -> None:
+    """Log the start."""
     place = hand.ctx.place
     say("started", name=place.member.name, port=place.port, http_port=place.http_port)
 
 
 @serving.upon(Life.leave).to(leaving)
 def leaves(life: Life, hand: Hand) -> None:
+    """Refuse new requests, wait for the open ones, then close the connections."""
     ctx = hand.ctx
     ctx.leaving = True
     say("leaving", flights=ctx.flights, calls=ctx.calls)
@@ -60,6 +75,7 @@
 
 @leaving.upon(Life.emptied).to(left)
 def gone(life: Life, hand: Hand) -> None:
+    """Leave the membership, and stop once the peers have heard it."""
     ctx = hand.ctx
     feed(ctx, Left(clock_ms(ctx)))
     say("left", flights=ctx.flights)
@@ -68,20 +84,24 @@
 
 @starting.upon(Life.leave).to(left)
 def never(life: Life, hand: Hand) -> None:
+    """Stop before anything was served."""
     hand.stop()
 
 
 @leaving.upon(Life.leave).loop()
 def again(life: Life, hand: Hand) -> None:
+    """Ignore a second order to leave."""
     return None
 
 
 @left.upon(Life.leave).loop()
 def over(life: Life, hand: Hand) -> None:
+    """Ignore an order to leave after the end."""
     return None
 
 
 def crashed(life: Life, hand: Hand) -> None:
+    """Stop with exit status 70."""
     hand.status = 70
     say("crashed", reason="SyncLostError")
     hand.stop()
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -1,3 +1,5 @@
+"""Links between daemons: length-prefixed msgpack frames over TCP, one connection per direction and kind."""
+
 import socket
 from collections import deque
 
@@ -22,15 +24,19 @@
 
 
 def end_silence(transport):
+    """Let the kernel end a connection whose data stays unacknowledged."""
     handle = getattr(transport, "getHandle", lambda: None)()
     if hasattr(handle, "setsockopt"):
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
 
 
 class Ear(Int32StringReceiver):
+    """Receives frames from a peer."""
+
     MAX_LENGTH = MOST
 
     def stringReceived(self, data):
+        """Decode a frame and hand it on; frames that are not understood end the connection."""
         ctx = self.factory.ctx
         try:
             frame = decode(data)
@@ -50,9 +56,12 @@
 
 
 class Mouth(Int32StringReceiver):
+    """Sends frames to a peer."""
+
     MAX_LENGTH = MOST
 
     def connectionMade(self):
+        """Start to send what is queued."""
         self.transport.setTcpNoDelay(True)
         end_silence(self.transport)
         self.transport.registerProducer(self, True)
@@ -60,20 +69,26 @@
         self.link.drain()
 
     def pauseProducing(self):
+        """Stop sending while the connection's buffer is full."""
         self.link.paused = True
 
     def resumeProducing(self):
+        """Send again."""
         self.link.paused = False
         self.link.drain()
 
     def stopProducing(self):
+        """Stop sending."""
         self.link.paused = True
 
     def connectionLost(self, reason=connectionDone):
+        """Drop what is queued."""
         self.link.lost()
 
 
 class Link:
+    """A queue of frames for one address; it connects when there is something to send."""
+
     __slots__ = ("ctx", "host", "port", "mouth", "paused", "queue", "bytes", "connecting", "rest_ms")
 
     def __init__(self, ctx, host, port):
@@ -82,6 +97,7 @@
         self.queue, self.bytes = deque(), 0
 
     def send(self, data):
+        """Queue a frame, or drop it if the queue is full."""
         if self.bytes + len(data) > QUEUED:
             count(self.ctx, "link_full")
             return
@@ -93,12 +109,14 @@
             self.drain()
 
     def drain(self):
+        """Send what is queued as long as the connection takes it."""
         while self.queue and self.mouth is not None and not self.paused:
             data = self.queue.popleft()
             self.bytes -= len(data)
             self.mouth.sendString(data)
 
     def connect(self):
+        """Open the connection, if it is not being opened."""
         if self.connecting:
             return
         self.connecting = True
@@ -114,27 +132,33 @@
         endpoint.connect(factory).addCallbacks(self.connected, self.failed)
 
     def connected(self, _):
+        """Note that the connection is open."""
         self.connecting = False
 
     def failed(self, _):
+        """Drop the queue and wait before the next attempt."""
         self.lost()
         self.connecting = True
         self.ctx.reactor.callLater(0.2, self.rested)
 
     def rested(self):
+        """Allow the next attempt to connect."""
         self.connecting = False
 
     def lost(self):
+        """Drop the connection and the queue."""
         self.mouth, self.paused, self.connecting = None, True, False
         self.queue.clear()
         self.bytes = 0
 
 
 def barred(ctx, name):
+    """Tell whether a test hook cuts the link to a daemon."""
     return name in ctx.hook.get("cut", ())
 
 
 def listen(ctx, hear=received):
+    """Listen for peers; Deferred of the port."""
     factory = Factory.forProtocol(Ear)
     factory.ctx, factory.hear = ctx, hear
     settings = ctx.settings
@@ -142,6 +166,7 @@
 
 
 def sender(ctx):
+    """Return a function (to, body) that sends a message to a daemon by name, or to `@IP:port`."""
     links = {}
 
     def send(to, body):
--- a/frostpost/daemon/machine.py
+++ b/frostpost/daemon/machine.py
@@ -1,3 +1,5 @@
+"""All that a daemon takes from its machine: clocks, threads, random tokens, files."""
+
 import os
 from collections.abc import Callable
 from secrets import token_hex
@@ -8,6 +10,8 @@
 
 
 class Files(Struct, frozen=True):
+    """File operations; tests put others in their place."""
+
     open: Callable = os.open
     write: Callable = os.write
     fdatasync: Callable = os.fdatasync
@@ -21,6 +25,8 @@
 
 
 class Machine(Struct, frozen=True):
+    """Clocks, threads, random tokens and files; tests put others in their place."""
+
     seconds: Callable = monotonic
     wall_s: Callable = time
     in_thread: Callable = deferToThread
@@ -33,5 +39,6 @@
 
 
 def read_whole(path):
+    """Return a file's bytes."""
     with open(path, "rb") as file:
         return file.read()
--- a/frostpost/daemon/main.py
+++ b/frostpost/daemon/main.py
@@ -1,3 +1,5 @@
+"""Run one daemon of the own HTTP interface from a settings file."""
+
 import sys
 from typing import Annotated
 
@@ -13,6 +15,7 @@
 
 
 def run(settings):
+    """Run a daemon until it stops; returns its exit status."""
     import signal
 
     from twisted.internet import reactor
@@ -37,6 +40,8 @@
 
 @cappa.command(name="daemon", help="Run one frostpost daemon from a settings file.")
 class Orchard(Struct):
+    """Arguments of serve; each but the first overrides a setting."""
+
     settings: Annotated[str, cappa.Arg(help="path of the settings file (TOML)")]
     name: Annotated[str | None, cappa.Arg(long=True, help="the daemon's name")] = None
     role: Annotated[str | None, cappa.Arg(long=True, help="edge, core or storage")] = None
@@ -50,6 +55,7 @@
 
 
 def main():
+    """Run the command line; returns the exit status."""
     command = cappa.parse(Orchard)
     flags = {n: getattr(command, n) for n in ("name", "role", "cell", "host", "port", "http_port", "data")}
     flags["seeds"] = command.seeds or None
--- a/frostpost/daemon/news.py
+++ b/frostpost/daemon/news.py
@@ -1,3 +1,5 @@
+"""Structured log lines on standard error."""
+
 import sys
 
 from absl import logging
@@ -5,17 +7,22 @@
 
 
 def say(kind, **facts):
+    """Log an event with its fields."""
     logging.info("%s", json.encode({"kind": kind, **facts}).decode())
 
 
 class Lines(logging.PythonFormatter):
+    """Formats each record as one JSON line."""
+
     def format(self, record):
+        """Return the line of a record."""
         text = record.getMessage()
         body = text if text.startswith("{") else json.encode({"kind": "note", "text": text}).decode()
         return f'{{"at_ms":{int(record.created * 1000)},"level":"{record.levelname}",{body[1:]}'
 
 
 def begin():
+    """Send log lines to standard error."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     handler = logging.get_absl_handler()
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -1,3 +1,5 @@
+"""Settings of a daemon of the own HTTP interface."""
+
 import tomllib
 
 from expression import Error, Ok
@@ -8,11 +10,15 @@
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
+    """A setting that is wrong: which and why."""
+
     path: str
     text: str
 
 
 class VoterChanges(Struct, frozen=True, forbid_unknown_fields=True):
+    """Intervals of the periodic jobs, in milliseconds."""
+
     load_ms: int = 500
     list_ms: int = 1000
     tick_ms: int = 1000
@@ -20,6 +26,8 @@
 
 
 class Doors(Struct, frozen=True, forbid_unknown_fields=True):
+    """Bounds of the HTTP interface: milliseconds, bytes and counts."""
+
     in_flight: int = 400
     lag_ms: int = 60
     ask_ms: int = 1500
@@ -36,6 +44,8 @@
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
+    """All settings of a daemon."""
+
     name: str
     role: str
     cell: str
@@ -54,6 +64,7 @@
 
 
 def address(text):
+    """Tell whether a text is `IP:port`."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     numeric = len(parts) == 4 and all(p.isdigit() and int(p) < 256 for p in parts)
@@ -61,6 +72,7 @@
 
 
 def faults_of(settings):
+    """Yield the errors in settings that have the right types."""
     if settings.role not in ("edge", "core", "storage"):
         yield SettingsInvalid("role", "must be edge, core or storage")
     if settings.role == "storage" and not settings.data:
@@ -83,6 +95,7 @@
 
 
 def read(path, flags):
+    """Read a TOML file and overriding values; Ok(Settings) or Error(SettingsInvalid)."""
     try:
         with open(path, "rb") as file:
             document = tomllib.load(file)
--- a/frostpost/http_api/__init__.py
+++ b/frostpost/http_api/__init__.py
@@ -0,0 +1,1 @@
+"""The own HTTP interface: turns, lookups, configuration and status."""
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -1,3 +1,5 @@
+"""The HTTP site: paths, request lifecycle, and how results become responses."""
+
 from klein import Klein
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
@@ -12,6 +14,7 @@
 
 
 def turn_away(request, fault, request_id):
+    """Write an error response, with Retry-After where another try makes sense, and return its body."""
     request.setResponseCode(fault.status)
     request.setHeader("content-type", "application/json")
     request.setHeader("x-request", request_id)
@@ -26,6 +29,7 @@
 
 
 def answer(request, document, request_id=""):
+    """Set the headers of a successful response and return its JSON body."""
     request.setHeader("content-type", "application/json")
     if request_id:
         request.setHeader("x-request", request_id)
@@ -33,6 +37,8 @@
 
 
 def watch_caller(call):
+    """Stop the call's work when its client closes the connection."""
+
     def gone(_):
         call.gone = True
         if call.stop:
@@ -43,6 +49,7 @@
 
 @inlineCallbacks
 def serve(ctx, call, handler):
+    """Admit a call, run its handler, and log and count the result; returns an error or None."""
     fault = calls.admit(ctx, call)
     if fault is None:
         ctx.flights += 1
@@ -69,6 +76,7 @@
 
 @inlineCallbacks
 def serve_turn(ctx, request, tenant, lane):
+    """Serve a turn; an error after the first piece becomes the last line of the stream."""
     call = calls.make(ctx, "turns", tenant, lane, request)
     fault = yield serve(ctx, call, turn)
     if call.gone:
@@ -82,6 +90,7 @@
 
 @inlineCallbacks
 def serve_lookup(ctx, request, tenant, lane):
+    """Serve a lookup."""
     call = calls.make(ctx, "lookups", tenant, lane, request)
     box = []
 
@@ -102,13 +111,17 @@
 
 
 class Bounded(Request):
+    """A request whose body may not be longer than a configuration."""
+
     most_config, ctx = 64 << 20, None
 
     def gotLength(self, length):
+        """Refuse a declared length over the bound before the body is read."""
         self.too_long = length is not None and length > self.most_config
         super().gotLength(0 if self.too_long else length)
 
     def handleContentChunk(self, data):
+        """Read the body up to the bound."""
         self.took = getattr(self, "took", 0) + len(data)
         if self.took <= self.most_config:
             super().handleContentChunk(data)
@@ -116,6 +129,7 @@
             self.too_long = True
 
     def process(self):
+        """Refuse an oversized request, or count it and serve it."""
         if getattr(self, "too_long", False):
             body = turn_away(self, faults.TooLong(self.most_config), "")
             self.setHeader("connection", "close")
@@ -127,13 +141,17 @@
         super().process()
 
     def over(self, _):
+        """Count the request as ended."""
         self.ctx.calls -= 1
 
 
 class Door(Site):
+    """The HTTP site; it keeps the open channels so that a leaving daemon can close them."""
+
     ctx = None
 
     def buildProtocol(self, addr):
+        """Make a channel that is registered while it is connected."""
         channel = super().buildProtocol(addr)
         lost, made = channel.connectionLost, channel.makeConnection
 
@@ -150,6 +168,7 @@
 
 
 def build(ctx):
+    """Return the site with all paths of the interface."""
     app = Klein()
 
     @app.route("/v1/tenants/<tenant>/lanes/<lane>/turns", methods=["POST"])
--- a/frostpost/http_api/calls.py
+++ b/frostpost/http_api/calls.py
@@ -1,3 +1,5 @@
+"""A request on its way in: body checks and the chain of admission filters."""
+
 from json import JSONDecodeError, loads
 
 from expression import Error, Ok
@@ -14,10 +16,12 @@
 
 
 class DuplicateFieldError(ValueError):
-    pass
+    """A JSON object names a field twice."""
 
 
 class Call(Struct):
+    """A turn or lookup that is being served; times in milliseconds."""
+
     id: str
     kind: str
     tenant: str
@@ -35,6 +39,7 @@
 
 
 def single(pairs):
+    """Return an object's fields, or raise DuplicateFieldError."""
     found = {}
     for key, value in pairs:
         if key in found:
@@ -44,6 +49,7 @@
 
 
 def parse(raw):
+    """Decode a JSON object; Error(BadBody) for anything else."""
     try:
         document = loads(raw, object_pairs_hook=single)
     except DuplicateFieldError as fault:
@@ -62,6 +68,7 @@
 
 
 def shaped(kind, document):
+    """Return BadBody for the first field of a body that has a wrong name, type or size, else None."""
     fields = FIELDS[kind]
     for name in document:
         if name not in fields:
@@ -82,10 +89,12 @@
 
 
 def filter_leaving(ctx, call):
+    """Refuse calls while the daemon is leaving."""
     return faults.Leaving() if ctx.leaving else None
 
 
 def filter_body(ctx, call):
+    """Read and check the body."""
     most = ctx.settings.doors.body_bytes
     if len(call.raw) > most:
         return faults.TooLong(most)
@@ -97,6 +106,7 @@
 
 
 def filter_serving(ctx, call):
+    """Refuse calls without a lease or with an outdated configuration."""
     if not lease_ok(ctx.core, clock_ms(ctx)):
         return faults.NoPrimary()
     if ctx.honoured < ctx.need_config:
@@ -105,6 +115,7 @@
 
 
 def filter_lane(ctx, call):
+    """Find the route that the path names."""
     call.lane = ctx.lanes.get((call.tenant, call.lane_name))
     wanted = {"turns": "turn", "lookups": "lookup"}[call.kind]
     if call.lane is None or call.lane.kind != wanted:
@@ -113,6 +124,7 @@
 
 
 def filter_key(ctx, call):
+    """Check that an idempotency key is given where the route needs one, and nowhere else."""
     if call.lane.repeat == "keyed" and call.kind == "lookups" and "key" not in call.document:
         return faults.BadBody("/key", "this lane needs a key")
     if "key" in call.document and call.lane.repeat != "keyed":
@@ -121,11 +133,13 @@
 
 
 def filter_limit(ctx, call):
+    """Set the call's deadline: the lower of the route's and the caller's."""
     call.limit_ms = min(call.document.get("limit_ms", call.lane.limit_ms), call.lane.limit_ms)
     return faults.LimitPassed() if remaining_ms(ctx, call) <= 0 else None
 
 
 def filter_crowd(ctx, call):
+    """Refuse calls by urgency when too many are in flight or the event loop lags."""
     doors, urgency = ctx.settings.doors, call.lane.urgency
     if ctx.flights >= SHARES[urgency] * doors.in_flight:
         return faults.Crowded()
@@ -138,10 +152,12 @@
 
 
 def remaining_ms(ctx, call):
+    """Return the milliseconds that are left until the call's deadline."""
     return call.limit_ms - (clock_ms(ctx) - call.started_ms)
 
 
 def admit(ctx, call):
+    """Run the filters in order; return the first error, or None."""
     for filter_ in CHAIN:
         fault = filter_(ctx, call)
         if fault is not None:
@@ -150,11 +166,13 @@
 
 
 def body_of(request):
+    """Parse the body of a request."""
     request.content.seek(0)
     return parse(request.content.read())
 
 
 def make(ctx, kind, tenant, lane, request):
+    """Make a Call of a request."""
     request.content.seek(0)
     return Call(
         request.getHeader("x-request") or ctx.machine.token(8),
--- a/frostpost/http_api/carry.py
+++ b/frostpost/http_api/carry.py
@@ -1,53 +1,66 @@
+"""One attempt at a runner: prove its identity, send the request under the lease, and hear the answer."""
+
 from collections.abc import Callable
 
 from msgspec import DecodeError, Struct, json
-from treq.client import HTTPClient
 from twisted.internet.defer import Deferred, fail, inlineCallbacks, succeed
-from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.error import ConnectionRefusedError
 from twisted.internet.protocol import Protocol
-from twisted.web.client import Agent, HTTPConnectionPool, ResponseDone
-from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
+from twisted.web.client import ResponseDone
+from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import lease_ok
 
+from .http_client import agent
 from .reading import gather
 
 SAID_BYTES = 4096
 
 
 class LeaseLostError(Exception):
-    pass
+    """The lease, the runner or the call was lost before the request was written."""
 
 
 class Stalled(Struct, frozen=True, tag="Stalled"):
+    """The runner was silent for too long after the request was sent."""
+
     why: str
 
 
 class NeverSent(Struct, frozen=True, tag="NeverSent"):
+    """The request was not sent; it is safe to try elsewhere."""
+
     why: str
 
 
 class TurnedAway(Struct, frozen=True, tag="TurnedAway"):
+    """The runner refused the request and says that nothing ran."""
+
     status: int
 
 
 class Broken(Struct, frozen=True, tag="Broken"):
+    """The connection or the answer broke after the request was sent; it may have run."""
+
     why: str
 
 
 class TooMuch(Struct, frozen=True, tag="TooMuch"):
+    """The answer was longer than allowed."""
+
     most: int
 
 
 @implementer(IBodyProducer)
 class Guarded:
+    """The request's body; it is written only if lease, runner and call still stand at that moment."""
+
     def __init__(self, ctx, go, data):
         self.ctx, self.go, self.data, self.length = ctx, go, data, len(data)
 
     def startProducing(self, consumer):
+        """Check lease, runner and call, then write the body at once."""
         if self.go.gone or not lease_ok(self.ctx.core, clock_ms(self.ctx)):
             return fail(LeaseLostError())
         if not may_run(self.ctx, self.go.runner) or not self.go.still():
@@ -57,16 +70,20 @@
         return succeed(None)
 
     def stopProducing(self):
+        """Do nothing: the body is written at once."""
         return None
 
     def pauseProducing(self):
+        """Do nothing: the body is written at once."""
         return None
 
     def resumeProducing(self):
+        """Do nothing: the body is written at once."""
         return None
 
 
 def may_run(ctx, runner):
+    """Tell whether a runner is listed as it was chosen and is not draining."""
     held = ctx.core.ledger.runners.get(runner.name)
     leaving = f"{runner.name}/{runner.instance}" in ctx.core.ledger.leaving
     status = ctx.statuses.get(runner.name)
@@ -75,18 +92,23 @@
 
 
 def unsent(reason):
+    """Tell whether a reason says that nothing ran."""
     return isinstance(reason, (NeverSent, TurnedAway))
 
 
 def ours(reason):
+    """Tell whether an attempt failed for a reason on this side."""
     return isinstance(reason, NeverSent) and reason.why == "RequestGenerationFailed"
 
 
 def always():
+    """Return True: the default for a call that needs no further check."""
     return True
 
 
 class Go(Struct):
+    """One attempt at a runner and what is known of its progress."""
+
     runner: object
     still: Callable = always
     sent: bool = False
@@ -99,58 +121,32 @@
 
 
 class Hearing(Protocol):
+    """The body of a runner's answer, handed on as it arrives."""
+
     def __init__(self, go, hear, ended, touch):
         self.go, self.hear, self.ended, self.touch = go, hear, ended, touch
 
     def connectionMade(self):
+        """Start paused if the client reads slowly."""
         if self.go.held:
             self.transport.pauseProducing()
 
     def dataReceived(self, data):
+        """Hand on a piece and restart the silence timer."""
         if not self.go.gone:
             self.touch()
             self.hear(data)
 
     def connectionLost(self, reason):
+        """End the attempt, whole or broken."""
         if not self.ended.called:
             whole = reason.check(ResponseDone)
             self.ended.callback(None if whole else Broken(reason.type.__name__))
 
 
-@implementer(IAgentEndpointFactory)
-class ByNumber:
-    __slots__ = ("reactor", "wait_s", "most", "made")
-
-    def __init__(self, reactor, wait_s, most=1 << 60):
-        self.reactor, self.wait_s, self.most, self.made = reactor, wait_s, most, 0
-
-    def endpointForURI(self, uri):
-        self.made += 1
-        return Numbered(self, TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.wait_s))
-
-
-class Numbered:
-    __slots__ = ("factory", "endpoint")
-
-    def __init__(self, factory, endpoint):
-        self.factory, self.endpoint = factory, endpoint
-
-    def connect(self, protocolFactory):
-        self.factory.most -= 1
-        if self.factory.most < 0:
-            return fail(ConnectionRefusedError("one connection only"))
-        return self.endpoint.connect(protocolFactory)
-
-
-def agent(ctx, most=1 << 60, persistent=False):
-    pool = HTTPConnectionPool(ctx.reactor, persistent=persistent)
-    pool.retryAutomatically, pool.maxPersistentPerHost = False, 1
-    ends = ByNumber(ctx.reactor, ctx.settings.doors.connect_ms / 1000, most)
-    return pool, HTTPClient(Agent.usingEndpointFactory(ctx.reactor, ends, pool=pool))
-
-
 @inlineCallbacks
 def proved(ctx, go, client, base):
+    """Ask a runner who it is; Deferred of whether it is the one chosen and not draining."""
     response = yield client.get(f"{base}/identity", unbuffered=True, allow_redirects=False)
     raw = yield gather(response, SAID_BYTES)
     try:
@@ -162,6 +158,7 @@
 
 
 def never_ran(raw):
+    """Tell whether a refusal says that nothing ran."""
     try:
         return json.decode(raw)["ran"] is False
     except (DecodeError, KeyError, TypeError):
@@ -169,6 +166,7 @@
 
 
 def start(ctx, go, path, document, hear, limit_ms):
+    """Start an attempt; return (Deferred of the reason it ended or None if whole, stop function)."""
     ended, runner = Deferred(), go.runner
     go.ended = ended
     stall_ms = min(limit_ms, ctx.settings.doors.stall_ms)
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -1,3 +1,5 @@
+"""Operators' changes: configuration documents and drains, answered once every daemon honours them."""
+
 from expression import Error, Ok
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
@@ -9,7 +11,8 @@
 from frostpost.daemon.news import say
 from frostpost.daemon.waiting import until
 from frostpost.ledger import configs
-from frostpost.ledger.words import ConfigSet, Done, Drain, NotHeld, SetConfig, StaleConfig
+from frostpost.ledger.operations import Drain, SetConfig
+from frostpost.ledger.results import ConfigSet, Done, NotHeld, StaleConfig
 from frostpost.tenant_config.shapes import WORD
 from frostpost.tenant_config.stamp import check_template, check_tenant, patch
 
@@ -17,15 +20,18 @@
 
 
 def version_of(ctx, path):
+    """Return the version of a document in the ledger, 0 if there is none."""
     return configs.held(ctx.core.ledger, path)
 
 
 def document_of(ctx, path):
+    """Return the parsed document that this daemon honours, or None."""
     held = ctx.documents.get(path)
     return held[1] if held else None
 
 
 def judge(ctx, kind, name, document):
+    """Check a document with those it depends on; return (result, versions it was checked against)."""
     if kind == "tenants":
         template = f"templates/{document.get('template')}" if isinstance(document, dict) else ""
         result = check_tenant(name, document, document_of(ctx, template))
@@ -41,6 +47,7 @@
 
 
 def if_match(request, held):
+    """Return the version that If-Match names, or the one held without that header."""
     said = request.getHeader("if-match")
     if said is None:
         return Ok(held)
@@ -51,6 +58,7 @@
 
 
 def ready(ctx):
+    """Return why this daemon can't take changes now, or None."""
     if ctx.leaving:
         return faults.Leaving()
     if not lease_ok(ctx.core, clock_ms(ctx)):
@@ -62,6 +70,7 @@
 
 @inlineCallbacks
 def take(ctx, request, kind, name, back=False):
+    """Serve a PUT, PATCH or rollback of one document."""
     fault = ready(ctx)
     if fault:
         return Error(fault)
@@ -99,6 +108,7 @@
 
 
 def taken(wanted, result):
+    """Turn the ledger's result into the interface's; anything but `wanted` is an error."""
     if result.is_error():
         unknown = isinstance(result.error, faults.Undecided)
         return Error(faults.ConfigUnknown()) if unknown else result
@@ -109,6 +119,7 @@
 
 @inlineCallbacks
 def order(ctx, path, body, version, bases):
+    """Store a body with a majority, order the change, and wait until every daemon honours it."""
     doors = ctx.settings.doors
     item = yield shelves.put(ctx, body)
     if not (yield shelves.spread(ctx, item)):
@@ -131,6 +142,7 @@
 
 
 def everywhere(ctx, index, what):
+    """Tell whether every member has reached an index and leases of daemons outside have run out."""
     synchrony = ctx.core.synchrony
     now = clock_ms(ctx)
     if not lease_ok(ctx.core, now) or now - synchrony.installed_ms < synchrony.bounds.lease_ms:
@@ -150,6 +162,7 @@
 
 @inlineCallbacks
 def drain(ctx, request, name):
+    """Serve a drain request."""
     fault = ready(ctx)
     if fault:
         return Error(fault)
@@ -173,6 +186,8 @@
 
 
 def routes(app, ctx, answer, turn_away):
+    """Add the paths of configuration and drains."""
+
     def said(request):
         def finish(result):
             if result.is_error():
--- a/frostpost/http_api/faults.py
+++ b/frostpost/http_api/faults.py
@@ -1,87 +1,119 @@
+"""Errors of the own HTTP interface: each class has its status code, text and when to come back."""
+
 from msgspec import Struct, json, structs
 
 
 class Overfilled(Struct, frozen=True, tag="Overfilled"):
+    """The outbox of operations is full."""
+
     text: str = "too much is waiting to be ordered; nothing was run"
     status: int = 503
     retry_ms: int = 1000
 
 
 class NoPrimary(Struct, frozen=True, tag="NoPrimary"):
+    """This daemon has no lease."""
+
     text: str = "this daemon is not with the majority of the storage machines; nothing was run"
     status: int = 503
     retry_ms: int = 1000
 
 
 class Undecided(Struct, frozen=True, tag="Undecided"):
+    """An operation was not ordered in time."""
+
     text: str = "the order was not settled in time; nothing was run"
     status: int = 503
     retry_ms: int = 1000
 
 
 class Unknown(Struct, frozen=True, tag="Unknown"):
+    """It is not known whether the request ran."""
+
     text: str = "the outcome is not known: it may have run"
     status: int = 502
 
 
 class Leaving(Struct, frozen=True, tag="Leaving"):
+    """This daemon is shutting down."""
+
     text: str = "this daemon is leaving; nothing was run"
     status: int = 503
     retry_ms: int = 200
 
 
 class Crowded(Struct, frozen=True, tag="Crowded"):
+    """Too many requests are in flight."""
+
     text: str = "too many requests are here at once; nothing was run"
     status: int = 429
     retry_ms: int = 1000
 
 
 class RunnersFull(Struct, frozen=True, tag="RunnersFull"):
+    """No runner that the route may use has room."""
+
     text: str = "no runner that this lane may use has room; nothing was run"
     status: int = 503
     retry_ms: int = 500
 
 
 class LimitPassed(Struct, frozen=True, tag="LimitPassed"):
+    """The deadline passed before anything ran."""
+
     text: str = "the limit passed before anything was run"
     status: int = 504
     retry_ms: int = 1000
 
 
 class StillRunning(Struct, frozen=True, tag="StillRunning"):
+    """Another attempt with the same idempotency key is running."""
+
     text: str = "another go with this key is still running; come back for its verdict"
     status: int = 503
     retry_ms: int = 1000
 
 
 class BadBody(Struct, frozen=True, tag="BadBody"):
+    """The request's body is not valid; path: where, as a JSON pointer."""
+
     path: str
     text: str
     status: int = 400
 
 
 class TooLong(Struct, frozen=True, tag="TooLong"):
+    """The body is longer than allowed; most: bytes."""
+
     most: int
     text: str = "the body is too long"
     status: int = 413
 
 
 class NoLane(Struct, frozen=True, tag="NoLane"):
+    """The tenant has no such route."""
+
     text: str
     status: int = 404
 
 
 class NoSuch(Struct, frozen=True, tag="NoSuch"):
+    """There is nothing of that name."""
+
     text: str
     status: int = 404
 
 
 class WrongMethod(Struct, frozen=True, tag="WrongMethod"):
+    """The path does not take this method."""
+
     text: str = "this path doesn't take this method"
     status: int = 405
 
 
 class BudgetGone(Struct, frozen=True, tag="BudgetGone"):
+    """The program's budget is spent."""
+
     budget: int
     spent: int
     text: str = "the program's budget is spent"
@@ -89,12 +121,16 @@
 
 
 class TurnRunning(Struct, frozen=True, tag="TurnRunning"):
+    """The program has another turn running."""
+
     text: str = "this program has another turn running; nothing was run"
     status: int = 409
     retry_ms: int = 500
 
 
 class ConfigMoved(Struct, frozen=True, tag="ConfigMoved"):
+    """The document is at another version than the caller expects."""
+
     path: str
     version: int
     text: str = "the configuration moved; nothing took effect"
@@ -102,77 +138,102 @@
 
 
 class ConfigInUse(Struct, frozen=True, tag="ConfigInUse"):
+    """A template that tenants use can't be removed."""
+
     path: str
     text: str
     status: int = 409
 
 
 class OlderRules(Struct, frozen=True, tag="OlderRules"):
+    """A daemon of an earlier version is still a member."""
+
     text: str = "a daemon of the version before is still here; finish the roll-out first"
     status: int = 503
     retry_ms: int = 5000
 
 
 class ConfigChanging(Struct, frozen=True, tag="ConfigChanging"):
+    """This daemon has not taken in the current configuration yet."""
+
     text: str = "the configuration is just changing; nothing was run"
     status: int = 503
     retry_ms: int = 300
 
 
 class ConfigFaulty(Struct, frozen=True, tag="ConfigFaulty"):
+    """The document is not valid; every error with its path."""
+
     faults: tuple
     text: str = "the configuration is not valid; nothing took effect"
     status: int = 422
 
 
 class ConfigUnknown(Struct, frozen=True, tag="ConfigUnknown"):
+    """It is not known whether every daemon honours the change."""
+
     text: str = "not every daemon has confirmed the configuration; read it back before trying again"
     status: int = 504
     retry_ms: int = 2000
 
 
 class VotersTurnedAway(Struct, frozen=True, tag="VotersTurnedAway"):
+    """The change of voters is not allowed."""
+
     text: str
     status: int = 409
 
 
 class KeyMismatch(Struct, frozen=True, tag="KeyMismatch"):
+    """The idempotency key was used with another body."""
+
     text: str = "this key was used with another body"
     status: int = 422
 
 
 class RunnerFault(Struct, frozen=True, tag="RunnerFault"):
+    """The runner's answer is not valid."""
+
     runner: str
     text: str
     status: int = 502
 
 
 class OutputCut(Struct, frozen=True, tag="OutputCut"):
+    """The runner sent more units than were reserved."""
+
     amount: int
     text: str = "the runner went past what was reserved; the output was cut"
     status: int = 502
 
 
 class TooSlow(Struct, frozen=True, tag="TooSlow"):
+    """The client read too slowly."""
+
     text: str = "the answer was not taken for too long; the output was cut"
     status: int = 502
 
 
 class Internal(Struct, frozen=True, tag="Internal"):
+    """An unexpected error; the outcome is not known."""
+
     text: str = "an unexpected fault; the outcome is not known"
     status: int = 500
 
 
 def plain(fault):
+    """Return an error's fields as a JSON object with its type."""
     facts = {k: v for k, v in structs.asdict(fault).items() if k != "status"}
     return {"type": type(fault).__name__, **facts}
 
 
 def body(fault, request_id):
+    """Return an error response's body."""
     return json.encode({"fault": plain(fault), "request": request_id})
 
 
 def retry_after(fault):
+    """Return the Retry-After header in whole seconds, or None if another try makes no sense."""
     wait_ms = getattr(fault, "retry_ms", None)
     if wait_ms is None:
         return None
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -1,3 +1,5 @@
+"""Lookups: repeated, tried once, or shared by idempotency key."""
+
 from hashlib import blake2b
 
 from expression import Error, Ok
@@ -6,7 +8,8 @@
 
 from frostpost.daemon.context import count
 from frostpost.daemon.heart import ask
-from frostpost.ledger.words import ClaimKey, Done, Finish, KeyReused, Shared, Unclaim, Won
+from frostpost.ledger.operations import ClaimKey, Finish, Unclaim
+from frostpost.ledger.results import Done, KeyReused, Shared, Won
 
 from . import carry, faults
 from .calls import remaining_ms
@@ -17,6 +20,8 @@
 
 
 class Run:
+    """One attempt of a lookup: the bytes heard and how it ended."""
+
     __slots__ = ("data", "reason", "go")
 
     def __init__(self, go):
@@ -25,6 +30,7 @@
 
 @inlineCallbacks
 def once(ctx, call, runner, share_ms):
+    """Run a lookup on one runner, for at most `share_ms`."""
     go = carry.Go(runner, call.still or carry.always)
     run = Run(go)
     status = status_of(ctx, runner.name)
@@ -65,6 +71,7 @@
 
 
 def read(run):
+    """Return the result that a run brought, or the error that it means."""
     if isinstance(run.reason, carry.TooMuch):
         return Error(faults.RunnerFault(run.go.runner.name, "a verdict too long"))
     if run.reason is not None:
@@ -77,6 +84,7 @@
 
 
 def spend_retry(ctx):
+    """Take one retry from this daemon's retry budget; False if none is left."""
     if ctx.retries < 1:
         count(ctx, "retries_withheld")
         return False
@@ -86,6 +94,7 @@
 
 @inlineCallbacks
 def goes(ctx, call, free):
+    """Try runners in order until one answers; after a sent request only if the route may repeat."""
     tried, sent = set(), False
     ctx.retries = min(50.0, ctx.retries + ctx.settings.doors.retry_ratio)
     while True:
@@ -113,6 +122,7 @@
 
 @inlineCallbacks
 def keyed(ctx, call):
+    """Run a lookup once per idempotency key, or wait for the attempt that owns the key."""
     key = f"{call.tenant}/{call.lane_name}/{call.document['key']}"
     digest = blake2b(call.document["input"].encode(), digest_size=16).hexdigest()
     while True:
@@ -143,6 +153,7 @@
 
 @inlineCallbacks
 def owned(ctx, call, key):
+    """Run a lookup under a key that this call owns, and record its outcome."""
     ask_ms = ctx.settings.doors.ask_ms * 2
     call.still = lambda: holds(ctx, key)
     try:
@@ -162,11 +173,13 @@
 
 
 def holds(ctx, key):
+    """Tell whether this daemon still owns a key."""
     claim = ctx.core.ledger.keys.get(key)
     return claim is not None and claim.owner == ctx.place.member and claim.status == "held"
 
 
 def settled(ctx, key, wait_ms):
+    """Return a Deferred that fires once a key has an outcome, or after `wait_ms`."""
     waiting = Deferred()
     ctx.key_waiters.setdefault(key, []).append(waiting)
 
@@ -187,6 +200,7 @@
 
 
 def wake(ctx):
+    """Wake the calls that wait for keys which have an outcome now."""
     for key in list(ctx.key_waiters):
         claim = ctx.core.ledger.keys.get(key)
         if claim is None or claim.status != "held":
@@ -195,12 +209,14 @@
 
 
 def fire(waiting):
+    """Fire a waiting Deferred once."""
     if not waiting.called:
         waiting.callback(None)
 
 
 @inlineCallbacks
 def lookup(ctx, call):
+    """Serve a lookup as its route says."""
     if call.lane.repeat == "keyed":
         return (yield keyed(ctx, call))
     return (yield goes(ctx, call, call.lane.repeat == "free"))
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -1,3 +1,5 @@
+"""Reads: status, runners, programs, explanations, configuration, metrics."""
+
 from shutil import disk_usage
 
 from msgspec import Raw
@@ -8,8 +10,8 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
+from frostpost.ledger.operations import Look
 from frostpost.ledger.programs import whole
-from frostpost.ledger.words import Look
 from frostpost.placement.judge import Question, explain
 from frostpost.virtual_synchrony.state import sequencer
 
@@ -17,6 +19,7 @@
 
 
 def status(ctx):
+    """Return a daemon's status document."""
     synchrony, ledger = ctx.core.synchrony, ctx.core.ledger
     return {
         "name": synchrony.name,
@@ -70,6 +73,7 @@
 
 
 def free_part(folder):
+    """Return the free share of the disk that holds a folder, None for no folder."""
     if not folder:
         return None
     usage = disk_usage(folder)
@@ -77,6 +81,7 @@
 
 
 def placed(place):
+    """Return where a daemon listens."""
     return {
         "name": place.member.name,
         "role": place.role,
@@ -87,6 +92,7 @@
 
 
 def runners(ctx):
+    """Return the runners with load and drain marks."""
     ledger = ctx.core.ledger
     found = []
     for runner in ledger.runners.values():
@@ -104,10 +110,12 @@
 
 
 def named(runner):
+    """Return a record's fields by name."""
     return {f: getattr(runner, f) for f in runner.__struct_fields__}
 
 
 def program(ctx, tenant, name):
+    """Return a program's budget and history, or an error."""
     held = ctx.core.ledger.programs.get(f"{tenant}/{name}")
     if held is None:
         return faults.NoSuch("this program has no history kept here")
@@ -123,6 +131,7 @@
 
 
 def explained(ctx, tenant, lane):
+    """Return vetoes and scores of every runner for a route, or an error."""
     found = ctx.lanes.get((tenant, lane))
     if found is None:
         return faults.NoLane(f"tenant {tenant} has no lane {lane}")
@@ -137,6 +146,7 @@
 
 
 def config(ctx, path):
+    """Return one document with its version, or an error."""
     held, mark = ctx.documents.get(path), ctx.core.ledger.configs.get(path)
     if held is None or mark is None or not mark.digest:
         return faults.NoSuch(f"there is no {path}")
@@ -146,6 +156,7 @@
 
 
 def configs(ctx):
+    """Return the versions of all documents and the index of the last change."""
     ledger = ctx.core.ledger
     return {
         "index": ledger.config_index,
@@ -156,6 +167,8 @@
 
 
 def routes(app, ctx, answer, turn_away):
+    """Add the paths of reads."""
+
     def serve(request, found):
         if isinstance(found, dict):
             if "version" in found:
--- a/frostpost/http_api/selecting.py
+++ b/frostpost/http_api/selecting.py
@@ -1,22 +1,25 @@
 """The runners that a turn may go to, best first, and what is remembered of their failures."""
 
 from frostpost.daemon.context import clock_ms
-from frostpost.ledger.words import BudgetSpent, NoRunner, StaleConfig, TurnOpen
+from frostpost.ledger.results import BudgetSpent, NoRunner, StaleConfig, TurnOpen
 from frostpost.placement.judge import Question, Status, rank
 
 from . import faults
 
 
 def status_of(ctx, name):
+    """Return what is known of a runner's health."""
     return ctx.statuses.setdefault(name, Status())
 
 
 def faulted(ctx, name):
+    """Record a failure of a runner."""
     status = status_of(ctx, name)
     status.fault_ms, status.faults = clock_ms(ctx), status.faults + 1
 
 
 def select(ctx, call, chain, tried):
+    """Return the runners for a call, best first."""
     question = Question(
         call.lane.pools,
         ctx.settings.cell,
@@ -31,6 +34,7 @@
 
 
 def meaning(verdict):
+    """Return the error that a refused reservation means."""
     match verdict:
         case NoRunner():
             return faults.RunnersFull()
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -1,3 +1,5 @@
+"""All documents changed as one, removals, and earlier versions."""
+
 from expression import Error, Ok
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
@@ -7,7 +9,8 @@
 from frostpost.daemon.news import say
 from frostpost.daemon.waiting import until
 from frostpost.ledger import configs
-from frostpost.ledger.words import Change, ManySet, SetMany
+from frostpost.ledger.operations import Change, SetMany
+from frostpost.ledger.results import ManySet
 from frostpost.tenant_config.shapes import WORD, Fault
 from frostpost.tenant_config.shelf import digest_of
 from frostpost.tenant_config.stamp import check_template
@@ -16,6 +19,7 @@
 
 
 def split_paths(document):
+    """Return (documents by path, errors) of a body with templates and tenants by name."""
     found, wrong = {}, []
     for kind, named in document.items():
         if kind not in ("templates", "tenants") or not isinstance(named, dict):
@@ -29,6 +33,7 @@
 
 
 def judge(found):
+    """Check all documents together; return (errors, encoded bodies by path)."""
     wrong, used = [], set()
     for path, one in found.items():
         if not path.startswith("templates/"):
@@ -48,6 +53,7 @@
 
 
 def changed(ctx, bodies):
+    """Return the bodies that differ from the ledger's; None for documents to be removed."""
     marks = {p: m for p, m in ctx.core.ledger.configs.items() if m.digest}
     fresh = {p: b for p, b in bodies.items() if p not in marks or marks[p].digest != digest_of(b)}
     return fresh | {p: None for p in marks if p not in bodies}
@@ -55,6 +61,7 @@
 
 @inlineCallbacks
 def order(ctx, bodies, index):
+    """Store bodies with a majority, order their change as one, and wait until every daemon honours it."""
     doors, changes = ctx.settings.doors, []
     for path, body in bodies.items():
         held = configs.held(ctx.core.ledger, path)
@@ -76,6 +83,7 @@
 
 
 def begin(ctx, request):
+    """Return the index that the change must match, or why it can't be made now."""
     fault = control.ready(ctx)
     if fault is None and ctx.core.ledger.rules < 2:
         fault = faults.OlderRules()
@@ -90,6 +98,7 @@
 
 @inlineCallbacks
 def take_all(ctx, request):
+    """Serve a PUT of all documents."""
     index = begin(ctx, request)
     if index.is_error():
         return index
@@ -109,6 +118,7 @@
 
 @inlineCallbacks
 def remove(ctx, request, path):
+    """Serve a DELETE of one document."""
     fault = control.ready(ctx)
     if fault is None and ctx.core.ledger.rules < 2:
         fault = faults.OlderRules()
@@ -128,6 +138,7 @@
 
 
 def history(ctx, path):
+    """Return the kept versions of a document."""
     marks = ctx.core.ledger.past.get(path)
     if not marks:
         return Error(faults.NoSuch(f"there is no history of {path}"))
@@ -143,6 +154,7 @@
 
 
 def former(ctx, path, number):
+    """Return the body of a kept version of a document."""
     mark = next((m for m in ctx.core.ledger.past.get(path, ()) if m.version == number and m.digest), None)
     body = ctx.shelf.bodies.get(mark.digest) if mark else None
     return Error(faults.NoSuch(f"no version {number} of {path} is kept")) if body is None else Ok(body)
--- a/frostpost/http_api/voting.py
+++ b/frostpost/http_api/voting.py
@@ -1,9 +1,11 @@
+"""Changes of the set of voters by an operator."""
+
 from expression import Error, Ok
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
-from frostpost.ledger.words import VotersSet
+from frostpost.ledger.results import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import majority
 
@@ -14,6 +16,7 @@
 
 
 def fulls(ctx):
+    """Return the names of members that hold a full copy of the ledger."""
     synchrony = ctx.core.synchrony
     inside = {m.name for m in synchrony.configuration.members}
     found = {n for n, p in synchrony.peers.items() if p.ready and n in inside}
@@ -21,6 +24,7 @@
 
 
 def judge(ctx, document):
+    """Return the voters after a change, or why it is not allowed."""
     before = ctx.core.ledger.voters
     if set(document) not in ({"add"}, {"remove"}, {"remove", "force"}):
         return Error(faults.BadBody("/", "give add or remove, one of them"))
@@ -48,6 +52,7 @@
 
 @inlineCallbacks
 def change(ctx, request):
+    """Serve a change of voters."""
     fault = ready(ctx)
     if fault:
         return Error(fault)
@@ -69,6 +74,8 @@
 
 
 def routes(app, ctx, answer, turn_away):
+    """Add the path of voters."""
+
     @app.route("/v1/voters", methods=["POST"])
     def voters_(request):
         return change(ctx, request).addCallback(
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -1,3 +1,5 @@
+"""Apply ordered entries to the ledger: one function of (ledger, entry) that every replica runs alike."""
+
 from heapq import heappop, heappush
 
 from msgspec import msgpack
@@ -5,16 +7,13 @@
 from frostpost.program_ledger import apply as program_ledgers
 
 from . import configs, duties, keys, programs
-from .state import Ledger
-from .words import (
+from .operations import (
     Ballot,
     ClaimKey,
-    Done,
     Drain,
     Finish,
     Fire,
     Look,
-    NotHeld,
     Op,
     Open,
     Release,
@@ -25,12 +24,11 @@
     SetMany,
     Settle,
     SetVoters,
-    StaleConfig,
     Tick,
     Unclaim,
-    Verdict,
-    VotersSet,
 )
+from .results import Done, NotHeld, StaleConfig, Verdict, VotersSet
+from .state import Ledger
 
 ABSENT_MS = 600000
 decode_op = msgpack.Decoder(Op).decode
@@ -39,6 +37,7 @@
 
 
 def apply(ledger, entry):
+    """Apply one ordered entry and return (ledger, result); an entry seen before from its sender has the result None."""
     ledger.index = entry.index
     if entry.number:
         boot, number = ledger.sessions.get(entry.sender.name, (0, 0))
@@ -49,6 +48,7 @@
 
 
 def act(ledger, entry, op) -> Verdict:
+    """Carry out the operation of an entry and return its result."""
     match op:
         case Open(members, cores, voters):
             stopped = bool(ledger.members) and not set(ledger.members) & set(members)
@@ -100,6 +100,7 @@
 
 
 def tick(ledger, entry, op):
+    """Advance the ledger's clock by the elapsed milliseconds and remove what has expired by then."""
     fault = duties.fenced(ledger, "ticks", entry, op.fence)
     if fault:
         return fault
@@ -112,6 +113,7 @@
 
 
 def list_(ledger, entry, op):
+    """Replace the list of runners; drain marks of runners that are gone expire after `ABSENT_MS`."""
     fault = duties.fenced(ledger, "list", entry, op.fence)
     if fault:
         return fault
@@ -124,6 +126,7 @@
 
 
 def expire_leaving(ledger, key):
+    """Drop the drain mark of a runner instance that is not listed any more."""
     if key not in {programs.instance_key(r) for r in ledger.runners.values()}:
         ledger.leaving.pop(key, None)
 
@@ -132,6 +135,7 @@
 
 
 def drain(ledger, entry, op):
+    """Mark a runner as draining, or take the mark away."""
     runner = ledger.runners.get(op.runner)
     if runner is None:
         return NotHeld("runner")
@@ -143,6 +147,7 @@
 
 
 def fire(ledger, entry, op):
+    """Record that a calendar fired and take its configuration change, if it has one."""
     fault = duties.fenced(ledger, "calendars", entry, op.fence)
     if fault:
         return fault
@@ -155,6 +160,7 @@
 
 
 def voters_(ledger, entry, op):
+    """Change the set of voters by exactly one name, if the caller saw the current set."""
     one = len(set(op.before) ^ set(op.after)) == 1
     if op.before != ledger.voters or op.configuration != entry.configuration or not one:
         return NotHeld("voters")
@@ -163,4 +169,5 @@
 
 
 def config(ledger, entry, op):
+    """Take a new version of one configuration document."""
     return configs.one(ledger, entry, op)
--- a/frostpost/ledger/configs.py
+++ b/frostpost/ledger/configs.py
@@ -1,6 +1,9 @@
+"""Versions of configuration documents: compare-and-set, and the last `PAST` versions of each."""
+
+from .operations import Change
 from .programs import stale
 from .records import Mark
-from .words import Change, ConfigSet, ManySet, StaleConfig
+from .results import ConfigSet, ManySet, StaleConfig
 
 PAST = 10
 REMOVED = ""
@@ -8,16 +11,19 @@
 
 
 def held(ledger, path):
+    """Return the current version of a document, 0 if there is none."""
     mark = ledger.configs.get(path)
     return mark.version if mark and mark.digest != REMOVED else 0
 
 
 def moved(ledger, path, if_version):
+    """Return StaleConfig if a document is not at the version that the caller expects, else None."""
     version = held(ledger, path)
     return StaleConfig(path, version) if version != if_version else None
 
 
 def lay(ledger, entry, change):
+    """Record a new version of a document and return its number."""
     before = ledger.configs.get(change.path)
     version = (before.version if before else 0) + 1
     mark = Mark(version, change.digest, change.size, change.source, change.number, entry.index)
@@ -29,6 +35,7 @@
 
 
 def one(ledger, entry, op):
+    """Change one document, if it and the documents it was checked against are unchanged."""
     fault = moved(ledger, op.path, op.if_version) or stale(ledger, op.bases)
     if fault:
         return fault
@@ -37,6 +44,7 @@
 
 
 def many(ledger, entry, op):
+    """Change several documents as one, if nothing changed since the caller read them."""
     if op.index != ledger.config_index:
         return StaleConfig(ALL, ledger.config_index)
     for change in op.changes:
--- a/frostpost/ledger/duties.py
+++ b/frostpost/ledger/duties.py
@@ -1,23 +1,30 @@
+"""Election of the member that holds each background duty; the fencing token is the index of the election."""
+
 from hashlib import blake2b
 
-from .words import Done, Duty, Fenced, NotHeld
+from .records import Duty
+from .results import Done, Fenced, NotHeld
 
 DUTIES = ("list", "ticks", "calendars")
 
 
 def score(duty, round, name):
+    """Return the rank of a member for a duty in a round, as a digest that all members compute alike."""
     return blake2b(f"{duty}/{round}/{name}".encode(), digest_size=8).digest()
 
 
 def electors(ledger):
+    """Return the names of the members that may vote and be elected."""
     return ledger.cores or tuple(m.name for m in ledger.members)
 
 
 def nominee(ledger, duty, round):
+    """Return the elector with the highest score for a duty in a round."""
     return max(electors(ledger), key=lambda n: score(duty, round, n), default="")
 
 
 def vacate(ledger):
+    """Free the duties of members that are gone and open a new round for each."""
     for name in DUTIES:
         duty = ledger.duties.setdefault(name, Duty())
         if duty.holder is not None and duty.holder not in ledger.members:
@@ -27,6 +34,7 @@
 
 
 def ballot(ledger, entry, op):
+    """Count one member's vote; a candidate with a majority of the electors holds the duty."""
     duty = ledger.duties.get(op.duty)
     if duty is None or duty.holder is not None or duty.round != op.round:
         return NotHeld("round")
@@ -46,6 +54,7 @@
 
 
 def owed(ledger, me):
+    """Return the (duty, round, candidate) votes that a member has yet to cast."""
     if me.name not in electors(ledger):
         return []
     return [
@@ -56,11 +65,13 @@
 
 
 def held(ledger, name, me):
+    """Return the fencing token of a duty that a member holds, 0 if it does not hold it."""
     duty = ledger.duties.get(name)
     return duty.fence if duty and duty.holder == me else 0
 
 
 def fenced(ledger, name, entry, fence):
+    """Return Fenced if an operation does not carry the current fencing token of its duty, else None."""
     duty = ledger.duties.get(name)
     if duty is None or duty.holder != entry.sender or duty.fence != fence:
         return Fenced(duty.fence if duty else 0)
--- a/frostpost/ledger/keys.py
+++ b/frostpost/ledger/keys.py
@@ -1,10 +1,13 @@
+"""Idempotency keys: each key is run once, and its result is shared until its window ends."""
+
 from heapq import heappush
 
 from .records import Claim
-from .words import Done, KeyReused, NotHeld, Shared, Won
+from .results import Done, KeyReused, NotHeld, Shared, Won
 
 
 def claim(ledger, entry, op):
+    """Give a key to its first claimant; later claimants get the state and result of the first."""
     held = ledger.keys.get(op.key)
     if held is None:
         ledger.keys[op.key] = Claim(op.digest, entry.sender, op.window_ms)
@@ -15,12 +18,14 @@
 
 
 def end(ledger, key, status, verdict):
+    """Record the final state of a key and schedule its removal."""
     held = ledger.keys[key]
     held.status, held.verdict, held.ended_ms = status, verdict, ledger.clock_ms
     heappush(ledger.expiries, (ledger.clock_ms + held.window_ms, "key", key))
 
 
 def finish(ledger, entry, op):
+    """Record the result of a key that its owner ran."""
     held = ledger.keys.get(op.key)
     if held is None or held.owner != entry.sender or held.status != "held":
         return NotHeld("key")
@@ -29,6 +34,7 @@
 
 
 def unclaim(ledger, entry, op):
+    """Give up a key whose work never ran."""
     held = ledger.keys.get(op.key)
     if held is None or held.owner != entry.sender or held.status != "held":
         return NotHeld("key")
@@ -37,18 +43,21 @@
 
 
 def orphan(ledger):
+    """End the keys of members that are gone; their outcome is unknown."""
     for key, held in ledger.keys.items():
         if held.status == "held" and held.owner not in ledger.members:
             end(ledger, key, "unknown", b"")
 
 
 def anew(ledger):
+    """Start the windows of ended keys again, after a time in which no ledger clock ran."""
     for key, held in ledger.keys.items():
         if held.ended_ms >= 0:
             end(ledger, key, held.status, held.verdict)
 
 
 def expire(ledger, key):
+    """Remove a key whose window has passed."""
     held = ledger.keys.get(key)
     if held and held.ended_ms >= 0 and ledger.clock_ms - held.ended_ms >= held.window_ms:
         del ledger.keys[key]
--- a/frostpost/ledger/words.py
+++ b/frostpost/ledger/operations.py
@@ -1,25 +1,23 @@
+"""Operations on the ledger, in their wire form."""
+
 from msgspec import Struct
 
-from frostpost.program_ledger.words import CoppiceOp, CoppiceVerdict
+from frostpost.program_ledger.words import CoppiceOp
 from frostpost.virtual_synchrony.events import Open, SetVoters
-from frostpost.virtual_synchrony.words import Member
 
 from .records import Line, Runner
 
 
-class Duty(Struct, array_like=True):
-    holder: Member | None = None
-    fence: int = 0
-    round: int = 1
-    ballots: dict[str, str] = {}
-
-
 class Tick(Struct, array_like=True, frozen=True, tag="tick"):
+    """Advance the ledger's clock by elapsed milliseconds; only the holder of the duty may."""
+
     fence: int
     elapsed_ms: int
 
 
 class Reserve(Struct, array_like=True, frozen=True, tag="reserve"):
+    """Reserve budget and a runner for a turn, from candidates in order of preference."""
+
     program: str
     amount: int
     budget: int
@@ -31,42 +29,58 @@
 
 
 class Settle(Struct, array_like=True, frozen=True, tag="settle"):
+    """End a turn that ran: units used and the line for the history, None if it was cut."""
+
     reservation: int
     used: int
     line: Line | None
 
 
 class Release(Struct, array_like=True, frozen=True, tag="release"):
+    """End a turn that never ran."""
+
     reservation: int
 
 
 class ClaimKey(Struct, array_like=True, frozen=True, tag="claim"):
+    """Claim an idempotency key for one request digest."""
+
     key: str
     digest: str
     window_ms: int
 
 
 class Finish(Struct, array_like=True, frozen=True, tag="finish"):
+    """Record the outcome of a claimed key."""
+
     key: str
     status: str
     verdict: bytes
 
 
 class Unclaim(Struct, array_like=True, frozen=True, tag="unclaim"):
+    """Give up a claimed key whose work never ran."""
+
     key: str
 
 
 class Runners(Struct, array_like=True, frozen=True, tag="runners"):
+    """Replace the list of runners."""
+
     fence: int
     entries: tuple[Runner, ...]
 
 
 class Drain(Struct, array_like=True, frozen=True, tag="drain"):
+    """Mark a runner as draining, or take the mark away."""
+
     runner: str
     leaving: bool
 
 
 class SetConfig(Struct, array_like=True, frozen=True, tag="config"):
+    """Change one configuration document, compared with its version and those of its bases."""
+
     path: str
     digest: str
     size: int
@@ -77,6 +91,8 @@
 
 
 class Change(Struct, array_like=True, frozen=True):
+    """One document's change within a SetMany."""
+
     path: str
     digest: str
     size: int
@@ -86,15 +102,21 @@
 
 
 class SetMany(Struct, array_like=True, frozen=True, tag="many"):
+    """Change several documents as one, compared with the index of the last change."""
+
     changes: tuple[Change, ...]
     index: int
 
 
 class Rules(Struct, array_like=True, frozen=True, tag="rules"):
+    """Raise the version of the rules that the ledger goes by."""
+
     version: int
 
 
 class Fire(Struct, array_like=True, frozen=True, tag="fire"):
+    """Record that a calendar fired at a wall-clock second, with its change if it has one."""
+
     fence: int
     path: str
     at_s: int
@@ -102,10 +124,12 @@
 
 
 class Look(Struct, array_like=True, frozen=True, tag="look"):
-    pass
+    """Take a place in the order without changing anything: a linearizable read."""
 
 
 class Ballot(Struct, array_like=True, frozen=True, tag="ballot"):
+    """A vote for the holder of a duty."""
+
     duty: str
     round: int
     candidate: str
@@ -131,86 +155,3 @@
     | Rules
     | CoppiceOp
 )
-
-
-class Done(Struct, array_like=True, frozen=True, tag="done"):
-    index: int
-
-
-class Reserved(Struct, array_like=True, frozen=True, tag="reserved"):
-    index: int
-    runner: Runner
-    amount: int
-    lines: tuple[Line, ...]
-
-
-class Won(Struct, array_like=True, frozen=True, tag="won"):
-    index: int
-
-
-class Shared(Struct, array_like=True, frozen=True, tag="shared"):
-    status: str
-    verdict: bytes
-
-
-class ConfigSet(Struct, array_like=True, frozen=True, tag="configSet"):
-    version: int
-    index: int
-
-
-class ManySet(Struct, array_like=True, frozen=True, tag="manySet"):
-    versions: tuple[tuple[str, int], ...]
-    index: int
-
-
-class VotersSet(Struct, array_like=True, frozen=True, tag="votersSet"):
-    voters: tuple[str, ...]
-
-
-class BudgetSpent(Struct, array_like=True, frozen=True, tag="BudgetSpent"):
-    budget: int
-    spent: int
-
-
-class TurnOpen(Struct, array_like=True, frozen=True, tag="TurnOpen"):
-    program: str
-
-
-class NoRunner(Struct, array_like=True, frozen=True, tag="NoRunner"):
-    asked: int
-
-
-class StaleConfig(Struct, array_like=True, frozen=True, tag="StaleConfig"):
-    path: str
-    version: int
-
-
-class KeyReused(Struct, array_like=True, frozen=True, tag="KeyReused"):
-    key: str
-
-
-class NotHeld(Struct, array_like=True, frozen=True, tag="NotHeld"):
-    what: str
-
-
-class Fenced(Struct, array_like=True, frozen=True, tag="Fenced"):
-    fence: int
-
-
-Verdict = (
-    Done
-    | Reserved
-    | Won
-    | Shared
-    | ConfigSet
-    | BudgetSpent
-    | TurnOpen
-    | NoRunner
-    | StaleConfig
-    | KeyReused
-    | NotHeld
-    | Fenced
-    | VotersSet
-    | ManySet
-    | CoppiceVerdict
-)
--- a/frostpost/ledger/programs.py
+++ b/frostpost/ledger/programs.py
@@ -1,23 +1,29 @@
+"""Budgets, reservations and histories of programs."""
+
 from heapq import heappush
 from zlib import crc32
 
 from .records import Line, Program, Reservation
-from .words import BudgetSpent, Done, NoRunner, NotHeld, Reserved, StaleConfig, TurnOpen
+from .results import BudgetSpent, Done, NoRunner, NotHeld, Reserved, StaleConfig, TurnOpen
 
 
 def line(input, output):
+    """Return a history line with the checksum of its input and output."""
     return Line(input, output, crc32(output.encode(), crc32(input.encode())))
 
 
 def whole(kept):
+    """Tell whether a history line matches its checksum."""
     return crc32(kept.output.encode(), crc32(kept.input.encode())) == kept.sum
 
 
 def instance_key(runner):
+    """Return the name of one instance of a runner, as `NAME/INSTANCE`."""
     return f"{runner.name}/{runner.instance}"
 
 
 def admissible(ledger, name, instance, pools):
+    """Return the runner of that name if it may take another turn now, else None."""
     runner = ledger.runners.get(name)
     if runner is None or runner.instance != instance or instance_key(runner) in ledger.leaving:
         return None
@@ -27,6 +33,7 @@
 
 
 def stale(ledger, marks):
+    """Return StaleConfig for the first configuration that is not at the caller's version, else None."""
     for path, version in marks:
         mark = ledger.configs.get(path)
         held = mark.version if mark and mark.digest else 0
@@ -35,6 +42,7 @@
 
 
 def reserve(ledger, entry, op):
+    """Reserve units of a program's budget and a slot of a runner for one turn."""
     fault = stale(ledger, op.marks)
     if fault:
         return fault
@@ -58,6 +66,7 @@
 
 
 def touch(ledger, name, program):
+    """Extend the retention of a program from now on."""
     now = program.touched_ms = ledger.clock_ms
     if ledger.rules < 2:
         heappush(ledger.expiries, (now + program.keep_ms, "program", name))
@@ -69,11 +78,13 @@
 
 
 def due(ledger, name, program):
+    """Schedule the next check of a program's retention."""
     program.due_ms = program.kept_ms if program.lines or program.turn else program.budget_kept_ms
     heappush(ledger.expiries, (program.due_ms, "program", name))
 
 
 def close(ledger, number, used):
+    """End a reservation, account the units used and return the program."""
     held = ledger.reservations.pop(number)
     program = ledger.programs[held.program]
     program.reserved -= held.amount
@@ -90,6 +101,7 @@
 
 
 def settle(ledger, entry, op):
+    """End a turn that ran and append its line to the program's history."""
     held = ledger.reservations.get(op.reservation)
     if held is None or held.owner != entry.sender:
         return NotHeld("reservation")
@@ -100,6 +112,7 @@
 
 
 def release(ledger, entry, op):
+    """End a turn that never ran; nothing is spent."""
     held = ledger.reservations.get(op.reservation)
     if held is None or held.owner != entry.sender:
         return NotHeld("reservation")
@@ -108,12 +121,14 @@
 
 
 def orphan(ledger):
+    """End the reservations of members that are gone; all that they reserved counts as spent."""
     for number, held in list(ledger.reservations.items()):
         if held.owner not in ledger.members:
             close(ledger, number, held.amount)
 
 
 def anew(ledger):
+    """Start the retention of every program again, after a time in which no ledger clock ran."""
     for name, program in ledger.programs.items():
         program.kept_ms += ledger.clock_ms - program.touched_ms
         program.budget_kept_ms += ledger.clock_ms - program.touched_ms
@@ -121,6 +136,7 @@
 
 
 def expire(ledger, name):
+    """Drop the history or the whole of a program whose retention has passed."""
     program = ledger.programs.get(name)
     if program is None:
         return
--- a/frostpost/ledger/records.py
+++ b/frostpost/ledger/records.py
@@ -6,12 +6,16 @@
 
 
 class Line(Struct, array_like=True, frozen=True):
+    """One turn in a program's history: its input, output and checksum."""
+
     input: str
     output: str
     sum: int
 
 
 class Program(Struct, array_like=True):
+    """Budget in units, retention in milliseconds and history of one program."""
+
     budget: int
     keep_ms: int
     spent: int = 0
@@ -26,6 +30,8 @@
 
 
 class Reservation(Struct, array_like=True, frozen=True):
+    """Units and a runner's slot that a turn holds while it runs."""
+
     program: str
     owner: Member
     amount: int
@@ -33,6 +39,8 @@
 
 
 class Claim(Struct, array_like=True):
+    """An idempotency key: its owner, request digest, state and result."""
+
     digest: str
     owner: Member
     window_ms: int
@@ -42,6 +50,8 @@
 
 
 class Runner(Struct, array_like=True, frozen=True):
+    """A runner as the platform lists it; room: how many calls it takes at once."""
+
     name: str
     instance: str
     host: str
@@ -52,9 +62,20 @@
 
 
 class Mark(Struct, array_like=True, frozen=True):
+    """One version of a configuration document: its digest, size, source and ledger index."""
+
     version: int
     digest: str
     size: int
     source: str
     number: int
     index: int
+
+
+class Duty(Struct, array_like=True):
+    """A background duty with its holder, fencing token and the votes of the open round."""
+
+    holder: Member | None = None
+    fence: int = 0
+    round: int = 1
+    ballots: dict[str, str] = {}
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -1,13 +1,16 @@
+"""The ledger's state."""
+
 from msgspec import Struct, field
 
 from frostpost.program_ledger.state import ProgramLedger
 from frostpost.virtual_synchrony.words import Member
 
-from .records import Claim, Mark, Program, Reservation, Runner
-from .words import Duty
+from .records import Claim, Duty, Mark, Program, Reservation, Runner
 
 
 class Ledger(Struct):
+    """Everything that replicas agree on: programs, keys, runners, configurations, duties and voters."""
+
     index: int = 0
     clock_ms: int = 0
     members: tuple[Member, ...] = ()
--- a/frostpost/placement/__init__.py
+++ b/frostpost/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Choice of a runner: vetoes, then scores; pure functions."""
--- a/frostpost/simulator/checks.py
+++ b/frostpost/simulator/checks.py
@@ -1,3 +1,5 @@
+"""Check a history against the specifications of extended virtual synchrony, numbered as in the paper."""
+
 from collections import defaultdict
 from itertools import pairwise
 
@@ -7,23 +9,30 @@
 
 
 class Broken(Struct, frozen=True):
+    """A violation of a specification."""
+
     spec: str
     text: str
 
 
 class Life(Struct):
+    """One boot of a node: the configurations it installed and what it delivered in each."""
+
     member: object
     stages: list = []
     failed: bool = False
 
 
 class Stage(Struct):
+    """One configuration of a life and the entries delivered in it."""
+
     configuration: object
     transitional: bool
     delivered: list = []
 
 
 def lives(history):
+    """Return the lives of a history by member."""
     found = {}
     for _, member, answer in history:
         life = found.setdefault(member, Life(member))
@@ -37,11 +46,13 @@
 
 
 def id_of(stage):
+    """Return a key that tells configurations apart, transitional ones by their members."""
     key = stage.configuration.id
     return (key, stage.configuration.members) if stage.transitional else (key, ())
 
 
 def basics(found):
+    """Check 1.3, 1.4 and 2.2: entries are delivered once, in their configuration, with one content."""
     contents = {}
     for life in found.values():
         seen = set()
@@ -60,6 +71,7 @@
 
 
 def regulars(life):
+    """Return [regular, transitional] pairs of a life's configurations."""
     groups = []
     for stage in life.stages:
         if not stage.transitional:
@@ -70,6 +82,7 @@
 
 
 def order(found):
+    """Check that one order of all events exists (1.1, 2.3, 2.4, 6.1, 6.2)."""
     edges, into = defaultdict(set), defaultdict(int)
     nodes = set()
     for life in found.values():
@@ -95,10 +108,12 @@
 
 
 def ordinals(group):
+    """Return the ordinals delivered in a pair of configurations."""
     return [e.ordinal for stage in group if stage for e in stage.delivered]
 
 
 def causal(found):
+    """Check that each life delivers without gaps (5, 6.3)."""
     for life in found.values():
         for group in regulars(life):
             said = ordinals(group)
@@ -107,6 +122,7 @@
 
 
 def self_delivery(found, sent):
+    """Check that members deliver what they ordered themselves (3)."""
     for life in found.values():
         for group in regulars(life)[:-1]:
             mine = sent.get((life.member, group[0].configuration.id), 0)
@@ -115,6 +131,7 @@
 
 
 def atomicity(found):
+    """Check that members that move together deliver the same (4)."""
     held = {}
     for life in found.values():
         for stage, after in pairwise(life.stages):
@@ -126,6 +143,7 @@
 
 
 def safety(found):
+    """Check that what one member delivers as safe, all do (7.1, 7.2)."""
     for life in found.values():
         for stage in life.stages:
             if not stage.delivered:
@@ -148,6 +166,7 @@
 
 
 def settled(found):
+    """Check that members at rest agree on their configuration (2.1)."""
     alive = {m: life for m, life in found.items() if not life.failed}
     for member, life in alive.items():
         last = life.stages[-1]
@@ -157,6 +176,7 @@
 
 
 def evs(history, sent):
+    """Return all violations of a history; sent: the last ordinal each member ordered, by configuration."""
     found = lives(history)
     return [
         *basics(found),
--- a/frostpost/simulator/chores.py
+++ b/frostpost/simulator/chores.py
@@ -1,3 +1,5 @@
+"""Operators' and runners' events of the whole-path simulation."""
+
 from msgspec import json
 
 from frostpost.testbed.runner import CUTS
@@ -12,21 +14,25 @@
 
 
 def any_runner(valley, random):
+    """Return (host, runner) of a random runner."""
     address = random.choice(sorted(valley.backs))
     return valley.net.hosts[address], valley.backs[address]
 
 
 def misbehave(valley, random, mode=None):
+    """Make a runner misbehave for a while."""
     _, runner = any_runner(valley, random)
     runner.mode = mode or random.choice(MODES)
     later(valley, random.uniform(200, 1500), behave, runner)
 
 
 def behave(runner):
+    """Make a runner behave again."""
     runner.mode = "well"
 
 
 def replace(valley, random, careless=None):
+    """Replace a runner by another under its address."""
     host, old = any_runner(valley, random)
     others = [r for r in valley.backs.values() if r.pool != old.pool]
     last = not any(r is not old and r.pool == old.pool and not r.away for r in valley.backs.values())
@@ -40,6 +46,7 @@
 
 
 def leave(valley, random):
+    """Let a runner report that it leaves."""
     _, runner = any_runner(valley, random)
     if sum(r.pool == runner.pool and not r.away for r in valley.backs.values()) < 2:
         return
@@ -49,6 +56,7 @@
 
 
 def stay(valley, runner):
+    """Put a new instance in the place of a runner that left."""
     row = next((r for r in valley.rows if r["name"] == runner.name), None)
     if row is not None:
         host = valley.net.hosts[row["host"]]
@@ -59,6 +67,7 @@
 
 
 def drain(valley, random):
+    """Let an operator drain a runner."""
     _, runner = any_runner(valley, random)
     if sum(r.pool == runner.pool and not r.away for r in valley.backs.values()) < 2:
         return
@@ -70,6 +79,7 @@
 
 
 def operator(valley, random, path, method, document, kind, headers=None, door=None, **facts):
+    """Send an operator's request and record its response."""
     door = door or random.choice(list(valley.daemons))
     asked_ms = int(valleys.clock_ms(valley))
     box = valley_calls.call(valley, door, path, method, document, headers)
@@ -94,11 +104,13 @@
 
 
 def value_of(valley):
+    """Return a parameter value that was not used before."""
     valley.amends += 1
     return 1000 + valley.amends
 
 
 def amend(valley, random, two=True):
+    """Change a tenant's parameter, twice at once against one version if `two`."""
     version = max((n["version"] or 0 for n in valley.notes.lines if n["kind"] == "configured"), default=1)
     headers = {"if-match": f'"{version}"'} if two else None
     if_match = version if two else None
@@ -132,6 +144,7 @@
 
 
 def wrong(valley, random):
+    """Send an invalid change."""
     value = value_of(valley)
     operator(
         valley,
@@ -145,11 +158,13 @@
 
 
 def large(valley, random):
+    """Send a large template."""
     template = {**TEMPLATES["clerks"], "notes": {"n": "x" * 600000, "at": valley.amends}}
     operator(valley, random, "/v1/config/templates/clerks", "PUT", template, "enlarged")
 
 
 def whole_set(valley, random):
+    """Send all documents as one change."""
     value, asked_ms = value_of(valley), valleys.clock_ms(valley)
     parameters = {**TENANTS["hlidar"]["parameters"], "check_output": value}
     box = valley_calls.call(
@@ -173,6 +188,7 @@
 
 
 def voters(valley, random):
+    """Add or remove a voter."""
     standing = [n for n, d in valley.daemons.items() if d.settings.role == "storage"]
     held = valley.daemons[standing[0]].ctx.core.ledger.voters
     spare = [n for n in standing if n not in held]
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -1,3 +1,5 @@
+"""Count what ordering costs, by members and rate, under the virtual clock."""
+
 import sys
 from collections import Counter
 from random import Random
@@ -7,7 +9,7 @@
 from msgspec import Struct, json
 
 from frostpost.daemon.core import Decided
-from frostpost.ledger.words import Look
+from frostpost.ledger.operations import Look
 from frostpost.virtual_synchrony.events import Asked, Changed
 from frostpost.virtual_synchrony.words import Beat, Roster
 
@@ -19,6 +21,7 @@
 
 
 def count(world, tally):
+    """Return a send function that counts messages and heartbeats."""
     send = worlds.send
 
     def counted(world, node, target, body):
@@ -30,6 +33,7 @@
 
 
 def flow(world, random, per_second, asked, until_ms):
+    """Hand in operations at a rate."""
     if world.now_ms >= until_ms:
         return
     worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
@@ -39,6 +43,7 @@
 
 
 def measure(members, per_second, seed=1):
+    """Return messages, syncs and latency per ordered operation."""
     world = worlds.make(seed, *FLEETS[members])
     worlds.run(world, 3000)
     tally, asked, took = Counter(), {}, []
@@ -76,12 +81,14 @@
 
 
 def whole(world):
+    """Tell whether all nodes are in one configuration and serve."""
     alive = [n for n in world.nodes.values() if n.core is not None]
     ids = {n.core.synchrony.configuration.id for n in alive}
     return len(ids) == 1 and all(serves(world, n) for n in alive)
 
 
 def view_change(members, victim, seed=1):
+    """Return how long it takes to install a configuration and to serve after a node is killed."""
     world = worlds.make(seed, *FLEETS[members])
     worlds.run(world, 3000)
     from_ms = world.now_ms
@@ -105,10 +112,13 @@
 
 @cappa.command(name="costs", help="Count what ordering costs, by members and rate, under the virtual clock.")
 class Costs(Struct, kw_only=True):
+    """Arguments of the command."""
+
     seed: Annotated[int, cappa.Arg(long=True)] = 1
 
 
 def main():
+    """Print the costs as JSON lines."""
     command = cappa.parse(Costs)
     for members in FLEETS:
         for per_second in (20, 200, 1000):
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -1,11 +1,14 @@
+"""Planted faults of the HTTP interface, for tests of the checkers."""
+
 from expression import Ok
 from twisted.internet.defer import succeed
 
 from frostpost.background import shelves
 from frostpost.daemon import life
 from frostpost.daemon.heart import ask
-from frostpost.http_api import carry, control, faults, lookups, turns
-from frostpost.ledger.words import Done, Settle, Unclaim
+from frostpost.http_api import carry, control, faults, lookups, stream, turns
+from frostpost.ledger.operations import Settle, Unclaim
+from frostpost.ledger.results import Done
 from frostpost.placement import judge
 
 from . import plants
@@ -14,54 +17,66 @@
 
 
 def any_fault(reason):
+    """Plant: take every failure as one where nothing ran."""
     return reason is not None
 
 
 def unclaim_all(ctx, op, wait_ms):
+    """Plant: free a key whose outcome is unknown."""
     return ask(ctx, Unclaim(op.key) if getattr(op, "status", "") == "unknown" else op, wait_ms)
 
 
 def take_as_whole(stream, reason):
+    """Plant: take a partial stream as whole."""
     stream.ended, stream.bad = stream.held is not None, None
     return KEPT["close"](stream, None if stream.ended else reason)
 
 
 def spend_nothing(reservation, used, line):
+    """Plant: settle without spending."""
     return Settle(reservation, 0, line)
 
 
 def hasty(ctx, op, wait_ms):
+    """Plant: answer before the history is ordered."""
     answer = ask(ctx, op, wait_ms)
     return succeed(Ok(Done(0))) if isinstance(op, Settle) and op.line is not None else answer
 
 
 def at_once(ctx, index, what):
+    """Plant: acknowledge a change before all daemons honour it."""
     return True
 
 
 def heed_nothing(request, held):
+    """Plant: ignore If-Match."""
     return Ok(held)
 
 
 def any_runner(ctx, runner):
+    """Plant: send to any runner."""
     return True
 
 
 def any_service(ctx, go, client, base):
+    """Plant: skip the proof of identity."""
     return succeed(True)
 
 
 def hurried(ctx, test, wait_ms):
+    """Plant: leave without waiting."""
     return succeed(True)
 
 
 def lose_bodies(ctx, folder):
+    """Plant: forget the configuration bodies on disk."""
     fault = KEPT["load"](ctx, folder)
     ctx.shelf = type(ctx.shelf)(ctx.shelf.me)
     return fault
 
 
 def last_verdict(run):
+    """Plant: give a caller the result of the call before."""
     said = KEPT["read"](run)
     kept, LAST[:] = list(LAST), [said] if said.is_ok() else list(LAST)
     return kept[0] if kept else said
@@ -74,8 +89,8 @@
     "key_freed": [(lookups, "ask", unclaim_all)],
     "partial_taken": [(turns.Stream, "close", take_as_whole)],
     "splice": [(turns, "unsent", any_fault)],
-    "spend_nothing": [(turns, "Settle", spend_nothing)],
-    "end_first": [(turns, "ask", hasty)],
+    "spend_nothing": [(stream, "Settle", spend_nothing)],
+    "end_first": [(stream, "ask", hasty)],
     "ack_at_once": [(control, "everywhere", at_once)],
     "heed_nothing": [(control, "if_match", heed_nothing)],
     "send_leaving": [(carry, "may_run", any_runner), (carry, "proved", any_service), (judge, "VETOES", UNHEEDING)],
@@ -89,5 +104,6 @@
 
 
 def planted(name):
+    """Context manager: put a planted fault into the code."""
     LAST.clear()
     return plants.planted(name, DOORS)
--- a/frostpost/simulator/drives.py
+++ b/frostpost/simulator/drives.py
@@ -1,3 +1,5 @@
+"""A simulated disk: files, directory entries, and what of both survives a power cut."""
+
 import errno
 import os
 from contextlib import suppress
@@ -8,15 +10,19 @@
 
 
 class PowerCutError(Exception):
-    pass
+    """The power went away in the middle of a call."""
 
 
 class Sheet(Struct):
+    """A file's bytes and how many of them are synced."""
+
     data: bytearray
     synced: int = 0
 
 
 class Drive(Struct):
+    """A disk; names: directory entries now, lasting: those that are synced."""
+
     random: object
     names: dict[str, Sheet] = {}
     lasting: dict[str, Sheet] = {}
@@ -30,6 +36,7 @@
 
 
 def touch(drive, what):
+    """Raise the error that is planned for the next call of a kind, if any."""
     if drive.armed >= 0:
         if drive.armed == 0:
             raise PowerCutError()
@@ -40,10 +47,13 @@
 
 
 def used(drive):
+    """Return the bytes used."""
     return sum(len(s.data) for s in drive.names.values())
 
 
 def files_of(drive):
+    """Return the file operations of a simulated disk."""
+
     def open_(path, flags, mode=0o644):
         touch(drive, "open")
         drive.serial += 1
@@ -101,6 +111,7 @@
 
 
 def cut_short(drive, jobs):
+    """Let the jobs under way run up to a random call."""
     for call, args in jobs:
         drive.armed = drive.random.randrange(8)
         with suppress(PowerCutError, OSError):
@@ -109,6 +120,7 @@
 
 
 def lose_power(drive, jobs):
+    """Cut the power: unsynced bytes and directory entries survive at random."""
     cut_short(drive, jobs)
     names = dict(drive.lasting)
     for path, sheet in drive.names.items():
@@ -122,15 +134,18 @@
 
 
 def kill(drive, jobs):
+    """Kill the process: all that was written survives."""
     cut_short(drive, jobs)
     drive.held = {}
 
 
 def wipe(drive):
+    """Empty the disk."""
     drive.names, drive.lasting, drive.held = {}, {}, {}
 
 
 def rot(drive, path, random):
+    """Flip bits in one byte of a file."""
     sheet = drive.names.get(path)
     if sheet is not None and len(sheet.data) > 200:
         at = random.randrange(len(sheet.data) // 2)
--- a/frostpost/simulator/gusts.py
+++ b/frostpost/simulator/gusts.py
@@ -1,25 +1,27 @@
+"""Faults of the whole-path simulation: each is a function of (valley, random)."""
+
 from frostpost.testbed import platform as platforms
 
 from . import drives, valley_calls
 from . import valley as valleys
+from .disk_gusts import any_daemon, disk_faults, full_disk, lose_disk, make_room, quick_disk, rot_disk, slow_disk, whole
 from .valley import kill, later, revive, warn
 
 
-def any_daemon(valley, random, role=None):
-    return random.choice([n for n, d in valley.daemons.items() if role in (None, d.settings.role)])
-
-
 def kill_one(valley, random, power=False):
+    """Kill one daemon and start it again later."""
     name = any_daemon(valley, random)
     kill(valley, name, power)
     later(valley, random.uniform(50, 3000), revive, valley, name)
 
 
 def power_one(valley, random):
+    """Cut one daemon's power."""
     kill_one(valley, random, True)
 
 
 def all_down(valley, random):
+    """Take all daemons down, with or without power, and maybe lose one disk."""
     power = random.random() < 0.5
     lost = any_daemon(valley, random, "storage")
     for name in valley.daemons:
@@ -29,77 +31,23 @@
         drives.wipe(valley.daemons[lost].drive)
 
 
-def whole(valley, lost):
-    full = [
-        n
-        for n, d in valley.daemons.items()
-        if d.settings.role == "storage"
-        and n != lost
-        and d.host.alive
-        and d.ctx is not None
-        and d.ctx.core.synchrony.primary.ready
-        and d.ctx.core.synchrony.primary.opened
-    ]
-    return len(full) * 2 > sum(d.settings.role == "storage" for d in valley.daemons.values())
-
-
-def lose_disk(valley, random):
-    name = any_daemon(valley, random, "storage")
-    if not whole(valley, name):
-        return
-    kill(valley, name, True)
-    drives.wipe(valley.daemons[name].drive)
-    later(valley, random.uniform(50, 2000), revive, valley, name)
-
-
-def rot_disk(valley, random):
-    name = any_daemon(valley, random, "storage")
-    if not whole(valley, name):
-        return
-    kill(valley, name)
-    drives.rot(valley.daemons[name].drive, f"/{name}/{random.choice(('log', 'bodies'))}", random)
-    later(valley, random.uniform(50, 1000), revive, valley, name)
-
-
-def disk_faults(valley, random):
-    name = any_daemon(valley, random, "storage")
-    if whole(valley, name):
-        valley.daemons[name].drive.broken[random.choice(("write", "sync", "open", "replace"))] = random.randint(1, 3)
-
-
-def full_disk(valley, random):
-    drive = valley.daemons[any_daemon(valley, random, "storage")].drive
-    drive.room = drives.used(drive) + random.randint(0, 200)
-    later(valley, random.uniform(300, 3000), make_room, drive)
-
-
-def make_room(drive):
-    drive.room = 1 << 40
-
-
-def slow_disk(valley, random):
-    drive = valley.daemons[any_daemon(valley, random)].drive
-    drive.delay_ms = random.choice([50, 400, 1500, 3500])
-    later(valley, random.uniform(500, 4500), quick_disk, drive)
-
-
-def quick_disk(drive):
-    drive.delay_ms = 3.0
-
-
 def freeze_one(valley, random):
+    """Freeze one daemon for a while."""
     host = valley.daemons[any_daemon(valley, random)].host
     host.freeze()
     later(valley, random.uniform(50, 4000), host.thaw)
 
 
 def freeze_edge(valley, random):
+    """Freeze one edge daemon for longer than a lease."""
     host = valley.daemons[any_daemon(valley, random, "edge")].host
     host.freeze()
     later(valley, random.uniform(3000, 7000), host.thaw)
 
 
 def power_after_end(valley, random):
+    """Cut the power of all storage daemons right after the next turn is answered."""
+
     def told(note):
         if note["kind"] == "answered" and note["status"] == 200 and "end" in (note["lines"] or [{}])[-1]:
             valley.notes.tap = None
@@ -109,6 +57,7 @@
 
 
 def every_voter_down(valley, random):
+    """Cut the power of all storage daemons."""
     for name, daemon in valley.daemons.items():
         if daemon.settings.role == "storage":
             kill(valley, name, True)
@@ -116,6 +65,7 @@
 
 
 def freeze_runner(valley, random):
+    """Freeze one runner for a while."""
     address = random.choice(sorted(valley.backs))
     valley.net.hosts[address].freeze()
     valley.backs[address].frozen_ms = int(valleys.clock_ms(valley))
@@ -123,15 +73,18 @@
 
 
 def thaw_runner(valley, address):
+    """Let a frozen runner go on."""
     valley.net.hosts[address].thaw()
     later(valley, 60, awake, valley.backs[address])
 
 
 def awake(runner):
+    """Forget that a runner was frozen."""
     runner.frozen_ms = 0
 
 
 def cut(valley, left, right, one_way=False):
+    """Cut the links between two groups of daemons."""
     for a in left:
         for b in right:
             x, y = valley.daemons[a].host.address, valley.daemons[b].host.address
@@ -139,6 +92,7 @@
 
 
 def cut_some(valley, random):
+    """Cut the network in two."""
     names = list(valley.daemons)
     random.shuffle(names)
     at = random.randint(1, len(names) - 1)
@@ -147,6 +101,7 @@
 
 
 def cut_pairs(valley, random):
+    """Cut a few links between pairs."""
     for _ in range(random.randint(1, 3)):
         a, b = random.sample(sorted(valley.daemons), 2)
         cut(valley, [a], [b], random.random() < 0.5)
@@ -154,6 +109,7 @@
 
 
 def cut_zone(valley, random):
+    """Cut one zone off."""
     cell = random.choice("abc")
     inside = [n for n, d in valley.daemons.items() if d.settings.cell == cell]
     cut(valley, inside, [n for n in valley.daemons if n not in inside])
@@ -161,17 +117,20 @@
 
 
 def cut_core(valley, random):
+    """Cut the core daemons off."""
     core = [n for n, d in valley.daemons.items() if d.settings.role == "core"]
     cut(valley, core, [n for n in valley.daemons if n not in core])
     later(valley, random.uniform(100, 4000), valley.net.cuts.clear)
 
 
 def jump_clock(valley, random):
+    """Let one daemon's wall clock jump."""
     daemon = valley.daemons[any_daemon(valley, random)]
     daemon.wall_s += random.choice((-7200, -30, 30, 7200))
 
 
 def roll(valley, random):
+    """Restart one daemon as in a roll-out."""
     name = any_daemon(valley, random)
     if all(valley_calls.ready(valley, n) for n in valley.daemons):
         warn(valley, name)
@@ -180,6 +139,7 @@
 
 
 def follow(valley, name):
+    """Start a daemon again once it has stopped."""
     if valley.daemons[name].host.alive:
         later(valley, 200, follow, valley, name)
     else:
@@ -187,20 +147,24 @@
 
 
 def platform_stale(valley, random):
+    """Let the platform's list lag for a while."""
     valley.platform.lag_s = random.choice((0.5, 3.0, 6.0))
     later(valley, random.uniform(500, 5000), platform_well, valley)
 
 
 def platform_well(valley):
+    """Let the platform's list be normal again."""
     valley.platform.lag_s, valley.platform.per_second = 0.5, 4.0
 
 
 def platform_busy(valley, random):
+    """Let the platform refuse most requests for a while."""
     valley.platform.per_second = valley.platform.tokens = 0.2
     later(valley, random.uniform(500, 4000), platform_well, valley)
 
 
 def show(valley):
+    """Publish the current list of runners."""
     platforms.show(valley.platform, list(valley.rows))
 
 
@@ -226,6 +190,7 @@
 
 
 def heal(valley):
+    """End all faults and start every daemon."""
     valley.net.cuts.clear()
     platform_well(valley)
     for name, daemon in valley.daemons.items():
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -1,9 +1,12 @@
+"""Check a history against the ledger's rules."""
+
 from collections import defaultdict
 
 from frostpost.daemon.core import Decided
 from frostpost.ledger.apply import apply, decode_op, encode
+from frostpost.ledger.operations import ClaimKey, Open, SetConfig, Settle, Unclaim
+from frostpost.ledger.results import ConfigSet, Done, Reserved, Won
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import ClaimKey, ConfigSet, Done, Open, Reserved, SetConfig, Settle, Unclaim, Won
 from frostpost.virtual_synchrony.events import Applied
 from frostpost.virtual_synchrony.state import majority
 
@@ -11,6 +14,7 @@
 
 
 def one_order(history):
+    """Return (entries by index, violations): all members applied the same entries."""
     order = {}
     for _, member, answer in history:
         if isinstance(answer, Applied):
@@ -21,6 +25,7 @@
 
 
 def kept(history, order):
+    """Check that nothing decided was lost."""
     mine = {(e.sender, e.number): i for i, e in order.items() if e.number}
     for _, member, answer in history:
         decided = isinstance(answer, Decided) and answer.verdict is not None
@@ -29,6 +34,7 @@
 
 
 def agreed(world):
+    """Check that members at the same index have the same state."""
     states = {}
     for node in world.nodes.values():
         if node.core is None:
@@ -40,6 +46,7 @@
 
 
 def primaries(order):
+    """Check that primary configurations have majorities and follow each other."""
     last = None
     for index in sorted(order):
         op = decode_op(order[index].payload)
@@ -57,6 +64,7 @@
 
 
 def budgets(order, verdicts, budget_of):
+    """Check that no program spent more than its budget."""
     spent = defaultdict(int)
     for entry in order.values():
         op = decode_op(entry.payload)
@@ -72,6 +80,7 @@
 
 
 def keys(order, verdicts):
+    """Check that no key was won twice."""
     held = {}
     for index in sorted(order):
         entry = order[index]
@@ -86,6 +95,7 @@
 
 
 def configs(order, verdicts):
+    """Check that no configuration version was acknowledged twice."""
     acked = {}
     for index in sorted(order):
         entry = order[index]
@@ -99,6 +109,7 @@
 
 
 def replayed(order):
+    """Apply the entries again; return (results, violations)."""
     ledger, verdicts = Ledger(), {}
     for index in range(1, max(order, default=0) + 1):
         entry = order.get(index)
@@ -111,6 +122,7 @@
 
 
 def told(history, verdicts):
+    """Check that members were told the results that the order gives."""
     for _, member, answer in history:
         decided = isinstance(answer, Decided) and answer.verdict is not None
         if decided and verdicts.get((member, answer.number)) != answer.verdict:
@@ -118,6 +130,7 @@
 
 
 def ledger(world, budget_of):
+    """Return all violations of the ledger's rules."""
     order, broken = one_order(world.history)
     verdicts, gaps = replayed(order)
     return [
--- a/frostpost/simulator/main.py
+++ b/frostpost/simulator/main.py
@@ -1,3 +1,5 @@
+"""Command line of the simulation."""
+
 import sys
 import time
 from collections import Counter
@@ -16,6 +18,7 @@
 
 
 def one(job):
+    """Play one storm of the core simulation."""
     seed, shape, kinds, gap_ms, plant = job
     edges, storages, cores = SHAPES[shape]
     with planted(plant):
@@ -25,6 +28,8 @@
 
 @cappa.command(name="simulator", help="Play seeded storms against the daemons' core under a virtual clock.")
 class Weather(Struct, kw_only=True):
+    """Arguments of simulate."""
+
     first: Annotated[int, cappa.Arg(long=True, help="first seed")] = 1
     seeds: Annotated[int, cappa.Arg(long=True, help="how many seeds")] = 100
     shape: Annotated[str, cappa.Arg(long=True, help=f"one of {', '.join(SHAPES)}")] = "quick"
@@ -41,11 +46,13 @@
 
 
 def one_whole(job):
+    """Play one storm of the whole-path simulation."""
     seed, shape, planned, gap_ms, kinds = job
     return whole.play(seed, *SHAPES[shape], kinds=kinds or None, planned=planned, gap_ms=gap_ms)[1]
 
 
 def sweep_whole(command):
+    """Play many storms of the whole-path simulation and print a summary."""
     jobs = [
         (s, command.shape, command.planned, min(command.gap_ms, 1800), command.kinds)
         for s in range(command.first, command.first + command.seeds)
@@ -76,6 +83,7 @@
 
 
 def main():
+    """Run the command line; returns the exit status."""
     command = cappa.parse(Weather)
     if command.whole and command.shape in SHAPES and set(command.kinds) <= set(whole.ALL):
         return sweep_whole(command)
--- a/frostpost/simulator/placing.py
+++ b/frostpost/simulator/placing.py
@@ -1,3 +1,5 @@
+"""Compare placement policies in a small simulation of runners with prefix caches."""
+
 import sys
 from heapq import heappop, heappush
 from random import Random
@@ -21,6 +23,8 @@
 
 
 class Back(Struct):
+    """A runner with its cache and calls."""
+
     runner: Runner
     held: dict = {}
     running: int = 0
@@ -29,6 +33,8 @@
 
 
 class Tally(Struct):
+    """Counts of one simulation."""
+
     hits: int = 0
     lines: int = 0
     took: list = []
@@ -36,6 +42,7 @@
 
 
 def remember(back, chain, room=300):
+    """Put a history's digests into a runner's cache; the oldest drop out."""
     for digest in chain:
         back.held.pop(digest, None)
         back.held[digest] = True
@@ -44,6 +51,7 @@
 
 
 def report(daemons, backs, now_ms):
+    """Give every daemon every runner's load report."""
     for statuses in daemons:
         for back in backs:
             held = statuses[back.runner.name]
@@ -52,6 +60,7 @@
 
 
 def simulate(weights, seed, per_second=24.0, daemons_many=8, runners_many=9, room=24):
+    """Play programs against runners; return (runners, counts)."""
     random, tally, events, serial = Random(seed), Tally(), [], 0
     backs = [Back(Runner(f"r{n}", f"i{n}", "", n, "pool", "abc"[n % 3], room)) for n in range(runners_many)]
     daemons = [{b.runner.name: Status(instance=b.runner.instance) for b in backs} for _ in range(daemons_many)]
@@ -88,6 +97,7 @@
 
 
 def turn(now_s, rest, weights, random, backs, daemons, tally, push):
+    """Place one turn."""
     name, lines, left = rest
     spot = random.randrange(len(daemons))
     chain = chain_of(lines)
@@ -111,6 +121,7 @@
 
 
 def measure(policy, seeds, per_second):
+    """Return median and range of a policy's results over seeds."""
     rows = []
     for seed in seeds:
         backs, tally = simulate(POLICIES[policy], seed, per_second)
@@ -133,10 +144,13 @@
 
 @cappa.command(name="placing", help="Compare our placement with least-load and random choices of our own.")
 class Placing(Struct, kw_only=True):
+    """Arguments of the command."""
+
     seeds: Annotated[int, cappa.Arg(long=True)] = 5
 
 
 def main():
+    """Print the comparison as JSON lines."""
     command = cappa.parse(Placing)
     for per_second in (12.0, 24.0, 48.0):
         for policy in POLICIES:
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -1,14 +1,17 @@
+"""Planted faults of membership, order and ledger, for tests of the checkers."""
+
 from contextlib import contextmanager
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger import keys, programs
 from frostpost.ledger.records import Mark
-from frostpost.ledger.words import ConfigSet, Won
+from frostpost.ledger.results import ConfigSet, Won
 from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
 from frostpost.virtual_synchrony.events import Delivered
 
 
 def ack_unsynced(synchrony, out):
+    """Plant: acknowledge entries before they are synced."""
     order = synchrony.order
     while order.top + 1 in order.held:
         order.top += 1
@@ -19,14 +22,17 @@
 
 
 def any_voter(primary, present):
+    """Plant: one voter is enough for a primary."""
     return any(v in present for v in primary.voters)
 
 
 def old_length(plan, name):
+    """Plant: compute the new base from the length before the recovery."""
     return plan[name].memory.length
 
 
 def eager_deliver(synchrony, out):
+    """Plant: deliver what is not yet safe."""
     synchrony.order.safe = max(synchrony.order.safe, synchrony.order.top)
     order = synchrony.order
     while order.delivered < order.safe and order.delivered < order.top:
@@ -38,14 +44,17 @@
 
 
 def ever_leased(synchrony, now_ms):
+    """Plant: a lease never ends."""
     return synchrony.primary.opened
 
 
 def free_claim(ledger, entry, op):
+    """Plant: everybody wins a key."""
     return Won(entry.index)
 
 
 def no_compare(ledger, entry, op):
+    """Plant: take a configuration without comparing its version."""
     mark = ledger.configs.get(op.path)
     version = op.if_version + 1
     ledger.configs[op.path] = Mark(version, op.digest, op.size, op.source, op.number, entry.index)
@@ -53,6 +62,7 @@
 
 
 def loose_reserve(ledger, entry, op):
+    """Plant: forget what a program spent."""
     program = ledger.programs.get(op.program)
     if program is not None:
         program.spent = 0
@@ -60,25 +70,30 @@
 
 
 def eager_drain(synchrony, out):
+    """Plant: apply entries before the configuration opens."""
     synchrony.primary.settled = True
     KEPT["drain"](synchrony, out)
 
 
 def forget(synchrony, out, record):
+    """Plant: do not write a promise."""
     return synchrony.wrote
 
 
 def no_unlatch(synchrony, out, index, state):
+    """Plant: wait for an open configuration after a refill."""
     opened = synchrony.primary.opened
     KEPT["refill"](synchrony, out, index, state)
     synchrony.primary.opened = opened
 
 
 def no_union(synchrony, out):
+    """Plant: do not send again what others lack."""
     synchrony.recovery.owed = {}
 
 
 def late_self(synchrony, out, entries):
+    """Plant: drop own entries."""
     return None
 
 
@@ -106,6 +121,7 @@
 
 @contextmanager
 def planted(name, table=PLANTS):
+    """Context manager: put a planted fault into the code."""
     changes = table.get(name, [])
     kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
     for module, word, fault in changes:
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -1,3 +1,5 @@
+"""Play one storm of the core simulation and judge it."""
+
 from random import Random
 
 from msgspec import Struct
@@ -15,6 +17,8 @@
 
 
 class Report(Struct):
+    """What a storm showed."""
+
     seed: int
     broken: list
     back_ms: float
@@ -26,6 +30,7 @@
 
 
 def back(world):
+    """Tell whether all nodes are in one configuration and serve."""
     nodes = list(world.nodes.values())
     ids = {n.core.synchrony.configuration.id for n in nodes if n.core}
     return len(ids) == 1 and all(serves(world, n) for n in nodes)
@@ -37,6 +42,7 @@
 def play(
     seed, edges=2, storages=3, cores=2, kinds=None, storm_ms=STORM_MS, bounds=None, prepare=None, gap_ms=2500, voters=0
 ):
+    """Play one seeded storm; return (world, report)."""
     world = worlds.make(seed, edges, storages, cores, bounds or (TIGHT if seed % 2 else None), voters)
     random = Random(seed * 7919 + 1)
     state = Work(random, until_ms=storm_ms + 3000)
--- a/frostpost/simulator/recording.py
+++ b/frostpost/simulator/recording.py
@@ -1,3 +1,5 @@
+"""Record the shortest life that shows a planted fault, as a regression trace."""
+
 import os
 import sys
 from typing import Annotated
@@ -12,6 +14,8 @@
 
 @cappa.command(name="recording", help="Record the shortest life that breaks its manners under a planted fault.")
 class Recording(Struct, kw_only=True):
+    """Arguments of the command."""
+
     plant: Annotated[str, cappa.Arg(help=f"one of {', '.join(PLANTS)}")]
     seeds: Annotated[list[int], cappa.Arg(long="--seed", help="a seed that the plant breaks; may be given again")]
     gap_ms: Annotated[int, cappa.Arg(long="--gap-ms")] = 500
@@ -19,6 +23,8 @@
 
 
 def lives(plant, seed, gap_ms):
+    """Yield the recorded lives of a storm under a planted fault."""
+
     def run():
         with planted(plant):
             return play(seed, gap_ms=gap_ms)
@@ -28,12 +34,14 @@
 
 
 def breaks(trace, plant):
+    """Tell whether a trace fails under a planted fault and passes without it."""
     with planted(plant):
         bad = list(traces.play(trace))
     return bool(bad) and not list(traces.play(trace))
 
 
 def main():
+    """Run the command line; returns the exit status."""
     command = cappa.parse(Recording)
     if command.plant not in PLANTS:
         print(f"UnknownPlant: {command.plant}", file=sys.stderr)
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -1,25 +1,26 @@
+"""Load and faults of the core simulation."""
+
 from random import Random
 
 from msgspec import Struct, field, msgpack
 
 from frostpost.daemon.core import Decided, lease_ok
 from frostpost.ledger import duties
-from frostpost.ledger.programs import line
-from frostpost.ledger.records import Runner
-from frostpost.ledger.words import (
+from frostpost.ledger.operations import (
     ClaimKey,
     Drain,
     Finish,
     Release,
     Reserve,
-    Reserved,
     Runners,
     SetConfig,
     Settle,
     Tick,
     Unclaim,
-    Won,
 )
+from frostpost.ledger.programs import line
+from frostpost.ledger.records import Runner
+from frostpost.ledger.results import Reserved, Won
 from frostpost.virtual_synchrony.events import Asked, SetVoters
 from frostpost.virtual_synchrony.state import majority
 
@@ -33,6 +34,8 @@
 
 
 class Work(Struct):
+    """Hand in one random operation and schedule the next."""
+
     random: Random
     every_ms: float = 15.0
     until_ms: float = 0.0
@@ -43,6 +46,7 @@
 
 
 def ask(world, name, op):
+    """Hand in an operation at a node."""
     node = world.nodes[name]
     if node.core is not None:
         world.ops[(node.place.member, node.core.synchrony.number + 1)] = op
@@ -50,10 +54,12 @@
 
 
 def serves(world, node):
+    """Tell whether a node may serve now."""
     return node.core is not None and not node.frozen and lease_ok(node.core, worlds.clock(world, node))
 
 
 def work(world, state):
+    """Hand in one random operation and schedule the next."""
     if world.now_ms > state.until_ms:
         return
     random = state.random
@@ -101,6 +107,7 @@
 
 
 def revote(world, node, random):
+    """Hand in a change of voters that is allowed."""
     synchrony, before = node.core.synchrony, node.core.ledger.voters
     full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
@@ -116,6 +123,8 @@
 
 
 def tap(state):
+    """Return a function that hears all answers and follows up on reservations and claims."""
+
     def heard(world, node, answer):
         if not isinstance(answer, Decided):
             return
@@ -130,6 +139,7 @@
 
 
 def follow(world, node, random, asked, verdict):
+    """Schedule the end of a reservation or claim."""
     wait_ms = random.random() * 150
     if isinstance(verdict, Reserved):
         op = (
@@ -144,6 +154,7 @@
 
 
 def later(world, name, life, op):
+    """Hand in an operation at the same life of a node, once it is not frozen."""
     node = world.nodes[name]
     if node.life != life or node.core is None:
         return
@@ -154,6 +165,7 @@
 
 
 def watch(world, state):
+    """Check that no node serves under an old configuration after its lease."""
     if world.now_ms > state.until_ms + 20000:
         return
     worlds.at(world, 40, "call", watch, state)
@@ -174,6 +186,7 @@
 
 
 def storm(world, random, until_ms, kinds, gap_ms=2500):
+    """Schedule random faults until a time."""
     at_ms = 2500.0
     while at_ms < until_ms:
         kind = random.choice(kinds)
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -1,3 +1,5 @@
+"""Recorded lives of one node: inputs that are played again, and checks of what the node does."""
+
 import zlib
 
 from msgspec import Struct, field, msgpack
@@ -22,6 +24,8 @@
 
 
 class Trace(Struct):
+    """A recorded life: how the node started and all its inputs."""
+
     note: str
     place: Place
     bounds: Bounds
@@ -33,6 +37,8 @@
 
 
 class Life(Struct):
+    """What a played node has synced, applied and acknowledged."""
+
     log: Log = field(default_factory=Log)
     unsynced: list = []
     applied: int = 0
@@ -41,6 +47,7 @@
 
 
 def recorder(name, traces):
+    """Return (start, feed) functions that record one node's lives."""
     start, feed = worlds.start, worlds.feed
 
     def start_one(world, node):
@@ -61,16 +68,19 @@
 
 
 def save(trace, path):
+    """Write a trace to a file."""
     with open(path, "wb") as file:
         file.write(zlib.compress(msgpack.encode(trace), 9))
 
 
 def load(path):
+    """Read a trace from a file."""
     with open(path, "rb") as file:
         return msgpack.decode(zlib.decompress(file.read()), type=Trace)
 
 
 def last(life, record):
+    """Apply a record to the log that is on disk."""
     if isinstance(record, Rewrite):
         life.log = replay(record.records)
     else:
@@ -78,6 +88,7 @@
 
 
 def play(trace):
+    """Play a trace; yield its violations."""
     core, out = cores.begin(trace.place, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.now_ms)
     life, wrote = Life(replay(trace.records)), 0
     life.applied = core.synchrony.applied
@@ -98,6 +109,7 @@
 
 
 def manners(core, life, out):
+    """Yield the violations that one output shows."""
     storage = core.synchrony.storage
     for _, body in out.sends:
         if isinstance(body, Complete) and storage and life.log.epoch < body.id.epoch:
@@ -127,6 +139,7 @@
 
 
 def record(note, name, run):
+    """Run a simulation and return the traces of one node's lives."""
     lives = []
     kept = worlds.start, worlds.feed
     worlds.start, worlds.feed = recorder(name, lives)
--- a/frostpost/simulator/valley.py
+++ b/frostpost/simulator/valley.py
@@ -1,3 +1,5 @@
+"""The whole-path simulation: real daemons, callers, runners and list on simulated machines."""
+
 from random import Random
 
 from msgspec import Struct, convert
@@ -21,6 +23,8 @@
 
 
 class Daemon(Struct):
+    """A daemon with its machine and disk."""
+
     host: Host
     settings: Settings
     drive: drives.Drive
@@ -31,6 +35,8 @@
 
 
 class Valley(Struct):
+    """All machines of a simulation."""
+
     seed: int
     random: Random
     net: Net
@@ -48,6 +54,7 @@
 
 
 def add_host(valley, name, cell):
+    """Add a machine to the network."""
     address = f"127.1.0.{len(valley.net.hosts) + 1}"
     host = Host(valley.net, name, address, cell)
     valley.net.hosts[address] = host
@@ -55,6 +62,7 @@
 
 
 def settings_of(name, role, cell, address, seeds, voters, bounds, doors):
+    """Return a daemon's settings."""
     return convert(
         {
             "name": name,
@@ -75,6 +83,7 @@
 
 
 def make(seed, edges=2, storages=3, cores=2, bounds=None, pools=POOLS, doors=None):
+    """Return a simulation with all daemons started."""
     random = Random(seed)
     valley = Valley(seed, random, Net(random))
     seconds = valley.net.clock.seconds
@@ -98,6 +107,7 @@
 
 
 def add(valley, name, role, cell, host, seeds, voters, bounds, doors=None):
+    """Add a daemon."""
     settings = settings_of(name, role, cell, host.address, seeds, voters, bounds, doors or {})
     drive = drives.Drive(Random(valley.random.random()))
     valley.daemons[name] = Daemon(host, settings, drive)
@@ -105,16 +115,19 @@
 
 
 def raise_platform(valley):
+    """Start the platform's list of runners."""
     host = add_host(valley, "platform", "a")
     valley.platform = platforms.Platform(lag_s=0.5, seconds=valley.net.clock.seconds)
     listen(host, 80, platforms.build(valley.platform, host))
 
 
 def listen(host, port, site):
+    """Listen with an HTTP site."""
     TCP4ServerEndpoint(host, port).listen(site)
 
 
 def raise_runners(valley, pools):
+    """Start the runners of all pools."""
     for pool, many, room in pools:
         for n in range(many):
             host = add_host(valley, f"{pool}{n + 1}", "abc"[n % 3])
@@ -124,6 +137,7 @@
 
 
 def raise_runner(valley, host, name, pool, room, listed=True, careless=False):
+    """Start one runner and list it."""
     serial = len(valley.runner_notes.lines) + len(valley.backs)
     runner = runners.Runner(
         name, f"i{serial}-{len(valley.backs)}", pool, host.cell, room, valley.random.randrange(1 << 30)
@@ -146,6 +160,7 @@
 
 
 def machine_of(valley, daemon):
+    """Return the clocks, threads and files of a simulated machine."""
     token = Random(valley.random.random())
     return Machine(
         seconds=daemon.host.seconds,
@@ -158,6 +173,7 @@
 
 
 def start(valley, name):
+    """Start a daemon."""
     daemon = valley.daemons[name]
     daemon.host.boot()
     try:
@@ -170,6 +186,7 @@
 
 
 def exited(valley, name, why):
+    """Handle a daemon's exit; one that failed is started again."""
     daemon = valley.daemons[name]
     status = daemon.hand.status if why is None else why
     daemon.exits.append(status)
@@ -180,6 +197,7 @@
 
 
 def kill(valley, name, power=False):
+    """Kill a daemon, or cut its power."""
     daemon = valley.daemons[name]
     if not daemon.host.alive:
         return
@@ -188,25 +206,30 @@
 
 
 def revive(valley, name):
+    """Start a daemon again if it is down."""
     if not valley.daemons[name].host.alive:
         start(valley, name)
 
 
 def warn(valley, name):
+    """Tell a daemon to leave."""
     daemon = valley.daemons[name]
     if daemon.host.alive:
         daemon.host.enter(daemon.ctx.life.leave)
 
 
 def later(valley, wait_ms, call, *args):
+    """Schedule a call on the simulation's clock."""
     return valley.net.clock.callLater(wait_ms / 1000, call, *args)
 
 
 def clock_ms(valley):
+    """Return the simulation's time in milliseconds."""
     return valley.net.clock.seconds() * 1000
 
 
 def run(valley, until_ms):
+    """Run all machines up to a time in milliseconds."""
     net, hosts = valley.net, list(valley.net.hosts.values())
     while True:
         due_s = [net.clock.calls[0].getTime()] if net.clock.calls else []
--- a/frostpost/simulator/valley_calls.py
+++ b/frostpost/simulator/valley_calls.py
@@ -8,10 +8,12 @@
 
 
 def doors(valley):
+    """Return the HTTP addresses of the edge daemons."""
     return [f"{d.host.address}:{HTTP}" for n, d in valley.daemons.items() if d.settings.role == "edge"]
 
 
 def ready(valley, name):
+    """Tell whether a daemon serves."""
     from frostpost.daemon.core import lease_ok
 
     daemon = valley.daemons[name]
@@ -27,6 +29,7 @@
 
 
 def crowd(valley, seconds, factor, tag="p"):
+    """Start stand-in callers."""
     valley.callers.catch_up()
     valley.crowd = callers.Crowd(valley.callers, doors(valley), valley.seed, valley.notes, tag)
     over = []
@@ -35,10 +38,11 @@
 
 
 def call(valley, name, path, method="GET", document=None, headers=None):
+    """Send an HTTP request; returns a list that receives (status, body)."""
     from treq.client import HTTPClient
     from twisted.web.client import Agent
 
-    from frostpost.http_api.carry import ByNumber
+    from frostpost.http_api.http_client import ByNumber
 
     host, box = valley.callers, []
     host.catch_up()
--- a/frostpost/simulator/whole.py
+++ b/frostpost/simulator/whole.py
@@ -1,3 +1,5 @@
+"""Play one storm of the whole-path simulation and judge it."""
+
 from random import Random
 
 from msgspec import Struct
@@ -18,15 +20,19 @@
 
 
 def slow_runners(valley, random):
+    """Make all runners slow."""
     for runner in valley.backs.values():
         runner.piece_ms = 120.0
 
 
 def slow_edge(valley, random):
+    """Make one edge daemon's disk slow."""
     valley.daemons["e1"].drive.delay_ms = 3500.0
 
 
 class Report(Struct):
+    """What a storm showed."""
+
     seed: int
     broken: list
     back_ms: float
@@ -36,6 +42,7 @@
 
 
 def settled(valley, wait_ms):
+    """Run until all daemons are ready, for at most `wait_ms`; returns whether they are."""
     end_ms = valleys.clock_ms(valley) + wait_ms
     while valleys.clock_ms(valley) < end_ms:
         valleys.run(valley, valleys.clock_ms(valley) + 100)
@@ -46,6 +53,7 @@
 
 
 def stamp_all(valley):
+    """Put all templates and tenants into effect; returns whether all were taken."""
     boxes = []
     for kind, documents in (("templates", TEMPLATES), ("tenants", TENANTS)):
         for name, document in documents.items():
@@ -58,6 +66,7 @@
 
 
 def storm(valley, random, kinds, storm_ms, gap_ms):
+    """Schedule random faults."""
     at_ms, end_ms = 500.0, storm_ms
     while at_ms < end_ms:
         kind = random.choice(kinds)
@@ -79,6 +88,7 @@
     prepare=None,
     bounds=None,
 ):
+    """Play one seeded storm; return (simulation, report)."""
     tight = {"rewrite_entries": 60, "piece_bytes": 1500, "batch": 16} if seed % 2 else {}
     valley = valleys.make(seed, edges, storages, cores, bounds or tight)
     random = Random(seed * 7919 + 1)
--- a/frostpost/simulator/wires.py
+++ b/frostpost/simulator/wires.py
@@ -1,19 +1,20 @@
+"""Simulated TCP connections: buffers, flow control, delays, resets and power cuts."""
+
 from collections import deque
 
 from twisted.internet.address import IPv4Address
 from twisted.internet.defer import succeed
-from twisted.internet.error import CannotListenError, ConnectionDone, ConnectionLost
+from twisted.internet.error import CannotListenError, ConnectionLost
 from twisted.internet.interfaces import IConsumer, IPushProducer, ITCPTransport
-from twisted.python.failure import Failure
 from zope.interface import implementer
 
-KERNEL = 65536
-RETRY_S = 0.05
-PATIENCE_S = 20.0
+from .wire_flow import KERNEL, pump, reset
 
 
 @implementer(ITCPTransport, IConsumer, IPushProducer)
 class Wire:
+    """One end of a connection, with Twisted's transport interface."""
+
     __slots__ = (
         "net",
         "host",
@@ -47,13 +48,16 @@
 
     @property
     def disconnecting(self):
+        """Whether the connection is being closed."""
         return self.closing
 
     @property
     def finishing(self):
+        """Whether all was written and the end may be sent."""
         return self.closing and (self.producer is None or self.streaming and not self.held)
 
     def write(self, data):
+        """Queue bytes; pause the producer if the buffer is full."""
         if not self.connected or self.finishing or not data:
             return
         self.out.append(bytes(data))
@@ -64,21 +68,26 @@
         pump(self)
 
     def writeSequence(self, parts):
+        """Queue several byte strings."""
         self.write(b"".join(parts))
 
     def loseConnection(self):
+        """Close once all is sent."""
         if self.connected and not self.closing:
             self.closing = True
             pump(self)
 
     def loseWriteConnection(self):
+        """Close once all is sent."""
         self.loseConnection()
 
     def abortConnection(self):
+        """Reset the connection."""
         if self.connected:
             reset(self, ConnectionLost())
 
     def registerProducer(self, producer, streaming):
+        """Connect a producer for flow control."""
         if not self.connected:
             producer.stopProducing()
             return
@@ -87,143 +96,58 @@
             producer.resumeProducing()
 
     def unregisterProducer(self):
+        """Disconnect the producer."""
         self.producer = None
         pump(self)
 
     def pauseProducing(self):
+        """Stop reading."""
         self.reading = False
 
     def resumeProducing(self):
+        """Read again."""
         if not self.reading:
             self.reading = True
             if self.other is not None:
                 pump(self.other)
 
     def stopProducing(self):
+        """Close the connection."""
         self.loseConnection()
 
     def stopConsuming(self):
+        """Disconnect the producer and close."""
         self.unregisterProducer()
         self.loseConnection()
 
     def getPeer(self):
+        """Return the other end's address."""
         return IPv4Address("TCP", *self.there)
 
     def getHost(self):
+        """Return this end's address."""
         return IPv4Address("TCP", *self.here)
 
     def setTcpNoDelay(self, on):
+        """Do nothing."""
         return None
 
     def getTcpNoDelay(self):
+        """Return True."""
         return True
 
     def setTcpKeepAlive(self, on):
+        """Do nothing."""
         return None
 
     def getTcpKeepAlive(self):
+        """Return False."""
         return False
 
 
-def pump(wire, delay_s=None):
-    if wire.busy or not (wire.out or wire.finishing or wire.fin):
-        return
-    wire.busy = True
-    wait_s = wire.net.link_delay_s(wire.here[0], wire.there[0]) if delay_s is None else delay_s
-    wire.net.clock.callLater(wait_s, pumped, wire)
-
-
-def passing(wire):
-    return not wire.net.barred(wire.here[0], wire.there[0])
-
-
-def pumped(wire):
-    wire.busy = False
-    other = wire.other
-    if other is None:
-        return
-    target = other.host
-    gone = target.life != other.life or not target.alive
-    if not passing(wire) or gone and not target.powered:
-        wire.stuck_s += RETRY_S
-        if wire.stuck_s > PATIENCE_S:
-            return lost(wire, ConnectionLost())
-        return pump(wire, RETRY_S)
-    wire.stuck_s = 0.0
-    if gone or not other.connected:
-        wire.out.clear()
-        return lost(wire, ConnectionLost() if wire.out_bytes else ConnectionDone())
-    if not other.reading or target.frozen:
-        return pump(wire, RETRY_S) if target.frozen else None
-    moved = 0
-    while wire.out and moved < KERNEL and other.reading and other.connected:
-        data = wire.out.popleft()
-        moved += len(data)
-        target.enter(received, other, data)
-    wire.out_bytes -= moved
-    drained(wire)
-    if not wire.out and (wire.fin or wire.finishing):
-        if wire.connected:
-            lost(wire, ConnectionDone())
-        return lost(other, ConnectionDone())
-    pump(wire)
-
-
-def drained(wire):
-    if wire.producer is None or not wire.connected or wire.out_bytes > KERNEL // 2:
-        return
-    if wire.held or not wire.streaming:
-        wire.held = False
-        wire.host.enter(wire.producer.resumeProducing)
-
-
-def received(wire, data):
-    if wire.connected:
-        wire.protocol.dataReceived(data)
-
-
-def lost(wire, reason):
-    if not wire.connected:
-        return
-    wire.connected = False
-    wire.out.clear()
-    if wire in wire.host.wires:
-        wire.host.wires.remove(wire)
-    if wire.life == wire.host.life:
-        wire.host.enter(ended, wire, Failure(reason))
-
-
-def ended(wire, failure):
-    producer, wire.producer = wire.producer, None
-    if producer is not None:
-        producer.stopProducing()
-    if wire.protocol is not None:
-        wire.protocol.connectionLost(failure)
-
-
-def reset(wire, reason):
-    other = wire.other
-    wire.net.clock.callLater(wire.net.link_delay_s(wire.here[0], wire.there[0]), reset_there, wire, other)
-    lost(wire, reason)
-
-
-def reset_there(wire, other):
-    if other is not None and passing(wire):
-        lost(other, ConnectionLost())
-
-
-def orphan(wire, power):
-    wire.connected = False
-    if power:
-        wire.out.clear()
-        return
-    kept = b"".join(wire.out)[:KERNEL]
-    wire.out = deque([kept] if kept else ())
-    wire.out_bytes, wire.fin, wire.producer = len(kept), True, None
-    pump(wire)
-
-
 class Port:
+    """A listening port."""
+
     __slots__ = ("host", "number", "factory")
 
     def __init__(self, host, number, factory):
@@ -234,9 +158,11 @@
         factory.doStart()
 
     def getHost(self):
+        """Return the port's address."""
         return IPv4Address("TCP", self.host.address, self.number)
 
     def stopListening(self):
+        """Close the port."""
         if self.host.ports.get(self.number) is self:
             del self.host.ports[self.number]
             self.factory.doStop()
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -1,3 +1,5 @@
+"""The core simulation: pure cores of all daemons, a network and disks under one virtual clock."""
+
 from heapq import heappop, heappush
 from random import Random
 
@@ -12,6 +14,8 @@
 
 
 class Disk(Struct):
+    """A node's log: lasting records are synced, written ones are not yet."""
+
     lasting: list = []
     written: list = []
     syncing: int = 0
@@ -22,6 +26,8 @@
 
 
 class Node(Struct):
+    """One daemon's core with its disk."""
+
     name: str
     role: str
     cell: str
@@ -35,6 +41,8 @@
 
 
 class World(Struct):
+    """All nodes, the event queue and the history."""
+
     seed: int
     random: Random
     bounds: Bounds
@@ -55,10 +63,10 @@
 
 
 def make(seed, edges=2, storages=3, cores_count=2, bounds=None, voters=0):
+    """Return a world with all nodes started."""
     nodes = {}
-    for role, letter, many in (("storage", "s", storages), ("core", "c", cores_count), ("edge", "e", edges)):
-        for i in range(many):
-            nodes[f"{letter}{i + 1}"] = Node(f"{letter}{i + 1}", role, "abc"[i % 3])
+    for role, many in (("storage", storages), ("core", cores_count), ("edge", edges)):
+        nodes |= {f"{role[0]}{i + 1}": Node(f"{role[0]}{i + 1}", role, "abc"[i % 3]) for i in range(many)}
     voters = tuple(n for n in nodes if n[0] == "s")[: voters or storages]
     world = World(seed, Random(seed), bounds or Bounds(), nodes, voters)
     for name in nodes:
@@ -67,11 +75,13 @@
 
 
 def at(world, delay_ms, kind, *rest):
+    """Schedule an event."""
     world.serial += 1
     heappush(world.queue, (world.now_ms + delay_ms, world.serial, kind, rest))
 
 
 def start(world, name):
+    """Start a node from its disk."""
     node = world.nodes[name]
     node.life += 1
     node.disk.boots += 1
@@ -89,6 +99,7 @@
 
 
 def kill(world, name, power=False):
+    """Kill a node; with the power, unsynced records survive at random."""
     node = world.nodes[name]
     if node.core is None:
         return
@@ -103,6 +114,7 @@
 
 
 def last(disk, record):
+    """Apply a synced record to a disk."""
     if isinstance(record, Rewrite):
         disk.lasting = list(record.records)
     else:
@@ -110,12 +122,14 @@
 
 
 def note(world, name, answer):
+    """Add an answer to the history."""
     node = world.nodes[name]
     member = node.place.member
     world.history.append((round(world.now_ms, 3), member, answer))
 
 
 def feed(world, name, input):
+    """Give a node an input, or queue it while the node is frozen."""
     node = world.nodes[name]
     if node.core is None:
         return
@@ -127,10 +141,12 @@
 
 
 def clock(world, node):
+    """Return a node's clock in milliseconds."""
     return int(world.now_ms) + node.skew_ms
 
 
 def perform(world, node, out):
+    """Carry out a node's sends, writes and answers."""
     for to, body in out.sends:
         target = to[1:].split(":")[0] if to[0] == "@" else to
         send(world, node, target, body)
@@ -145,6 +161,7 @@
 
 
 def sync(world, node):
+    """Start a sync of what is written, if none is under way."""
     if not node.disk.syncing and node.disk.written:
         node.disk.syncing = len(node.disk.written)
         node.disk.syncs += 1
@@ -153,6 +170,7 @@
 
 
 def send(world, node, target, body):
+    """Send a message, unless the link is cut or the message is lost."""
     world.sent += 1
     if isinstance(body, Batch) and body.entries:
         key = (node.place.member, body.id)
@@ -167,6 +185,7 @@
 
 
 def run(world, until_ms):
+    """Run up to a time in milliseconds."""
     while world.queue and world.queue[0][0] <= until_ms:
         when_ms, _, kind, rest = heappop(world.queue)
         world.now_ms = max(world.now_ms, when_ms)
@@ -175,6 +194,7 @@
 
 
 def handle(world, kind, rest):
+    """Handle one event."""
     if kind == "call":
         rest[0](world, *rest[1:])
         return
@@ -204,10 +224,12 @@
 
 
 def freeze(world, name):
+    """Freeze a node."""
     world.nodes[name].frozen = True
 
 
 def thaw(world, name):
+    """Let a node go on with all that arrived meanwhile."""
     node = world.nodes[name]
     if not node.frozen or node.core is None:
         return
@@ -220,6 +242,7 @@
 
 
 def cut(world, left, right, one_way=False):
+    """Cut the links between two groups."""
     for a in left:
         for b in right:
             world.cuts.add((a, b))
--- a/frostpost/tenant_config/__init__.py
+++ b/frostpost/tenant_config/__init__.py
@@ -0,0 +1,1 @@
+"""Declarations of templates and tenants: checks, routes made of them, and their replicated bodies."""
--- a/frostpost/tenant_config/shapes.py
+++ b/frostpost/tenant_config/shapes.py
@@ -1,3 +1,5 @@
+"""Schemas of templates and tenants."""
+
 import re
 
 from cerberus import Validator
@@ -10,24 +12,31 @@
 
 
 class Fault(Struct, frozen=True):
+    """One error in a document: where, as a JSON pointer, and what."""
+
     path: str
     text: str
 
 
 class ConfigInvalid(Struct, frozen=True, tag="ConfigInvalid"):
+    """A document with errors."""
+
     faults: tuple[Fault, ...]
 
 
 def either(rule):
+    """Allow a value by a rule, or a reference to a parameter in its place."""
     return {"anyof": [rule, PARAM]}
 
 
 def cron(field, value, error):
+    """Check a cron expression of five fields."""
     if not isinstance(value, str) or len(value.split()) != 5 or not croniter.is_valid(value):
         error(field, "is no cron expression of five fields")
 
 
 def whole(low, high):
+    """Return the rule for an integer in a range."""
     return {"type": "integer", "min": low, "max": high}
 
 
@@ -104,6 +113,7 @@
 
 
 def flatten(errors, path):
+    """Yield the validator's nested errors as one list with pointers."""
     for key, said in errors.items():
         here = f"{path}/{key}"
         for one in said:
@@ -114,6 +124,7 @@
 
 
 def check(kind, document):
+    """Check a document of a kind against its schema."""
     if not isinstance(document, dict):
         return Error(ConfigInvalid((Fault("/", "must be an object"),)))
     if not isinstance(document.get("notes", {}), dict):
--- a/frostpost/tenant_config/shelf.py
+++ b/frostpost/tenant_config/shelf.py
@@ -1,3 +1,5 @@
+"""Bodies of configuration documents, replicated by version vector; pure functions of (shelf, message)."""
+
 from hashlib import blake2b
 
 from msgspec import Struct
@@ -6,6 +8,8 @@
 
 
 class Item(Struct, frozen=True, array_like=True):
+    """A body's place in its source's sequence; an empty digest stands for a removed body."""
+
     source: str
     number: int
     digest: str
@@ -13,6 +17,8 @@
 
 
 class Pull(Struct):
+    """A body that is being fetched in pieces."""
+
     item: Item
     frm: str
     asked_ms: int
@@ -20,6 +26,8 @@
 
 
 class Shelf(Struct):
+    """All bodies that a daemon holds; vector: how far each source's sequence is complete here."""
+
     me: str
     chunk: int = 262144
     resend_ms: int = 400
@@ -31,15 +39,19 @@
 
 
 class Store(Struct, frozen=True):
+    """A body to be written to disk with its item."""
+
     item: Item
     body: bytes
 
 
 def digest_of(body):
+    """Return the hexadecimal digest of a body."""
     return blake2b(body, digest_size=16).hexdigest()
 
 
 def put(shelf, body):
+    """Give a new body the next number of this daemon's sequence."""
     number = shelf.vector.get(shelf.me, 0)
     number = max([number, *shelf.items.get(shelf.me, {})]) + 1
     item = Item(shelf.me, number, digest_of(body), len(body))
@@ -47,6 +59,7 @@
 
 
 def stored(shelf, item, body, now_ms):
+    """Take a body in once it is on disk and extend the version vector."""
     if item.digest:
         shelf.bodies[item.digest] = body
         shelf.since[item.digest] = now_ms
@@ -60,11 +73,13 @@
 
 
 def heard(shelf, frm, vector):
+    """Ask a peer for items if its version vector is ahead."""
     newer = any(n > shelf.vector.get(s, 0) for s, n in vector.items() if not s.startswith("~"))
     return [(frm, NewsAsk(dict(shelf.vector)))] if newer else []
 
 
 def asked(shelf, frm, message):
+    """Answer a peer with the items that its version vector lacks."""
     found = []
     for source, held in shelf.items.items():
         known = message.vector.get(source, 0)
@@ -77,6 +92,7 @@
 
 
 def told(shelf, frm, message, now_ms):
+    """Start or resume fetching the bodies of items that a peer told of."""
     sends, stores = [], []
     for source, number, digest, size in message.items:
         item = Item(source, number, digest, size)
@@ -96,6 +112,7 @@
 
 
 def body_asked(shelf, frm, message):
+    """Answer a request for a piece of a body."""
     body = shelf.bodies.get(message.digest)
     if body is None:
         return []
@@ -104,6 +121,7 @@
 
 
 def body_pieced(shelf, frm, message, now_ms):
+    """Take a piece in; ask for the next, or return the whole body for storing."""
     pull = shelf.pulls.get(message.digest)
     if pull is None or message.offset != len(pull.data):
         return shelf, [], []
@@ -119,6 +137,7 @@
 
 
 def prune(shelf, wanted):
+    """Drop the bodies that are not wanted any more; return (shelf, digests dropped)."""
     gone = {d for d in shelf.bodies if d not in wanted}
     for digest in gone:
         del shelf.bodies[digest]
@@ -131,4 +150,5 @@
 
 
 def records(shelf):
+    """Return all items with their bodies, as a snapshot is written."""
     return [Store(i, shelf.bodies.get(i.digest, b"")) for held in shelf.items.values() for _, i in sorted(held.items())]
--- a/frostpost/tenant_config/stamp.py
+++ b/frostpost/tenant_config/stamp.py
@@ -1,3 +1,5 @@
+"""Make a tenant's routes of its template and parameters."""
+
 from cerberus import Validator
 from expression import Error, Ok
 from msgspec import Struct
@@ -6,6 +8,8 @@
 
 
 class Lane(Struct, frozen=True):
+    """One route of a tenant, with all parameters filled in; times in milliseconds."""
+
     tenant: str
     name: str
     kind: str
@@ -22,6 +26,7 @@
 
 
 def parameters(template, tenant):
+    """Return the parameter values of a tenant and the errors in them."""
     values, faults = {}, []
     known = template.get("parameters", {})
     given = tenant.get("parameters", {})
@@ -40,6 +45,7 @@
 
 
 def fill(value, values, path, faults):
+    """Put a parameter's value in the place of a reference to it."""
     if isinstance(value, dict) and "$param" in value:
         name = value["$param"]
         if name not in values:
@@ -50,6 +56,7 @@
 
 
 def stamp(tenant_name, template, tenant, marks=()):
+    """Return the routes of a tenant by name, or ConfigInvalid with every error."""
     values, faults = parameters(template, tenant)
     lanes = {}
     for name, shape in template["lanes"].items():
@@ -70,6 +77,7 @@
 
 
 def patch(document, change):
+    """Apply a JSON merge patch (RFC 7386) and return the new document."""
     if not isinstance(change, dict):
         return change
     base = dict(document) if isinstance(document, dict) else {}
@@ -82,6 +90,8 @@
 
 
 def check_tenant(name, tenant, template):
+    """Check a tenant against its template, with each of its calendar changes."""
+
     def with_template(document):
         if template is None:
             return Error(ConfigInvalid((Fault("/template", "no such template"),)))
@@ -98,6 +108,8 @@
 
 
 def check_template(template, tenants):
+    """Check a template, alone and with each tenant that uses it."""
+
     def with_tenants(document):
         faults = []
         for name, tenant in [("", {}), *tenants]:
--- a/frostpost/testbed/amends.py
+++ b/frostpost/testbed/amends.py
@@ -1,3 +1,5 @@
+"""Judge configuration changes and drains by what operators were told and runners saw."""
+
 from .told import Breach
 
 SOON_MS = 2000
@@ -5,12 +7,14 @@
 
 
 def drained(caller_notes):
+    """Yield (runner, time in milliseconds) of confirmed drains."""
     for note in caller_notes:
         if note["kind"] == "drained" and note["status"] == 200:
             yield note["runner"], note["at_ms"]
 
 
 def configured(caller_notes, by_run):
+    """Yield breaches: a version confirmed twice, or a refused change that took effect."""
     said = [n for n in caller_notes if n["kind"] == "configured"]
     acked = {n["value"]: n for n in said if n["status"] == 200}
     turned_away = {n["value"] for n in said if n["status"] in (409, 412, 422)}
@@ -28,10 +32,12 @@
 
 
 def run_sent_ms(run):
+    """Return when a run's request was sent, in milliseconds."""
     return run["at_ms"] - run.get("held_ms", 0)
 
 
 def behind(acked, by_run):
+    """Yield breaches: runs under a version that was already replaced."""
     newest = 0
     marks = sorted((n["at_ms"] + SOON_MS, n["version"]) for n in acked.values())
     runs = sorted((n for n in by_run.values() if PATH in (n.get("config") or ())), key=run_sent_ms)
--- a/frostpost/testbed/backs.py
+++ b/frostpost/testbed/backs.py
@@ -1,3 +1,5 @@
+"""Stand-in runners and the platform's list in one process."""
+
 import sys
 from typing import Annotated
 
@@ -17,6 +19,7 @@
 
 
 def row_of(runner, port):
+    """Return a runner's row of the list."""
     return {
         "name": runner.name,
         "instance": runner.instance,
@@ -29,6 +32,7 @@
 
 
 def raise_(seed, notes, ready):
+    """Start the runners and the list, then call `ready(port, rows)`."""
     platform, rows, pending = platforms.Platform(lag_s=0.2), [], []
 
     def listening(port, runner):
@@ -53,11 +57,14 @@
 
 @cappa.command(name="backs", help="Stand-in runners and the platform's runner list, in one process.")
 class Backs(Struct, kw_only=True):
+    """Arguments of the command."""
+
     notes: Annotated[str, cappa.Arg(help="file that the runners' notes go to")]
     seed: Annotated[int, cappa.Arg(long=True, help="seed of the stand-ins")] = 1
 
 
 def main():
+    """Run the command line; returns the exit status."""
     command = cappa.parse(Backs)
 
     def ready(port, rows):
--- a/frostpost/testbed/callers.py
+++ b/frostpost/testbed/callers.py
@@ -1,3 +1,5 @@
+"""Stand-in callers that send turns and lookups and note what they are told."""
+
 import signal
 import sys
 from io import BytesIO
@@ -12,24 +14,30 @@
 from twisted.internet.task import Cooperator
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 
-from frostpost.http_api.carry import ByNumber
+from frostpost.http_api.http_client import ByNumber
 
 from .notes import Notes
 from .templates import DEPLOYMENTS
 
 
 class Reading(Protocol):
+    """Collects a response's body."""
+
     def __init__(self):
         self.data, self.done, self.times = bytearray(), Deferred(), []
 
     def dataReceived(self, data):
+        """Add a piece."""
         self.data += data
 
     def connectionLost(self, reason):
+        """Tell whether the body is whole."""
         self.done.callback(bool(reason.check(ResponseDone)))
 
 
 class Crowd:
+    """Callers that share a client; most: how many programs run at once."""
+
     __slots__ = ("reactor", "client", "doors", "random", "notes", "serial", "open", "tag", "most", "end_s")
 
     def __init__(self, reactor, doors, seed, notes, tag="p", most=600):
@@ -42,10 +50,12 @@
 
 
 def body_of(reactor, raw):
+    """Return a request body."""
     return FileBodyProducer(BytesIO(raw), Cooperator(scheduler=lambda call: reactor.callLater(0, call)))
 
 
 def rest(reactor, wait_s):
+    """Return a Deferred that fires after some seconds."""
     done = Deferred()
     reactor.callLater(wait_s, done.callback, None)
     return done
@@ -53,6 +63,7 @@
 
 @inlineCallbacks
 def post(crowd, path, document):
+    """Send a request and note both it and its response."""
     crowd.serial += 1
     request = f"{crowd.tag}{crowd.serial}"
     door = crowd.random.choice(crowd.doors)
@@ -89,6 +100,7 @@
 
 @inlineCallbacks
 def look(crowd, path):
+    """Read a program's history and note it."""
     door, asked_ms = crowd.random.choice(crowd.doors), int(crowd.notes.seconds() * 1000)
     try:
         response = yield crowd.client.get(f"http://{door}{path}", timeout=5, reactor=crowd.reactor)
@@ -102,6 +114,7 @@
 
 @inlineCallbacks
 def insist(crowd, path, document, gos=4):
+    """Send a request again, as long as the response says when to come back."""
     for _ in range(gos):
         status, whole, lines, retry = yield post(crowd, path, document)
         if status not in (409, 429, 503) or retry is None:
@@ -112,6 +125,7 @@
 
 @inlineCallbacks
 def program(crowd, tenant, lane, lookups):
+    """Run one program: a few turns, each with lookups."""
     if crowd.open >= crowd.most:
         crowd.notes.say("withheld", tenant=tenant, lane=lane)
         return
@@ -141,6 +155,7 @@
 
 
 def arrivals(crowd, seconds, factor, done):
+    """Start programs at the deployments' rates, and call `done` once all have ended."""
     reactor = crowd.reactor
     crowd.end_s = reactor.seconds() + seconds
     running = []
@@ -168,6 +183,8 @@
 
 @cappa.command(name="callers", help="Stand-in callers of both deployments, at the brief's rates.")
 class Callers(Struct, kw_only=True):
+    """Arguments of the command."""
+
     notes: Annotated[str, cappa.Arg(help="file that the callers' notes go to")]
     doors: Annotated[list[str], cappa.Arg(long="--door", help="IP:port of an edge daemon; may be given again")]
     seconds: Annotated[float, cappa.Arg(long=True, help="how long programs arrive")] = 10.0
@@ -177,6 +194,7 @@
 
 
 def main():
+    """Run the command line; returns the exit status."""
     from twisted.internet import reactor
 
     command = cappa.parse(Callers)
--- a/frostpost/testbed/contests.py
+++ b/frostpost/testbed/contests.py
@@ -1,3 +1,5 @@
+"""A proof of racing configuration changes."""
+
 import time
 from concurrent.futures import ThreadPoolExecutor
 
@@ -5,6 +7,7 @@
 
 
 def insist(fleet, names, path, method, document, gos=20):
+    """Send a request until it has a final answer."""
     for _ in range(gos):
         wait_for(lambda: ready(fleet, names), 20)
         said = call(fleet, names[0], path, method, document, 40)
@@ -14,6 +17,7 @@
 
 
 def race(fleet, pool, doors, n):
+    """Send two changes against one version through two daemons; return their sorted status codes."""
     path = "/v1/config/tenants/tamar"
     version = insist(fleet, doors, path, "GET", None)[1].get("version", 0)
     jobs = [
@@ -33,6 +37,7 @@
 
 
 def races(fleet, facts):
+    """Run races, an invalid change and a large one."""
     doors = [n for n, d in fleet.daemons.items() if d.role == "edge"][:2]
     won = []
     with ThreadPoolExecutor(2) as pool:
--- a/frostpost/testbed/fleet.py
+++ b/frostpost/testbed/fleet.py
@@ -1,3 +1,5 @@
+"""A fleet of real processes on this machine."""
+
 import os
 import signal
 import socket
@@ -15,6 +17,8 @@
 
 
 class Daemon(Struct):
+    """One daemon's place, ports and process."""
+
     name: str
     role: str
     cell: str
@@ -25,6 +29,8 @@
 
 
 class Fleet(Struct):
+    """All daemons of a fleet with their stand-ins."""
+
     folder: str
     daemons: dict[str, Daemon] = {}
     backs: object = None
@@ -38,6 +44,7 @@
 
 
 def ports(fleet, many):
+    """Return free ports, held by bound sockets."""
     found = []
     for _ in range(many):
         sock = socket.socket()
@@ -49,6 +56,7 @@
 
 
 def lay(folder, size="quick", bounds=None):
+    """Plan a fleet in a folder."""
     os.makedirs(folder, exist_ok=True)
     fleet = Fleet(os.path.abspath(folder))
     edges, storages, cores = SIZES[size] if isinstance(size, str) else size
@@ -66,6 +74,7 @@
 
 
 def settings_of(fleet, daemon, extra=""):
+    """Return a daemon's settings file."""
     voters = [d.name for d in fleet.daemons.values() if d.role == "storage"]
     data = f'data = "{fleet.folder}/{daemon.name}.data"\n' if daemon.role == "storage" else ""
     return (
@@ -77,11 +86,13 @@
 
 
 def extend(fleet, name, role, cell):
+    """Plan another daemon."""
     inner, http = ports(fleet, 2)
     fleet.daemons[name] = Daemon(name, role, cell, inner, http, os.path.join(fleet.folder, f"{name}.toml"))
 
 
 def raise_backs(fleet, seed=1):
+    """Start the stand-in runners and the list."""
     fleet.backs = subprocess.Popen(
         [fleet.python, "-m", "frostpost.testbed.backs", f"{fleet.folder}/runners.notes", "--seed", str(seed)],
         stdout=subprocess.PIPE,
@@ -91,6 +102,7 @@
 
 
 def start(fleet, name, extra=""):
+    """Write a daemon's settings and start its process."""
     daemon = fleet.daemons[name]
     with open(daemon.path, "w") as file:
         file.write(settings_of(fleet, daemon, extra))
@@ -109,6 +121,7 @@
 
 
 def call(fleet, name, path, method="GET", document=None, timeout=15, headers=None):
+    """Send an HTTP request; returns (status, document)."""
     daemon = fleet.daemons[name]
     data = document if isinstance(document, bytes) else (json.encode(document) if document is not None else None)
     request = urllib.request.Request(
@@ -126,6 +139,7 @@
 
 
 def wait_for(test, limit_s, every_s=0.05):
+    """Poll a test until it holds; returns whether it did in time."""
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         if test():
@@ -135,10 +149,12 @@
 
 
 def ready(fleet, names=None):
+    """Tell whether daemons serve."""
     return all(call(fleet, n, "/v1/ready", timeout=2)[0] == 200 for n in names or fleet.daemons)
 
 
 def raise_(fleet, seed=1, wait_s=60):
+    """Start everything; returns whether all daemons became ready."""
     raise_backs(fleet, seed)
     for name in fleet.daemons:
         start(fleet, name)
@@ -146,6 +162,7 @@
 
 
 def stamp_all(fleet, door=None):
+    """Put all templates and tenants into effect."""
     door = door or next(n for n, d in fleet.daemons.items() if d.role == "edge")
     said = []
     for name, template in TEMPLATES.items():
@@ -156,6 +173,7 @@
 
 
 def load(fleet, seconds, factor=1.0, seed=1, tag="p", doors=None):
+    """Start stand-in callers."""
     edges = doors or [n for n, d in fleet.daemons.items() if d.role == "edge"]
     words = [w for n in edges for w in ("--door", f"127.0.0.1:{fleet.daemons[n].http_port}")]
     return subprocess.Popen(
@@ -178,17 +196,20 @@
 
 
 def send(fleet, name, signal_):
+    """Send a signal to a daemon."""
     daemon = fleet.daemons[name]
     if daemon.process and daemon.process.poll() is None:
         os.kill(daemon.process.pid, signal_)
 
 
 def kill(fleet, name):
+    """Kill a daemon."""
     send(fleet, name, signal.SIGKILL)
     fleet.daemons[name].process.wait()
 
 
 def end(fleet):
+    """End all processes."""
     for daemon in fleet.daemons.values():
         if daemon.process and daemon.process.poll() is None:
             daemon.process.send_signal(signal.SIGCONT)
--- a/frostpost/testbed/judge.py
+++ b/frostpost/testbed/judge.py
@@ -1,3 +1,5 @@
+"""Judge a run by the notes of callers and runners alone."""
+
 from collections import defaultdict
 from itertools import pairwise
 
@@ -7,6 +9,7 @@
 
 
 def doubled(found, runs):
+    """Yield breaches: requests that ran twice, for nobody, after a refusal, or on a wrong runner."""
     for request, ran in runs.items():
         ask = found.get(request)
         if ask is None:
@@ -23,6 +26,7 @@
 
 
 def keys_once(found, runs):
+    """Yield breaches: idempotency keys that ran twice within their window."""
     ran = defaultdict(list)
     for request, notes in runs.items():
         ask = found.get(request)
@@ -35,6 +39,7 @@
 
 
 def lookups_right(found):
+    """Yield breaches: lookups with somebody else's answer."""
     for ask in found.values():
         if ask.kind != "lookups" or ask.status != 200:
             continue
@@ -43,6 +48,7 @@
 
 
 def streams_right(found, by_run):
+    """Yield breaches: streams that skip, repeat, mix or end early."""
     for ask in found.values():
         if ask.kind != "turns" or ask.status != 200:
             continue
@@ -62,6 +68,7 @@
 
 
 def budgets(found, runs):
+    """Yield breaches: programs that got more than their budget."""
     spent, most = defaultdict(int), {}
     for ask in found.values():
         if ask.kind == "turns" and ask.status == 200:
@@ -76,6 +83,7 @@
 
 
 def leaving(runner_notes, drains, grace_ms=3000):
+    """Yield breaches: work sent to a runner after it was drained."""
     gone = dict(drains)
     for note in runner_notes:
         if note["kind"] == "changed" and note["leaving"]:
@@ -91,6 +99,7 @@
 
 
 def cut_mid_answer(found, runs):
+    """Yield breaches: answers cut off in planned work."""
     for ask in found.values():
         if ask.status == 200 and not ask.whole:
             yield Breach("dropped", f"{ask.request} was cut in its answer")
@@ -99,6 +108,7 @@
 
 
 def ran_by(runner_notes):
+    """Return (runs by request, run by id)."""
     runs, by_run = defaultdict(list), {}
     for note in runner_notes:
         if note["kind"] == "ran":
@@ -108,6 +118,7 @@
 
 
 def judge(caller_notes, runner_notes, drains=(), planned=False):
+    """Return all breaches; planned: no answer may be cut off."""
     found = asks(caller_notes)
     runs, by_run = ran_by(runner_notes)
     return [
@@ -124,6 +135,7 @@
 
 
 def summary(caller_notes):
+    """Return counts of results and latencies in milliseconds."""
     found, tally = asks(caller_notes), defaultdict(int)
     took = sorted(a.answered_ms - a.asked_ms for a in found.values() if a.status == 200)
     for ask in found.values():
--- a/frostpost/testbed/main.py
+++ b/frostpost/testbed/main.py
@@ -1,3 +1,5 @@
+"""Command line of the testbed."""
+
 import os
 import shutil
 import sys
@@ -18,6 +20,8 @@
 
 @cappa.command(name="fleet", help="Raise a whole fleet with stand-ins on this machine; Ctrl-C ends it.")
 class FleetCommand(Struct):
+    """Arguments of fleet."""
+
     folder: Annotated[str, cappa.Arg(long=True, help="folder for settings, logs and data")] = "fleet"
     size: Annotated[str, cappa.Arg(long=True, help="full (8 edge, 3 storage, 5 core) or quick (2, 3, 2)")] = "full"
     stamp: Annotated[bool, cappa.Arg(long=True, help="stamp both deployments' tenants")] = False
@@ -26,6 +30,8 @@
 
 @cappa.command(name="proof", help="Raise a fleet, load it, cause faults, and judge from outside.")
 class ProofCommand(Struct):
+    """Arguments of proof."""
+
     names: Annotated[list[str], cappa.Arg(help=f"any of {', '.join(PROOFS)}; all if none")] = []
     size: Annotated[str, cappa.Arg(long=True)] = "quick"
     factor: Annotated[float, cappa.Arg(long=True, help="times the brief's rates")] = 0.5
@@ -36,10 +42,13 @@
 
 @cappa.command(name="testbed", help="Stand-ins, load, fleets and proofs for frostpost.")
 class Scarecrow(Struct):
+    """The testbed's commands."""
+
     command: cappa.Subcommands[FleetCommand | ProofCommand]
 
 
 def prove(name, size, factor, seed, folder, before=""):
+    """Run one proof on a fleet of its own; returns its report."""
     fleet = fleets.lay(folder, size)
     fleet.before = os.path.abspath(before) if before else ""
     facts, start_s = {}, time.monotonic()
@@ -75,6 +84,7 @@
 
 
 def proofs(command):
+    """Run proofs; returns the exit status."""
     unknown = [n for n in command.names if n not in PROOFS or n == "upgrade" and not command.before]
     if unknown:
         print(f"UnknownProof: {unknown}", file=sys.stderr)
@@ -92,6 +102,7 @@
 
 
 def keep_up(command):
+    """Run a fleet until it is interrupted; returns the exit status."""
     fleet = fleets.lay(command.folder, command.size)
     try:
         if not fleets.raise_(fleet):
@@ -113,6 +124,7 @@
 
 
 def main():
+    """Run the command line; returns the exit status."""
     command = cappa.parse(Scarecrow).command
     return proofs(command) if isinstance(command, ProofCommand) else keep_up(command)
 
--- a/frostpost/testbed/memories.py
+++ b/frostpost/testbed/memories.py
@@ -1,3 +1,5 @@
+"""Judge programs' histories."""
+
 from collections import defaultdict
 
 from msgspec import Struct
@@ -6,6 +8,8 @@
 
 
 class Seen(Struct):
+    """A history that a runner or a reader was shown, and when."""
+
     what: str
     from_ms: int
     to_ms: int
@@ -13,10 +17,12 @@
 
 
 def text_of(note):
+    """Return the output of a run."""
     return "".join(f"{note['run']}:{k} " for k in range(1, note["total"] + 1))
 
 
 def seen_by(caller_notes, found, runs):
+    """Return all histories shown, by program."""
     programs = defaultdict(list)
     for request, notes in runs.items():
         ask = found.get(request)
@@ -32,6 +38,7 @@
 
 
 def answered(found):
+    """Return the turns that callers were given whole, by program."""
     kept = defaultdict(list)
     for ask in found.values():
         if ask.kind == "turns" and ended(ask):
@@ -41,6 +48,7 @@
 
 
 def known(found, runs):
+    """Return all turns that ran, by program."""
     lines = defaultdict(list)
     for request, notes in runs.items():
         ask = found.get(request)
@@ -50,6 +58,7 @@
 
 
 def histories(caller_notes, found, runs):
+    """Yield breaches: histories that changed, mixed or lack what was answered."""
     kept, real = answered(found), known(found, runs)
     for key, seen in seen_by(caller_notes, found, runs).items():
         order = [line for _, line in sorted(real[key], key=lambda r: r[0])]
--- a/frostpost/testbed/platform.py
+++ b/frostpost/testbed/platform.py
@@ -1,3 +1,5 @@
+"""A stand-in for the platform's list of runners: it lags and limits the rate of requests."""
+
 from collections.abc import Callable
 from time import monotonic
 
@@ -7,6 +9,8 @@
 
 
 class Platform(Struct):
+    """The list's state; rates per second, lag in seconds."""
+
     lag_s: float = 0.5
     per_second: float = 4.0
     tokens: float = 4.0
@@ -18,15 +22,18 @@
 
 
 def show(platform, rows):
+    """Publish a list."""
     platform.pages.append((platform.seconds(), rows))
 
 
 def seen(platform, now_s):
+    """Return the list as it is shown at a time."""
     shown = [rows for at_s, rows in platform.pages if now_s - at_s >= platform.lag_s]
     return shown[-1] if shown else []
 
 
 def build(platform, reactor=None):
+    """Return the HTTP site."""
     app = Klein()
 
     @app.route("/runners", methods=["GET"])
--- a/frostpost/testbed/proofs.py
+++ b/frostpost/testbed/proofs.py
@@ -1,3 +1,5 @@
+"""Proofs on real processes: each brings a kind of trouble about while callers run."""
+
 import shutil
 import signal
 import time
@@ -8,37 +10,11 @@
 from . import fleet as fleets
 from .contests import races
 from .fleet import call, kill, ready, send, start, wait_for
-
-
-def hook(fleet, name, **facts):
-    with open(f"{fleet.folder}/{name}.hooks", "wb") as file:
-        file.write(json.encode(facts))
-
-
-def status_of(fleet, name):
-    return call(fleet, name, "/v1/status", timeout=3)[1]
-
-
-def one(fleet, role, skip=()):
-    return next(n for n, d in fleet.daemons.items() if d.role == role and n not in skip)
-
-
-def sequencer(fleet):
-    return status_of(fleet, one(fleet, "storage"))["configuration"]["sequencer"]
-
-
-def holder(fleet, duty):
-    return status_of(fleet, one(fleet, "storage"))["duties"][duty]["holder"]
-
-
-def again(fleet, name, wait_s=30):
-    start(fleet, name)
-    start_s = time.monotonic()
-    up = wait_for(lambda: ready(fleet, [name]), wait_s)
-    return {"daemon": name, "back": up, "back_ms": round((time.monotonic() - start_s) * 1000)}
+from .proof_steps import advanced, again, change, holder, hook, one, round_one, sequencer, status_of
 
 
 def kill_each(fleet, facts):
+    """Kill daemons of each kind."""
     victims = [one(fleet, "edge"), sequencer(fleet), one(fleet, "storage")]
     for name in dict.fromkeys([*victims, holder(fleet, "list")]):
         kill(fleet, name)
@@ -47,6 +23,7 @@
 
 
 def freeze_each(fleet, facts):
+    """Freeze daemons of each kind."""
     for name in (one(fleet, "edge"), sequencer(fleet), one(fleet, "storage")):
         send(fleet, name, signal.SIGSTOP)
         time.sleep(2.5)
@@ -55,6 +32,7 @@
 
 
 def cuts(fleet, facts):
+    """Cut links in several ways."""
     core = [n for n, d in fleet.daemons.items() if d.role == "core"]
     rest = [n for n in fleet.daemons if n not in core]
     storage = one(fleet, "storage")
@@ -74,6 +52,7 @@
 
 
 def roll(fleet, facts):
+    """Restart all daemons in turn."""
     for name, daemon in fleet.daemons.items():
         send(fleet, name, signal.SIGTERM)
         daemon.process.wait(40)
@@ -82,6 +61,7 @@
 
 
 def all_down(fleet, facts):
+    """Kill all daemons at once."""
     for name in fleet.daemons:
         send(fleet, name, signal.SIGKILL)
     for daemon in fleet.daemons.values():
@@ -94,6 +74,7 @@
 
 
 def lose_disk(fleet, facts):
+    """Lose one disk, then another daemon."""
     name = one(fleet, "storage")
     kill(fleet, name)
     shutil.rmtree(f"{fleet.folder}/{name}.data")
@@ -107,6 +88,7 @@
 
 
 def slow_disk(fleet, facts):
+    """Slow down one disk."""
     name = one(fleet, "storage")
     hook(fleet, name, sync_delay_ms=2500)
     time.sleep(4)
@@ -117,6 +99,7 @@
 
 
 def runners(fleet, facts):
+    """Let runners misbehave and leave."""
     import urllib.request
 
     rows = list(fleet.runners)
@@ -136,14 +119,8 @@
     facts["listed"] = len(rows)
 
 
-def change(row, **facts):
-    import urllib.request
-
-    request = urllib.request.Request(f"http://127.0.0.1:{row['port']}/stand-in", json.encode(facts), method="POST")
-    return json.decode(urllib.request.urlopen(request).read())
-
-
 def drains(fleet, facts):
+    """Drain a runner."""
     row = next(r for r in fleet.runners if r["pool"] == "hmodel")
     status, said = call(fleet, one(fleet, "edge"), f"/v1/runners/{row['name']}/drain", "POST", {"leaving": True})
     facts["drained"] = (row["name"], status)
@@ -151,12 +128,8 @@
     time.sleep(5)
 
 
-def advanced(fleet, index):
-    """Whether all daemons are ready and a storage daemon has applied more than `index` entries."""
-    return ready(fleet) and status_of(fleet, one(fleet, "storage"))["applied"] > index
-
-
 def clocks(fleet, facts):
+    """Let wall clocks jump."""
     fleet.program = "frostpost.testbed.skewed"
     for name in fleet.daemons:
         facts.setdefault("restarts", []).append(round_one(fleet, name))
@@ -169,27 +142,24 @@
 
 
 def upgrade(fleet, facts):
+    """Roll out this version over the one before."""
     facts["before"] = [status_of(fleet, n).get("rules") for n in fleet.daemons]
     fleet.before = ""
     roll(fleet, facts)
     facts["rules"] = wait_for(lambda: all(status_of(fleet, n).get("rules") == 2 for n in fleet.daemons), 20)
 
 
-def round_one(fleet, name):
-    send(fleet, name, signal.SIGTERM)
-    fleet.daemons[name].process.wait(40)
-    return again(fleet, name)
-
-
 CROWD = 6
 
 
 def crowd(fleet, facts):
+    """Multiply the load for a while."""
     extra = fleets.load(fleet, 4, factor=CROWD, seed=9, tag="q")
     facts["crowd_exit"] = extra.wait(90)
 
 
 def grow(fleet, facts):
+    """Replace a voter by a new storage daemon."""
     old = one(fleet, "storage")
     edge = one(fleet, "edge")
     fleet.seeds = [f"127.0.0.1:{fleet.daemons[n].port}" for n in (edge, one(fleet, "core"))]
@@ -211,6 +181,7 @@
 
 
 def calm(fleet, facts):
+    """Cause nothing."""
     time.sleep(5)
 
 
--- a/frostpost/testbed/runner.py
+++ b/frostpost/testbed/runner.py
@@ -1,3 +1,5 @@
+"""A stand-in runner with a prefix cache, modes of misbehaviour and a load report."""
+
 from random import Random
 
 from klein import Klein
@@ -12,6 +14,8 @@
 
 
 class Runner(Struct):
+    """A runner's settings and state; times in milliseconds."""
+
     name: str
     instance: str
     pool: str
@@ -37,6 +41,7 @@
 
 
 def remember(runner, chain):
+    """Put a history's digests into the cache; the oldest drop out."""
     for digest in chain:
         runner.prefixes.pop(digest, None)
         runner.prefixes[digest] = True
@@ -48,16 +53,19 @@
 
 
 def held_for_ms(runner, notes):
+    """Return for how long a frozen runner held a request."""
     return int(notes.seconds() * 1000) - runner.frozen_ms if runner.frozen_ms else 0
 
 
 def cut_off(request):
+    """Reset a request's connection."""
     channel = getattr(request, "channel", None)
     if channel is not None and channel.transport is not None:
         channel.transport.abortConnection()
 
 
 def build(reactor, runner: Runner, notes: Notes):
+    """Return the HTTP site."""
     app, random = Klein(), Random(runner.seed)
 
     def later(wait_ms, call, *args):
--- a/frostpost/testbed/scale_counts.py
+++ b/frostpost/testbed/scale_counts.py
@@ -36,11 +36,13 @@
 
 
 def cpu_s():
+    """Return the processor seconds that this process used."""
     used = getrusage(RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
 def memory_mb():
+    """Return this process's resident memory in megabytes."""
     with open("/proc/self/status") as file:
         held = dict(line.split(":", 1) for line in file)
     return int(held["VmRSS"].split()[0]) / 1024
@@ -56,5 +58,6 @@
 
 
 def quantile(values, share):
+    """Return the value at a share of the sorted values, None for no values."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(len(ordered) * share))], 2) if ordered else None
