--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -39,6 +39,7 @@
 
 
 def hollow_front():
+    """Return an HTTP front that does nothing."""
     return SimpleNamespace(
         wire=None,
         routing_from_body=lambda body: body,
@@ -49,6 +50,7 @@
 
 
 def leaf_settings(name, role, host, port, seed, data=""):
+    """Return a leaf's settings."""
     control = (host, port) if data else None
     return DaemonSettings(
         name=name,
@@ -65,6 +67,7 @@
 
 
 def start_leaf(settings, reactor, stop):
+    """Start a leaf without an HTTP front."""
     leaf = leaves.make_leaf(settings, hollow_front(), reactor, Machine())
     count_kinds(leaf)
     leaves.start_leaf(leaf, hollow_front(), stop)
@@ -110,14 +113,17 @@
 
 
 def broken(failure, load):
+    """Keep the first traceback of a failed job."""
     load.fault = load.fault or failure.getTraceback()[-1500:]
 
 
 def finished(load):
+    """Count a job as ended."""
     load.under_way -= 1
 
 
 def note(load, what):
+    """Count an outcome, while measuring."""
     if load.measuring:
         load.outcomes[what] = load.outcomes.get(what, 0) + 1
 
@@ -168,6 +174,7 @@
 
 @inlineCallbacks
 def keyed(leaf, load, reactor, number):
+    """Claim and resolve an idempotency key."""
     this = f"{leaf.settings.name}-{leaf.place.member.boot:013x}-{number:010d}"
     claim = Claim(f"key-{this}", this, WINDOW_MS)
     ok = yield timed(load, reactor, load.claimed_ms, asking.ask(leaf, claim, WAIT_MS), Claimed)
--- a/frostpost/testbed/scale_ring.py
+++ b/frostpost/testbed/scale_ring.py
@@ -18,6 +18,7 @@
 
 
 def ledger(replica, whole):
+    """Return the sizes of the ledger's parts."""
     ledger = replica.ctx.core.ledger
     program_ledger = ledger.program_ledger
     sizes = {
@@ -28,6 +29,7 @@
 
 
 def sight(replica, whole):
+    """Return what the daemon has cost so far."""
     ctx = replica.ctx
     if replica.waiting:
         return {"waiting": True}
@@ -49,20 +51,25 @@
 
 
 class Asked(LineReceiver):
+    """Answers each line on standard input."""
+
     delimiter = b"\n"
 
     def __init__(self, replica):
         self.replica = replica
 
     def lineReceived(self, line):
+        """Answer with the costs so far."""
         self.sendLine(json.encode(sight(self.replica, line == b"whole")))
 
     def connectionLost(self, reason=None):
+        """Stop the daemon."""
         if reactor.running:
             reactor.stop()
 
 
 def main():
+    """Run the storage daemon; returns its exit status."""
     news.begin()
     count_links()
     with open(sys.argv[1], "rb") as file:
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -4,12 +4,15 @@
 import signal
 import sys
 from argparse import ArgumentParser
+from collections import Counter
+from pathlib import Path
 from tempfile import TemporaryDirectory
 
 from msgspec import json
 from twisted.internet import reactor
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 from twisted.internet.protocol import ProcessProtocol
+from twisted.internet.task import deferLater
 
 from frostpost.cluster import lease, operating
 from frostpost.cluster.settings import DaemonSettings
@@ -28,20 +31,24 @@
         self.log, self.waiting, self.text, self.ended = log, [], b"", Deferred()
 
     def ask(self, what=b"sight"):
+        """Ask for the costs so far; Deferred of a document."""
         answer = Deferred()
         self.waiting.append(answer)
         self.transport.write(what + b"\n")
         return answer
 
     def outReceived(self, data):
+        """Hand answers to those who wait for them."""
         *lines, self.text = (self.text + data).split(b"\n")
         for line in lines:
             self.waiting.pop(0).callback(json.decode(line))
 
     def errReceived(self, data):
+        """Write the daemon's log."""
         self.log.write(data)
 
     def processEnded(self, reason):
+        """Fail all that still wait."""
         waiting, self.waiting = self.waiting, []
         for answer in waiting:
             answer.errback(reason)
@@ -49,6 +56,7 @@
 
 
 def start_ring(number, port, seed, folder):
+    """Start a storage daemon's process."""
     name = f"ring-{number}"
     settings = DaemonSettings(
         name=name,
@@ -72,13 +80,13 @@
 
 
 def pause(seconds):
-    woken = Deferred()
-    reactor.callLater(seconds, woken.callback, None)
-    return woken
+    """Return a Deferred that fires after some seconds."""
+    return deferLater(reactor, seconds)
 
 
 @inlineCallbacks
 def until(ready, within_s, what):
+    """Wait for a condition, or raise TimeoutError."""
     end_s = reactor.seconds() + within_s
     while not ready():
         if reactor.seconds() > end_s:
@@ -87,18 +95,20 @@
 
 
 def sums(leaves):
-    total = {}
+    """Return the leaves' counters added up."""
+    total = Counter()
     for leaf in leaves:
-        for name, value in leaf.counts.items():
-            total[name] = total.get(name, 0) + value
+        total.update(leaf.counts)
     return total
 
 
 def per_leaf(before, after, seconds, count):
+    """Return rates per second and leaf."""
     return {name: round(value / count, 4) for name, value in rates(before, after, seconds).items()}
 
 
 def ring_report(before, after):
+    """Return a storage daemon's costs between two answers."""
     seconds = after["at_s"] - before["at_s"]
     return {
         "name": after["name"],
@@ -126,6 +136,7 @@
 
 @inlineCallbacks
 def run(options, folder, rings, report):
+    """Run the measurement and fill the report."""
     port = options.port or 21000 + os.getpid() % 8000
     seed_at = f"127.77.1.1:{port}"
     rings += [start_ring(n + 1, port, seed_at, folder) for n in range(RINGS)]
@@ -193,6 +204,7 @@
 
 
 def options_of(words):
+    """Parse the command line."""
     parser = ArgumentParser(prog="python -m frostpost.testbed.scale_run")
     parser.add_argument("--leaves", type=int, default=16)
     parser.add_argument("--rate", type=float, default=0, help="ordered operations a second, all leaves together")
@@ -206,6 +218,7 @@
 
 
 def main(words=None):
+    """Run the command line; returns the exit status."""
     options, rings, report = options_of(words), [], {}
     count_links()
     signal.alarm(int(options.seconds) + 180)
@@ -227,10 +240,8 @@
         for ring in rings:
             ring.log.close()
         if "fault" in report:
-            for name in sorted(os.listdir(folder)):
-                if name.endswith(".log"):
-                    with open(os.path.join(folder, name), "rb") as file:
-                        sys.stderr.write(file.read()[-3000:].decode(errors="replace"))
+            for log in sorted(Path(folder).glob("*.log")):
+                sys.stderr.write(log.read_bytes()[-3000:].decode(errors="replace"))
     print(json.format(json.encode(report), indent=1).decode())
     return 1 if "fault" in report else 0
 
--- a/frostpost/testbed/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -23,14 +23,17 @@
 
 
 def name_of(program, number):
+    """Return the name of a program's turn."""
     return f"{program:016x}{number:016x}"
 
 
 def runners(count):
+    """Return a number of candidates."""
     return tuple(Candidate(f"runner-{n:06d}", 1 << 20) for n in range(count))
 
 
 def turn_ops(program, number, candidates):
+    """Return the two operations of a turn."""
     this, previous = name_of(program, number), name_of(program, number - 1) if number else ""
     return (
         Begin(
@@ -41,6 +44,7 @@
 
 
 def each_us(count, job):
+    """Return the processor microseconds that a job takes for each of `count` things."""
     begun_s = process_time()
     job()
     return round((process_time() - begun_s) / count * 1e6, 2)
@@ -56,11 +60,13 @@
 
 
 def apply_all(program_ledger, ops, now_ms=0):
+    """Apply operations to a ledger."""
     for op in ops:
         act(program_ledger, now_ms, (), (), op)
 
 
 def grown(programs, turns, candidates):
+    """Return a ledger with programs of some turns each."""
     program_ledger = ProgramLedger()
     for program in range(programs):
         for number in range(turns):
@@ -100,6 +106,7 @@
 
 
 def claimed(count):
+    """Return a ledger with idempotency keys."""
     program_ledger = ProgramLedger()
     for n in range(count):
         key = name_of(n, 1)
@@ -108,6 +115,7 @@
 
 
 def measure_keys(count):
+    """Return what a key costs."""
     program_ledger, memory_bytes = held_bytes(count, lambda: claimed(count))
     return {
         "keys": count,
@@ -139,6 +147,7 @@
 
 
 def measure_chain(turns):
+    """Return what a turn costs after many others of its program."""
     program_ledger, last = ProgramLedger(), turns - 1
     for number in range(turns):
         apply_all(program_ledger, turn_ops(1, number, runners(8)))
@@ -172,6 +181,7 @@
 
 
 def measure_turn_store(folder, body_bytes, count, batch):
+    """Return what storing and reading a body costs."""
     log, index, _, _ = open_log(os.path.join(folder, f"turn_store-{body_bytes}"), SiloFiles(), 8 << 20)
     bodies = [(name_of(n, body_bytes), os.urandom(body_bytes)) for n in range(count)]
     used_s, begun_s = process_time(), perf_counter()
@@ -192,6 +202,7 @@
 
 
 def main(words=None):
+    """Run the command line; returns the exit status."""
     parser = ArgumentParser(prog="python -m frostpost.testbed.scale_slopes")
     parser.add_argument("--programs", type=int, default=2000)
     parser.add_argument("--turns", type=int, default=67)
--- a/frostpost/testbed/skewed.py
+++ b/frostpost/testbed/skewed.py
@@ -1,3 +1,5 @@
+"""A daemon whose wall clock jumps by the seconds that a file holds."""
+
 import os
 import time
 
@@ -5,6 +7,7 @@
 
 
 def jumped():
+    """Return the wall clock with the jump."""
     try:
         with open(SKEW) as file:
             return REAL() + float(file.read() or 0)
@@ -13,6 +16,7 @@
 
 
 def main():
+    """Run the daemon; returns its exit status."""
     time.time = jumped
     from frostpost.daemon.main import main as orchard
 
--- a/frostpost/testbed/templates.py
+++ b/frostpost/testbed/templates.py
@@ -1,3 +1,5 @@
+"""Templates, tenants and load of the stand-in deployments."""
+
 TEMPLATES = {
     "clerks": {
         "parameters": {
--- a/frostpost/testbed/told.py
+++ b/frostpost/testbed/told.py
@@ -1,3 +1,5 @@
+"""What callers asked and were told, read back from their notes."""
+
 from msgspec import Struct
 
 from .templates import TEMPLATES, TENANTS
@@ -21,11 +23,15 @@
 
 
 class Breach(Struct, frozen=True):
+    """A rule that was broken, and how."""
+
     never: str
     text: str
 
 
 class Ask(Struct):
+    """One request of a caller with its response."""
+
     request: str
     tenant: str
     lane: str
@@ -39,6 +45,7 @@
 
 
 def lane_of(tenant, lane):
+    """Return a route's settings with all parameters filled in."""
     template, tenant = TEMPLATES[TENANTS[tenant]["template"]], TENANTS[tenant]
     given = tenant.get("parameters", {})
 
@@ -50,6 +57,7 @@
 
 
 def asks(notes):
+    """Return the requests by id."""
     found = {}
     for note in notes:
         if note["kind"] == "asked":
@@ -63,6 +71,7 @@
 
 
 def fault_of(ask):
+    """Return the type of the error in a response, or None."""
     for line in ask.lines:
         if isinstance(line, dict) and "fault" in line:
             return line["fault"]["type"]
@@ -70,4 +79,5 @@
 
 
 def ended(ask):
+    """Tell whether a turn was answered whole."""
     return ask.status == 200 and bool(ask.lines) and bool(ask.lines[-1].get("end"))
--- a/tests/fleet_simulator/wires.py
+++ b/tests/fleet_simulator/wires.py
@@ -4,7 +4,7 @@
 from twisted.python.failure import Failure
 
 from frostpost.simulator import net as nets
-from frostpost.simulator import wires
+from frostpost.simulator import wire_flow, wires
 
 
 class Strand(wires.Wire):
@@ -14,14 +14,14 @@
         if not self.connected:
             return
         self.net.clock.callLater(
-            self.net.link_delay_s(self.here[0], self.there[0]), wires.reset_there, self, self.other
+            self.net.link_delay_s(self.here[0], self.there[0]), wire_flow.reset_there, self, self.other
         )
         self.connected = False
         self.out.clear()
         if self in self.host.wires:
             self.host.wires.remove(self)
         if self.life == self.host.life:
-            self.host.callLater(0, wires.ended, self, Failure(ConnectionLost()))
+            self.host.callLater(0, wire_flow.ended, self, Failure(ConnectionLost()))
 
 
 class Dialler(nets.Connector):
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,10 +1,11 @@
 from msgspec import Struct, msgpack
 
 from frostpost.ledger.apply import apply, decode_state, encode
+from frostpost.ledger.operations import Reserve, Rules, Settle, Tick
 from frostpost.ledger.programs import line
-from frostpost.ledger.records import Runner
+from frostpost.ledger.records import Duty, Runner
+from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import BudgetSpent, Done, Duty, Reserve, Reserved, Rules, Settle, Tick
 from frostpost.virtual_synchrony.events import Open
 from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
 
@@ -119,7 +120,7 @@
 def test_frames_recorded_of_the_version_before_are_understood():
     from pathlib import Path
 
-    from frostpost.ledger.words import Op
+    from frostpost.ledger.operations import Op
     from frostpost.virtual_synchrony.words import Beat, Frame
 
     types = {"frame": Frame, "op": Op, "state": Ledger}
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -4,10 +4,11 @@
 
 from frostpost.ledger.apply import apply, decode_state
 from frostpost.ledger.apply import encode as encode_state
+from frostpost.ledger.operations import Ballot, ClaimKey, Drain, Finish, Reserve, SetConfig, Settle, Tick
 from frostpost.ledger.programs import line
 from frostpost.ledger.records import Runner
+from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import Ballot, ClaimKey, Drain, Finish, Reserve, Reserved, SetConfig, Settle, Shared, Tick
 from frostpost.virtual_synchrony.events import Open
 from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -5,10 +5,12 @@
 
 from frostpost.daemon.context import Context
 from frostpost.daemon.settings import Settings
-from frostpost.http_api import carry, faults, turns
+from frostpost.http_api import carry, faults
+from frostpost.http_api import stream as streams
 from frostpost.http_api.calls import SHARES, Call, filter_crowd
+from frostpost.ledger.operations import Settle
 from frostpost.ledger.records import Runner
-from frostpost.ledger.words import Done, Reserved, Settle
+from frostpost.ledger.results import Done, Reserved
 from frostpost.tenant_config.stamp import Lane
 
 RUNNER = Runner("r", "i", "127.0.0.1", 1, "pool", "a", 4)
@@ -46,13 +48,13 @@
 @pytest.fixture
 def asks(monkeypatch):
     asks = Asks()
-    monkeypatch.setattr(turns, "ask", asks)
+    monkeypatch.setattr(streams, "ask", asks)
     return asks
 
 
 def stream(amount=3):
     call = Call("q", "turns", "t", "l", 0, document={"input": "in"}, request=Request())
-    found = turns.Stream(Context(SETTINGS, None, None), call, Reserved(7, RUNNER, amount, ()))
+    found = streams.Stream(Context(SETTINGS, None, None), call, Reserved(7, RUNNER, amount, ()))
     found.go = carry.Go(RUNNER)
     found.stop = lambda reason: None
     return found
