--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -19,17 +19,17 @@
 
 def test_what_was_appended_is_read_back(tmp_path):
     filled(tmp_path, [b"one", b"two", b""])
-    _, payloads, fault = disk.open_(str(tmp_path), "log")
-    assert payloads == [b"one", b"two", b""] and fault is None
+    _, payloads, error = disk.open_(str(tmp_path), "log")
+    assert payloads == [b"one", b"two", b""] and error is None
 
 
 @pytest.mark.parametrize("cut", range(1, 23))
 def test_torn_last_record_is_cut_off_and_the_rest_kept(tmp_path, cut):
     path = filled(tmp_path, [b"one", b"last"])
     os.truncate(path, os.path.getsize(path) - cut)
-    write_ahead_log, payloads, fault = disk.open_(str(tmp_path), "log")
+    write_ahead_log, payloads, error = disk.open_(str(tmp_path), "log")
     assert payloads == [b"one"]
-    assert isinstance(fault, disk.Torn) or cut == 22 and fault is None
+    assert isinstance(error, disk.Torn) or cut == 22 and error is None
     disk.append(write_ahead_log, [b"again"])
     disk.close(write_ahead_log)
     assert disk.open_(str(tmp_path), "log")[1] == [b"one", b"again"]
@@ -43,9 +43,9 @@
         byte = file.read(1)
         file.seek(at)
         file.write(bytes([byte[0] ^ 0xFF]))
-    _, payloads, fault = disk.open_(str(tmp_path), "log")
-    assert payloads == [] and isinstance(fault, disk.Corrupt)
-    assert os.path.exists(fault.moved_to)
+    _, payloads, error = disk.open_(str(tmp_path), "log")
+    assert payloads == [] and isinstance(error, disk.Corrupt)
+    assert os.path.exists(error.moved_to)
 
 
 def test_failed_write_leaves_no_half_record(tmp_path):
@@ -96,9 +96,9 @@
     with suppress(drives.PowerCutError):
         steps(write_ahead_log, lasting)
     drives.lose_power(drive, [])
-    _, payloads, fault = disk.open_("/d", "log", drives.files_of(drive))
+    _, payloads, error = disk.open_("/d", "log", drives.files_of(drive))
     said = [p for p in payloads if p != b"state"]
-    assert not isinstance(fault, disk.Corrupt)
+    assert not isinstance(error, disk.Corrupt)
     assert said == [b"%d" % n for n in range(len(said))]
     assert len(said) >= len(lasting)
 
@@ -107,17 +107,17 @@
 def test_a_failing_disk_call_loses_nothing_that_was_synced(what):
     drive = drives.Drive(Random(1))
     write_ahead_log, _, _ = disk.open_("/d", "log", drives.files_of(drive))
-    lasting, faults = [], 0
+    lasting, errors = [], 0
     for n in range(12):
         drive.broken[what] = n % 2
         try:
             steps(write_ahead_log, lasting) if n == 3 else disk.append(write_ahead_log, [b"x%d" % n])
             disk.rewrite(write_ahead_log, [b"y%d" % n])
-        except OSError as fault:
-            faults += 1
-            if isinstance(fault, disk.SyncLostError):
+        except OSError as error:
+            errors += 1
+            if isinstance(error, disk.SyncLostError):
                 break
     drive.broken.clear()
-    assert faults
-    _, payloads, fault = disk.open_("/d", "log", drives.files_of(drive))
-    assert fault is None and payloads
+    assert errors
+    _, payloads, error = disk.open_("/d", "log", drives.files_of(drive))
+    assert error is None and payloads
