--- a/frostpost/admin/doctor.py
+++ b/frostpost/admin/doctor.py
@@ -1,20 +1,26 @@
+"""Look for common faults of a fleet by the status of its daemons."""
+
 from concurrent.futures import ThreadPoolExecutor
 
 from msgspec import Struct, to_builtins
 
 from frostpost.virtual_synchrony.words import SPEAKS
 
-from .asking import DONE, FOUND, Door, TurnedAway, ask, fail, say
+from .asking import DONE, FOUND, Door, Refused, ask, fail, say
 
 
 class Finding(Struct, frozen=True):
-    fault: str
+    """One problem found: where, its cause and what to do about it."""
+
+    problem: str
     where: str
     cause: str
     remedy: str
 
 
 def reach(places):
+    """Ask all daemons for their status, at once."""
+
     def one(place):
         return ask(Door(place["http"]), "/v1/status", wait_s=3)
 
@@ -23,11 +29,13 @@
 
 
 def silent(name, error):
-    why = error.fault.get("text", "") if isinstance(error, TurnedAway) else error.why
+    """Return the finding for a daemon that does not answer."""
+    why = error.error.get("text", "") if isinstance(error, Refused) else error.why
     return Finding("Silent", name, why, "see whether its process runs, and its log's last lines")
 
 
 def of_daemon(name, said):
+    """Yield the findings that one daemon's status shows."""
     if not said["primary"] or not said["serving"] and not said["leaving"]:
         yield Finding(
             "NoMajority",
@@ -87,6 +95,7 @@
 
 
 def together(found):
+    """Yield the findings that only the daemons' statuses together show."""
     statuses = {n: s for n, s in found.items()}
     ids = {(s["configuration"]["epoch"], s["configuration"]["proposer"]) for s in statuses.values()}
     if len(ids) > 1:
@@ -126,7 +135,7 @@
             "ListStale",
             holder,
             "the platform's runner list was not read for 15 s",
-            "see whether the platform answers, and the count list_turned_away",
+            "see whether the platform answers, and the count list_refused",
         )
     for duty in ("list", "ticks"):
         if not any(s["duties"].get(duty, {}).get("holder") for s in statuses.values()):
@@ -134,6 +143,7 @@
 
 
 def run(command, door):
+    """Run the doctor command."""
     first = ask(door, "/v1/status")
     if first.is_error():
         return fail(command, first.error)
@@ -154,6 +164,6 @@
         )
         for s in unknown
     ]
-    text = "\n".join(f"{f.fault} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
+    text = "\n".join(f"{f.problem} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
     say(command, to_builtins(findings), text or f"{len(found)} daemons are in order")
     return FOUND if findings else DONE
--- a/frostpost/testbed/judge.py
+++ b/frostpost/testbed/judge.py
@@ -1,33 +1,37 @@
+"""Judge a run by the notes of callers and runners alone."""
+
 from collections import defaultdict
 from itertools import pairwise
 
 from .amends import configured, drained
 from .memories import histories
-from .told import NOT_RUN, Breach, asks, ended, fault_of, lane_of
+from .told import NOT_RUN, Breach, asks, ended, error_of, route_of
 
 
 def doubled(found, runs):
+    """Yield breaches: requests that ran twice, for nobody, after a refusal, or on a wrong runner."""
     for request, ran in runs.items():
         ask = found.get(request)
         if ask is None:
             yield Breach("stranger", f"{request} ran and nobody asked it")
             continue
-        shape = lane_of(ask.tenant, ask.lane)
+        shape = route_of(ask.tenant, ask.route)
         if shape.get("repeat", "once") != "free" and len(ran) > 1:
             yield Breach("twice", f"{request} ran {len(ran)} times")
-        if ran and ask.status and fault_of(ask) in NOT_RUN:
-            yield Breach("ran_after_turned_away", f"{request} was told {fault_of(ask)} and ran")
+        if ran and ask.status and error_of(ask) in NOT_RUN:
+            yield Breach("ran_after_refusal", f"{request} was told {error_of(ask)} and ran")
         for note in ran:
             if note["pool"] not in shape["pools"]:
                 yield Breach("not_allowed", f"{request} reached {note['runner']}")
 
 
 def keys_once(found, runs):
+    """Yield breaches: idempotency keys that ran twice within their window."""
     ran = defaultdict(list)
     for request, notes in runs.items():
         ask = found.get(request)
         if ask and "key" in ask.document:
-            ran[(ask.tenant, ask.lane, ask.document["key"])] += [n["at_ms"] for n in notes]
+            ran[(ask.tenant, ask.route, ask.document["key"])] += [n["at_ms"] for n in notes]
     for key, times in ran.items():
         times.sort()
         if any(b - a < 60000 for a, b in pairwise(times)):
@@ -35,6 +39,7 @@
 
 
 def lookups_right(found):
+    """Yield breaches: lookups with somebody else's answer."""
     for ask in found.values():
         if ask.kind != "lookups" or ask.status != 200:
             continue
@@ -43,6 +48,7 @@
 
 
 def streams_right(found, by_run):
+    """Yield breaches: streams that skip, repeat, mix or end early."""
     for ask in found.values():
         if ask.kind != "turns" or ask.status != 200:
             continue
@@ -62,10 +68,11 @@
 
 
 def budgets(found, runs):
+    """Yield breaches: programs that got more than their budget."""
     spent, most = defaultdict(int), {}
     for ask in found.values():
         if ask.kind == "turns" and ask.status == 200:
-            shape = lane_of(ask.tenant, ask.lane)
+            shape = route_of(ask.tenant, ask.route)
             key = (ask.tenant, ask.document["program"])
             spent[key] += sum(line.get("units", 0) for line in ask.lines if "piece" in line)
             turn = max([shape["max_output"], *(n.get("max_output") or 0 for n in runs[ask.request])])
@@ -76,6 +83,7 @@
 
 
 def leaving(runner_notes, drains, grace_ms=3000):
+    """Yield breaches: work sent to a runner after it was drained."""
     gone = dict(drains)
     for note in runner_notes:
         if note["kind"] == "changed" and note["leaving"]:
@@ -91,14 +99,16 @@
 
 
 def cut_mid_answer(found, runs):
+    """Yield breaches: answers cut off in planned work."""
     for ask in found.values():
         if ask.status == 200 and not ask.whole:
             yield Breach("dropped", f"{ask.request} was cut in its answer")
         if ask.status == 0 and ask.answered_ms and runs.get(ask.request):
-            yield Breach("dropped", f"{ask.request} ran and its link was cut: {fault_of(ask)}")
+            yield Breach("dropped", f"{ask.request} ran and its link was cut: {error_of(ask)}")
 
 
 def ran_by(runner_notes):
+    """Return (runs by request, run by id)."""
     runs, by_run = defaultdict(list), {}
     for note in runner_notes:
         if note["kind"] == "ran":
@@ -108,6 +118,7 @@
 
 
 def judge(caller_notes, runner_notes, drains=(), planned=False):
+    """Return all breaches; planned: no answer may be cut off."""
     found = asks(caller_notes)
     runs, by_run = ran_by(runner_notes)
     return [
@@ -124,9 +135,10 @@
 
 
 def summary(caller_notes):
+    """Return counts of results and latencies in milliseconds."""
     found, tally = asks(caller_notes), defaultdict(int)
     took = sorted(a.answered_ms - a.asked_ms for a in found.values() if a.status == 200)
     for ask in found.values():
-        tally[fault_of(ask) or ("served" if ask.status == 200 else f"status {ask.status}")] += 1
+        tally[error_of(ask) or ("served" if ask.status == 200 else f"status {ask.status}")] += 1
     spot = {p: took[min(len(took) - 1, int(len(took) * p / 100))] for p in (50, 95, 99)} if took else {}
-    return {"asked": len(found), "verdicts": dict(tally), "took_ms": spot, "most_ms": took[-1] if took else None}
+    return {"asked": len(found), "results": dict(tally), "took_ms": spot, "most_ms": took[-1] if took else None}
