--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/asking.py
@@ -46,6 +46,8 @@
     if traced(leaf):
         handed_in(leaf, op, asked.answer)
     send(leaf, asked)
+    if leaf.ticker is not None:
+        leaf.ticker.wake(due_ms_of(asked) - now)
     return asked.answer
 
 
@@ -94,8 +96,19 @@
     asked.answer.callback(Ok(decode(message.verdict)))
 
 
+def due_ms_of(asked):
+    """When something is to be done about one that is open."""
+    resend_ms = asked.sent_ms + RESEND_MS
+    return resend_ms if asked.must else min(resend_ms, asked.until_ms)
+
+
+def due_ms(leaf):
+    """When `tend` has something to do next, on this daemon's clock; None if nothing is open."""
+    return min(map(due_ms_of, asking(leaf).open.values()), default=None)
+
+
 def tend(leaf):
-    """Called every few ten ms."""
+    """Send again what is undecided, and give up what has waited long enough."""
     state, now = asking(leaf), now_ms(leaf)
     for asked in list(state.open.values()):
         if now >= asked.until_ms and not asked.must:
--- a/frostpost/cluster/context.py
+++ b/frostpost/cluster/context.py
@@ -33,6 +33,7 @@
         "lag_ms",
         "parts",
         "extras",
+        "ticker",
     )
 
     def __init__(self, settings, reactor, place, machine=Machine()):
@@ -41,7 +42,7 @@
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
         self.leaving, self.flights, self.calls, self.tasks = False, 0, 0, []
-        self.hook, self.asking = {}, None
+        self.hook, self.asking, self.ticker = {}, None, None
         self.life, self.front, self.lag_ms, self.parts, self.extras = None, None, 0.0, {}, {}
 
 
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -49,10 +49,17 @@
         founding.waiting.setdefault(name, now_ms(leaf))
 
 
-def tend(leaf):
+def pending(leaf):
+    """Whether this daemon has a charter to make."""
     founding = leaf.extras.get("founding")
-    if founding is None or leaf.charter or founding.writing or not founder(leaf):
+    return founding is not None and not leaf.charter and not founding.writing and founder(leaf)
+
+
+def tend(leaf):
+    """Make the charter once the storage daemons have stopped coming."""
+    if not pending(leaf):
         return
+    founding = leaf.extras["founding"]
     waiting = founding.waiting
     if not waiting or now_ms(leaf) - max(waiting.values()) < STILL_MS:
         return
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -1,16 +1,15 @@
 """An edge or core daemon put together, from its settings to its end."""
 
-from twisted.internet.task import LoopingCall
-
 from frostpost.daemon.links import listen, sender
 from frostpost.daemon.news import say
+from frostpost.daemon.ticker import Ticker
 from frostpost.daemon.waiting import until
 from frostpost.turn_store import client as turn_store_client
 from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 
 from . import asking, founding, lease, peers, status
-from .context import Leaf
+from .context import Leaf, now_ms
 
 RING = "storage"
 TEND_S = 0.05
@@ -80,16 +79,22 @@
     founding.tend(leaf)
 
 
-def loop(owner, job, every_s, fail):
-    task = LoopingCall(job)
-    task.clock = owner.reactor
+def due_in_ms(leaf):
+    """How long `tend` will have nothing to do, unless something is asked meanwhile."""
+    if founding.pending(leaf):
+        return 0
+    asked_ms, lease_ms = asking.due_ms(leaf), lease.due_ms(leaf)
+    return (lease_ms if asked_ms is None else min(asked_ms, lease_ms)) - now_ms(leaf)
+
 
+def start_ticker(leaf, stop):
     def broken(failure):
         say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
-        fail(70)
+        stop(70)
 
-    task.start(every_s, now=False).addErrback(broken)
-    return task
+    leaf.ticker = Ticker(leaf.reactor, TEND_S, lambda: tend(leaf), lambda: due_in_ms(leaf), broken)
+    leaf.ticker.start()
+    leaf.tasks.append(leaf.ticker)
 
 
 def start_leaf(leaf, front, stop):
@@ -101,7 +106,7 @@
         leaf.extras["ports"] = ports
         for address in leaf.extras["peers"].addresses if "peers" in leaf.extras else ():
             leaf.links["send"](f"@{address}", Hello())
-        leaf.tasks.append(loop(leaf, lambda: tend(leaf), TEND_S, stop))
+        start_ticker(leaf, stop)
         if leaf.settings.front and leaf.settings.list_host:
             from frostpost.proxy import roster
 
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -68,6 +68,16 @@
             leaf.links["send"](f"@{seed}", Hello())
 
 
+def due_ms(leaf):
+    """When `tend` has something to do next, on this daemon's clock."""
+    held = session(leaf)
+    every_ms, seek_ms = leaf.settings.lease_ms // RENEWS, leaf.settings.lease_ms // SEEKS
+    lost_ms = held.heard_ms + 2 * every_ms + 1
+    if now_ms(leaf) < lost_ms:
+        return min(held.renewed_ms + every_ms, lost_ms)
+    return min(held.renewed_ms + seek_ms, held.greeted_ms + (4 * every_ms if leaf.directory else seek_ms))
+
+
 def renew(leaf):
     held, now = session(leaf), now_ms(leaf)
     held.renewed_ms = now
--- a/frostpost/cluster/replica.py
+++ b/frostpost/cluster/replica.py
@@ -33,6 +33,7 @@
         "peers",
         "leaves",
         "greeted",
+        "seeking",
     )
 
     def __init__(self, ctx, settings, stop):
@@ -40,6 +41,7 @@
         self.sessions, self.background = serving.Sessions(), tenders.VoterChanges()
         self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
         self.turn_store, self.send, self.records, self.waiting, self.charter = None, None, [], True, ()
+        self.seeking = None
 
 
 class Crash(Struct):
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -44,7 +44,7 @@
         disk_bytes=settings.disk_mb * 600000 or 1 << 30,
     )
     ctx.links = {
-        "applied": lambda: serving.follow(ctx, replica.sessions),
+        "applied": lambda: applied(replica),
         "news": lambda frm, body: None,
         "heard": lambda frm, news: None,
     }
@@ -64,7 +64,7 @@
     log = replay(replica.records)
     if log.primary != NOWHERE or not replica.settings.first_start:
         begin(replica, ())
-    loop(replica, lambda: seek_charter(replica), 0.1)
+    replica.seeking = loop(replica, lambda: seek_charter(replica), 0.1)
 
 
 def fallen(replica):
@@ -84,34 +84,59 @@
     )
     replica.records = []
     ctx.disk.write(out.writes)
-    loop(replica, lambda: heart.beat(ctx), heart.TICK_MS / 1000)
-    loop(replica, ctx.disk.watch, 0.1)
+    heart.start_ticker(ctx, broken(replica))
+    replica.tasks.append(ctx.ticker)
+    loop(replica, lambda: watch(replica), 0.1)
+    loop(replica, lambda: change_voters(replica), 0.1)
     loop(replica, lambda: tick_ledger(ctx), settings.tick_ms / 1000)
     loop(replica, lambda: repair(replica), 0.2)
-    loop(replica, lambda: tenders.tend(ctx, replica.background, 2 * settings.tolerated + 1, settings.catch_up_ms), 0.15)
+    loop(replica, lambda: keep_addresses(replica), 1.0)
     loop(replica, lambda: tidy(replica), 10.0)
-    loop(replica, lambda: peers.keep(replica.peers, ctx.core.synchrony), 1.0)
-    loop(replica, lambda: greet(replica), 0.03)
-    loop(replica, lambda: keep_leaves(replica), 1.0)
     say("started", name=settings.name, founding=list(charter))
 
 
-def loop(replica, job, every_s):
-    task = LoopingCall(job)
-    task.clock = replica.reactor
+def broken(replica):
+    """What ends this daemon when one of its jobs fails."""
 
-    def broken(failure):
+    def failed(failure):
         say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         replica.stop(70)
 
-    task.start(every_s, now=False).addErrback(broken)
+    return failed
+
+
+def loop(replica, job, every_s):
+    task = LoopingCall(job)
+    task.clock = replica.reactor
+    task.start(every_s, now=False).addErrback(broken(replica))
     replica.tasks.append(task)
+    return task
 
 
 def seek_charter(replica):
-    if replica.waiting:
-        for seed in replica.settings.seeds:
-            replica.ctx.links["send"](f"@{seed}", Hello())
+    """Ask the seeds for the charter, until this daemon has begun."""
+    if not replica.waiting:
+        replica.seeking.stop()
+        return
+    for seed in replica.settings.seeds:
+        replica.ctx.links["send"](f"@{seed}", Hello())
+
+
+def watch(replica):
+    """See whether the disk is well, and whether an opening was missed."""
+    replica.ctx.disk.watch()
+    greet(replica)
+
+
+def change_voters(replica):
+    settings = replica.settings
+    return tenders.tend(replica.ctx, replica.background, 2 * settings.tolerated + 1, settings.catch_up_ms)
+
+
+def applied(replica):
+    """An operation was applied: tell the leaves of a new routing, and of an opening."""
+    serving.follow(replica.ctx, replica.sessions)
+    greet(replica)
 
 
 def repair(replica):
@@ -144,6 +169,12 @@
         replica.send(address, Directory(places))
 
 
+def keep_addresses(replica):
+    """Keep on disk where the other daemons are."""
+    peers.keep(replica.peers, replica.ctx.core.synchrony)
+    keep_leaves(replica)
+
+
 def keep_leaves(replica):
     """Addresses of leaves heard of late, by the sequencer as renewals come, by the others from what it greets."""
     now = clock_ms(replica.ctx)
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -43,6 +43,7 @@
         "ticked_ms",
         "calls",
         "channels",
+        "ticker",
     )
 
     def __init__(self, settings, reactor, place, machine=Machine()):
@@ -53,7 +54,7 @@
         self.waiters, self.links, self.lanes, self.statuses = {}, {}, {}, {}
         self.key_waiters, self.counts, self.hook, self.documents = {}, {}, {}, {}
         self.honoured = self.need_config = self.flights = self.calls = 0
-        self.channels = {}
+        self.channels, self.ticker = {}, None
         self.list_ms = self.tick_ms = self.pruned_ms = self.listed_ms = 0
         self.retries, self.lag_ms, self.corrupt = 10.0, 0.0, None
         self.started_ms = self.ticked_ms = clock_ms(self)
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -15,11 +15,13 @@
     Received,
     Tick,
 )
+from frostpost.virtual_synchrony.due import due_ms, unsettled
 from frostpost.virtual_synchrony.words import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
 
 from . import core as cores
 from .context import clock_ms, count
 from .news import say
+from .ticker import Ticker
 
 TICK_MS = 20
 ENDS = (Settle, Release, Finish, Unclaim, End, Abort, Resolve, Disclaim)
@@ -48,6 +50,8 @@
                 answered(ctx, answer)
     finally:
         ctx.stepping = False
+    if ctx.ticker is not None and unsettled(ctx.core.synchrony):
+        ctx.ticker.wake()
 
 
 def answered(ctx, answer):
@@ -143,3 +147,17 @@
     ctx.ticked_ms = now
     ctx.lag_ms = max(late_ms, ctx.lag_ms * 0.9)
     tick(ctx)
+
+
+def start_ticker(ctx, failed):
+    """Tick whenever the core has something to do; failed(failure) is told of an error, which ends it."""
+
+    def late_tick():
+        ctx.lag_ms = max(ctx.ticker.late_ms, ctx.lag_ms * 0.9)
+        tick(ctx)
+
+    def due_in_ms():
+        return due_ms(ctx.core.synchrony) - clock_ms(ctx)
+
+    ctx.ticker = Ticker(ctx.reactor, TICK_MS / 1000, late_tick, due_in_ms, failed)
+    ctx.ticker.start()
--- /dev/null
+++ b/frostpost/virtual_synchrony/due.py
@@ -0,0 +1,38 @@
+"""When a replica's next Tick has something to do; a Tick before that time changes nothing and may be left out."""
+
+from .settling import lacking
+
+
+def unsettled(synchrony):
+    """Whether something is under way that every tick looks after.
+
+    Besides what is open (a proposal, a recovery, a primary that isn't open, a log that is being fetched, operations
+    that aren't ordered or acknowledged yet), this holds from any change in what is known of the peers until the
+    next tick has judged it, and while the members wished for aren't those of the configuration.
+    """
+    order, primary = synchrony.order, synchrony.primary
+    return bool(
+        synchrony.changed
+        or synchrony.leaving
+        or synchrony.unwell
+        or synchrony.proposal is not None
+        or synchrony.recovery is not None
+        or not primary.opened
+        or synchrony.outbox
+        or order.unsent
+        or order.fanned > order.safe
+        or synchrony.desired != synchrony.configuration.members
+        or synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms
+        or lacking(synchrony)
+    )
+
+
+def due_ms(synchrony):
+    """The time of the next tick that does something, as far as is known now."""
+    if unsettled(synchrony):
+        return synchrony.now_ms
+    bounds = synchrony.bounds
+    times = [synchrony.beat_ms + bounds.beat_ms, synchrony.roster_ms + bounds.detect_ms]
+    for peer in synchrony.peers.values():
+        times += [peer.heard_ms + bounds.detect_ms, peer.shunned_ms]
+    return min(at_ms for at_ms in times if at_ms > synchrony.ticked_ms)
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -148,6 +148,8 @@
     leaving: bool = False
     counts: dict[str, int] = {}
     news: dict[str, int] = {}
+    changed: bool = True
+    ticked_ms: int = -(1 << 40)
 
     @property
     def me(self):
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -39,7 +39,7 @@
             ordering.synced(synchrony, out, up_to)
             recovery.settle(synchrony, out)
         case Stalled(_, unwell):
-            synchrony.unwell = unwell
+            synchrony.unwell, synchrony.changed = unwell, True
         case Left():
             synchrony.leaving = True
             watch.beat(synchrony, out)
@@ -51,6 +51,7 @@
 def overslept(synchrony, now_ms):
     if now_ms - synchrony.now_ms > synchrony.bounds.detect_ms:
         count(synchrony, "overslept")
+        synchrony.changed = True
         for peer in synchrony.peers.values():
             peer.heard_ms = peer.granted_ms = -(1 << 40)
             peer.hears = frozenset()
@@ -78,16 +79,16 @@
         return False
     peer = synchrony.peers.get(name)
     if peer is None:
-        synchrony.peers[name] = Peer(place)
+        synchrony.peers[name], synchrony.changed = Peer(place), True
         synchrony.beat_ms = -(1 << 40)
     elif peer.place.member.boot != place.member.boot:
         if place.member in peer.past and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
             count(synchrony, "past_boot")
             return False
-        synchrony.peers[name] = Peer(place, past=(peer.past | {peer.place.member}))
+        synchrony.peers[name], synchrony.changed = Peer(place, past=(peer.past | {peer.place.member})), True
         synchrony.beat_ms = -(1 << 40)
     elif peer.place != place:
-        peer.place = place
+        peer.place, synchrony.changed = place, True
     return True
 
 
@@ -102,6 +103,7 @@
     ordering.remind(synchrony, out)
     ordering.flush(synchrony, out, force=True)
     settling.fetch(synchrony, out)
+    synchrony.changed, synchrony.ticked_ms = False, synchrony.now_ms
 
 
 def say_roster(synchrony, out):
@@ -118,10 +120,12 @@
 
 
 def rostered(synchrony, frm, message):
-    synchrony.peers[frm].leaving = message.leaving
+    peer = synchrony.peers[frm]
+    if peer.leaving != message.leaving:
+        peer.leaving, synchrony.changed = message.leaving, True
     for place in message.places:
         if place.member.name not in synchrony.peers and place.member.name != synchrony.name:
-            synchrony.peers[place.member.name] = Peer(place)
+            synchrony.peers[place.member.name], synchrony.changed = Peer(place), True
 
 
 def received(synchrony, out, frm, body):
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -59,11 +59,14 @@
 
 def beaten(synchrony, out, frm, message):
     peer = synchrony.peers[frm]
+    before = alive(synchrony, peer), peer.hears
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
     peer.hears = frozenset(message.hears)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
     peer.news = message.news
+    if before != (alive(synchrony, peer), peer.hears):
+        synchrony.changed = True
     agreed = message.configuration == synchrony.configuration.id == message.promised
     if agreed and message.echo_ms > peer.granted_ms:
         peer.granted_ms = message.echo_ms
