--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -54,7 +54,7 @@
 
 def told_by_disk(replica, lost):
     say(type(lost).__name__, what="turn_store")
-    if isinstance(lost, write_ahead_logs.SyncLost):
+    if isinstance(lost, write_ahead_logs.SyncLostError):
         replica.stop(70)
 
 
@@ -146,7 +146,7 @@
         for p in ctx.core.synchrony.peers.values()
         if p.place.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
-    turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers)
+    turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
     ctx.core.synchrony.news = {tenders.MISSING: replica.turn_store.missing}
 
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -10,12 +10,50 @@
 from frostpost.proxy.words import Call, Runner
 
 ROOT = Path(__file__).parent.parent
-NAMES = """X-Attempt-Id X-Time-Remaining X-Operation-Key X-Target-Instance X-Server-Seal X-Not-Executed X-Instance-Load
-X-Instance-Id X-Program-Id X-Session-Id X-Program-Deadline X-Token-Budget X-Token-Count X-Prompt-Prefix X-Previous-Turn
-X-Base-Revision Configuration.Replace Configuration.Modify Configuration.Query Retire.Initiate Retire.Query FROSTPOST_BOOT
-route-table service-table guard-ms path-prefix route-class port-range bind-addresses initial-start machine-class
-page-token next-token cloud-api data-dir self-dedup token-budget target-latency-ms gap-target-ms retention-s
-catch-up-s frostpost/readiness""".split()
+NAMES = [
+    "X-Attempt-Id",
+    "X-Time-Remaining",
+    "X-Operation-Key",
+    "X-Target-Instance",
+    "X-Server-Seal",
+    "X-Not-Executed",
+    "X-Instance-Load",
+    "X-Instance-Id",
+    "X-Program-Id",
+    "X-Session-Id",
+    "X-Program-Deadline",
+    "X-Token-Budget",
+    "X-Token-Count",
+    "X-Prompt-Prefix",
+    "X-Previous-Turn",
+    "X-Base-Revision",
+    "Configuration.Replace",
+    "Configuration.Modify",
+    "Configuration.Query",
+    "Retire.Initiate",
+    "Retire.Query",
+    "FROSTPOST_BOOT",
+    "route-table",
+    "service-table",
+    "guard-ms",
+    "path-prefix",
+    "route-class",
+    "port-range",
+    "bind-addresses",
+    "initial-start",
+    "machine-class",
+    "page-token",
+    "next-token",
+    "cloud-api",
+    "data-dir",
+    "self-dedup",
+    "token-budget",
+    "target-latency-ms",
+    "gap-target-ms",
+    "retention-s",
+    "catch-up-s",
+    "frostpost/readiness",
+]
 RUNNER = Runner(id="i-1", service="s1", host="10.0.0.1", port=80, zone="a", slots=4)
 CALL = Call(
     attempt="a1",
@@ -88,6 +126,16 @@
     assert not head(503).not_run and not head(500).not_run
 
 
+@pytest.mark.parametrize("seals", [[], [b""], [b"s", b"t"], [b"s", b"s"]])
+def test_only_one_seal_that_says_something_is_a_seal(seals):
+    assert not wire().read_head(200, [(b"X-Server-Seal", seal) for seal in seals]).sealed
+
+
+def test_two_ids_of_an_attempt_fit_none():
+    found = wire().read_head(200, [(b"X-Attempt-Id", b"a1"), (b"x-attempt-id", b"a0")])
+    assert found.attempt not in ("", "a0", "a1")
+
+
 @pytest.mark.parametrize("value", [b"", b"1,2", b"a,b,c", b"-1,0,8"])
 def test_a_load_that_cannot_be_read_is_none(value):
     assert head(200, X_Instance_Load=value).load is None
@@ -119,7 +167,7 @@
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"instances":7}', b'{"instances":[', b"\xff"])
 def test_what_is_no_page_is_told(body):
-    with pytest.raises(listing.ListBroken):
+    with pytest.raises(listing.ListBrokenError):
         listing.read_page(body)
 
 
