--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -25,14 +25,26 @@
     until_ms: int
 
 
+class Survey(Struct, frozen=True):
+    """The agents whose lease runs: how many, the versions that they honour, and when the first such lease may end."""
+
+    count: int
+    versions: frozenset[int]
+    until_ms: int
+
+
 class Sessions(Struct):
-    """version_ms: when the routing in force here became so. draining: runners, and until when that is told."""
+    """version_ms: when the routing in force here became so. draining: runners, and until when that is told.
+
+    survey: the last one taken; None once an agent told of another version or boot, or got a lease anew.
+    """
 
     leaves: dict[str, LeafSeen] = {}
     working: set[tuple[str, int, int]] = set()
     version: int = 0
     version_ms: int = 0
     draining: dict[str, int] = {}
+    survey: Survey | None = None
 
 
 def sequencing(ctx):
@@ -56,11 +68,15 @@
     address = f"@{place.host}:{place.port}"
     if seen is None or seen.boot != place.member.boot:
         seen = LeafSeen(address, place.member.boot, message.version, now - 1)
-        sessions.leaves[place.member.name] = seen
-    seen.address, seen.version = address, max(seen.version, message.version)
+        sessions.leaves[place.member.name], sessions.survey = seen, None
+    if message.version > seen.version:
+        seen.version, sessions.survey = message.version, None
+    seen.address = address
     left_ms = lease_remaining_ms(synchrony, now)
     graced = seen.until_ms > now and now - sessions.version_ms <= synchrony.bounds.lease_ms * GRACE_RATIO
     lease_ms = left_ms if seen.version >= held or graced else 0
+    if seen.until_ms <= now < now + lease_ms:
+        sessions.survey = None
     seen.until_ms = max(seen.until_ms, now + lease_ms)
     epoch = synchrony.configuration.id.epoch
     places = (
@@ -83,7 +99,7 @@
         honoured(ctx, sessions),
         epoch,
         places,
-        sum(s.until_ms > now for s in sessions.leaves.values()),
+        survey_of(sessions, now).count,
         drained(sessions, message.draining, now),
     )
 
@@ -121,8 +137,18 @@
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return 0
-    running = [s.version for s in sessions.leaves.values() if s.until_ms > now]
-    return min([ctx.core.ledger.program_ledger.routing_version, *running])
+    return min([ctx.core.ledger.program_ledger.routing_version, *survey_of(sessions, now).versions])
+
+
+def survey_of(sessions, now):
+    """The survey that holds now: a new one is taken only if an agent changed or a lease may have ended."""
+    survey = sessions.survey
+    if survey is None or now >= survey.until_ms:
+        running = [seen for seen in sessions.leaves.values() if seen.until_ms > now]
+        versions = frozenset(seen.version for seen in running)
+        until_ms = min((seen.until_ms for seen in running), default=now)
+        survey = sessions.survey = Survey(len(running), versions, until_ms)
+    return survey
 
 
 def received(ctx, sessions, place, body):
