--- a/frostpost/ledger/duties.py
+++ b/frostpost/ledger/duties.py
@@ -46,12 +46,12 @@
 
 
 def owed(ledger, me):
-    if me.name not in electors(ledger):
+    """(duty, round, nominee) of each vacant duty on which this member has yet to vote."""
+    vacant = [(name, duty) for name, duty in ledger.duties.items() if duty.holder is None]
+    if not vacant or me.name not in electors(ledger):
         return []
     return [
-        (name, duty.round, nominee(ledger, name, duty.round))
-        for name, duty in ledger.duties.items()
-        if duty.holder is None and me.name not in duty.ballots
+        (name, duty.round, nominee(ledger, name, duty.round)) for name, duty in vacant if me.name not in duty.ballots
     ]
 
 
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -18,15 +18,19 @@
 def push(synchrony, out):
     if not synchrony.primary.opened or synchrony.recovery or not synchrony.outbox:
         return
-    first = max(synchrony.submitted + 1, min(synchrony.outbox))
+    floor = first_open(synchrony)
+    first = max(synchrony.submitted + 1, floor)
     payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.number + 1))
     if payloads:
-        if synchrony.submitted < min(synchrony.outbox):
+        if synchrony.submitted < floor:
             synchrony.outbox_ms = synchrony.now_ms
         synchrony.submitted = synchrony.number
-        out.sends.append(
-            (sequencer(synchrony), Submit(synchrony.configuration.id, min(synchrony.outbox), first, payloads))
-        )
+        out.sends.append((sequencer(synchrony), Submit(synchrony.configuration.id, floor, first, payloads)))
+
+
+def first_open(synchrony):
+    """The lowest number in the outbox, which must not be empty; numbers are put in in rising order."""
+    return next(iter(synchrony.outbox))
 
 
 def submitted(synchrony, out, frm, sender, message):
@@ -115,10 +119,12 @@
         return
     order.acks[frm] = message.top
     order.sent_ms[frm] = synchrony.now_ms
-    mark = min(order.acks.get(n, 0) for n in names(synchrony.configuration))
-    if mark > order.safe:
-        for name in names(synchrony.configuration):
-            out.sends.append((name, Safe(synchrony.configuration.id, mark)))
+    members = names(synchrony.configuration)
+    if any(order.acks.get(name, 0) <= order.safe for name in members):
+        return
+    mark = min(order.acks[name] for name in members)
+    for name in members:
+        out.sends.append((name, Safe(synchrony.configuration.id, mark)))
 
 
 def safened(synchrony, out, message):
@@ -158,7 +164,7 @@
     if synchrony.primary.ready and not synchrony.primary.opened:
         say_ready(synchrony, out)
     if synchrony.outbox and synchrony.now_ms - synchrony.outbox_ms >= synchrony.bounds.resend_ms:
-        synchrony.submitted = min(synchrony.outbox) - 1
+        synchrony.submitted = first_open(synchrony) - 1
         count(synchrony, "handed_in_again")
         push(synchrony, out)
     if sequencer(synchrony) != synchrony.name:
--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -128,8 +128,8 @@
     synchrony.log.settled = max(synchrony.log.settled, min(entry.index, synchrony.log.length))
     out.answers.append(Applied(entry))
     if entry.sender == synchrony.me and entry.number:
-        for number in [n for n in synchrony.outbox if n <= entry.number]:
-            del synchrony.outbox[number]
+        while synchrony.outbox and (first := next(iter(synchrony.outbox))) <= entry.number:
+            del synchrony.outbox[first]
             synchrony.outbox_ms = synchrony.now_ms
     if entry.ordinal == 1 and entry.configuration == synchrony.configuration.id:
         unlatch(synchrony)
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -60,19 +60,34 @@
 
 
 def loop(synchrony, out):
+    me = synchrony.name
     while True:
-        mine = [body for name, body in out.sends if name == synchrony.name]
-        out.sends = [s for s in out.sends if s[0] != synchrony.name]
+        mine = [body for name, body in out.sends if name == me]
+        if mine:
+            out.sends = [s for s in out.sends if s[0] != me]
         replays, synchrony.replays = synchrony.replays, []
         for body in mine:
-            received(synchrony, out, synchrony.name, body)
+            received(synchrony, out, me, body)
         for frm, body in replays:
             received(synchrony, out, frm, body)
         ordering.flush(synchrony, out)
-        if not any(name == synchrony.name for name, _ in out.sends) and not synchrony.replays:
+        if not any(name == me for name, _ in out.sends) and not synchrony.replays:
+            out.sends = without_superseded(out.sends)
             return
 
 
+def without_superseded(sends):
+    """The sends without each Safe after which the same receiver gets a Batch of as high a mark."""
+    batches = {(to, body.id): body.safe for to, body in sends if isinstance(body, Batch)}
+    if not batches:
+        return sends
+    return [(to, body) for to, body in sends if not (isinstance(body, Safe) and superseded(batches, to, body))]
+
+
+def superseded(batches, to, message):
+    return batches.get((to, message.id), -1) >= message.mark
+
+
 def meet(synchrony, place):
     name = place.member.name
     if name == synchrony.name:
