--- a/tests/fleet_simulator/judge.py
+++ b/tests/fleet_simulator/judge.py
@@ -5,6 +5,7 @@
 
 from .http import events_of
 from .notes import Broken
+from .routes import MOST_ATTEMPTS
 from .runners import EVENT_TOKENS
 
 PROMISES = (408, 421, 429, 503)
@@ -201,3 +202,11 @@
         listless = any(t.from_ms <= run.at_ms and t.until_ms >= at_ms for t in world.notes.list_troubles)
         if not listless and in_touch(world, request.edge, run.at_ms):
             yield Broken("DRAIN", f"{run.try_id} reached {run.runner} {round(run.at_ms - at_ms)} ms after it was shown")
+
+
+def overrun(runs_of, tries):
+    """BUDGET: a try that ran at more runners than its route allows."""
+    for name, runs in runs_of.items():
+        runners = {run.runner for run in runs}
+        if name in tries and len(runners) > MOST_ATTEMPTS:
+            yield Broken("BUDGET", f"{name} {tries[name].uri} ran at {sorted(runners)}")
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -10,7 +10,8 @@
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import turns
 from frostpost.program_ledger.words import Claim, Claimed, End, RoutingSet, SetRouting
-from frostpost.proxy import pool, sending, serve, stream, turn
+from frostpost.proxy import lookup, pool, sending, serve, stream, turn
+from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
 from frostpost.virtual_synchrony import recovery, settling
@@ -87,6 +88,13 @@
     return [(stream, "may_resume", may_resume), (stream, "attempts_for", attempts_for)]
 
 
+def attempts_unbounded():
+    def attempts_for(route, repeatable):
+        return Attempts(9 if repeatable else 1, 9)
+
+    return [(lookup, "attempts_for", attempts_for), (stream, "attempts_for", attempts_for)]
+
+
 def tokens_forgotten():
     kept = turns.close
 
@@ -124,6 +132,7 @@
     "echo_unread": echo_unread,
     "cut_ended": cut_ended,
     "resumed_always": resumed_always,
+    "attempts_unbounded": attempts_unbounded,
     "tokens_forgotten": tokens_forgotten,
     "every_voter": every_voter,
     "unordered_ack": unordered_ack,
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -96,6 +96,7 @@
     return [
         *judge.twice(world, runs_of, tries),
         *judge.promised(runs_of, tries),
+        *judge.overrun(runs_of, tries),
         *judge.mixed(world, runs_of, tries),
         *judge.budgets(tries),
         *judge.unasked(world, tries),
--- a/tests/fleet_simulator/routes.py
+++ b/tests/fleet_simulator/routes.py
@@ -4,6 +4,7 @@
 
 HOST = "h.example"
 KEEP_S = 20.0
+MOST_ATTEMPTS = 2
 SERVICES = ("model", "model2", "tools", "tools2")
 KINDS = {"/chat/": "streaming", "/free/": "streaming", "/safe/": "safe", "/unsafe/": "unsafe", "/keyed/": "idempotent"}
 
@@ -18,7 +19,7 @@
         "target-latency-ms": 400,
         "precedence": 1,
         "target": target,
-        "max-attempts": 2,
+        "max-attempts": MOST_ATTEMPTS,
         **more,
     }
 
--- a/tests/test_fleet_simulator_plants.py
+++ b/tests/test_fleet_simulator_plants.py
@@ -8,6 +8,7 @@
     "echo_unread": ("MIXED", [2, 1], {}),
     "cut_ended": ("ORDER", [1], {}),
     "resumed_always": ("ORDER", [1, 2, 3, 4], {}),
+    "attempts_unbounded": ("BUDGET", [1, 2, 3, 4], {}),
     "tokens_forgotten": ("BUDGET", [1], {}),
     "end_unawaited": ("LOST", [1, 2, 3], {"closing": "power"}),
     "chain_reversed": ("UNASKED", [1], {}),
