--- a/frostpost/admin/main.py
+++ b/frostpost/admin/arguments.py
@@ -1,14 +1,10 @@
-"""The operators' command line."""
+"""Arguments of the operators' commands."""
 
-import sys
 from typing import Annotated
 
 import cappa
 from msgspec import Struct
 
-from . import configs, doctor, fleet, pasts, sights
-from .asking import Door
-
 DOOR = Annotated[str, cappa.Arg(long="--door", help="IP:port of any daemon", default=cappa.Env("FROSTPOST_DOOR"))]
 TEXT = Annotated[bool, cappa.Arg(long="--json", help="print JSON instead of text")]
 
@@ -60,7 +56,7 @@
     json: TEXT = False
 
 
-@cappa.command(name="remove", help="Remove one configuration; a template in use is turned away.")
+@cappa.command(name="remove", help="Remove one configuration; a template in use is refused.")
 class Remove(Struct, kw_only=True):
     """Arguments of remove."""
 
@@ -103,7 +99,7 @@
     json: TEXT = False
 
 
-@cappa.command(name="explain", help="Print why a runner would be selected for a route.")
+@cappa.command(name="explain", help="Print why a runner would be chosen for a route.")
 class Explain(Struct, kw_only=True):
     """Arguments of explain."""
 
@@ -144,51 +140,10 @@
     json: TEXT = False
 
 
-@cappa.command(name="admin", help="The operators' command for frostpost.")
-class Pruner(Struct):
-    """The operators' command with its subcommands."""
+@cappa.command(name="admin", help="Change and show configurations, runners, voters and members of a fleet.")
+class Admin(Struct):
+    """Arguments of admin: one of its subcommands."""
 
     command: cappa.Subcommands[
-        Apply
-        | Diff
-        | Get
-        | History
-        | Rollback
-        | Remove
-        | Drain
-        | Status
-        | Members
-        | Runners
-        | Explain
-        | Voters
-        | Doctor
-        | Fleet
+        Apply | Diff | Get | History | Rollback | Remove | Drain | Status | Members | Runners | Explain | Voters | Fleet
     ]
-
-
-ACTS = {
-    Apply: configs.apply,
-    Diff: configs.diff,
-    Get: configs.get,
-    History: pasts.history,
-    Rollback: pasts.rollback,
-    Remove: pasts.remove,
-    Drain: sights.drain,
-    Status: sights.status,
-    Members: sights.members,
-    Runners: sights.runners,
-    Explain: sights.explain,
-    Voters: sights.voters,
-    Doctor: doctor.run,
-    Fleet: fleet.run,
-}
-
-
-def main():
-    """Run the command line; returns the exit status."""
-    command = cappa.parse(Pruner).command
-    return ACTS[type(command)](command, Door(getattr(command, "door", "")))
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- /dev/null
+++ b/frostpost/app/__init__.py
@@ -0,0 +1,1 @@
+"""Assembly of a daemon of the own HTTP interface."""
--- a/frostpost/daemon/assembly.py
+++ b/frostpost/app/assembly.py
@@ -9,6 +9,12 @@
 from frostpost.background.listing import list_
 from frostpost.background.runners import poll_all
 from frostpost.background.ticking import tick_ledger
+from frostpost.daemon import disk as disks
+from frostpost.daemon.context import Context, clock_ms
+from frostpost.daemon.core import begin
+from frostpost.daemon.heart import TICK_MS, beat
+from frostpost.daemon.links import listen, sender
+from frostpost.daemon.news import say
 from frostpost.http_api.app import build
 from frostpost.http_api.http_client import agent
 from frostpost.http_api.lookups import wake
@@ -16,13 +22,6 @@
 from frostpost.virtual_synchrony.memory import replay
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
 
-from . import disk as disks
-from .context import Context, clock_ms
-from .core import begin
-from .heart import TICK_MS, beat
-from .links import listen, sender
-from .news import say
-
 
 def read_hooks(ctx):
     """Read the test hooks that the settings name, if any."""
--- /dev/null
+++ b/frostpost/app/serve.py
@@ -0,0 +1,61 @@
+"""Run one daemon of the own HTTP interface from a settings file."""
+
+import sys
+from os import EX_CONFIG
+
+import cappa
+
+from frostpost.daemon import settings as checked
+from frostpost.daemon.life import Hand, make
+from frostpost.daemon.machine import Machine
+from frostpost.daemon.news import begin as begin_news
+from frostpost.daemon.news import say
+
+from .arguments import Serve
+from .assembly import assemble, raise_
+
+OVERRIDES = ("name", "role", "zone", "host", "port", "http_port", "data")
+
+
+def run(settings):
+    """Run a daemon until it stops; returns its exit status."""
+    import signal
+
+    from twisted.internet import reactor
+
+    reactor.seconds = Machine().seconds
+    ctx, site = assemble(settings, reactor, Machine())
+    hand = Hand(ctx, lambda: reactor.running and reactor.stop())
+    ctx.life = make(hand)
+
+    def fallen(failure):
+        say("ListenError", text=failure.getErrorMessage())
+        hand.status = 69
+        hand.stop()
+
+    reactor.callWhenRunning(raise_, ctx, site, hand, fallen)
+    reactor.addSystemEventTrigger(
+        "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(ctx.life.leave))
+    )
+    reactor.run(installSignalHandlers=True)
+    return hand.status
+
+
+def serve(command):
+    """Run the daemon that the settings file describes; returns its exit status."""
+    flags = {name: getattr(command, name) for name in OVERRIDES}
+    flags["seeds"] = command.seeds or None
+    result = checked.read(command.settings, flags)
+    if result.is_error():
+        error = result.error
+        print(f"{type(error).__name__}: {error.path}: {error.text}", file=sys.stderr)
+        return EX_CONFIG
+    if command.check:
+        print("settings are in order")
+        return 0
+    begin_news()
+    return run(result.ok)
+
+
+if __name__ == "__main__":
+    sys.exit(serve(cappa.parse(Serve)))
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -3,11 +3,11 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
+from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
-from frostpost.http_api.reading import gather
 from frostpost.ledger import duties
 from frostpost.ledger.operations import Runners
 from frostpost.ledger.records import Runner
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -3,10 +3,10 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
+from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
-from frostpost.http_api.reading import gather
 from frostpost.ledger.operations import Drain
 from frostpost.placement.judge import RunnerHealth
 
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -4,7 +4,6 @@
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
 
-from frostpost.http_api.errors import NoPrimary, Overfilled, Undecided
 from frostpost.ledger.operations import Finish, Release, Settle, Unclaim
 from frostpost.ledger.results import Reserved, Won
 from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
@@ -22,6 +21,7 @@
 
 from . import core as cores
 from .context import clock_ms, count
+from .errors import NoPrimary, Overfilled, Undecided
 from .news import say
 
 TICK_MS = 20
--- a/frostpost/http_api/forward.py
+++ b/frostpost/http_api/forward.py
@@ -9,11 +9,11 @@
 from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
+from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import lease_ok
 
 from .http_client import agent
-from .reading import gather
 
 SAID_BYTES = 4096
 
--- a/frostpost/simulator/main.py
+++ b/frostpost/simulator/sweep.py
@@ -1,13 +1,12 @@
-"""Command line of the simulation."""
+"""Play many storms of the simulation in parallel and print a summary."""
 
 import sys
 import time
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
-from typing import Annotated
+from os import EX_USAGE
 
-import cappa
-from msgspec import Struct, json
+from msgspec import json
 
 from . import whole
 from .blows import FAULTS
@@ -26,25 +25,6 @@
     return report
 
 
-@cappa.command(name="simulator", help="Play seeded storms against the daemons' core under a virtual clock.")
-class Weather(Struct, kw_only=True):
-    """Arguments of simulate."""
-
-    first: Annotated[int, cappa.Arg(long=True, help="first seed")] = 1
-    seeds: Annotated[int, cappa.Arg(long=True, help="how many seeds")] = 100
-    shape: Annotated[str, cappa.Arg(long=True, help=f"one of {', '.join(SHAPES)}")] = "quick"
-    kinds: Annotated[list[str], cappa.Arg(long="--kind", help=f"faults: {', '.join(FAULTS)}; all if not given")] = []
-    gap_ms: Annotated[int, cappa.Arg(long="--gap-ms", help="the longest wait between two faults")] = 2500
-    plant: Annotated[str, cappa.Arg(long=True, help=f"a fault planted in the code: {', '.join(PLANTS)}")] = ""
-    whole: Annotated[bool, cappa.Arg(long=True, help="the whole path: doors, callers, runners and list as well")] = (
-        False
-    )
-    planned: Annotated[bool, cappa.Arg(long=True, help="with --whole: planned work only, nothing may be dropped")] = (
-        False
-    )
-    workers: Annotated[int, cappa.Arg(long=True)] = 8
-
-
 def one_whole(job):
     """Play one storm of the whole-path simulation."""
     seed, shape, planned, gap_ms, kinds = job
@@ -82,15 +62,24 @@
     return 1 if broken else 0
 
 
-def main():
-    """Run the command line; returns the exit status."""
-    command = cappa.parse(Weather)
-    if command.whole and command.shape in SHAPES and set(command.kinds) <= set(whole.ALL):
-        return sweep_whole(command)
-    unknown = [k for k in command.kinds if k not in FAULTS]
-    if unknown or command.shape not in SHAPES or command.plant not in ("", *PLANTS):
-        print(f"UnknownWord: {unknown or command.shape} {command.plant}", file=sys.stderr)
-        return 64
+def unknown_words(command):
+    """Return what is unknown in the arguments, with the words that are known; an empty list if all is known."""
+    faults, plants = (whole.ALL, {}) if command.whole else (FAULTS, PLANTS)
+    checks = (([command.shape], SHAPES), (command.kinds, faults), ([command.plant] if command.plant else [], plants))
+    return [f"{word}: known are {', '.join(known)}" for words, known in checks for word in words if word not in known]
+
+
+def simulate(command):
+    """Play the storms that the arguments ask for; returns the exit status."""
+    unknown = unknown_words(command)
+    if unknown:
+        print(*(f"UnknownWord: {text}" for text in unknown), sep="\n", file=sys.stderr)
+        return EX_USAGE
+    return sweep_whole(command) if command.whole else sweep_core(command)
+
+
+def sweep_core(command):
+    """Play many storms of the core simulation and print a summary."""
     jobs = [
         (s, command.shape, command.kinds, command.gap_ms, command.plant)
         for s in range(command.first, command.first + command.seeds)
@@ -122,7 +111,3 @@
         ).decode()
     )
     return 1 if broken else 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/frostpost/simulator/valley.py
+++ b/frostpost/simulator/valley.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, convert
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
-from frostpost.daemon.assembly import assemble, raise_
+from frostpost.app.assembly import assemble, raise_
 from frostpost.daemon.life import Hand
 from frostpost.daemon.life import make as make_life
 from frostpost.daemon.machine import Machine
--- a/frostpost/testbed/fleet.py
+++ b/frostpost/testbed/fleet.py
@@ -39,7 +39,7 @@
     python: str = sys.executable
     seeds: list[str] = []
     held: list = []
-    program: str = "frostpost.daemon.main"
+    program: str = "frostpost.app.serve"
     before: str = ""
 
 
--- a/frostpost/testbed/main.py
+++ b/frostpost/testbed/proving.py
@@ -1,14 +1,13 @@
-"""Command line of the testbed."""
+"""Run local fleets and proofs on them; each function returns what the command reports."""
 
 import os
 import shutil
 import sys
 import tempfile
 import time
-from typing import Annotated
+from os import EX_USAGE
 
-import cappa
-from msgspec import Struct, json
+from msgspec import json
 
 from . import fleet as fleets
 from .judge import judge, summary
@@ -18,35 +17,6 @@
 PLANNED = ("upgrade", "roll", "calm", "races", "drains", "grow", "clocks")
 
 
-@cappa.command(name="fleet", help="Raise a whole fleet with stand-ins on this machine; Ctrl-C ends it.")
-class FleetCommand(Struct):
-    """Arguments of fleet."""
-
-    folder: Annotated[str, cappa.Arg(long=True, help="folder for settings, logs and data")] = "fleet"
-    size: Annotated[str, cappa.Arg(long=True, help="full (8 edge, 3 storage, 5 core) or quick (2, 3, 2)")] = "full"
-    stamp: Annotated[bool, cappa.Arg(long=True, help="stamp both deployments' tenants")] = False
-    seconds: Annotated[float, cappa.Arg(long=True, help="end after so long; 0: until Ctrl-C")] = 0.0
-
-
-@cappa.command(name="proof", help="Raise a fleet, load it, cause faults, and judge from outside.")
-class ProofCommand(Struct):
-    """Arguments of proof."""
-
-    names: Annotated[list[str], cappa.Arg(help=f"any of {', '.join(PROOFS)}; all if none")] = []
-    size: Annotated[str, cappa.Arg(long=True)] = "quick"
-    factor: Annotated[float, cappa.Arg(long=True, help="times the brief's rates")] = 0.5
-    seed: Annotated[int, cappa.Arg(long=True)] = 1
-    before: Annotated[str, cappa.Arg(long=True, help="upgrade: folder that holds the version before")] = ""
-    keep: Annotated[str, cappa.Arg(long=True, help="keep the fleets' folders below this one")] = ""
-
-
-@cappa.command(name="testbed", help="Stand-ins, load, fleets and proofs for frostpost.")
-class Scarecrow(Struct):
-    """The testbed's commands."""
-
-    command: cappa.Subcommands[FleetCommand | ProofCommand]
-
-
 def prove(name, size, factor, seed, folder, before=""):
     """Run one proof on a fleet of its own; returns its report."""
     fleet = fleets.lay(folder, size)
@@ -87,8 +57,8 @@
     """Run proofs; returns the exit status."""
     unknown = [n for n in command.names if n not in PROOFS or n == "upgrade" and not command.before]
     if unknown:
-        print(f"UnknownProof: {unknown}", file=sys.stderr)
-        return 64
+        print(f"UnknownProof: {', '.join(unknown)}: known are {', '.join(PROOFS)}", file=sys.stderr)
+        return EX_USAGE
     broken = 0
     for name in command.names or [p for p in PROOFS if p != "upgrade" or command.before]:
         folder = os.path.join(command.keep, name) if command.keep else tempfile.mkdtemp(prefix="frostpost-")
@@ -101,7 +71,7 @@
     return 1 if broken else 0
 
 
-def keep_up(command):
+def run_fleet(command):
     """Run a fleet until it is interrupted; returns the exit status."""
     fleet = fleets.lay(command.folder, command.size)
     try:
@@ -121,13 +91,3 @@
     finally:
         fleets.end(fleet)
     return 0
-
-
-def main():
-    """Run the command line; returns the exit status."""
-    command = cappa.parse(Scarecrow).command
-    return proofs(command) if isinstance(command, ProofCommand) else keep_up(command)
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -3,7 +3,6 @@
 import os
 import signal
 import sys
-from argparse import ArgumentParser
 from collections import Counter
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -203,23 +202,9 @@
     )
 
 
-def options_of(words):
-    """Parse the command line."""
-    parser = ArgumentParser(prog="python -m frostpost.testbed.scale_run")
-    parser.add_argument("--leaves", type=int, default=16)
-    parser.add_argument("--rate", type=float, default=0, help="ordered operations a second, all leaves together")
-    parser.add_argument("--seconds", type=float, default=5)
-    parser.add_argument("--warm", type=float, default=1.5, help="seconds of load before the measured ones")
-    parser.add_argument("--body", type=int, default=2000, help="bytes of a turn's body")
-    parser.add_argument("--candidates", type=int, default=32, help="runners that each Begin names")
-    parser.add_argument("--routing", type=int, default=16000, help="bytes of the routing set at the end")
-    parser.add_argument("--port", type=int, default=0)
-    return parser.parse_args(words)
-
-
-def main(words=None):
-    """Run the command line; returns the exit status."""
-    options, rings, report = options_of(words), [], {}
+def measure(options):
+    """Run the measurement that the arguments ask for and print its report; returns the exit status."""
+    rings, report = [], {}
     count_links()
     signal.alarm(int(options.seconds) + 180)
     with TemporaryDirectory(prefix="scale-") as folder:
@@ -244,7 +229,3 @@
                 sys.stderr.write(log.read_bytes()[-3000:].decode(errors="replace"))
     print(json.format(json.encode(report), indent=1).decode())
     return 1 if "error" in report else 0
-
-
-if __name__ == "__main__":
-    raise SystemExit(main())
--- a/frostpost/testbed/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -1,8 +1,6 @@
 """What state costs by its size, measured in this process: the ledger, its snapshot, the turn_store."""
 
 import os
-import sys
-from argparse import ArgumentParser
 from resource import RUSAGE_SELF, getrusage
 from tempfile import TemporaryDirectory
 from time import perf_counter, process_time
@@ -201,12 +199,8 @@
     }
 
 
-def main(words=None):
-    """Run the command line; returns the exit status."""
-    parser = ArgumentParser(prog="python -m frostpost.testbed.scale_slopes")
-    parser.add_argument("--programs", type=int, default=2000)
-    parser.add_argument("--turns", type=int, default=67)
-    options = parser.parse_args(words)
+def measure(options):
+    """Measure by the number of programs and turns that the arguments ask for; returns the exit status."""
     with TemporaryDirectory(prefix="scale-") as folder:
         keys = measure_keys(20000)
         accounts = measure_accounts(20000)
@@ -224,7 +218,3 @@
         }
     print(json.format(json.encode(found), indent=1).decode())
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/frostpost/testbed/skewed.py
+++ b/frostpost/testbed/skewed.py
@@ -18,9 +18,12 @@
 def main():
     """Run the daemon; returns its exit status."""
     time.time = jumped
-    from frostpost.daemon.main import main as orchard
+    import cappa
 
-    return orchard()
+    from frostpost.app.arguments import Serve
+    from frostpost.app.serve import serve
+
+    return serve(cappa.parse(Serve))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
 import pytest
 
-from frostpost.testbed.main import prove
+from frostpost.testbed.proving import prove
 
 
 @pytest.mark.parametrize("name", ("kill", "all_down", "races", "clocks"))
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -11,12 +11,12 @@
 from test_cluster_ring import hellos, new_house
 from twisted.internet.task import Clock
 
+from frostpost.admin import arguments, commands, inner
 from frostpost.admin import fleet as fleets
-from frostpost.admin import inner
-from frostpost.admin import main as pruner_main
 from frostpost.admin.remedies import findings_of
 from frostpost.cluster import asking, ring, status
 from frostpost.cluster import leaf as assembly
+from frostpost.command import main
 from frostpost.program_ledger.words import End
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew, StatusAsk, StatusTell
 from frostpost.virtual_synchrony.words import VERSION, Frame, Member, Place, Roster
@@ -262,7 +262,7 @@
 
 def test_several_seeds_are_taken(monkeypatch):
     seen = []
-    monkeypatch.setattr("sys.argv", ["admin", "fleet", "--seed", "a:1", "--seed", "b:2", "--doctor"])
-    monkeypatch.setitem(pruner_main.ACTS, pruner_main.Fleet, lambda command, _: seen.append(command))
-    pruner_main.main()
+    monkeypatch.setattr("sys.argv", ["frostpost", "admin", "fleet", "--seed", "a:1", "--seed", "b:2", "--doctor"])
+    monkeypatch.setitem(commands.ACTIONS, arguments.Fleet, lambda command, _: seen.append(command))
+    main()
     assert (seen[0].seed, seen[0].doctor) == (["a:1", "b:2"], True)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -32,27 +32,31 @@
     return str(base)
 
 
-def pruner(fleet, *words, door="e1"):
+def command(fleet, *words, door="e1"):
     address = f"127.0.0.1:{fleet.daemons[door].http_port}"
     return subprocess.run(
-        [sys.executable, "-m", "frostpost.admin.main", *words, "--door", address],
+        [sys.executable, "-m", "frostpost", *words, "--door", address],
         capture_output=True,
         text=True,
         timeout=60,
     )
 
 
+def admin(fleet, *words, door="e1"):
+    return command(fleet, "admin", *words, door=door)
+
+
 def test_apply_is_done_once(fleet, folder):
-    assert pruner(fleet, "diff", folder).returncode == 1
-    first = pruner(fleet, "apply", folder)
+    assert admin(fleet, "diff", folder).returncode == 1
+    first = admin(fleet, "apply", folder)
     assert first.returncode == 0 and "tenants/hlidar: version 1" in first.stdout
-    again = pruner(fleet, "apply", folder, door="c1")
+    again = admin(fleet, "apply", folder, door="c1")
     assert again.returncode == 0 and "nothing to do" in again.stdout
-    assert pruner(fleet, "diff", folder, door="s2").returncode == 0
+    assert admin(fleet, "diff", folder, door="s2").returncode == 0
 
 
 def test_patch_amends_a_part_and_a_stale_one_is_turned_away(fleet, folder):
-    pruner(fleet, "apply", folder)
+    admin(fleet, "apply", folder)
     path = "/v1/config/tenants/tamar"
     status, said = fleets.call(
         fleet, "e1", path, "PATCH", {"parameters": {"retention_ms": 700000}}, headers={"if-match": '"1"'}
@@ -85,13 +89,13 @@
     ],
 )
 def test_bad_input_gets_a_typed_fault(fleet, folder, path, body, status, type_):
-    pruner(fleet, "apply", folder)
+    admin(fleet, "apply", folder)
     got, said = fleets.call(fleet, "e1", path, "POST", body)
     assert (got, said["error"]["type"]) == (status, type_) and said["error"]["text"]
 
 
 def test_key_with_another_body_is_a_fault_at_any_daemon(fleet, folder):
-    pruner(fleet, "apply", folder)
+    admin(fleet, "apply", folder)
     status, first = fleets.call(fleet, "e1", LOOKUPS, "POST", {"input": "a", "key": "k"})
     assert status == 200
     status, shared = fleets.call(fleet, "e2", LOOKUPS, "POST", {"input": "a", "key": "k"})
@@ -101,35 +105,35 @@
 
 
 def test_voters_can_not_be_left_too_few(fleet):
-    assert pruner(fleet, "voters", "--remove", "s1").returncode == 3
-    assert pruner(fleet, "voters", "--add", "e1").returncode == 3
+    assert admin(fleet, "voters", "--remove", "s1").returncode == 3
+    assert admin(fleet, "voters", "--add", "e1").returncode == 3
 
 
 def test_a_folder_is_applied_as_one_and_versions_are_brought_back(fleet, folder):
-    assert pruner(fleet, "apply", folder, "--whole").returncode == 0
-    again = pruner(fleet, "apply", folder, "--whole", door="c1")
+    assert admin(fleet, "apply", folder, "--whole").returncode == 0
+    again = admin(fleet, "apply", folder, "--whole", door="c1")
     assert again.returncode == 0 and "nothing to do" in again.stdout
     assert (
         fleets.call(fleet, "e1", "/v1/config/tenants/tamar", "PATCH", {"parameters": {"retention_ms": 610000}})[0]
         == 200
     )
-    past = json.decode(pruner(fleet, "history", "tenants/tamar", "--json").stdout)["versions"]
-    back = pruner(fleet, "rollback", "tenants/tamar", str(past[-2]["version"]))
+    past = json.decode(admin(fleet, "history", "tenants/tamar", "--json").stdout)["versions"]
+    back = admin(fleet, "rollback", "tenants/tamar", str(past[-2]["version"]))
     assert back.returncode == 0 and f"version {past[-1]['version'] + 1}" in back.stdout
-    assert pruner(fleet, "rollback", "tenants/tamar", "99").returncode == 3
-    in_use = pruner(fleet, "remove", "templates/clerks")
+    assert admin(fleet, "rollback", "tenants/tamar", "99").returncode == 3
+    in_use = admin(fleet, "remove", "templates/clerks")
     assert in_use.returncode == 3 and "ConfigInUse" in in_use.stderr
-    assert pruner(fleet, "remove", "tenants/tamar").returncode == 0
-    assert pruner(fleet, "remove", "templates/kitchens").returncode == 0
-    assert pruner(fleet, "apply", folder).returncode == 0
+    assert admin(fleet, "remove", "tenants/tamar").returncode == 0
+    assert admin(fleet, "remove", "templates/kitchens").returncode == 0
+    assert admin(fleet, "apply", folder).returncode == 0
 
 
 def test_doctor_finds_a_lost_voter(fleet):
-    well = pruner(fleet, "doctor")
+    well = command(fleet, "doctor")
     assert well.returncode == 0, well.stdout
     fleets.kill(fleet, "s3")
-    assert fleets.wait_for(lambda: pruner(fleet, "doctor").returncode == 1, 20)
-    found = json.decode(pruner(fleet, "doctor", "--json").stdout)
+    assert fleets.wait_for(lambda: command(fleet, "doctor").returncode == 1, 20)
+    found = json.decode(command(fleet, "doctor", "--json").stdout)
     assert {"VoterMissing", "Silent"} <= {f["problem"] for f in found}
     assert all(f["cause"] and f["remedy"] for f in found)
     status, said = fleets.call(fleet, "s3", "/v1/status")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 
 from frostpost.testbed import scale_slopes
 
-RUN = [sys.executable, "-m", "frostpost.testbed.scale_run"]
+RUN = [sys.executable, "-m", "frostpost", "scale", "run"]
 
 
 def scale_run(**options):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -20,7 +20,7 @@
     path = tmp_path / "settings.toml"
     path.write_text(text)
     return subprocess.run(
-        [sys.executable, "-m", "frostpost.daemon.main", str(path), "--check", *flags], capture_output=True, text=True
+        [sys.executable, "-m", "frostpost", "serve", str(path), "--check", *flags], capture_output=True, text=True
     )
 
 
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -32,24 +32,22 @@
 }
 # Words that a package still bears, each in names of its own; this table only gets shorter.
 STILL_THERE = {
-    "admin": {"pruner"},
     "background": {"beat"},
     "cluster": {"fault", "tend", "tenders", "verdict"},
-    "daemon": {"beat", "orchard"},
+    "daemon": {"beat"},
     "platform": {"fault", "faults", "turn_away"},
     "program_ledger": {"coppice", "verdict"},
     "proxy": {"verdict"},
-    "testbed": {"orchard", "scarecrow"},
     "turn_store": {"fault", "faults", "silo"},
     "virtual_synchrony": {"beat", "beaten", "fault", "silo", "turn_away", "turned_away", "verdict"},
     "write_ahead_log": {"fault"},
-    "simulator": {"weather"},
 }
 # Names that a library's interface fixes, and faults in the field's sense: those that a simulation injects.
 FIXED = {"http_api": {"consumer"}, "simulator": {"fault", "faults"}}
 PACKAGES = {
     *(
         "admin",
+        "app",
         "background",
         "cluster",
         "daemon",
@@ -58,9 +56,8 @@
         "placement",
         "platform",
         "program_ledger",
-        "proxy",
     ),
-    *("simulator", "tenant_config", "testbed", "turn_store", "virtual_synchrony", "write_ahead_log"),
+    *("proxy", "simulator", "tenant_config", "testbed", "turn_store", "virtual_synchrony", "write_ahead_log"),
 }
 TIMES = {"wait", "delay", "timeout", "interval", "age", "retention", "deadline", "lag", "elapsed"}
 CAMEL = re.compile(r"[a-z0-9][A-Z]")
