--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -21,8 +21,8 @@
 
 def test_what_was_appended_is_read_back(tmp_path):
     filled(tmp_path, [b"one", b"two", b""])
-    _, payloads, error = disk.open_(str(tmp_path), "log")
-    assert payloads == [b"one", b"two", b""] and error is None
+    _, payloads, fault = disk.open_(str(tmp_path), "log")
+    assert payloads == [b"one", b"two", b""] and fault is None
 
 
 MARK_BYTES, LAST_BYTES = HEADER.size, HEADER.size + len(b"last")
@@ -52,9 +52,9 @@
         byte = file.read(1)
         file.seek(at)
         file.write(bytes([byte[0] ^ 0xFF]))
-    _, payloads, error = disk.open_(str(tmp_path), "log")
-    assert payloads == [] and isinstance(error, disk.Corrupt)
-    assert os.path.exists(error.moved_to)
+    _, payloads, fault = disk.open_(str(tmp_path), "log")
+    assert payloads == [] and isinstance(fault, disk.Corrupt)
+    assert os.path.exists(fault.moved_to)
 
 
 def test_failed_write_leaves_no_half_record(tmp_path):
@@ -105,9 +105,9 @@
     with suppress(drives.PowerCutError):
         steps(write_ahead_log, lasting)
     drives.lose_power(drive, [])
-    _, payloads, error = disk.open_("/d", "log", drives.files_of(drive))
+    _, payloads, fault = disk.open_("/d", "log", drives.files_of(drive))
     said = [p for p in payloads if p != b"state"]
-    assert not isinstance(error, disk.Corrupt)
+    assert not isinstance(fault, disk.Corrupt)
     assert said == [b"%d" % n for n in range(len(said))]
     assert len(said) >= len(lasting)
 
@@ -116,18 +116,18 @@
 def test_a_failing_disk_call_loses_nothing_that_was_synced(what):
     drive = drives.Drive(Random(1))
     write_ahead_log, _, _ = disk.open_("/d", "log", drives.files_of(drive))
-    lasting, errors = [], 0
+    lasting, faults = [], 0
     for n in range(12):
         drive.broken[what] = n % 2
         try:
             steps(write_ahead_log, lasting) if n == 3 else disk.append(write_ahead_log, [b"x%d" % n])
             disk.rewrite(write_ahead_log, [b"y%d" % n])
-        except OSError as error:
-            errors += 1
-            if isinstance(error, disk.SyncLostError):
+        except OSError as fault:
+            faults += 1
+            if isinstance(fault, disk.SyncLostError):
                 break
     drive.broken.clear()
-    assert errors
+    assert faults
     _, payloads, fault = disk.open_("/d", "log", drives.files_of(drive))
     assert fault is None and payloads
 
