--- a/frostpost/daemon/ticker.py
+++ b/frostpost/daemon/ticker.py
@@ -27,6 +27,7 @@
         self._plan(self.period_s)
 
     def stop(self):
+        """Tick no more."""
         if self.call is not None and self.call.active():
             self.call.cancel()
         self.call = None
