--- a/frostpost/admin/main.py
+++ b/frostpost/admin/arguments.py
@@ -1,18 +1,18 @@
-import sys
+"""Arguments of the operators' commands."""
+
 from typing import Annotated
 
 import cappa
 from msgspec import Struct
 
-from . import configs, doctor, fleet, pasts, sights
-from .asking import Door
-
 DOOR = Annotated[str, cappa.Arg(long="--door", help="IP:port of any daemon", default=cappa.Env("FROSTPOST_DOOR"))]
 TEXT = Annotated[bool, cappa.Arg(long="--json", help="print JSON instead of text")]
 
 
 @cappa.command(name="apply", help="Bring the directory's declarations into effect; what is the same is left alone.")
 class Apply(Struct, kw_only=True):
+    """Arguments of apply."""
+
     folder: Annotated[str, cappa.Arg(help="folder with templates/*.json and tenants/*.json")]
     whole: Annotated[bool, cappa.Arg(long=True, help="take the folder as one: all or nothing, others removed")] = False
     door: DOOR
@@ -21,6 +21,8 @@
 
 @cappa.command(name="diff", help="Show what apply would change; exit status 1 if anything.")
 class Diff(Struct, kw_only=True):
+    """Arguments of diff."""
+
     folder: Annotated[str, cappa.Arg(help="folder with templates/*.json and tenants/*.json")]
     door: DOOR
     json: TEXT = False
@@ -28,6 +30,8 @@
 
 @cappa.command(name="get", help="Print one configuration, or the list of all.")
 class Get(Struct, kw_only=True):
+    """Arguments of get."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")] = ""
     door: DOOR
     json: TEXT = False
@@ -35,6 +39,8 @@
 
 @cappa.command(name="history", help="Print the kept versions of one configuration.")
 class History(Struct, kw_only=True):
+    """Arguments of history."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
     door: DOOR
     json: TEXT = False
@@ -42,14 +48,18 @@
 
 @cappa.command(name="rollback", help="Bring a kept version back, as a new version.")
 class Rollback(Struct, kw_only=True):
+    """Arguments of rollback."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
     version: Annotated[int, cappa.Arg(help="the version to bring back")]
     door: DOOR
     json: TEXT = False
 
 
-@cappa.command(name="remove", help="Remove one configuration; a template in use is turned away.")
+@cappa.command(name="remove", help="Remove one configuration; a template in use is refused.")
 class Remove(Struct, kw_only=True):
+    """Arguments of remove."""
+
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
     door: DOOR
     json: TEXT = False
@@ -57,6 +67,8 @@
 
 @cappa.command(name="drain", help="Mark a runner as leaving, or as staying.")
 class Drain(Struct, kw_only=True):
+    """Arguments of drain."""
+
     runner: Annotated[str, cappa.Arg(help="the runner's name")]
     stay: Annotated[bool, cappa.Arg(long=True, help="take the mark away")] = False
     door: DOOR
@@ -65,40 +77,52 @@
 
 @cappa.command(name="status", help="Print one daemon's status.")
 class Status(Struct, kw_only=True):
+    """Arguments of status."""
+
     door: DOOR
     json: TEXT = False
 
 
 @cappa.command(name="members", help="Print the daemons that this one knows, and what each has reached.")
 class Members(Struct, kw_only=True):
+    """Arguments of members."""
+
     door: DOOR
     json: TEXT = False
 
 
 @cappa.command(name="runners", help="Print the runners with load and drain marks.")
 class Runners(Struct, kw_only=True):
+    """Arguments of runners."""
+
     door: DOOR
     json: TEXT = False
 
 
-@cappa.command(name="explain", help="Print why a runner would be selected for a lane.")
+@cappa.command(name="explain", help="Print why a runner would be chosen for a route.")
 class Explain(Struct, kw_only=True):
+    """Arguments of explain."""
+
     tenant: str
-    lane: str
+    route: str
     door: DOOR
     json: TEXT = False
 
 
 @cappa.command(name="voters", help="Print the storage voters, or change them.")
 class Voters(Struct, kw_only=True):
+    """Arguments of voters."""
+
     add: Annotated[str, cappa.Arg(long=True, help="take this storage daemon in as a voter")] = ""
     remove: Annotated[str, cappa.Arg(long=True, help="empty this storage daemon: it votes no more")] = ""
     door: DOOR
     json: TEXT = False
 
 
-@cappa.command(name="doctor", help="Look for common faults; exit status 1 if any is found.")
+@cappa.command(name="doctor", help="Look for common problems; exit status 1 if any is found.")
 class Doctor(Struct, kw_only=True):
+    """Arguments of doctor."""
+
     door: DOOR
     json: TEXT = False
 
@@ -107,53 +131,19 @@
     name="fleet", help="Print every daemon of a fleet on the users' machines, asked over the inner addresses."
 )
 class Fleet(Struct, kw_only=True):
+    """Arguments of fleet."""
+
     seed: Annotated[list[str], cappa.Arg(long="--seed", required=True, help="IP:port, the inner address of any daemon")]
-    doctor: Annotated[bool, cappa.Arg(long=True, help="look for common faults; exit status 1 if any is found")] = False
+    doctor: Annotated[bool, cappa.Arg(long=True, help="look for common problems; exit status 1 if any is found")] = (
+        False
+    )
     json: TEXT = False
 
 
-@cappa.command(name="admin", help="The operators' command for frostpost.")
-class Pruner(Struct):
+@cappa.command(name="admin", help="Change and show configurations, runners, voters and members of a fleet.")
+class Admin(Struct):
+    """Arguments of admin: one of its subcommands."""
+
     command: cappa.Subcommands[
-        Apply
-        | Diff
-        | Get
-        | History
-        | Rollback
-        | Remove
-        | Drain
-        | Status
-        | Members
-        | Runners
-        | Explain
-        | Voters
-        | Doctor
-        | Fleet
+        Apply | Diff | Get | History | Rollback | Remove | Drain | Status | Members | Runners | Explain | Voters | Fleet
     ]
-
-
-ACTS = {
-    Apply: configs.apply,
-    Diff: configs.diff,
-    Get: configs.get,
-    History: pasts.history,
-    Rollback: pasts.rollback,
-    Remove: pasts.remove,
-    Drain: sights.drain,
-    Status: sights.status,
-    Members: sights.members,
-    Runners: sights.runners,
-    Explain: sights.explain,
-    Voters: sights.voters,
-    Doctor: doctor.run,
-    Fleet: fleet.run,
-}
-
-
-def main():
-    command = cappa.parse(Pruner).command
-    return ACTS[type(command)](command, Door(getattr(command, "door", "")))
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/frostpost/daemon/assembly.py
+++ b/frostpost/app/assembly.py
@@ -1,3 +1,5 @@
+"""Put a daemon together: state from disk, links, HTTP site and periodic jobs."""
+
 from msgspec import DecodeError, json
 from twisted.internet.endpoints import TCP4ServerEndpoint
 from twisted.internet.task import LoopingCall
@@ -7,22 +9,22 @@
 from frostpost.background.listing import list_
 from frostpost.background.runners import poll_all
 from frostpost.background.ticking import tick_ledger
+from frostpost.daemon import disk as disks
+from frostpost.daemon.context import Context, clock_ms
+from frostpost.daemon.core import begin
+from frostpost.daemon.heart import TICK_MS, beat
+from frostpost.daemon.links import listen, sender
+from frostpost.daemon.news import say
 from frostpost.http_api.app import build
-from frostpost.http_api.carry import agent
+from frostpost.http_api.http_client import agent
 from frostpost.http_api.lookups import wake
 from frostpost.tenant_config.shelf import Shelf
 from frostpost.virtual_synchrony.memory import replay
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
 
-from . import disk as disks
-from .context import Context, clock_ms
-from .core import begin
-from .heart import TICK_MS, beat
-from .links import listen, sender
-from .news import say
-
 
 def read_hooks(ctx):
+    """Read the test hooks that the settings name, if any."""
     if not ctx.settings.hooks:
         return
     try:
@@ -33,6 +35,7 @@
 
 
 def loops(ctx):
+    """Start the periodic jobs; an exception in one ends the daemon."""
     background = ctx.settings.background
     jobs = (
         (beat, TICK_MS / 1000),
@@ -63,11 +66,12 @@
 
 
 def assemble(settings, reactor, machine):
+    """Return (context, site) of a daemon; nothing listens yet."""
     boot = 1 + int(machine.token(6), 16)
     place = Place(
         Member(settings.name, boot),
         settings.role,
-        settings.cell,
+        settings.zone,
         settings.host,
         settings.port,
         settings.http_port,
@@ -77,12 +81,12 @@
     ctx.shelf = Shelf(f"{settings.name}.{boot}")
     records, ctx.disk = [], disks.Diskless()
     if settings.role == "storage":
-        write_ahead_log, records, fault = disks.open_(settings.data, machine.files)
+        write_ahead_log, records, error = disks.open_(settings.data, machine.files)
         ctx.disk = disks.Keeper(ctx, write_ahead_log)
-        fault = shelves.load(ctx, settings.data) or fault
-        if fault:
-            ctx.corrupt = f"{type(fault).__name__} at {fault.offset} in {fault.path}"
-            say(type(fault).__name__, path=fault.path, offset=fault.offset)
+        error = shelves.load(ctx, settings.data) or error
+        if error:
+            ctx.corrupt = f"{type(error).__name__} at {error.offset} in {error.path}"
+            say(type(error).__name__, path=error.path, offset=error.offset)
 
     def applied():
         wake(ctx)
@@ -104,6 +108,8 @@
 
 
 def raise_(ctx, site, hand, fallen):
+    """Listen for peers, then for HTTP, then start the periodic jobs."""
+
     def up(port):
         hand.close = port.stopListening
         loops(ctx)
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -1,9 +1,13 @@
+"""What the parts of a running daemon share."""
+
 from collections import deque
 
 from .machine import MACHINE
 
 
 class Context:
+    """All of a daemon's mutable state outside the pure core."""
+
     __slots__ = (
         "settings",
         "reactor",
@@ -17,9 +21,9 @@
         "links",
         "disk",
         "shelf",
-        "lanes",
+        "routes",
         "honoured",
-        "statuses",
+        "runner_health",
         "flights",
         "leaving",
         "key_waiters",
@@ -43,6 +47,7 @@
         "ticked_ms",
         "calls",
         "channels",
+        "ticker",
     )
 
     def __init__(self, settings, reactor, place, machine=MACHINE):
@@ -50,18 +55,20 @@
         self.core, self.shelf, self.disk, self.bodies, self.agent, self.life = (None,) * 6
         self.inputs, self.asking, self.tasks = deque(), deque(), []
         self.stepping = self.leaving = self.stamping = False
-        self.waiters, self.links, self.lanes, self.statuses = {}, {}, {}, {}
+        self.waiters, self.links, self.routes, self.runner_health = {}, {}, {}, {}
         self.key_waiters, self.counts, self.hook, self.documents = {}, {}, {}, {}
         self.honoured = self.need_config = self.flights = self.calls = 0
-        self.channels = {}
+        self.channels, self.ticker = {}, None
         self.list_ms = self.tick_ms = self.pruned_ms = self.listed_ms = 0
         self.retries, self.lag_ms, self.corrupt = 10.0, 0.0, None
         self.started_ms = self.ticked_ms = clock_ms(self)
 
 
 def clock_ms(ctx):
+    """Return the daemon's monotonic clock in whole milliseconds."""
     return int(ctx.machine.seconds() * 1000)
 
 
 def count(ctx, what, by=1):
+    """Add to a named counter."""
     ctx.counts[what] = ctx.counts.get(what, 0) + by
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -1,3 +1,5 @@
+"""The HTTP site: paths, request lifecycle, and how results become responses."""
+
 from klein import Klein
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
@@ -6,26 +8,28 @@
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.news import say
 
-from . import calls, control, faults, reads, voting
+from . import calls, control, errors, reads, voting
 from .lookups import lookup
 from .turns import turn
 
 
-def turn_away(request, fault, request_id):
-    request.setResponseCode(fault.status)
+def refuse(request, error, request_id):
+    """Write an error response, with Retry-After where another try makes sense, and return its body."""
+    request.setResponseCode(error.status)
     request.setHeader("content-type", "application/json")
     request.setHeader("x-request", request_id)
-    retry = faults.retry_after(fault)
+    retry = errors.retry_after(error)
     if retry:
         request.setHeader("retry-after", retry)
-    if isinstance(fault, faults.Leaving):
+    if isinstance(error, errors.Leaving):
         request.setHeader("connection", "close")
         if request.channel is not None:
             request.channel.persistent = False
-    return faults.body(fault, request_id)
+    return errors.body(error, request_id)
 
 
 def answer(request, document, request_id=""):
+    """Set the headers of a successful response and return its JSON body."""
     request.setHeader("content-type", "application/json")
     if request_id:
         request.setHeader("x-request", request_id)
@@ -33,6 +37,8 @@
 
 
 def watch_caller(call):
+    """Stop the call's work when its client closes the connection."""
+
     def gone(_):
         call.gone = True
         if call.stop:
@@ -43,46 +49,49 @@
 
 @inlineCallbacks
 def serve(ctx, call, handler):
-    fault = calls.admit(ctx, call)
-    if fault is None:
+    """Admit a call, run its handler, and log and count the result; returns an error or None."""
+    error = calls.admit(ctx, call)
+    if error is None:
         ctx.flights += 1
         watch_caller(call)
         try:
             result = yield handler(ctx, call)
         except Exception as broken:
             say("Internal", request=call.id, type=type(broken).__name__, text=str(broken)[:200])
-            result = faults.Internal()
+            result = errors.Internal()
         finally:
             ctx.flights -= 1
     else:
-        result = fault
+        result = error
     count(ctx, f"{call.kind}/{type(result).__name__ if result is not None else 'served'}")
     say(
         "call",
         request=call.id,
-        lane=f"{call.tenant}/{call.lane_name}",
+        route=f"{call.tenant}/{call.route_name}",
         took_ms=clock_ms(ctx) - call.started_ms,
-        verdict="served" if result is None else type(result).__name__,
+        result="served" if result is None else type(result).__name__,
     )
     return result
 
 
 @inlineCallbacks
-def serve_turn(ctx, request, tenant, lane):
-    call = calls.make(ctx, "turns", tenant, lane, request)
-    fault = yield serve(ctx, call, turn)
+def serve_turn(ctx, request, tenant, route):
+    """Serve a turn; an error after the first piece becomes the last line of the stream."""
+    call = calls.make(ctx, "turns", tenant, route, request)
+    error = yield serve(ctx, call, turn)
     if call.gone:
         return b""
-    if fault is None:
+    if error is None:
         return b""
     if call.emitted:
-        return faults.body(fault, call.id) + b"\n"
-    return turn_away(request, fault, call.id)
+        return errors.body(error, call.id) + b"\n"
+    return refuse(request, error, call.id)
 
 
 @inlineCallbacks
-def serve_lookup(ctx, request, tenant, lane):
-    call = calls.make(ctx, "lookups", tenant, lane, request)
+def serve_lookup(ctx, request, tenant, route):
+    """Serve a lookup."""
+    call = calls.make(ctx, "lookups", tenant, route, request)
     box = []
 
     @inlineCallbacks
@@ -93,22 +102,26 @@
         box.append(result.ok)
         return None
 
-    fault = yield serve(ctx, call, handler)
+    error = yield serve(ctx, call, handler)
     if call.gone:
         return b""
-    if fault is not None:
-        return turn_away(request, fault, call.id)
+    if error is not None:
+        return refuse(request, error, call.id)
     return answer(request, {"result": box[0], "request": call.id}, call.id)
 
 
 class Bounded(Request):
+    """A request whose body may not be longer than a configuration."""
+
     most_config, ctx = 64 << 20, None
 
     def gotLength(self, length):
+        """Refuse a declared length over the bound before the body is read."""
         self.too_long = length is not None and length > self.most_config
         super().gotLength(0 if self.too_long else length)
 
     def handleContentChunk(self, data):
+        """Read the body up to the bound."""
         self.took = getattr(self, "took", 0) + len(data)
         if self.took <= self.most_config:
             super().handleContentChunk(data)
@@ -116,8 +129,9 @@
             self.too_long = True
 
     def process(self):
+        """Refuse an oversized request, or count it and serve it."""
         if getattr(self, "too_long", False):
-            body = turn_away(self, faults.TooLong(self.most_config), "")
+            body = refuse(self, errors.TooLong(self.most_config), "")
             self.setHeader("connection", "close")
             self.write(body)
             self.finish()
@@ -127,13 +141,17 @@
         super().process()
 
     def over(self, _):
+        """Count the request as ended."""
         self.ctx.calls -= 1
 
 
 class Door(Site):
+    """The HTTP site; it keeps the open channels so that a leaving daemon can close them."""
+
     ctx = None
 
     def buildProtocol(self, addr):
+        """Make a channel that is registered while it is connected."""
         channel = super().buildProtocol(addr)
         lost, made = channel.connectionLost, channel.makeConnection
 
@@ -150,29 +168,30 @@
 
 
 def build(ctx):
+    """Return the site with all paths of the interface."""
     app = Klein()
 
-    @app.route("/v1/tenants/<tenant>/lanes/<lane>/turns", methods=["POST"])
-    def turns(request, tenant, lane):
-        return serve_turn(ctx, request, tenant, lane)
+    @app.route("/v1/tenants/<tenant>/routes/<route>/turns", methods=["POST"])
+    def turns(request, tenant, route):
+        return serve_turn(ctx, request, tenant, route)
 
-    @app.route("/v1/tenants/<tenant>/lanes/<lane>/lookups", methods=["POST"])
-    def lookups(request, tenant, lane):
-        return serve_lookup(ctx, request, tenant, lane)
+    @app.route("/v1/tenants/<tenant>/routes/<route>/lookups", methods=["POST"])
+    def lookups(request, tenant, route):
+        return serve_lookup(ctx, request, tenant, route)
 
-    control.routes(app, ctx, answer, turn_away)
-    reads.routes(app, ctx, answer, turn_away)
-    voting.routes(app, ctx, answer, turn_away)
+    control.routes(app, ctx, answer, refuse)
+    reads.routes(app, ctx, answer, refuse)
+    voting.routes(app, ctx, answer, refuse)
 
     @app.handle_errors(Exception)
     def broken(request, failure):
         code = getattr(failure.value, "code", 500)
         if code == 404:
-            return turn_away(request, faults.NoSuch("there is nothing at this path"), "")
+            return refuse(request, errors.NoSuch("there is nothing at this path"), "")
         if code == 405:
-            return turn_away(request, faults.WrongMethod(), "")
+            return refuse(request, errors.WrongMethod(), "")
         say("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200])
-        return turn_away(request, faults.Internal(), "")
+        return refuse(request, errors.Internal(), "")
 
     site = Door(app.resource(), timeout=75, reactor=ctx.reactor)
     site.ctx = ctx
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -3,13 +3,15 @@
 import os
 import signal
 import sys
-from argparse import ArgumentParser
+from collections import Counter
+from pathlib import Path
 from tempfile import TemporaryDirectory
 
 from msgspec import json
 from twisted.internet import reactor
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 from twisted.internet.protocol import ProcessProtocol
+from twisted.internet.task import deferLater
 
 from frostpost.cluster import lease, operating
 from frostpost.cluster.settings import DaemonSettings
@@ -28,20 +30,24 @@
         self.log, self.waiting, self.text, self.ended = log, [], b"", Deferred()
 
     def ask(self, what=b"sight"):
+        """Ask for the costs so far; Deferred of a document."""
         answer = Deferred()
         self.waiting.append(answer)
         self.transport.write(what + b"\n")
         return answer
 
     def outReceived(self, data):
+        """Hand answers to those who wait for them."""
         *lines, self.text = (self.text + data).split(b"\n")
         for line in lines:
             self.waiting.pop(0).callback(json.decode(line))
 
     def errReceived(self, data):
+        """Write the daemon's log."""
         self.log.write(data)
 
     def processEnded(self, reason):
+        """Fail all that still wait."""
         waiting, self.waiting = self.waiting, []
         for answer in waiting:
             answer.errback(reason)
@@ -49,6 +55,7 @@
 
 
 def start_ring(number, port, seed, folder):
+    """Start a storage daemon's process."""
     name = f"ring-{number}"
     settings = DaemonSettings(
         name=name,
@@ -72,13 +79,13 @@
 
 
 def pause(seconds):
-    woken = Deferred()
-    reactor.callLater(seconds, woken.callback, None)
-    return woken
+    """Return a Deferred that fires after some seconds."""
+    return deferLater(reactor, seconds)
 
 
 @inlineCallbacks
 def until(ready, within_s, what):
+    """Wait for a condition, or raise TimeoutError."""
     end_s = reactor.seconds() + within_s
     while not ready():
         if reactor.seconds() > end_s:
@@ -87,18 +94,20 @@
 
 
 def sums(leaves):
-    total = {}
+    """Return the leaves' counters added up."""
+    total = Counter()
     for leaf in leaves:
-        for name, value in leaf.counts.items():
-            total[name] = total.get(name, 0) + value
+        total.update(leaf.counts)
     return total
 
 
 def per_leaf(before, after, seconds, count):
+    """Return rates per second and leaf."""
     return {name: round(value / count, 4) for name, value in rates(before, after, seconds).items()}
 
 
 def ring_report(before, after):
+    """Return a storage daemon's costs between two answers."""
     seconds = after["at_s"] - before["at_s"]
     return {
         "name": after["name"],
@@ -126,12 +135,13 @@
 
 @inlineCallbacks
 def run(options, folder, rings, report):
+    """Run the measurement and fill the report."""
     port = options.port or 21000 + os.getpid() % 8000
     seed_at = f"127.77.1.1:{port}"
     rings += [start_ring(n + 1, port, seed_at, folder) for n in range(RINGS)]
 
     def stop(code):
-        report["fault"] = f"a leaf stopped: {code}"
+        report["error"] = f"a leaf stopped: {code}"
         reactor.stop()
 
     seed = leaves_.start_leaf(
@@ -162,8 +172,8 @@
     routing_ms = yield change_routing(seed, options.routing)
     if task is not None:
         task.stop()
-    if load.fault:
-        report["fault"] = load.fault
+    if load.error:
+        report["error"] = load.error
     decided = sum(map(len, (load.begun_ms, load.claimed_ms, load.ended_ms)))
     report.update(
         leaves=options.leaves,
@@ -192,27 +202,15 @@
     )
 
 
-def options_of(words):
-    parser = ArgumentParser(prog="python -m frostpost.testbed.scale_run")
-    parser.add_argument("--leaves", type=int, default=16)
-    parser.add_argument("--rate", type=float, default=0, help="ordered operations a second, all leaves together")
-    parser.add_argument("--seconds", type=float, default=5)
-    parser.add_argument("--warm", type=float, default=1.5, help="seconds of load before the measured ones")
-    parser.add_argument("--body", type=int, default=2000, help="bytes of a turn's body")
-    parser.add_argument("--candidates", type=int, default=32, help="runners that each Begin names")
-    parser.add_argument("--routing", type=int, default=16000, help="bytes of the routing set at the end")
-    parser.add_argument("--port", type=int, default=0)
-    return parser.parse_args(words)
-
-
-def main(words=None):
-    options, rings, report = options_of(words), [], {}
+def measure(options):
+    """Run the measurement that the arguments ask for and print its report; returns the exit status."""
+    rings, report = [], {}
     count_links()
     signal.alarm(int(options.seconds) + 180)
     with TemporaryDirectory(prefix="scale-") as folder:
 
         def failed(failure):
-            report["fault"] = failure.getErrorMessage()
+            report["error"] = failure.getErrorMessage()
 
         @inlineCallbacks
         def whole():
@@ -226,14 +224,8 @@
         reactor.run()
         for ring in rings:
             ring.log.close()
-        if "fault" in report:
-            for name in sorted(os.listdir(folder)):
-                if name.endswith(".log"):
-                    with open(os.path.join(folder, name), "rb") as file:
-                        sys.stderr.write(file.read()[-3000:].decode(errors="replace"))
+        if "error" in report:
+            for log in sorted(Path(folder).glob("*.log")):
+                sys.stderr.write(log.read_bytes()[-3000:].decode(errors="replace"))
     print(json.format(json.encode(report), indent=1).decode())
-    return 1 if "fault" in report else 0
-
-
-if __name__ == "__main__":
-    raise SystemExit(main())
+    return 1 if "error" in report else 0
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -11,7 +11,8 @@
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import settings, taken_changes, turns
 from frostpost.program_ledger.words import Claim, Claimed, End, LookRouting, RoutingSet, SetRouting
-from frostpost.proxy import pool, sending, serve, stream, turn
+from frostpost.proxy import lookup, pool, sending, serve, stream, turn
+from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
 from frostpost.virtual_synchrony import recovery, settling
@@ -90,6 +91,13 @@
     return [(stream, "may_resume", may_resume), (stream, "attempts_for", attempts_for)]
 
 
+def attempts_unbounded():
+    def attempts_for(route, repeatable):
+        return Attempts(9 if repeatable else 1, 9)
+
+    return [(lookup, "attempts_for", attempts_for), (stream, "attempts_for", attempts_for)]
+
+
 def tokens_forgotten():
     kept = turns.close
 
@@ -164,6 +172,7 @@
     "echo_unread": echo_unread,
     "cut_ended": cut_ended,
     "resumed_always": resumed_always,
+    "attempts_unbounded": attempts_unbounded,
     "tokens_forgotten": tokens_forgotten,
     "every_voter": every_voter,
     "unordered_ack": unordered_ack,
