--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -12,6 +12,7 @@
         "core",
         "inputs",
         "stepping",
+        "slicing",
         "waiters",
         "asking",
         "links",
@@ -49,7 +50,7 @@
         self.settings, self.reactor, self.place, self.machine = settings, reactor, place, machine
         self.core, self.shelf, self.disk, self.bodies, self.agent, self.life = (None,) * 6
         self.inputs, self.asking, self.tasks = deque(), deque(), []
-        self.stepping = self.leaving = self.stamping = False
+        self.stepping = self.slicing = self.leaving = self.stamping = False
         self.waiters, self.links, self.lanes, self.statuses = {}, {}, {}, {}
         self.key_waiters, self.counts, self.hook, self.documents = {}, {}, {}, {}
         self.honoured = self.need_config = self.flights = self.calls = 0
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -1,29 +1,27 @@
-from hashlib import blake2b
+from msgspec import Struct, field
 
-from msgspec import Struct
-
-from frostpost.ledger import duties
-from frostpost.ledger.apply import apply, decode_state, encode
+from frostpost.ledger import duties, snapshots
+from frostpost.ledger.apply import apply, encode
 from frostpost.ledger.state import Ledger
 from frostpost.ledger.words import Ballot, Rules, Verdict
 from frostpost.virtual_synchrony import state as synchronies
 from frostpost.virtual_synchrony import watch
 from frostpost.virtual_synchrony.events import (
-    Appended,
     Applied,
     Asked,
-    Booted,
     Filled,
-    Installed,
     Numbered,
     Out,
     Overfull,
-    Rewrite,
-    Snapshot,
     SnapshotAsked,
+    SnapshotReceived,
+    Tick,
 )
 from frostpost.virtual_synchrony.step import step as synchrony_step
-from frostpost.virtual_synchrony.words import SPEAKS, Piece
+from frostpost.virtual_synchrony.words import SPEAKS
+
+from . import snapshotting
+from .snapshot_state import Snapshots
 
 
 class Decided(Struct, frozen=True, tag=20):
@@ -31,18 +29,23 @@
     verdict: Verdict | None
 
 
+class Slice(Struct, frozen=True, tag=21):
+    """An input that only goes on with a snapshot under way."""
+
+    now_ms: int
+
+
 class Core(Struct):
     synchrony: synchronies.Synchrony
     ledger: Ledger
-    cached: bytes = b""
-    cached_index: int = -1
+    snapshots: Snapshots = field(default_factory=Snapshots)
     balloted: dict[str, int] = {}
     ruled: object = None
 
 
 def begin(place, bounds, seeds, voters, log, now_ms):
     synchrony, out = synchronies.begin(place, bounds, seeds, voters, log, now_ms)
-    ledger = decode_state(log.snapshot) if log.snapshot else Ledger()
+    ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.settled - log.start)]:
         ledger, _ = apply(ledger, entry)
     log.snapshot = b""
@@ -51,7 +54,10 @@
 
 
 def step(core, input):
-    _, out = synchrony_step(core.synchrony, input)
+    out = Out() if isinstance(input, Slice) else synchrony_step(core.synchrony, input)[1]
+    if isinstance(input, Slice | Tick):
+        snapshotting.advance(core, out)
+    snapshotting.give_way(core, out)
     told = settle_answers(core, out)
     while asks := ballots(core):
         for payload in asks:
@@ -60,7 +66,7 @@
             out.writes += more.writes
             told += [a for a in settle_answers(core, more) if not isinstance(a, (Numbered, Overfull))]
     follow(core)
-    rewrite(core, out)
+    snapshotting.rewrite(core, out)
     return core, Out(out.sends, out.writes, told)
 
 
@@ -73,12 +79,13 @@
                 if entry.sender == core.synchrony.me and entry.number:
                     told.append(Decided(entry.number, verdict))
                 told.append(answer)
-            case Filled(_, state):
-                core.ledger = decode_state(state)
+            case Filled():
                 told += forgotten(core)
                 told.append(answer)
             case SnapshotAsked():
-                send_piece(core, out, answer)
+                snapshotting.asked(core, out, answer)
+            case SnapshotReceived():
+                snapshotting.received(core, out, answer)
             case _:
                 told.append(answer)
     return told
@@ -104,15 +111,6 @@
     return [Decided(n, None) for n in gone]
 
 
-def send_piece(core, out, asked):
-    synchrony = core.synchrony
-    if core.cached_index < synchrony.log.start or not asked.offset and core.cached_index < synchrony.applied:
-        core.cached, core.cached_index = encode(core.ledger), synchrony.applied
-    data = core.cached[asked.offset : asked.offset + synchrony.bounds.piece_bytes]
-    digest = blake2b(core.cached, digest_size=16).hexdigest()
-    out.sends.append((asked.to, Piece(asked.id, core.cached_index, asked.offset, len(core.cached), digest, data)))
-
-
 def ballots(core):
     synchrony, ledger = core.synchrony, core.ledger
     if not synchrony.primary.opened or synchrony.recovery or synchrony.leaving:
@@ -141,28 +139,5 @@
     return [encode(Rules(SPEAKS))]
 
 
-def rewrite(core, out):
-    synchrony, log = core.synchrony, core.synchrony.log
-    settled = synchrony.applied - log.start
-    if not synchrony.storage or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
-        return
-    if synchrony.recovery or log.length < synchrony.applied:
-        return
-    tail = log.entries[settled:]
-    log.start, log.entries, log.settled = synchrony.applied, tail, synchrony.applied
-    synchrony.wrote += 1
-    synchronies.count(synchrony, "rewrites")
-    out.writes.append(
-        Rewrite(
-            (
-                Booted(synchrony.me.boot, log.epoch),
-                Snapshot(log.start, encode(core.ledger)),
-                Installed(log.primary, log.base, log.voters),
-                *(Appended(e, log.start) for e in tail),
-            )
-        )
-    )
-
-
 def lease_ok(core, now_ms):
     return watch.lease_ok(core.synchrony, now_ms)
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -48,6 +48,19 @@
                 answered(ctx, answer)
     finally:
         ctx.stepping = False
+    go_on(ctx)
+
+
+def go_on(ctx):
+    """Let the event loop run before the next slice of a snapshot under way."""
+    if ctx.core.snapshots.busy and not ctx.slicing:
+        ctx.slicing = True
+        ctx.reactor.callLater(0, next_slice, ctx)
+
+
+def next_slice(ctx):
+    ctx.slicing = False
+    feed(ctx, cores.Slice(clock_ms(ctx)))
 
 
 def answered(ctx, answer):
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -6,8 +6,11 @@
 from .records import Claim, Mark, Program, Reservation, Runner
 from .words import Duty
 
+# Names of fields in snapshots, where they differ: snapshots of earlier builds stay readable.
+NAMES_IN_SNAPSHOTS = {"clock_ms": "clockMs", "config_index": "configIndex", "program_ledger": "coppice"}
 
-class Ledger(Struct):
+
+class Ledger(Struct, rename=NAMES_IN_SNAPSHOTS):
     index: int = 0
     clock_ms: int = 0
     members: tuple[Member, ...] = ()
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -107,6 +107,15 @@
     offset: int
 
 
+class SnapshotReceived(Struct, frozen=True, tag=8):
+    """All pieces of a snapshot are here; `refill` takes it over once its state is decoded."""
+
+    id: ConfigurationId
+    index: int
+    state: bytes
+    digest: str
+
+
 class Overfull(Struct, frozen=True, tag=6):
     held: int
 
@@ -115,7 +124,7 @@
     number: int
 
 
-Answer = Changed | Delivered | Applied | Filled | SnapshotAsked | Overfull | Numbered
+Answer = Changed | Delivered | Applied | Filled | SnapshotAsked | SnapshotReceived | Overfull | Numbered
 
 
 class Out(Struct):
--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -1,8 +1,6 @@
-from hashlib import blake2b
-
 from msgspec import msgpack
 
-from .events import Appended, Applied, Filled, Installed, Open, Snapshot, SnapshotAsked
+from .events import Appended, Applied, Filled, Installed, Open, Snapshot, SnapshotAsked, SnapshotReceived
 from .memory import NOWHERE
 from .state import Primary, count, majorities, names, role, sequencer, write
 from .words import Entry, Fetch, Fill, Ready
@@ -113,7 +111,7 @@
 
 def drain(synchrony, out):
     log, primary = synchrony.log, synchrony.primary
-    if not primary.settled:
+    if not primary.settled or synchrony.paused:
         return
     if synchrony.waiting and synchrony.storage and primary.ready_at >= 0:
         first = min(synchrony.waiting)
@@ -154,11 +152,14 @@
 
 def fetch(synchrony, out):
     first = lacking(synchrony)
-    if not first or synchrony.recovery or synchrony.primary.donor == synchrony.name:
+    if not first or synchrony.recovery or synchrony.primary.loading or synchrony.primary.donor == synchrony.name:
         return
     if synchrony.now_ms - synchrony.primary.fetch_ms < synchrony.bounds.resend_ms:
         return
     synchrony.primary.fetch_ms = synchrony.now_ms
+    if synchrony.storage and synchrony.applied > synchrony.primary.base:
+        ask_own_snapshot(synchrony, out)
+        return
     ready = sorted(
         n
         for n in names(synchrony.configuration)
@@ -173,6 +174,12 @@
     out.sends.append((synchrony.primary.source, Fetch(synchrony.configuration.id, first, len(synchrony.primary.piece))))
 
 
+def ask_own_snapshot(synchrony, out):
+    """All that this member's log lacks is in its state: a snapshot of another would be behind it under traffic."""
+    synchrony.primary.loading = True
+    out.answers.append(SnapshotAsked(synchrony.name, synchrony.configuration.id, 0))
+
+
 def fetched(synchrony, out, frm, message):
     log, primary = synchrony.log, synchrony.primary
     if message.id != synchrony.configuration.id or primary.ready_at < 0:
@@ -208,7 +215,7 @@
 
 def pieced(synchrony, out, frm, message):
     primary = synchrony.primary
-    if message.id != synchrony.configuration.id or not lacking(synchrony):
+    if message.id != synchrony.configuration.id or primary.loading or not lacking(synchrony):
         return
     if message.index != primary.piece_index or message.offset == 0:
         primary.piece, primary.piece_index = bytearray(), message.index
@@ -219,8 +226,8 @@
     primary.fetch_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
     if len(primary.piece) >= message.total:
         state, primary.piece = bytes(primary.piece), bytearray()
-        if blake2b(state, digest_size=16).hexdigest() == message.digest:
-            refill(synchrony, out, message.index, state)
+        primary.loading = True
+        out.answers.append(SnapshotReceived(message.id, message.index, state, message.digest))
     fetch(synchrony, out)
 
 
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -17,6 +17,7 @@
     piece_bytes: int = 262144
     rewrite_entries: int = 20000
     refill_bytes_s: int = 16 << 20
+    slice_records: int = 2000
 
     @property
     def beat_ms(self):
@@ -107,6 +108,7 @@
     opened: bool = False
     open_ordered: bool = False
     fetch_ms: int = -(1 << 40)
+    loading: bool = False
     piece: bytearray = field(default_factory=bytearray)
     piece_index: int = -1
     source: str = ""
@@ -146,6 +148,7 @@
     replays: list[tuple[str, object]] = []
     unwell: bool = False
     leaving: bool = False
+    paused: bool = False
     counts: dict[str, int] = {}
     news: dict[str, int] = {}
 
