--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -7,8 +7,11 @@
 
 from .records import Claim, Duty, Mark, Program, Reservation, Runner
 
+# Names of fields in snapshots, where they differ: snapshots of earlier builds stay readable.
+NAMES_IN_SNAPSHOTS = {"clock_ms": "clockMs", "config_index": "configIndex", "program_ledger": "coppice"}
 
-class Ledger(Struct):
+
+class Ledger(Struct, rename=NAMES_IN_SNAPSHOTS):
     """Everything that replicas agree on: programs, keys, runners, configurations, duties and voters."""
 
     index: int = 0
