--- a/frostpost/daemon/body_reader.py
+++ b/frostpost/daemon/body_reader.py
@@ -3,6 +3,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Protocol
 from twisted.web.client import ResponseDone
+from twisted.web.http import PotentialDataLoss
 
 
 class BodyTooLongError(Exception):
@@ -14,10 +15,11 @@
 
 
 class Gather(Protocol):
-    """Return a Deferred of a response's whole body, of at most `most` bytes."""
+    """Collects a response's body; until_close: the end of the connection ends a body of unknown length."""
 
-    def __init__(self, most):
+    def __init__(self, most, until_close=False):
         self.data, self.most, self.whole = bytearray(), most, Deferred()
+        self.until_close = until_close
 
     def dataReceived(self, data):
         """Add a piece; fail once the body is over the bound."""
@@ -30,14 +32,14 @@
         """Deliver the whole body, or BodyCutError."""
         if self.whole.called:
             return
-        if reason.check(ResponseDone):
+        if reason.check(ResponseDone) or self.until_close and reason.check(PotentialDataLoss):
             self.whole.callback(bytes(self.data))
         else:
             self.whole.errback(BodyCutError())
 
 
-def gather(response, most):
-    """Return a Deferred of a response's whole body, of at most `most` bytes."""
-    reading = Gather(most)
+def gather(response, most, until_close=False):
+    """Return a Deferred of a response's whole body; fails with BodyTooLongError over `most` bytes, or BodyCutError."""
+    reading = Gather(most, until_close)
     response.deliverBody(reading)
     return reading.whole
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -4,13 +4,15 @@
 
 from msgspec import DecodeError, json
 from twisted.internet.defer import inlineCallbacks
-from twisted.web.client import Agent, HTTPConnectionPool, readBody
+from twisted.web.client import Agent, HTTPConnectionPool
 
+from frostpost.daemon.body_reader import gather
 from frostpost.proxy.words import Runner
 
 from .settings import address_of
 
 PAGE_S, MOST_PAGES, KEPT_S, REFUSED_RETRY_MS = 1.0, 1000, 30, 500
+PAGE_BYTES = 64 << 20
 
 
 class ListRefusedError(Exception):
@@ -87,7 +89,7 @@
     if token:
         url += f"?page-token={quote(str(token), safe='')}"
     response = yield agent_of(leaf).request(b"GET", url.encode()).addTimeout(PAGE_S, leaf.reactor)
-    body = yield readBody(response).addTimeout(PAGE_S, leaf.reactor)
+    body = yield gather(response, PAGE_BYTES, until_close=True).addTimeout(PAGE_S, leaf.reactor)
     if response.code == 429:
         raise ListRefusedError(retry_ms_of(response))
     if response.code != 200:
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -34,7 +34,7 @@
 
 
 class Work(Struct):
-    """Hand in one random operation and schedule the next."""
+    """The load: its rate, counts and violations seen while it runs."""
 
     random: Random
     every_ms: float = 15.0
