--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,10 +1,14 @@
 """Packages import downward only: what is below knows nothing of what is above."""
 
 import ast
+import importlib
+import re
 from collections import defaultdict
 from itertools import chain
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parent.parent / "frostpost"
 # From the top: a package may import from those of the lines below its own, and from its own.
 LAYERS = (
@@ -75,3 +79,16 @@
                 names += [a.name for a in node.names] if isinstance(node, ast.Import) else []
                 found += [(path.name, n) for n in names if n.split(".")[0] in held]
     assert found == []
+
+
+def named_in_the_guide():
+    """Dotted names of this project's modules, and of what they define, in the contributors' page."""
+    text = (ROOT.parent / "docs" / "CONTRIBUTING.md").read_text()
+    return sorted(set(re.findall(rf"\b((?:{'|'.join(LEVEL)})\.[a-z_]+(?:\.\w+)?)\b", text)))
+
+
+@pytest.mark.parametrize("name", named_in_the_guide())
+def test_what_the_contributors_page_names_is_there(name):
+    package, module, *attributes = name.split(".")
+    found = importlib.import_module(f"frostpost.{package}.{module}")
+    assert all(hasattr(found, attribute) for attribute in attributes)
