--- a/frostpost/ledger/duties.py
+++ b/frostpost/ledger/duties.py
@@ -55,12 +55,11 @@
 
 def owed(ledger, me):
     """Return the (duty, round, candidate) votes that a member has yet to cast."""
-    if me.name not in electors(ledger):
+    vacant = [(name, duty) for name, duty in ledger.duties.items() if duty.holder is None]
+    if not vacant or me.name not in electors(ledger):
         return []
     return [
-        (name, duty.round, nominee(ledger, name, duty.round))
-        for name, duty in ledger.duties.items()
-        if duty.holder is None and me.name not in duty.ballots
+        (name, duty.round, nominee(ledger, name, duty.round)) for name, duty in vacant if me.name not in duty.ballots
     ]
 
 
