--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -43,6 +43,8 @@
         case Grant():
             if lease.granted(leaf, place, body):
                 asking.send_all(leaf)
+            if leaf.ticker is not None:
+                leaf.ticker.wake(lease.due_ms(leaf) - now_ms(leaf))
         case Told():
             asking.told(leaf, body)
         case RoutingTell():
--- a/frostpost/virtual_synchrony/due.py
+++ b/frostpost/virtual_synchrony/due.py
@@ -8,7 +8,7 @@
 
     Besides what is open (a proposal, a recovery, a primary that isn't open, a log that is being fetched, operations
     that aren't ordered or acknowledged yet), this holds from any change in what is known of the peers until the
-    next tick has judged it, and while the members wished for aren't those of the configuration.
+    next tick has judged it, and while the members wished for at the last tick weren't those of the configuration.
     """
     order, primary = synchrony.order, synchrony.primary
     return bool(
@@ -21,7 +21,7 @@
         or synchrony.outbox
         or order.unsent
         or order.fanned > order.safe
-        or synchrony.desired != synchrony.configuration.members
+        or synchrony.apart
         or synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms
         or lacking(synchrony)
     )
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -135,7 +135,7 @@
 def begin(synchrony, out):
     recovery = synchrony.recovery
     synchrony.configuration = Configuration(recovery.id, recovery.members, recovery.sequencer)
-    synchrony.installed_ms = synchrony.now_ms
+    synchrony.installed_ms, synchrony.changed = synchrony.now_ms, True
     synchrony.log.epoch = max(synchrony.log.epoch, recovery.id.epoch)
     synchrony.recovery = None
     synchrony.obligations = frozenset()
--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -136,7 +136,7 @@
 
 
 def unlatch(synchrony):
-    synchrony.primary.settled = synchrony.primary.opened = True
+    synchrony.primary.settled = synchrony.primary.opened = synchrony.changed = True
     synchrony.order.floor = min(synchrony.outbox, default=synchrony.number + 1)
     synchrony.submitted = synchrony.order.floor - 1
 
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -150,6 +150,7 @@
     news: dict[str, int] = {}
     changed: bool = True
     ticked_ms: int = -(1 << 40)
+    apart: bool = True
 
     @property
     def me(self):
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -119,6 +119,7 @@
     ordering.flush(synchrony, out, force=True)
     settling.fetch(synchrony, out)
     synchrony.changed, synchrony.ticked_ms = False, synchrony.now_ms
+    synchrony.apart = set(synchrony.desired) != set(synchrony.configuration.members)
 
 
 def say_roster(synchrony, out):
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -11,6 +11,11 @@
     )
 
 
+def judged(synchrony, peer):
+    """What a tick judges of a peer, as far as heartbeats tell it."""
+    return alive(synchrony, peer), peer.hears, peer.configuration, peer.promised, peer.ready
+
+
 def hearing(synchrony):
     mine = {p.place.member for p in synchrony.peers.values() if alive(synchrony, p)}
     graph = {synchrony.me: mine}
@@ -59,13 +64,13 @@
 
 def beaten(synchrony, out, frm, message):
     peer = synchrony.peers[frm]
-    before = alive(synchrony, peer), peer.hears
+    before = judged(synchrony, peer)
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
     peer.hears = frozenset(message.hears)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
     peer.news = message.news
-    if before != (alive(synchrony, peer), peer.hears):
+    if before != judged(synchrony, peer):
         synchrony.changed = True
     agreed = message.configuration == synchrony.configuration.id == message.promised
     if agreed and message.echo_ms > peer.granted_ms:
