--- a/frostpost/cluster/context.py
+++ b/frostpost/cluster/context.py
@@ -34,6 +34,7 @@
         "parts",
         "extras",
         "ticker",
+        "told",
     )
 
     def __init__(self, settings, reactor, place, machine=MACHINE):
@@ -42,7 +43,7 @@
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
         self.leaving, self.flights, self.calls, self.tasks = False, 0, 0, []
-        self.hook, self.asking, self.ticker = {}, None, None
+        self.hook, self.asking, self.ticker, self.told = {}, None, None, {}
         self.life, self.front, self.lag_ms, self.parts, self.extras = None, None, 0.0, {}, {}
 
 
--- /dev/null
+++ b/frostpost/cluster/directory.py
@@ -0,0 +1,38 @@
+"""The directory of replicas as a seed tells it, and what it has told to whom."""
+
+from msgspec import Struct
+
+from frostpost.virtual_synchrony.outer import Directory
+from frostpost.virtual_synchrony.places import Member
+
+from .context import now_ms
+
+REPEAT_MS = 60_000
+
+
+class Told(Struct, frozen=True):
+    """What one replica was told last, and when."""
+
+    member: Member
+    directory: Directory
+    at_ms: int
+
+
+def current(leaf):
+    """The directory as this daemon knows it now."""
+    return Directory(tuple(leaf.directory.values()), leaf.charter)
+
+
+def tell(leaf, place):
+    """The directory for the replica at that place; it is noted as told."""
+    message = current(leaf)
+    leaf.told[place.member.name] = Told(place.member, message, now_ms(leaf))
+    return message
+
+
+def is_news(leaf, place):
+    """Whether the replica at that place lacks something of the directory, or was told long ago."""
+    told = leaf.told.get(place.member.name)
+    if told is None or told.member != place.member or now_ms(leaf) - told.at_ms >= REPEAT_MS:
+        return True
+    return told.directory != current(leaf)
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -8,7 +8,7 @@
 from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 
-from . import asking, founding, lease, peers, status
+from . import asking, directory, founding, lease, peers, status
 from .context import Leaf, now_ms
 
 RING = "storage"
@@ -63,14 +63,15 @@
             direct(leaf, place)
         case Roster():
             lease.directed(leaf, [place])
-            direct(leaf, place)
+            if body.places or directory.is_news(leaf, place):
+                leaf.links["send"](lease.address_of(place), directory.tell(leaf, place))
             for asker in leaf.extras.pop("askers", {}).values():
                 direct(leaf, asker)
 
 
 def direct(leaf, place):
     """Tell a daemon that asks where the ring's daemons are."""
-    leaf.links["send"](lease.address_of(place), Directory(tuple(leaf.directory.values()), leaf.charter))
+    leaf.links["send"](lease.address_of(place), directory.current(leaf))
 
 
 def tend(leaf):
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -127,6 +127,8 @@
     now_ms: int = 0
     beat_ms: int = -(1 << 40)
     roster_ms: int = -(1 << 40)
+    roster_places: tuple[Place, ...] = ()
+    roster_periods: int = 0
     desired: tuple[Member, ...] = ()
     desired_ms: int = 0
     obligations: frozenset[Member] = frozenset()
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -1,4 +1,4 @@
-from . import membership, ordering, recovery, settling, watch
+from . import membership, ordering, recovery, roster, settling, watch
 from .events import Asked, Left, Out, Received, Stalled, Synced, Tick
 from .state import Peer, count
 from .words import (
@@ -43,7 +43,7 @@
         case Left():
             synchrony.leaving = True
             watch.beat(synchrony, out)
-            say_roster(synchrony, out)
+            roster.tell(synchrony, out)
     loop(synchrony, out)
     return synchrony, out
 
@@ -111,7 +111,7 @@
     if synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms:
         watch.beat(synchrony, out)
     if synchrony.now_ms - synchrony.roster_ms >= synchrony.bounds.detect_ms:
-        say_roster(synchrony, out)
+        roster.tell(synchrony, out)
     membership.shrink(synchrony, out)
     membership.seek(synchrony, out)
     recovery.remind(synchrony, out)
@@ -122,28 +122,6 @@
     synchrony.apart = set(synchrony.desired) != set(synchrony.configuration.members)
 
 
-def say_roster(synchrony, out):
-    synchrony.roster_ms = synchrony.now_ms
-    places = (synchrony.place, *(p.place for p in synchrony.peers.values()))
-    message = Roster(places, synchrony.leaving)
-    known = {f"@{p.place.host}:{p.place.port}" for p in synchrony.peers.values()}
-    mine = f"@{synchrony.place.host}:{synchrony.place.port}"
-    for seed in synchrony.seeds:
-        if seed not in known and seed != mine:
-            out.sends.append((seed, message))
-    for name in synchrony.peers:
-        out.sends.append((name, message))
-
-
-def rostered(synchrony, frm, message):
-    peer = synchrony.peers[frm]
-    if peer.leaving != message.leaving:
-        peer.leaving, synchrony.changed = message.leaving, True
-    for place in message.places:
-        if place.member.name not in synchrony.peers and place.member.name != synchrony.name:
-            synchrony.peers[place.member.name], synchrony.changed = Peer(place), True
-
-
 def received(synchrony, out, frm, body):
     recovering = synchrony.recovery
     if recovering and isinstance(body, EARLY) and body.id == recovering.id:
@@ -154,7 +132,7 @@
         case Beat():
             watch.beaten(synchrony, out, frm, body)
         case Roster():
-            rostered(synchrony, frm, body)
+            roster.told(synchrony, frm, body)
         case Propose():
             membership.proposed(synchrony, out, frm, body)
         case TurnAway():
--- /dev/null
+++ b/tests/test_roster.py
@@ -0,0 +1,131 @@
+"""What replicas and seeds tell each other of places: all while it is news, little after that."""
+
+from types import SimpleNamespace
+
+import pytest
+from twisted.internet.task import Clock
+
+from frostpost.cluster import leaf as agents
+from frostpost.cluster.context import Leaf
+from frostpost.cluster.settings import DaemonSettings
+from frostpost.daemon.machine import Machine
+from frostpost.simulator import world as worlds
+from frostpost.virtual_synchrony import roster
+from frostpost.virtual_synchrony.outer import Directory
+from frostpost.virtual_synchrony.words import SPEAKS, Frame, Member, Place, Roster
+
+SEED = "@seed:1"
+MINUTE_MS = 60_000
+
+
+class Watched:
+    """A ring of three with a seed outside it; keeps the rosters sent, each with its time, sender and receiver."""
+
+    def __init__(self, monkeypatch):
+        self.rosters = []
+        self.world = worlds.make(5, 0, 3, 0)
+        for node in self.world.nodes.values():
+            node.core.synchrony.seeds += (SEED,)
+        perform = worlds.perform
+
+        def watched(world, node, out):
+            self.rosters += [(world.now_ms, node.name, to, b) for to, b in out.sends if isinstance(b, Roster)]
+            perform(world, node, out)
+
+        monkeypatch.setattr(worlds, "perform", watched)
+
+    def play(self, until_ms, from_ms=0):
+        worlds.run(self.world, until_ms)
+        return [row for row in self.rosters if from_ms <= row[0] < until_ms]
+
+    def sequencer(self):
+        return next(iter(self.world.nodes.values())).core.synchrony.configuration.sequencer
+
+
+def test_settled_ring_reports_to_a_seed_by_its_sequencer_and_without_places(monkeypatch):
+    ring = Watched(monkeypatch)
+    rows = [row for row in ring.play(60_000, from_ms=20_000) if row[2] == SEED]
+    first = ring.sequencer()
+    assert all(body.places == () for _, _, _, body in rows)
+    by_sender = {name: sum(row[1] == name for row in rows) for name in ring.world.nodes}
+    assert by_sender.pop(first) == pytest.approx(80, abs=2)
+    assert all(count == pytest.approx(8, abs=1) for count in by_sender.values())
+
+
+def test_settled_members_repeat_the_list_to_each_other_now_and_then(monkeypatch):
+    ring = Watched(monkeypatch)
+    rows = [row for row in ring.play(60_000, from_ms=20_000) if row[2] != SEED]
+    assert len(rows) == pytest.approx(3 * 2 * 8, abs=6)
+    assert all(len(body.places) == 3 for _, _, _, body in rows)
+
+
+def test_change_is_told_to_everybody_several_times(monkeypatch):
+    ring = Watched(monkeypatch)
+    ring.play(20_000)
+    ring.world.nodes["s4"] = worlds.Node("s4", "storage", "a")
+    worlds.start(ring.world, "s4")
+    rows = ring.play(26_000, from_ms=20_000)
+    for sender in ("s1", "s2", "s3"):
+        told = [row for row in rows if row[1] == sender and len(row[3].places) == 4]
+        assert sum(row[2] == SEED for row in told) >= roster.REPEATS
+        assert {row[2] for row in told} == {SEED, *(f"s{n}" for n in range(1, 5))} - {sender}
+
+
+def test_replica_outside_a_primary_tells_all_in_every_period(monkeypatch):
+    ring = Watched(monkeypatch)
+    ring.play(20_000)
+    worlds.cut(ring.world, ["s3"], ["s1", "s2"])
+    rows = [row for row in ring.play(40_000, from_ms=30_000) if row[1] == "s3"]
+    assert sum(row[2] == SEED for row in rows) == pytest.approx(20, abs=2)
+    assert all(len(body.places) == 3 for _, _, _, body in rows)
+
+
+def place_of(name, boot=1):
+    return Place(Member(name, boot), "storage", "z", name, 7, 0, SPEAKS)
+
+
+class Seed:
+    """A core daemon that hears replicas' rosters."""
+
+    def __init__(self):
+        self.clock, self.out = Clock(), []
+        settings = DaemonSettings("c1", "core", "z", "h", 7, seeds=("h:7",))
+        machine = Machine(seconds=self.clock.seconds)
+        self.leaf = Leaf(settings, self.clock, SimpleNamespace(member=Member("c1", 1)), machine)
+        self.leaf.links["send"] = lambda to, body: self.out.append((to, body))
+        agents.lease.session(self.leaf)
+
+    def hear(self, name, places=(), boot=1):
+        """-> how many places the sender is told, None if it gets no answer."""
+        self.out.clear()
+        place = place_of(name, boot)
+        agents.received(self.leaf, Frame(1, place, "", Roster(tuple(place_of(p) for p in places), False)))
+        told = [body for to, body in self.out if isinstance(body, Directory) and to == f"@{name}:7"]
+        return len(told[-1].places) if told else None
+
+
+def test_seed_answers_a_report_without_places_only_with_news():
+    seed = Seed()
+    assert seed.hear("s1") == 1
+    assert seed.hear("s1") is None
+    assert seed.hear("s2") == 2
+    assert seed.hear("s1") == 2
+    assert seed.hear("s1") is None
+
+
+def test_seed_answers_a_report_with_places_always():
+    seed = Seed()
+    seed.hear("s1")
+    assert seed.hear("s1", places=("s1", "s2")) == 1
+    assert seed.hear("s1", places=("s1", "s2")) == 1
+
+
+def test_seed_tells_a_new_boot_a_new_charter_and_after_a_minute_again():
+    seed = Seed()
+    assert seed.hear("s1") == 1
+    assert seed.hear("s1", boot=2) == 1
+    assert seed.hear("s1", boot=2) is None
+    seed.leaf.charter = ("s1",)
+    assert seed.hear("s1", boot=2) == 1
+    seed.clock.advance(MINUTE_MS / 1000)
+    assert seed.hear("s1", boot=2) == 1
