--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -27,8 +27,8 @@
         synchrony.seeds = tuple(dict.fromkeys((*(f"@{s}" for s in replica.settings.seeds), *synchrony.seeds)))
 
 
-def run(settings, front):
-    """Run one daemon until it is told to stop; -> its exit status."""
+def run(settings, front, started=lambda: None):
+    """Run one daemon until it is told to stop; started() is called once it runs. -> its exit status."""
     from twisted.internet import reactor
 
     machine, status = Machine(), []
@@ -56,6 +56,7 @@
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
         signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reread, owner, front))
 
+    reactor.callWhenRunning(started)
     reactor.addSystemEventTrigger("after", "startup", signals)
     reactor.run(installSignalHandlers=True)
     return max(status, default=0)
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -49,6 +49,9 @@
 
 def act(ledger, entry, op) -> Result:
     """Carry out the operation of an entry and return its result."""
+    if program_ledgers.knows(op):
+        members = tuple(m.name for m in ledger.members)
+        return program_ledgers.act(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
     match op:
         case Open(members, cores, voters):
             stopped = bool(ledger.members) and not set(ledger.members) & set(members)
@@ -94,9 +97,7 @@
             return voters_(ledger, entry, op)
         case Ballot():
             return duties.ballot(ledger, entry, op)
-        case _:
-            members = tuple(m.name for m in ledger.members)
-            return program_ledgers.act(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
+    raise TypeError(f"no operation of the ledger: {type(op).__name__}")
 
 
 def tick(ledger, entry, op):
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -1,5 +1,6 @@
 """One daemon on the users' machines: `python3 -m frostpost.platform.main [ROLE] [--check] [--routing FILE]`."""
 
+import gc
 import sys
 
 from msgspec import json
@@ -52,7 +53,15 @@
     return 0
 
 
+def start_collecting():
+    """Look for cycles from now on, and never among what the start has made: that stays."""
+    gc.freeze()
+    gc.enable()
+
+
 def main():
+    """Run the command; returns the exit status."""
+    gc.disable()
     without_tls()
     role, path, check, document = parse_flags()
     if document is not None:
@@ -70,7 +79,7 @@
     from .listening import make_front
 
     begin()
-    return run(result.ok, make_front(path, role))
+    return run(result.ok, make_front(path, role), started=start_collecting)
 
 
 if __name__ == "__main__":
