--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -206,5 +206,5 @@
 
 def open_(folder, files):
     """-> the open log, the records read, and what was wrong with the file."""
-    write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, "log", files)
-    return write_ahead_log, [decode(p) for p in payloads], fault
+    write_ahead_log, payloads, error = write_ahead_logs.open_(folder, "log", files)
+    return write_ahead_log, [decode(p) for p in payloads], error
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -58,10 +58,10 @@
         ctx.stepping = False
     if ctx.ticker is not None and unsettled(ctx.core.synchrony):
         ctx.ticker.wake()
-    go_on(ctx)
+    continue_snapshot(ctx)
 
 
-def go_on(ctx):
+def continue_snapshot(ctx):
     """Let the event loop run before the next slice of a snapshot under way."""
     if ctx.core.snapshots.busy and not ctx.slicing:
         ctx.slicing = True
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -144,7 +144,8 @@
         synchrony.changed = changed
 
     monkeypatch.setattr(watch, "beaten", forgetful)
-    plays.play(13, 0, 5, 0, gap_ms=1500)
+    for seed in range(11, 17):
+        plays.play(seed, 0, 5, 0, gap_ms=1500)
     assert slept.effects
 
 
