--- a/frostpost/admin/configs.py
+++ b/frostpost/admin/configs.py
@@ -1,13 +1,16 @@
+"""Commands that bring a folder of declarations into effect."""
+
 import os
 import sys
 
 from msgspec import DecodeError, json
 
-from .asking import DONE, FOUND, MISUSED, TurnedAway, ask, fail, say
+from .asking import DONE, FOUND, MISUSED, Refused, ask, fail, say
 
 
 def declared(folder):
-    found, faults = {}, []
+    """Return (documents by path, errors) of a folder."""
+    found, errors = {}, []
     for kind in ("templates", "tenants"):
         base = os.path.join(folder, kind)
         for name in sorted(os.listdir(base)) if os.path.isdir(base) else ():
@@ -17,19 +20,20 @@
             with open(path, "rb") as file:
                 try:
                     found[f"{kind}/{name[:-5]}"] = json.decode(file.read())
-                except DecodeError as fault:
-                    faults.append(f"{path}: {fault}")
-    return found, faults
+                except DecodeError as error:
+                    errors.append(f"{path}: {error}")
+    return found, errors
 
 
 def changes(door, found):
+    """Return the (path, document, version held) that differ, and an error or None."""
     plan = []
     for path, document in found.items():
         held = ask(door, f"/v1/config/{path}")
         if held.is_ok():
             if held.ok["document"] != document:
                 plan.append((path, document, held.ok["version"]))
-        elif isinstance(held.error, TurnedAway) and held.error.status == 404:
+        elif isinstance(held.error, Refused) and held.error.status == 404:
             plan.append((path, document, 0))
         else:
             return plan, held.error
@@ -37,15 +41,17 @@
 
 
 def read(command):
-    found, faults = declared(command.folder)
-    if faults or not found:
-        for fault in faults or [f"{command.folder}: no templates/*.json or tenants/*.json"]:
-            print(f"BadDeclaration: {fault}", file=sys.stderr)
+    """Return a folder's documents, or None after printing its errors."""
+    found, errors = declared(command.folder)
+    if errors or not found:
+        for error in errors or [f"{command.folder}: no templates/*.json or tenants/*.json"]:
+            print(f"BadDeclaration: {error}", file=sys.stderr)
         return None
     return found
 
 
 def planned(command, door):
+    """Return (exit status, changes to make); the changes are None after an error."""
     found = read(command)
     if found is None:
         return MISUSED, None
@@ -54,6 +60,7 @@
 
 
 def diff(command, door):
+    """Print what apply would change."""
     status, plan = planned(command, door)
     if plan is None:
         return status
@@ -63,6 +70,7 @@
 
 
 def apply_whole(command, door):
+    """Apply a folder as one change: all or nothing."""
     found = read(command)
     if found is None:
         return MISUSED
@@ -82,6 +90,7 @@
 
 
 def apply(command, door):
+    """Apply a folder, document by document."""
     if command.whole:
         return apply_whole(command, door)
     status, plan = planned(command, door)
@@ -100,6 +109,7 @@
 
 
 def get(command, door):
+    """Print one document or the list of all."""
     result = ask(door, f"/v1/config/{command.path}" if command.path else "/v1/config")
     if result.is_error():
         return fail(command, result.error)
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -1,9 +1,12 @@
+"""The pure core: virtual synchrony with the ledger on top, as (core, input) -> (core, output)."""
+
 from msgspec import Struct, field
 
 from frostpost.ledger import duties, snapshots
 from frostpost.ledger.apply import apply, encode
+from frostpost.ledger.operations import Ballot, Rules
+from frostpost.ledger.results import Result
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import Ballot, Rules, Verdict
 from frostpost.virtual_synchrony import state as synchronies
 from frostpost.virtual_synchrony import watch
 from frostpost.virtual_synchrony.events import (
@@ -25,8 +28,10 @@
 
 
 class Decided(Struct, frozen=True, tag=20):
+    """The result of an operation that this daemon handed in; None if it was settled but is not known any more."""
+
     number: int
-    verdict: Verdict | None
+    result: Result | None
 
 
 class Slice(Struct, frozen=True, tag=21):
@@ -36,6 +41,8 @@
 
 
 class Core(Struct):
+    """State of the core: membership and order, the ledger, and the votes cast for duties."""
+
     synchrony: synchronies.Synchrony
     ledger: Ledger
     snapshots: Snapshots = field(default_factory=Snapshots)
@@ -44,6 +51,7 @@
 
 
 def begin(place, bounds, seeds, voters, log, now_ms):
+    """Return (core, output) of a daemon that starts with the log read from its disk."""
     synchrony, out = synchronies.begin(place, bounds, seeds, voters, log, now_ms)
     ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.settled - log.start)]:
@@ -54,6 +62,7 @@
 
 
 def step(core, input):
+    """Handle one input; return (core, output)."""
     out = Out() if isinstance(input, Slice) else synchrony_step(core.synchrony, input)[1]
     if isinstance(input, Slice | Tick):
         snapshotting.advance(core, out)
@@ -71,13 +80,14 @@
 
 
 def settle_answers(core, out):
+    """Apply what was delivered to the ledger; return the answers for the shell."""
     told = []
     for answer in out.answers:
         match answer:
             case Applied(entry):
-                core.ledger, verdict = apply(core.ledger, entry)
+                core.ledger, result = apply(core.ledger, entry)
                 if entry.sender == core.synchrony.me and entry.number:
-                    told.append(Decided(entry.number, verdict))
+                    told.append(Decided(entry.number, result))
                 told.append(answer)
             case Filled():
                 told += forgotten(core)
@@ -92,6 +102,7 @@
 
 
 def follow(core):
+    """Take over the voters that the ledger holds."""
     voters, synchrony = core.ledger.voters, core.synchrony
     if voters and voters != synchrony.voters:
         synchrony.voters = synchrony.log.voters = voters
@@ -102,6 +113,7 @@
 
 
 def forgotten(core):
+    """Return the outcome of own operations that a snapshot already contains."""
     boot, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
     if boot != core.synchrony.me.boot:
         return []
@@ -112,6 +124,7 @@
 
 
 def ballots(core):
+    """Return the encoded votes that this daemon has yet to cast."""
     synchrony, ledger = core.synchrony, core.ledger
     if not synchrony.primary.opened or synchrony.recovery or synchrony.leaving:
         return []
@@ -125,6 +138,7 @@
 
 
 def rules(core):
+    """Return the operation that raises the ledger's rules, once every member speaks the new version."""
     synchrony, ledger = core.synchrony, core.ledger
     if (
         ledger.rules >= SPEAKS
@@ -140,4 +154,5 @@
 
 
 def lease_ok(core, now_ms):
+    """Tell whether the lease allows this daemon to serve at that time."""
     return watch.lease_ok(core.synchrony, now_ms)
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -134,7 +134,7 @@
     def report(self, failure):
         count(self.ctx, "disk_faults")
         number = getattr(failure.value, "errno", None)
-        say("DiskFault", type=failure.type.__name__, error=errorcode.get(number, ""))
+        say("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
 
     def failed(self, failure, batch):
         self.busy, self.adopting, self.good = False, False, 0
@@ -146,6 +146,7 @@
         self.turn(True)
 
     def turn(self, unwell):
+        """Mark the disk well or unwell, and tell the core."""
         if unwell != self.unwell:
             self.unwell = unwell
             say("DiskUnwell" if unwell else "DiskWell")
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -1,11 +1,14 @@
+"""Planted faults of the HTTP interface, for tests of the checkers."""
+
 from expression import Ok
 from twisted.internet.defer import succeed
 
 from frostpost.background import shelves
 from frostpost.daemon import life
 from frostpost.daemon.heart import ask
-from frostpost.http_api import carry, control, faults, lookups, turns
-from frostpost.ledger.words import Done, Settle, Unclaim
+from frostpost.http_api import control, errors, forward, lookups, stream, turns
+from frostpost.ledger.operations import Settle, Unclaim
+from frostpost.ledger.results import Done
 from frostpost.placement import judge
 
 from . import plants
@@ -13,55 +16,67 @@
 KEPT = {"close": turns.Stream.close, "read": lookups.read, "load": shelves.load}
 
 
-def any_fault(reason):
+def any_failure(reason):
+    """Plant: take every failure as one where nothing ran."""
     return reason is not None
 
 
 def unclaim_all(ctx, op, wait_ms):
+    """Plant: free a key whose outcome is unknown."""
     return ask(ctx, Unclaim(op.key) if getattr(op, "status", "") == "unknown" else op, wait_ms)
 
 
 def take_as_whole(stream, reason):
+    """Plant: take a partial stream as whole."""
     stream.ended, stream.bad = stream.held is not None, None
     return KEPT["close"](stream, None if stream.ended else reason)
 
 
 def spend_nothing(reservation, used, line):
+    """Plant: settle without spending."""
     return Settle(reservation, 0, line)
 
 
 def hasty(ctx, op, wait_ms):
+    """Plant: answer before the history is ordered."""
     answer = ask(ctx, op, wait_ms)
     return succeed(Ok(Done(0))) if isinstance(op, Settle) and op.line is not None else answer
 
 
 def at_once(ctx, index, what):
+    """Plant: acknowledge a change before all daemons honour it."""
     return True
 
 
 def heed_nothing(request, held):
+    """Plant: ignore If-Match."""
     return Ok(held)
 
 
 def any_runner(ctx, runner):
+    """Plant: send to any runner."""
     return True
 
 
-def any_service(ctx, go, client, base):
+def any_service(ctx, attempt, client, base):
+    """Plant: skip the proof of identity."""
     return succeed(True)
 
 
 def hurried(ctx, test, wait_ms):
+    """Plant: leave without waiting."""
     return succeed(True)
 
 
 def lose_bodies(ctx, folder):
+    """Plant: forget the configuration bodies on disk."""
     fault = KEPT["load"](ctx, folder)
     ctx.shelf = type(ctx.shelf)(ctx.shelf.me)
     return fault
 
 
-def last_verdict(run):
+def last_result(run):
+    """Plant: give a caller the result of the call before."""
     said = KEPT["read"](run)
     kept, LAST[:] = list(LAST), [said] if said.is_ok() else list(LAST)
     return kept[0] if kept else said
@@ -70,24 +85,25 @@
 LAST = []
 UNHEEDING = tuple(v for v in judge.VETOES if v is not judge.veto_leaving)
 DOORS = {
-    "retry_once": [(lookups, "unsent", any_fault)],
+    "retry_once": [(lookups, "unsent", any_failure)],
     "key_freed": [(lookups, "ask", unclaim_all)],
     "partial_taken": [(turns.Stream, "close", take_as_whole)],
-    "splice": [(turns, "unsent", any_fault)],
-    "spend_nothing": [(turns, "Settle", spend_nothing)],
-    "end_first": [(turns, "ask", hasty)],
+    "splice": [(turns, "unsent", any_failure)],
+    "spend_nothing": [(stream, "Settle", spend_nothing)],
+    "end_first": [(stream, "ask", hasty)],
     "ack_at_once": [(control, "everywhere", at_once)],
     "heed_nothing": [(control, "if_match", heed_nothing)],
-    "send_leaving": [(carry, "may_run", any_runner), (carry, "proved", any_service), (judge, "VETOES", UNHEEDING)],
-    "any_service": [(carry, "proved", any_service)],
+    "send_leaving": [(forward, "may_run", any_runner), (forward, "proved", any_service), (judge, "VETOES", UNHEEDING)],
+    "any_service": [(forward, "proved", any_service)],
     "leave_early": [(life, "until", hurried)],
     "no_lease": plants.PLANTS["no_lease"],
     "lose_bodies": [(shelves, "load", lose_bodies)],
-    "last_verdict": [(lookups, "read", last_verdict)],
-    "deny_run": [(lookups.faults, "Unknown", faults.RunnersFull)],
+    "last_result": [(lookups, "read", last_result)],
+    "deny_run": [(lookups.errors, "Unknown", errors.RunnersFull)],
 }
 
 
 def planted(name):
+    """Context manager: put a planted fault into the code."""
     LAST.clear()
     return plants.planted(name, DOORS)
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -39,7 +39,7 @@
             ordering.synced(synchrony, out, up_to)
             recovery.settle(synchrony, out)
         case Stalled(_, unwell):
-            synchrony.unwell = unwell
+            synchrony.unwell, synchrony.changed = unwell, True
         case Left():
             synchrony.leaving = True
             watch.beat(synchrony, out)
@@ -51,6 +51,7 @@
 def overslept(synchrony, now_ms):
     if now_ms - synchrony.now_ms > synchrony.bounds.detect_ms:
         count(synchrony, "overslept")
+        synchrony.changed = True
         for peer in synchrony.peers.values():
             peer.heard_ms = peer.granted_ms = -(1 << 40)
             peer.hears = frozenset()
@@ -59,35 +60,50 @@
 
 
 def loop(synchrony, out):
+    me = synchrony.name
     while True:
-        mine = [body for name, body in out.sends if name == synchrony.name]
-        out.sends = [s for s in out.sends if s[0] != synchrony.name]
+        mine = [body for name, body in out.sends if name == me]
+        if mine:
+            out.sends = [s for s in out.sends if s[0] != me]
         replays, synchrony.replays = synchrony.replays, []
         for body in mine:
-            received(synchrony, out, synchrony.name, body)
+            received(synchrony, out, me, body)
         for frm, body in replays:
             received(synchrony, out, frm, body)
         ordering.flush(synchrony, out)
-        if not any(name == synchrony.name for name, _ in out.sends) and not synchrony.replays:
+        if not any(name == me for name, _ in out.sends) and not synchrony.replays:
+            out.sends = without_superseded(out.sends)
             return
 
 
+def without_superseded(sends):
+    """The sends without each Safe after which the same receiver gets a Batch of as high a mark."""
+    batches = {(to, body.id): body.safe for to, body in sends if isinstance(body, Batch)}
+    if not batches:
+        return sends
+    return [(to, body) for to, body in sends if not (isinstance(body, Safe) and superseded(batches, to, body))]
+
+
+def superseded(batches, to, message):
+    return batches.get((to, message.id), -1) >= message.mark
+
+
 def meet(synchrony, place):
     name = place.member.name
     if name == synchrony.name:
         return False
     peer = synchrony.peers.get(name)
     if peer is None:
-        synchrony.peers[name] = Peer(place)
+        synchrony.peers[name], synchrony.changed = Peer(place), True
         synchrony.beat_ms = -(1 << 40)
     elif peer.place.member.boot != place.member.boot:
         if place.member in peer.past and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
             count(synchrony, "past_boot")
             return False
-        synchrony.peers[name] = Peer(place, past=(peer.past | {peer.place.member}))
+        synchrony.peers[name], synchrony.changed = Peer(place, past=(peer.past | {peer.place.member})), True
         synchrony.beat_ms = -(1 << 40)
     elif peer.place != place:
-        peer.place = place
+        peer.place, synchrony.changed = place, True
     return True
 
 
@@ -102,6 +118,7 @@
     ordering.remind(synchrony, out)
     ordering.flush(synchrony, out, force=True)
     settling.fetch(synchrony, out)
+    synchrony.changed, synchrony.ticked_ms = False, synchrony.now_ms
 
 
 def say_roster(synchrony, out):
@@ -118,10 +135,12 @@
 
 
 def rostered(synchrony, frm, message):
-    synchrony.peers[frm].leaving = message.leaving
+    peer = synchrony.peers[frm]
+    if peer.leaving != message.leaving:
+        peer.leaving, synchrony.changed = message.leaving, True
     for place in message.places:
         if place.member.name not in synchrony.peers and place.member.name != synchrony.name:
-            synchrony.peers[place.member.name] = Peer(place)
+            synchrony.peers[place.member.name], synchrony.changed = Peer(place), True
 
 
 def received(synchrony, out, frm, body):
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -1,10 +1,10 @@
 """A member far behind catches up by snapshot and tail in bounded time, under traffic, and no lease lapses meanwhile."""
 
 import pytest
+from frostpost.ledger.words import SetConfig
 
 from frostpost.daemon import snapshotting
 from frostpost.daemon.core import Decided
-from frostpost.ledger.words import SetConfig
 from frostpost.simulator import world as worlds
 from frostpost.simulator.ledger import ledger as ledger_faults
 from frostpost.simulator.storm import ask, serves
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -4,10 +4,10 @@
 from itertools import cycle
 
 import pytest
+from frostpost.ledger.words import ConfigSet, SetConfig, StaleConfig
 from msgspec import Struct
 
 from frostpost.daemon.core import Decided
-from frostpost.ledger.words import ConfigSet, SetConfig, StaleConfig
 from frostpost.simulator import world as worlds
 from frostpost.simulator.checks import evs
 from frostpost.simulator.ledger import ledger as ledger_faults
