--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -16,7 +16,10 @@
 from .news import say
 from .rewriting import Rewriting
 
+# Good syncs after which a disk counts as well; the more if it was well for less than RELAPSE_RATIO times `detect_ms`.
 GOOD_SYNCS = 3
+MOST_GOOD_SYNCS = 4 * GOOD_SYNCS
+RELAPSE_RATIO = 20
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Record).decode
 
@@ -39,6 +42,8 @@
         "syncs",
         "rewriting",
         "adopting",
+        "good_wanted",
+        "turned_ms",
     )
 
     def __init__(self, ctx, write_ahead_log):
@@ -46,6 +51,7 @@
         self.up_to, self.busy, self.unwell, self.good, self.probes, self.syncs = 0, False, False, 0, 0, 0
         self.since_ms, self.allowed_ms, self.told_up_to = 0, 0, 0
         self.rewriting, self.adopting = Rewriting(), False
+        self.good_wanted, self.turned_ms = GOOD_SYNCS, -(1 << 40)
 
     @property
     def bounds(self):
@@ -95,7 +101,13 @@
             if self.rewriting.planned is None:
                 self.rewriting = Rewriting(planned, tail + self.queue)
                 rewritings.failed(self.rewriting, clock_ms(self.ctx), self.bounds.detect_ms)
-            self.failed(failure, batch)
+            if failure.check(write_ahead_logs.SyncLostError):
+                self.failed(failure, batch)
+                return
+            self.busy = self.adopting = False
+            self.report(failure)
+            self.queue = batch + self.queue
+            self.next()
 
         self.start(batch, failed, rewritings.adopt, self.write_ahead_log, fresh, tail)
 
@@ -116,27 +128,31 @@
         self.ctx.machine.in_thread(rewritings.prepare, self.write_ahead_log, planned).addCallbacks(prepared, failed)
 
     def done(self, _, up_to):
+        """Tell the core how far records are synced, and start what is due next."""
         self.busy = self.adopting = False
         self.syncs += 1
         slow = clock_ms(self.ctx) - self.since_ms > self.allowed_ms
         self.good = 0 if slow else self.good + 1
         self.tell(up_to)
-        if self.unwell and self.good >= GOOD_SYNCS:
+        if self.unwell and self.good >= self.good_wanted:
             self.turn(False)
         self.next()
 
     def tell(self, up_to):
+        """Tell the core that all records up to that number are synced."""
         from .heart import feed
 
         self.told_up_to = up_to
         feed(self.ctx, Synced(clock_ms(self.ctx), up_to))
 
     def report(self, failure):
+        """Count and log a failed call."""
         count(self.ctx, "disk_faults")
         number = getattr(failure.value, "errno", None)
         say("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
 
     def failed(self, failure, batch):
+        """Queue a failed batch again; a lost sync ends the process."""
         self.busy, self.adopting, self.good = False, False, 0
         self.report(failure)
         self.queue = batch + self.queue
@@ -148,7 +164,11 @@
     def turn(self, unwell):
         """Mark the disk well or unwell, and tell the core."""
         if unwell != self.unwell:
-            self.unwell = unwell
+            self.unwell, now_ms = unwell, clock_ms(self.ctx)
+            if unwell:
+                relapsed = now_ms - self.turned_ms < RELAPSE_RATIO * self.bounds.detect_ms
+                self.good_wanted = min(2 * self.good_wanted, MOST_GOOD_SYNCS) if relapsed else GOOD_SYNCS
+            self.turned_ms = now_ms
             say("DiskUnwell" if unwell else "DiskWell")
             from .heart import feed
 
@@ -188,17 +208,19 @@
 
 
 def delayed(machine, delay_ms, job, *args):
+    """Run a job of the disk; hooks of tests may slow it down."""
     if delay_ms:
         machine.sleep(delay_ms / 1000)
     job(*args)
 
 
 def append(write_ahead_log, batch):
+    """Append a batch and sync it; runs in a thread."""
     write_ahead_logs.append(write_ahead_log, [encode(r) for r in batch])
     write_ahead_logs.sync(write_ahead_log)
 
 
 def open_(folder, files):
     """-> the open log, the records read, and what was wrong with the file."""
-    write_ahead_log, payloads, fault = write_ahead_logs.open_(folder, "log", files)
-    return write_ahead_log, [decode(p) for p in payloads], fault
+    write_ahead_log, payloads, error = write_ahead_logs.open_(folder, "log", files)
+    return write_ahead_log, [decode(p) for p in payloads], error
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -58,10 +58,10 @@
         ctx.stepping = False
     if ctx.ticker is not None and unsettled(ctx.core.synchrony):
         ctx.ticker.wake()
-    go_on(ctx)
+    schedule_slice(ctx)
 
 
-def go_on(ctx):
+def schedule_slice(ctx):
     """Let the event loop run before the next slice of a snapshot under way."""
     if ctx.core.snapshots.busy and not ctx.slicing:
         ctx.slicing = True
@@ -69,6 +69,7 @@
 
 
 def next_slice(ctx):
+    """Feed the input that goes on with a snapshot under way."""
     ctx.slicing = False
     feed(ctx, cores.Slice(clock_ms(ctx)))
 
--- a/frostpost/daemon/rewriting.py
+++ b/frostpost/daemon/rewriting.py
@@ -30,6 +30,7 @@
 
 
 def drop_fresh(rewriting):
+    """Close the new file, if there is one."""
     if rewriting.fresh is not None:
         write_ahead_logs.close(rewriting.fresh)
         rewriting.fresh = None
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -46,12 +46,14 @@
 
 
 def is_idle(core):
+    """Tell whether the snapshot served has not been asked for in a while."""
     served, synchrony = core.snapshots.served, core.synchrony
     idle_ms = IDLE_RATIO * synchrony.bounds.detect_ms
     return served is not None and synchrony.now_ms - served.asked_ms > idle_ms
 
 
 def begin_taking(core, out, for_log):
+    """Stop applying entries, and do the first slice of a new snapshot."""
     synchrony = core.synchrony
     work = take(core.ledger, synchrony.bounds.slice_records)
     core.snapshots.taking = Taking(synchrony.applied, work, for_log, synchrony.now_ms)
@@ -60,6 +62,7 @@
 
 
 def advance_taking(core, out):
+    """Do one slice of the snapshot under way; entries are applied again after the last one."""
     taking = core.snapshots.taking
     try:
         next(taking.work)
@@ -72,6 +75,7 @@
 
 
 def finish_taking(core, out, taken, for_log):
+    """Keep the snapshot for what it was taken for, and send it to those that waited."""
     held = core.snapshots
     if for_log:
         held.for_log = taken
@@ -115,6 +119,7 @@
 
 
 def send_piece(core, out, asked):
+    """Send a member the piece that it asked for."""
     served, synchrony = core.snapshots.served, core.synchrony
     if asked.id != synchrony.configuration.id:
         return
@@ -130,6 +135,7 @@
 
 
 def advance_loading(core, out):
+    """Do one slice of loading."""
     loading = core.snapshots.loading
     try:
         next(loading.work)
@@ -169,6 +175,7 @@
 
 
 def is_due(synchrony):
+    """Tell whether enough entries have been settled since the last snapshot in the log."""
     settled = synchrony.applied - synchrony.log.start
     if not synchrony.storage or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
         return False
@@ -176,6 +183,7 @@
 
 
 def write_snapshot(synchrony, out, taken):
+    """Write a log that begins with the snapshot and goes on with the entries after it."""
     log = synchrony.log
     tail = log.entries[taken.index - log.start :]
     log.start, log.entries, log.settled = taken.index, tail, max(log.settled, taken.index)
--- a/frostpost/ledger/snapshots.py
+++ b/frostpost/ledger/snapshots.py
@@ -54,6 +54,7 @@
 
 
 def has_large_table(value, slice_records):
+    """Tell whether a record holds, at any depth, a table of more than one slice."""
     return any(
         is_large(inner, slice_records) or isinstance(inner, Struct) and has_large_table(inner, slice_records)
         for inner in (getattr(value, field.name) for field in structs.fields(value))
@@ -61,10 +62,12 @@
 
 
 def is_large(value, slice_records):
+    """Tell whether this is a table of more than one slice."""
     return isinstance(value, dict | list) and len(value) > slice_records
 
 
 def encode_value(output, path, value, slice_records):
+    """Encode one field, its large tables in slices."""
     if is_large(value, slice_records):
         yield from encode_table(output, path, value, slice_records)
     elif isinstance(value, Struct) and has_large_table(value, slice_records):
@@ -77,6 +80,7 @@
 
 
 def encode_table(output, path, table, slice_records):
+    """Encode one large table, a slice between two yields."""
     start, slices = output.size, []
     put(output, header_like(table, len(table)))
     for part in parts(table, slice_records):
@@ -87,25 +91,30 @@
 
 
 def parts(table: dict | list, slice_records: int) -> Iterator[dict | list]:
+    """Split a table into slices."""
     items = iter(table.items() if isinstance(table, dict) else table)
     while part := type(table)(islice(items, slice_records)):
         yield part
 
 
 def put(output, data):
+    """Append bytes to the output."""
     output.chunks.append(data)
     output.size += len(data)
 
 
 def map_header(count):
+    """Return the header of a map of any size."""
     return b"\xdf" + count.to_bytes(4, "big")
 
 
 def list_header(count):
+    """Return the header of a list of any size."""
     return b"\xdd" + count.to_bytes(4, "big")
 
 
 def header_like(table, count):
+    """Return the header of a table of that kind."""
     return map_header(count) if isinstance(table, dict) else list_header(count)
 
 
@@ -117,6 +126,7 @@
 
 
 def with_trailer(tables):
+    """Put behind the bytes what finds them from the end of a snapshot."""
     return tables + len(tables).to_bytes(LENGTH_BYTES, "big") + SPLITS_MAGIC
 
 
@@ -155,6 +165,7 @@
 
 
 def decode_table(state, table, owner, name):
+    """Decode one large table into its place, a slice between two yields."""
     held = getattr(owner, name)
     decoder = msgpack.Decoder(next(f.type for f in structs.fields(owner) if f.name == name))
     at = table.start + len(map_header(0))
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -312,3 +312,34 @@
     house.keeper.write([Probe(2)])
     house.threads.finish(1)
     assert house.synced == 3 and len(house.threads.jobs) == 1
+
+
+def test_a_file_that_can_not_take_the_place_of_the_log_makes_no_disk_unwell():
+    disk = model.Disk()
+    house = told(disk)
+    house.keeper.write([rewritten(1, []), Probe(2)])
+    house.threads.finish(1)
+    house.threads.finish()
+    house.keeper.write([Probe(3)])
+    disk.failing["write"] = 1
+    while house.threads.jobs:
+        house.threads.finish()
+    assert house.synced == 4 and not house.stalled
+    model.kill(disk)
+    assert [r.number for r in House(disk).records if isinstance(r, Probe)] == [2, 3]
+
+
+def test_a_disk_that_relapses_has_to_be_good_for_longer():
+    disk = model.Disk()
+    house, needed = told(disk), []
+    for _ in range(4):
+        house.keeper.write([Probe(1)])
+        house.now_s += 0.6
+        house.keeper.watch()
+        house.threads.finish()
+        needed.append(0)
+        while house.keeper.unwell:
+            house.keeper.watch()
+            house.threads.finish()
+            needed[-1] += 1
+    assert needed == [3, 6, 12, 12]
