--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -1,7 +1,9 @@
 """Run one daemon: a leaf or a storage daemon, from its settings to its exit status."""
 
 import signal
+from errno import errorcode
 from functools import partial
+from os import EX_IOERR
 
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.news import say
@@ -27,6 +29,19 @@
         synchrony.seeds = tuple(dict.fromkeys((*(f"@{s}" for s in replica.settings.seeds), *synchrony.seeds)))
 
 
+def build(settings, front, reactor, machine, stop):
+    """Assemble the daemon; -> its owner, what starts it and what makes it leave."""
+    if settings.role == RING:
+        from . import ring
+
+        owner = ring.assemble(settings, reactor, machine, stop)
+        return owner, partial(ring.start, owner), partial(ring.leave, owner)
+    from .leaf import leave_leaf, make_leaf, start_leaf
+
+    owner = make_leaf(settings, front, reactor, machine)
+    return owner, partial(start_leaf, owner, front, stop), partial(leave_leaf, owner, stop)
+
+
 def run(settings, front):
     """Run one daemon until it is told to stop; -> its exit status."""
     from twisted.internet import reactor
@@ -39,18 +54,12 @@
         if reactor.running:
             reactor.stop()
 
-    if settings.role == RING:
-        from . import ring
-
-        owner = ring.assemble(settings, reactor, machine, stop)
-        reactor.callWhenRunning(ring.start, owner)
-        leave = partial(ring.leave, owner)
-    else:
-        from .leaf import leave_leaf, make_leaf, start_leaf
-
-        owner = make_leaf(settings, front, reactor, machine)
-        reactor.callWhenRunning(start_leaf, owner, front, stop)
-        leave = partial(leave_leaf, owner, stop)
+    try:
+        owner, start, leave = build(settings, front, reactor, machine, stop)
+    except OSError as error:
+        say("DiskError", type=type(error).__name__, error=errorcode.get(error.errno, ""), path=error.filename or "")
+        return EX_IOERR
+    reactor.callWhenRunning(start)
 
     def signals():
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -1,5 +1,6 @@
 """The crash points of what is built on the log: the turn store's segments, the charter, the addresses, the keeper."""
 
+import errno
 import os
 from contextlib import suppress
 from random import Random
@@ -8,7 +9,7 @@
 import disk_model as model
 import pytest
 
-from frostpost.cluster import founding, peers
+from frostpost.cluster import assembly, founding, peers, ring
 from frostpost.daemon import disk as keepers
 from frostpost.daemon import rewriting as rewritings
 from frostpost.turn_store import segments
@@ -343,3 +344,15 @@
             house.threads.finish()
             needed[-1] += 1
     assert needed == [3, 6, 12, 12]
+
+
+def test_a_start_on_a_disk_that_can_not_be_written_is_told_and_ends(monkeypatch):
+    told = []
+
+    def assemble(settings, reactor, machine, stop):
+        raise OSError(errno.ENOSPC, "full", "/data/log")
+
+    monkeypatch.setattr(ring, "assemble", assemble)
+    monkeypatch.setattr(assembly, "say", lambda kind, **facts: told.append((kind, facts["error"], facts["path"])))
+    assert assembly.run(SimpleNamespace(role="storage"), None) == os.EX_IOERR
+    assert told == [("DiskError", "ENOSPC", "/data/log")]
