--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -42,8 +42,8 @@
     return owner, partial(start_leaf, owner, front, stop), partial(leave_leaf, owner, stop)
 
 
-def run(settings, front):
-    """Run one daemon until it is told to stop; -> its exit status."""
+def run(settings, front, started=lambda: None):
+    """Run one daemon until it is told to stop; started() is called once it runs. -> its exit status."""
     from twisted.internet import reactor
 
     machine, status = Machine(), []
@@ -65,6 +65,7 @@
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
         signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reread, owner, front))
 
+    reactor.callWhenRunning(started)
     reactor.addSystemEventTrigger("after", "startup", signals)
     reactor.run(installSignalHandlers=True)
     return max(status, default=0)
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -85,7 +85,7 @@
     def start(self, batch, failed, job, *args):
         """Run a job of the disk in a thread."""
         self.busy, self.since_ms = True, clock_ms(self.ctx)
-        self.allowed_ms = self.bounds.detect_ms + size(batch) * 1000 // self.bounds.refill_bytes_s
+        self.allowed_ms = self.bounds.detect_ms + snapshot_bytes(batch) * 1000 // self.bounds.refill_bytes_s
         delay_ms = self.ctx.hook.get("sync_delay_ms", 0)
         self.ctx.machine.in_thread(delayed, self.ctx.machine, delay_ms, job, *args).addCallbacks(
             self.done, failed, callbackArgs=(self.up_to,)
@@ -139,20 +139,20 @@
         self.next()
 
     def tell(self, up_to):
-        """Tell the core that all records up to that number are synced."""
+        """Tell the core how far its records are synced."""
         from .heart import feed
 
         self.told_up_to = up_to
         feed(self.ctx, Synced(clock_ms(self.ctx), up_to))
 
     def report(self, failure):
-        """Count and log a failed call."""
+        """Log and count a failed call of the disk."""
         count(self.ctx, "disk_faults")
         number = getattr(failure.value, "errno", None)
         say("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
 
     def failed(self, failure, batch):
-        """Queue a failed batch again; a lost sync ends the process."""
+        """Queue a failed batch again; a lost sync ends the daemon, since the page cache can't be trusted."""
         self.busy, self.adopting, self.good = False, False, 0
         self.report(failure)
         self.queue = batch + self.queue
@@ -202,20 +202,20 @@
         return None
 
 
-def size(batch):
+def snapshot_bytes(batch):
     """Bytes of the snapshots in a batch: they are allowed the time that fetching them took."""
     return sum(len(record.state) for record in batch if isinstance(record, Snapshot))
 
 
 def delayed(machine, delay_ms, job, *args):
-    """Run a job of the disk; hooks of tests may slow it down."""
+    """Run a job of the disk after the delay that a test asks for; in a thread."""
     if delay_ms:
         machine.sleep(delay_ms / 1000)
     job(*args)
 
 
 def append(write_ahead_log, batch):
-    """Append a batch and sync it; runs in a thread."""
+    """Append a batch of records and sync it; in a thread."""
     write_ahead_logs.append(write_ahead_log, [encode(r) for r in batch])
     write_ahead_logs.sync(write_ahead_log)
 
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -58,10 +58,10 @@
         ctx.stepping = False
     if ctx.ticker is not None and unsettled(ctx.core.synchrony):
         ctx.ticker.wake()
-    schedule_slice(ctx)
+    continue_snapshot(ctx)
 
 
-def schedule_slice(ctx):
+def continue_snapshot(ctx):
     """Let the event loop run before the next slice of a snapshot under way."""
     if ctx.core.snapshots.busy and not ctx.slicing:
         ctx.slicing = True
@@ -69,7 +69,7 @@
 
 
 def next_slice(ctx):
-    """Feed the input that goes on with a snapshot under way."""
+    """Go on with the snapshot under way."""
     ctx.slicing = False
     feed(ctx, cores.Slice(clock_ms(ctx)))
 
--- a/frostpost/ledger/snapshots.py
+++ b/frostpost/ledger/snapshots.py
@@ -54,7 +54,7 @@
 
 
 def has_large_table(value, slice_records):
-    """Tell whether a record holds, at any depth, a table of more than one slice."""
+    """Tell whether a record holds a table that is encoded in slices."""
     return any(
         is_large(inner, slice_records) or isinstance(inner, Struct) and has_large_table(inner, slice_records)
         for inner in (getattr(value, field.name) for field in structs.fields(value))
@@ -62,12 +62,12 @@
 
 
 def is_large(value, slice_records):
-    """Tell whether this is a table of more than one slice."""
+    """Tell whether a value is a table of more records than one slice has."""
     return isinstance(value, dict | list) and len(value) > slice_records
 
 
 def encode_value(output, path, value, slice_records):
-    """Encode one field, its large tables in slices."""
+    """Encode one value; yields between slices."""
     if is_large(value, slice_records):
         yield from encode_table(output, path, value, slice_records)
     elif isinstance(value, Struct) and has_large_table(value, slice_records):
@@ -80,7 +80,7 @@
 
 
 def encode_table(output, path, table, slice_records):
-    """Encode one large table, a slice between two yields."""
+    """Encode one table, slice by slice."""
     start, slices = output.size, []
     put(output, header_like(table, len(table)))
     for part in parts(table, slice_records):
@@ -91,30 +91,30 @@
 
 
 def parts(table: dict | list, slice_records: int) -> Iterator[dict | list]:
-    """Split a table into slices."""
+    """Split a table into parts of at most `slice_records` records."""
     items = iter(table.items() if isinstance(table, dict) else table)
     while part := type(table)(islice(items, slice_records)):
         yield part
 
 
 def put(output, data):
-    """Append bytes to the output."""
+    """Add bytes to the output."""
     output.chunks.append(data)
     output.size += len(data)
 
 
 def map_header(count):
-    """Return the header of a map of any size."""
+    """Return the msgpack header of a map."""
     return b"\xdf" + count.to_bytes(4, "big")
 
 
 def list_header(count):
-    """Return the header of a list of any size."""
+    """Return the msgpack header of a list."""
     return b"\xdd" + count.to_bytes(4, "big")
 
 
 def header_like(table, count):
-    """Return the header of a table of that kind."""
+    """Return the msgpack header of a table of that many records."""
     return map_header(count) if isinstance(table, dict) else list_header(count)
 
 
@@ -126,7 +126,7 @@
 
 
 def with_trailer(tables):
-    """Put behind the bytes what finds them from the end of a snapshot."""
+    """Add the length and mark by which a reader finds the tables."""
     return tables + len(tables).to_bytes(LENGTH_BYTES, "big") + SPLITS_MAGIC
 
 
@@ -165,7 +165,7 @@
 
 
 def decode_table(state, table, owner, name):
-    """Decode one large table into its place, a slice between two yields."""
+    """Decode one table into its owner, slice by slice."""
     held = getattr(owner, name)
     decoder = msgpack.Decoder(next(f.type for f in structs.fields(owner) if f.name == name))
     at = table.start + len(map_header(0))
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -4,10 +4,11 @@
 from itertools import cycle
 
 import pytest
-from frostpost.ledger.words import ConfigSet, SetConfig, StaleConfig
 from msgspec import Struct
 
 from frostpost.daemon.core import Decided
+from frostpost.ledger.operations import SetConfig
+from frostpost.ledger.results import ConfigSet, StaleConfig
 from frostpost.simulator import world as worlds
 from frostpost.simulator.checks import evs
 from frostpost.simulator.ledger import ledger as ledger_faults
@@ -37,11 +38,11 @@
         if not isinstance(answer, Decided) or (node.place.member, answer.number) != self.waiting:
             return
         self.waiting = None
-        if isinstance(answer.verdict, ConfigSet):
-            assert answer.verdict.version > self.acked
-            self.version = self.acked = answer.verdict.version
-        elif isinstance(answer.verdict, StaleConfig):
-            self.version = answer.verdict.version
+        if isinstance(answer.result, ConfigSet):
+            assert answer.result.version > self.acked
+            self.version = self.acked = answer.result.version
+        elif isinstance(answer.result, StaleConfig):
+            self.version = answer.result.version
 
     def change(self, world):
         able = [n for n in world.nodes.values() if serves(world, n)]
