--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -16,7 +16,10 @@
 from .news import say
 from .rewriting import Rewriting
 
+# Good syncs after which a disk counts as well; the more if it was well for less than RELAPSE_RATIO times `detect_ms`.
 GOOD_SYNCS = 3
+MOST_GOOD_SYNCS = 4 * GOOD_SYNCS
+RELAPSE_RATIO = 20
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Record).decode
 
@@ -39,6 +42,8 @@
         "syncs",
         "rewriting",
         "adopting",
+        "good_wanted",
+        "turned_ms",
     )
 
     def __init__(self, ctx, write_ahead_log):
@@ -46,6 +51,7 @@
         self.up_to, self.busy, self.unwell, self.good, self.probes, self.syncs = 0, False, False, 0, 0, 0
         self.since_ms, self.allowed_ms, self.told_up_to = 0, 0, 0
         self.rewriting, self.adopting = Rewriting(), False
+        self.good_wanted, self.turned_ms = GOOD_SYNCS, -(1 << 40)
 
     @property
     def bounds(self):
@@ -95,7 +101,13 @@
             if self.rewriting.planned is None:
                 self.rewriting = Rewriting(planned, tail + self.queue)
                 rewritings.failed(self.rewriting, clock_ms(self.ctx), self.bounds.detect_ms)
-            self.failed(failure, batch)
+            if failure.check(write_ahead_logs.SyncLostError):
+                self.failed(failure, batch)
+                return
+            self.busy = self.adopting = False
+            self.report(failure)
+            self.queue = batch + self.queue
+            self.next()
 
         self.start(batch, failed, rewritings.adopt, self.write_ahead_log, fresh, tail)
 
@@ -122,7 +134,7 @@
         slow = clock_ms(self.ctx) - self.since_ms > self.allowed_ms
         self.good = 0 if slow else self.good + 1
         self.tell(up_to)
-        if self.unwell and self.good >= GOOD_SYNCS:
+        if self.unwell and self.good >= self.good_wanted:
             self.turn(False)
         self.next()
 
@@ -137,7 +149,7 @@
         """Log and count a failed call of the disk."""
         count(self.ctx, "disk_faults")
         number = getattr(failure.value, "errno", None)
-        say("DiskFault", type=failure.type.__name__, error=errorcode.get(number, ""))
+        say("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
 
     def failed(self, failure, batch):
         """Queue a failed batch again; a lost sync ends the daemon, since the page cache can't be trusted."""
@@ -152,7 +164,11 @@
     def turn(self, unwell):
         """Mark the disk well or unwell, and tell the core."""
         if unwell != self.unwell:
-            self.unwell = unwell
+            self.unwell, now_ms = unwell, clock_ms(self.ctx)
+            if unwell:
+                relapsed = now_ms - self.turned_ms < RELAPSE_RATIO * self.bounds.detect_ms
+                self.good_wanted = min(2 * self.good_wanted, MOST_GOOD_SYNCS) if relapsed else GOOD_SYNCS
+            self.turned_ms = now_ms
             say("DiskUnwell" if unwell else "DiskWell")
             from .heart import feed
 
