--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -11,12 +11,16 @@
 
 
 class Connection(Protocol):
+    """A connection to one runner, in the pool that opened it."""
+
     def __init__(self, pool):
+        """Belong to a pool; nothing is under way yet."""
         self.pool, self.parser, self.exchange, self.drainer = pool, None, None, None
         self.lost, self.dirty, self.close, self.exchanges = False, False, False, 0
         self.keep_ms, self.idle_until_ms = 0, 0
 
     def connectionMade(self):
+        """Set short bounds on silence of the network."""
         try:
             self.transport.setTcpNoDelay(True)
             self.transport.setTcpKeepAlive(True)
@@ -39,12 +43,14 @@
         return True
 
     def start(self, exchange, data, bodyless):
+        """Write a request and read its answer for the exchange."""
         self.exchange, self.exchanges = exchange, self.exchanges + 1
         self.parser = ResponseParser(bodyless, self._head, self._data, self._whole)
         self.parser.makeConnection(self.transport)
         self.transport.write(data)
 
     def dataReceived(self, data):
+        """Read an answer; bytes that nobody asked for end the connection."""
         if self.parser is None:
             return self.drop()
         try:
@@ -53,6 +59,7 @@
             self._broken(str(error))
 
     def connectionLost(self, reason):
+        """Tell the exchange that it broke off, and the pool."""
         self.lost = True
         self._broken(reason.type.__name__)
         self.pool.closed(self)
@@ -71,10 +78,12 @@
             self.drainer = self.pool.leaf.reactor.callLater(DRAIN_S, self.drop)
 
     def pause(self):
+        """Read no more for now."""
         if not self.lost:
             self.transport.pauseProducing()
 
     def resume(self):
+        """Read on."""
         if not self.lost and not self.dirty:
             self.transport.resumeProducing()
 
--- a/frostpost/proxy/events.py
+++ b/frostpost/proxy/events.py
@@ -12,9 +12,12 @@
 
 
 class EventParser:
+    """Splits a body into events; keeps the bytes of the one that is not whole."""
+
     __slots__ = ("_held", "_from")
 
     def __init__(self):
+        """Hold nothing yet."""
         self._held, self._from = b"", 0
 
     def feed(self, data):
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -48,6 +48,7 @@
     __slots__ = ("body", "call", "connection", "head", "leaf", "listener", "runner", "state", "until_ms")
 
     def __init__(self, leaf, runner, call, body, until_ms, listener):
+        """Wait for a connection to the runner, until until_ms."""
         self.leaf, self.runner, self.call, self.body = leaf, runner, call, body
         self.until_ms, self.listener = until_ms, listener
         self.connection, self.head, self.state = None, None, QUEUED
--- a/frostpost/proxy/failures.py
+++ b/frostpost/proxy/failures.py
@@ -4,19 +4,27 @@
 
 
 class NoRoute(Struct, frozen=True, tag="NoRoute"):
+    """No route of the host begins the path."""
+
     promised = True
 
 
 class BadRequest(Struct, frozen=True, tag="BadRequest"):
+    """The request cannot be read, or could be read as another."""
+
     why: str
     promised = True
 
 
 class UnknownTurn(Struct, frozen=True, tag="UnknownTurn"):
+    """No such turn is kept."""
+
     promised = True
 
 
 class BudgetSpent(Struct, frozen=True, tag="BudgetSpent"):
+    """The program has put out the tokens that it may."""
+
     promised = True
 
 
@@ -35,11 +43,15 @@
 
 
 class Overloaded(Struct, frozen=True, tag="Overloaded"):
+    """No runner has room, or no time is left; come back after retry_ms."""
+
     retry_ms: int
     promised = True
 
 
 class Leaving(Struct, frozen=True, tag="Leaving"):
+    """This daemon is shutting down; come back to another one."""
+
     promised = True
 
 
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -16,10 +16,12 @@
 
 
 def pack(whole):
+    """The bytes that the ledger keeps of an answer."""
     return msgpack.encode((whole.status, whole.headers, whole.body))
 
 
 def unpack(data):
+    """The answer that these bytes keep."""
     return Answer(*msgpack.decode(data, type=tuple[int, list[tuple[bytes, bytes]], bytes]))
 
 
--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/lookup.py
@@ -14,6 +14,7 @@
 
 
 def retry_ms(route):
+    """When a refused request should come back."""
     return max(50, min(route.aim_ms // 4, 1000))
 
 
@@ -82,6 +83,7 @@
 
 
 def hand_over(leaf, outcome, sink):
+    """Give the client of a request its outcome, where it has not left."""
     if isinstance(outcome, ClientLeft) or sink.gone():
         return count(leaf, "client_left")
     if isinstance(outcome, Answer):
@@ -91,6 +93,7 @@
 
 
 def answer(sink, whole):
+    """Hand a whole answer over."""
     sink.head(whole.status, whole.headers)
     if whole.body:
         sink.data(whole.body)
--- a/frostpost/proxy/outcomes.py
+++ b/frostpost/proxy/outcomes.py
@@ -22,7 +22,7 @@
 
 
 class Whole(Struct, frozen=True, tag="Whole"):
-    pass
+    """Its answer came whole, piece by piece."""
 
 
 class Answer(Struct, frozen=True, tag="Answer"):
@@ -39,7 +39,3 @@
 
 class ClientLeft(Struct, frozen=True, tag="ClientLeft"):
     """The client left after it was sent: it may have run."""
-
-
-def surely_not_run(outcome):
-    return isinstance(outcome, (NotSent, NotRun))
--- a/frostpost/proxy/parsing.py
+++ b/frostpost/proxy/parsing.py
@@ -20,6 +20,7 @@
     """Tells on_head(status, headers), on_data(bytes), then on_whole(surplus bytes)."""
 
     def __init__(self, bodyless, on_head, on_data, on_whole):
+        """bodyless: the answer has no body, whatever its head says."""
         self.bodyless, self.on_head, self.on_data, self.on_whole = bodyless, on_head, on_data, on_whole
         self.fields, self.status, self.minor = [], 0, 1
 
@@ -31,22 +32,26 @@
             raise UnreadableError(type(error).__name__) from error
 
     def lineReceived(self, line):
+        """Read one line of the head."""
         if self.state == HEADER and line[:1] in (b" ", b"\t") and self._partialHeader is None:
             raise ParseError("folded line before any header", line)
         super().lineReceived(line)
 
     def statusReceived(self, status):
+        """Read the status line."""
         found = STATUS_LINE.fullmatch(status)
         if found is None:
             raise ParseError("no status line", status)
         self.minor, self.status = int(found[1]), int(found[2])
 
     def headerReceived(self, name, value):
+        """Keep one field of the head."""
         if not NAME.fullmatch(name) or b"\r" in value or b"\0" in value or len(self.fields) >= HEAD_LINES:
             raise ParseError("bad header", name)
         self.fields.append((name, value))
 
     def allHeadersReceived(self):
+        """Find where the body ends, and tell the head."""
         if self.status == 101 or self.status < 100:
             raise ParseError("not an answer", b"%d" % self.status)
         if self.status < 200:
@@ -66,6 +71,7 @@
         return self.switchToBodyMode(_IdentityTransferDecoder(length, self.on_data, self._whole))
 
     def lineLengthExceeded(self, line):
+        """Refuse a line that is too long."""
         raise ParseError("line too long", b"")
 
     def _whole(self, rest):
--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -28,6 +28,8 @@
 
 
 class Waiter(Struct):
+    """A request that waits for a runner with room."""
+
     rank: int
     number: int
     until_ms: int
@@ -37,6 +39,7 @@
 
 
 def load_of(leaf, runner_id):
+    """What is known of a runner's load."""
     load = leaf.loads.get(runner_id)
     if load is None:
         load = leaf.loads[runner_id] = Load()
@@ -68,6 +71,7 @@
 
 
 def occupied(leaf, runner, now):
+    """How many slots of a runner are taken, as far as this daemon knows."""
     load = leaf.loads.get(runner.id)
     if load is None:
         return 0.0
@@ -76,6 +80,7 @@
 
 
 def slots_of(service, runner):
+    """How many requests a runner works on at once."""
     return max(1, runner.slots or service.slots)
 
 
@@ -113,6 +118,7 @@
 
 
 def serve_queue(leaf, service, queue):
+    """Place waiting requests, the most urgent first, and end the wait of those whose time is up."""
     now = now_ms(leaf)
     for waiter in sorted(queue, key=lambda w: (w.rank, w.number)):
         runner = pick(leaf, service, waiter.tried, waiter.salt)
@@ -124,6 +130,7 @@
 
 
 def sent(leaf, runner):
+    """Count a request that is being sent to a runner."""
     load_of(leaf, runner.id).own += 1
 
 
--- a/frostpost/proxy/pool.py
+++ b/frostpost/proxy/pool.py
@@ -15,13 +15,17 @@
 
 
 def setting(leaf, name, otherwise):
+    """A setting that stand-ins may lack."""
     return getattr(leaf.settings, name, otherwise)
 
 
 class Pool:
+    """The connections of this daemon to one runner, and the exchanges that wait for one."""
+
     __slots__ = ("leaf", "runner", "idle", "open", "opening", "waiting", "closing")
 
     def __init__(self, leaf, runner):
+        """Open nothing yet."""
         self.leaf, self.runner, self.idle, self.waiting = leaf, runner, [], deque()
         self.open, self.opening, self.closing = 0, 0, False
 
@@ -42,12 +46,14 @@
             self.leaf.reactor.callLater(0, self.serve_waiting)
 
     def closed(self, connection):
+        """A connection is gone."""
         self.open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
         self.serve_waiting()
 
     def take_idle(self):
+        """A connection that rests and is good, or None."""
         now = now_ms(self.leaf)
         while self.idle:
             connection = self.idle.pop()
@@ -57,6 +63,7 @@
         return None
 
     def serve_waiting(self):
+        """Give connections to waiting exchanges; open more where some are lacking."""
         while self.waiting:
             if self.waiting[0].over:
                 self.waiting.popleft()
@@ -70,6 +77,7 @@
             self.connect()
 
     def connect(self):
+        """Open one more connection."""
         self.opening += 1
         count(self.leaf, "connects")
         endpoint = TCP4ClientEndpoint(
@@ -104,6 +112,7 @@
 
 
 def most_connections(leaf, runner):
+    """How many connections this daemon may hold to a runner."""
     service = leaf.routing.services.get(runner.service) if leaf.routing is not None else None
     share = setting(leaf, "connection_share", 0.5)
     return max(2, int(service.max_connections * share)) if service is not None else 2
@@ -120,6 +129,7 @@
 
 
 def write(pool, exchange, connection):
+    """Write a request, if it may be sent at this moment; else it ends as not sent."""
     why = may_send(pool.leaf, exchange)
     if why:
         pool.freed(connection)
@@ -147,6 +157,7 @@
 
 
 def close_pools(leaf, runner_ids):
+    """Close the connections to runners that are leaving or gone."""
     for runner_id in runner_ids:
         pool = leaf.pools.pop(runner_id, None)
         if pool is not None:
--- a/frostpost/proxy/roster.py
+++ b/frostpost/proxy/roster.py
@@ -28,6 +28,7 @@
 
 
 def set_runners(leaf, runners):
+    """Replace the runners; those that other daemons tell of as draining are so here too."""
     now, told = now_ms(leaf), leaf.extras.get("told_draining", {})
     leaf.runners = {
         r.id: structs.replace(r, draining=True) if told.get(r.id, 0) > now and not r.draining else r for r in runners
--- a/frostpost/proxy/routing.py
+++ b/frostpost/proxy/routing.py
@@ -12,6 +12,7 @@
 
 
 def current_index(leaf):
+    """The index of the routing in force."""
     held = leaf.extras.get("route_index")
     if held is None or held[0] is not leaf.routing:
         held = leaf.extras["route_index"] = (leaf.routing, build_index(leaf.routing))
--- a/frostpost/proxy/run.py
+++ b/frostpost/proxy/run.py
@@ -16,22 +16,26 @@
     __slots__ = ("left", "run", "paused")
 
     def __init__(self, sink):
+        """Ask the sink to tell what its client does."""
         self.left, self.run, self.paused = bool(sink.gone()), None, False
         sink.on_gone(self.gone)
         sink.on_pause(self.pause)
         sink.on_resume(self.resume)
 
     def gone(self, *_):
+        """The client left."""
         self.left = True
         if self.run is not None:
             self.run.client_left()
 
     def pause(self, *_):
+        """The client reads too slowly for now."""
         self.paused = True
         if self.run is not None:
             self.run.pause()
 
     def resume(self, *_):
+        """The client reads on."""
         self.paused = False
         if self.run is not None:
             self.run.resume()
@@ -56,11 +60,13 @@
     )
 
     def __init__(self, leaf, runner, watch, on_head, on_data):
+        """Belong to one runner; nothing is sent yet."""
         self.leaf, self.runner, self.watch, self.on_head, self.on_data = leaf, runner, watch, on_head, on_data
         self.handle, self.timer, self.ended, self.answer_head = None, None, Deferred(), None
         self.chunks, self.size, self.streams = [], 0, False
 
     def start(self, call, body, until_ms):
+        """Send the call; the Deferred fires with its outcome."""
         left_ms = until_ms - now_ms(self.leaf)
         picking.sent(self.leaf, self.runner)
         if self.watch is not None:
@@ -70,6 +76,7 @@
         return self.ended
 
     def head(self, head):
+        """The head of the answer came."""
         self.answer_head = head
         if self.on_head is not None and 200 <= head.status < 300:
             self.streams = True
@@ -78,6 +85,7 @@
             self.on_head(head)
 
     def data(self, data):
+        """A piece of the body came."""
         if self.streams:
             return self.on_data(data)
         self.size += len(data)
@@ -86,6 +94,7 @@
             self.stop(Broken("large"), "large")
 
     def done(self, outcome):
+        """The exchange ended by itself."""
         if isinstance(outcome, Whole) and not self.streams:
             head = self.answer_head
             outcome = Answer(head.status, head.headers, b"".join(self.chunks))
@@ -97,13 +106,16 @@
             self._end(outcome if self.handle is not None and self.handle.stop() else NotSent(why))
 
     def client_left(self):
+        """End it since its client left."""
         self.stop(ClientLeft(), "left")
 
     def pause(self):
+        """Read no more of a streamed answer for now."""
         if self.streams:
             self.handle.pause()
 
     def resume(self):
+        """Read on."""
         self.handle.resume()
 
     def _end(self, outcome):
--- a/frostpost/proxy/sending.py
+++ b/frostpost/proxy/sending.py
@@ -54,10 +54,14 @@
 
 
 class HeadRead(Struct, frozen=True, tag=True):
+    """The head of an answer was read."""
+
     head: RunnerHead
 
 
 class DataRead(Struct, frozen=True, tag=True):
+    """A piece of its body was read."""
+
     data: bytes
 
 
@@ -168,4 +172,5 @@
 
 
 def end(outcome, ran, *before):
+    """The end with this outcome, after the other actions."""
     return Ended(outcome, ran), (*before, Finish(outcome))
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -35,17 +35,20 @@
     )
 
     def __init__(self, call, sink, watch, keeps):
+        """Hand nothing on yet."""
         self.call, self.sink, self.watch, self.keeps = call, sink, watch, keeps
         self.parser, self.headed, self.passed, self.last_id = EventParser(), False, 0, call.last_event
         self.data, self.maybe, self.joined, self.spliced = [], False, False, False
 
     def head(self, head):
+        """The head of a run's answer; only the first one reaches the client."""
         self.parser, self.maybe = EventParser(), True
         if not self.headed:
             self.headed = True
             self.sink.head(head.status, head.headers)
 
     def heard(self, data):
+        """Hand whole events on, as long as they follow on those before."""
         events = self.parser.feed(data)
         if not events or self.spliced:
             return
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -30,6 +30,7 @@
 
 
 def pause(leaf, wait_ms):
+    """A Deferred that fires after a time."""
     woken = Deferred()
     leaf.reactor.callLater(wait_ms / 1000, woken.callback, None)
     return woken
@@ -112,6 +113,7 @@
 
 
 def abort(leaf, call):
+    """Tell the ledger that no runner ran the attempt."""
     tell(leaf, Abort(call.attempt))
 
 
--- a/frostpost/proxy/words.py
+++ b/frostpost/proxy/words.py
@@ -27,6 +27,8 @@
 
 
 class Service(Struct, frozen=True):
+    """A service and what its runners can take."""
+
     name: str
     max_connections: int
     dedupes: bool = False
@@ -36,6 +38,8 @@
 
 
 class ClientBounds(Struct, frozen=True):
+    """What a client may send and how long it may take."""
+
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
     header_ms: int = 3000
@@ -43,6 +47,8 @@
 
 
 class Routing(Struct, frozen=True):
+    """One version of the configuration, as requests are served by it."""
+
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
