--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -38,7 +38,7 @@
         read.add(address)
         (fleet.ring if place.role == "storage" else fleet.leaves)[place.member.name] = facts
         if place.role == "storage":
-            fleet.zones[place.member.name] = place.cell
+            fleet.zones[place.member.name] = place.zone
     return read
 
 
@@ -73,6 +73,7 @@
 
 
 def address_of(place):
+    """Return a daemon's inner address, `IP:port`."""
     return f"{place.host}:{place.port}"
 
 
@@ -81,7 +82,7 @@
     fleet = Fleet()
     places = ring_of(ask, seeds)
     ring = {name: address_of(place) for name, place in places.items()}
-    fleet.zones |= {name: place.cell for name, place in places.items()}
+    fleet.zones |= {name: place.zone for name, place in places.items()}
     asked = {*seeds, *ring.values()}
     reached = take(fleet, ask(asked, StatusAsk(), StatusTell))
     fleet.seeds_silent = [seed for seed in seeds if seed not in reached]
@@ -94,6 +95,7 @@
 
 
 def state_of(facts):
+    """Return a storage daemon's state in a few words."""
     if facts["charter_waiting"]:
         return "waits for the charter"
     if facts.get("recovering"):
@@ -104,6 +106,7 @@
 
 
 def ring_row(name, facts):
+    """Return the columns for a storage daemon."""
     id, turn_store = facts.get("configuration", {}), facts["turn_store"]
     return [
         name,
@@ -119,6 +122,7 @@
 
 
 def leaf_row(name, facts):
+    """Return the columns for an edge or core daemon."""
     routing, runners = facts["routing"], facts["runners"]
     return [
         name,
@@ -134,13 +138,15 @@
 
 
 def table(rows):
+    """Return rows as lines with aligned columns."""
     if not rows:
         return []
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
-    return ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows]
+    return ["  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip() for row in rows]
 
 
 def text_of(fleet):
+    """Return a fleet as text."""
     chief = chief_of(fleet)
     lines = [f"voters: {', '.join(chief['voters'])}" if chief else "no primary"]
     lines += table([ring_row(*one) for one in sorted(fleet.ring.items())])
@@ -150,6 +156,7 @@
 
 
 def run(command, _):
+    """Run the fleet command."""
     addresses = {given: inner.resolved(given) for given in command.seed}
     fleet = gather([address for address in addresses.values() if address])
     fleet.seeds_silent += [given for given, address in addresses.items() if address is None]
@@ -160,6 +167,6 @@
         say(command, to_builtins(fleet), text_of(fleet))
         return DONE
     findings = findings_of(fleet, chief_of(fleet))
-    text = "\n".join(f"{f.fault} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
+    text = "\n".join(f"{f.problem} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
     say(command, to_builtins(findings), text or f"{len(fleet.ring) + len(fleet.leaves)} daemons are in order")
     return FOUND if findings else DONE
--- a/frostpost/admin/sights.py
+++ b/frostpost/admin/sights.py
@@ -1,7 +1,10 @@
+"""Commands that show status, members, runners and voters."""
+
 from .asking import DONE, ask, fail, say
 
 
 def shown(command, door, path, text, method="GET", document=None):
+    """Send a request and print its result by a text function."""
     result = ask(door, path, method, document)
     if result.is_error():
         return fail(command, result.error)
@@ -10,6 +13,7 @@
 
 
 def drain(command, door):
+    """Mark a runner as draining or staying."""
     return shown(
         command,
         door,
@@ -21,11 +25,13 @@
 
 
 def status(command, door):
+    """Print one daemon's status."""
+
     def text(said):
         held = said["configuration"]
         return "\n".join(
             [
-                f"{said['name']} ({said['role']}, cell {said['cell']}): "
+                f"{said['name']} ({said['role']}, zone {said['zone']}): "
                 + ("serving" if said["serving"] else "not serving"),
                 f"configuration {held['epoch']} by {held['proposer']}, {held['age_ms']} ms old, "
                 f"sequencer {held['sequencer']}",
@@ -40,6 +46,8 @@
 
 
 def members(command, door):
+    """Print the daemons that one daemon knows."""
+
     def text(said):
         rows = [f"{said['name']:8} itself      applied {said['applied']}"]
         for name, peer in sorted(said["peers"].items()):
@@ -54,12 +62,13 @@
 
 
 def runners(command, door):
+    """Print the runners."""
     return shown(
         command,
         door,
         "/v1/runners",
         lambda said: "\n".join(
-            f"{r['name']:12} {r['pool']:10} cell {r['cell']} {r['host']}:{r['port']} "
+            f"{r['name']:12} {r['pool']:10} zone {r['zone']} {r['host']}:{r['port']} "
             f"running {r['running']}/{r['room']} load {r['load']}" + (" leaving" if r["leaving"] else "")
             for r in said["runners"]
         ),
@@ -67,10 +76,11 @@
 
 
 def explain(command, door):
+    """Print why a runner would be chosen for a route."""
     return shown(
         command,
         door,
-        f"/v1/tenants/{command.tenant}/lanes/{command.lane}/explain",
+        f"/v1/tenants/{command.tenant}/routes/{command.route}/explain",
         lambda said: "\n".join(
             f"{r['runner']:12} {r['total']:8} " + (", ".join(r["vetoes"]) or str(r["scores"]))
             for r in sorted(said["runners"], key=lambda r: (bool(r["vetoes"]), -r["total"]))
@@ -79,6 +89,7 @@
 
 
 def voters(command, door):
+    """Print or change the voters."""
     if command.add or command.remove:
         document = {k: v for k, v in (("add", command.add), ("remove", command.remove)) if v}
         return shown(command, door, "/v1/voters", lambda said: f"voters: {', '.join(said['voters'])}", "POST", document)
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -1,32 +1,39 @@
+"""Read the platform's list of runners and order its changes."""
+
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
+from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
 from frostpost.daemon.news import say
-from frostpost.http_api.reading import gather
 from frostpost.ledger import duties
+from frostpost.ledger.operations import Runners
 from frostpost.ledger.records import Runner
-from frostpost.ledger.words import Runners
 
 
 class Row(Struct):
+    """One runner in the platform's list."""
+
     name: str
     instance: str
     host: str
     port: int
     pool: str
-    cell: str
+    zone: str
     room: int
 
 
 class Page(Struct):
+    """The platform's list."""
+
     runners: list[Row]
 
 
 @inlineCallbacks
 def list_(ctx):
+    """Fetch the list if this daemon holds that duty, and order it if it changed."""
     fence = duties.held(ctx.core.ledger, "list", ctx.place.member)
     now = clock_ms(ctx)
     if not fence or not ctx.settings.list or now < ctx.list_ms or not lease_ok(ctx.core, now):
@@ -39,16 +46,16 @@
             said = (response.headers.getRawHeaders("retry-after") or ["1"])[0]
             wait_ms = int(said) * 1000 if said.isdigit() else 1000
             ctx.list_ms = clock_ms(ctx) + wait_ms
-            count(ctx, "list_turned_away")
+            count(ctx, "list_refused")
             return
         page = json.decode(raw, type=Page)
-    except Exception as fault:
-        count(ctx, f"list_fault/{type(fault).__name__}")
+    except Exception as error:
+        count(ctx, f"list_error/{type(error).__name__}")
         return
     ctx.listed_ms = clock_ms(ctx)
     entries = tuple(
         sorted(
-            (Runner(r.name, r.instance, r.host, r.port, r.pool, r.cell, r.room) for r in page.runners),
+            (Runner(r.name, r.instance, r.host, r.port, r.pool, r.zone, r.room) for r in page.runners),
             key=lambda r: r.name,
         )
     )
--- a/frostpost/testbed/callers.py
+++ b/frostpost/testbed/callers.py
@@ -1,3 +1,5 @@
+"""Stand-in callers that send turns and lookups and note what they are told."""
+
 import signal
 import sys
 from io import BytesIO
@@ -12,24 +14,30 @@
 from twisted.internet.task import Cooperator
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 
-from frostpost.http_api.carry import ByNumber
+from frostpost.http_api.http_client import ByNumber
 
 from .notes import Notes
 from .templates import DEPLOYMENTS
 
 
 class Reading(Protocol):
+    """Collects a response's body."""
+
     def __init__(self):
         self.data, self.done, self.times = bytearray(), Deferred(), []
 
     def dataReceived(self, data):
+        """Add a piece."""
         self.data += data
 
     def connectionLost(self, reason):
+        """Tell whether the body is whole."""
         self.done.callback(bool(reason.check(ResponseDone)))
 
 
 class Crowd:
+    """Callers that share a client; most: how many programs run at once."""
+
     __slots__ = ("reactor", "client", "doors", "random", "notes", "serial", "open", "tag", "most", "end_s")
 
     def __init__(self, reactor, doors, seed, notes, tag="p", most=600):
@@ -42,10 +50,12 @@
 
 
 def body_of(reactor, raw):
+    """Return a request body."""
     return FileBodyProducer(BytesIO(raw), Cooperator(scheduler=lambda call: reactor.callLater(0, call)))
 
 
 def rest(reactor, wait_s):
+    """Return a Deferred that fires after some seconds."""
     done = Deferred()
     reactor.callLater(wait_s, done.callback, None)
     return done
@@ -53,6 +63,7 @@
 
 @inlineCallbacks
 def post(crowd, path, document):
+    """Send a request and note both it and its response."""
     crowd.serial += 1
     request = f"{crowd.tag}{crowd.serial}"
     door = crowd.random.choice(crowd.doors)
@@ -72,8 +83,8 @@
         response.deliverBody(reading)
         whole = yield reading.done
         raw = bytes(reading.data)
-    except Exception as fault:
-        raw = json.encode({"fault": {"type": f"Link{type(fault).__name__}"}})
+    except Exception as error:
+        raw = json.encode({"error": {"type": f"Link{type(error).__name__}"}})
     lines = []
     for line in raw.split(b"\n"):
         try:
@@ -89,20 +100,22 @@
 
 @inlineCallbacks
 def look(crowd, path):
+    """Read a program's history and note it."""
     door, asked_ms = crowd.random.choice(crowd.doors), int(crowd.notes.seconds() * 1000)
     try:
         response = yield crowd.client.get(f"http://{door}{path}", timeout=5, reactor=crowd.reactor)
         raw = yield response.content()
         document = json.decode(raw)
-    except Exception as fault:
-        crowd.notes.say("unread", path=path, fault=type(fault).__name__)
+    except Exception as error:
+        crowd.notes.say("unread", path=path, error=type(error).__name__)
         return
     crowd.notes.say("read", path=path, door=door, asked_ms=asked_ms, status=response.code, document=document)
 
 
 @inlineCallbacks
-def insist(crowd, path, document, gos=4):
-    for _ in range(gos):
+def insist(crowd, path, document, attempts=4):
+    """Send a request again, as long as the response says when to come back."""
+    for _ in range(attempts):
         status, whole, lines, retry = yield post(crowd, path, document)
         if status not in (409, 429, 503) or retry is None:
             break
@@ -111,29 +124,30 @@
 
 
 @inlineCallbacks
-def program(crowd, tenant, lane, lookups):
+def program(crowd, tenant, route, lookups):
+    """Run one program: a few turns, each with lookups."""
     if crowd.open >= crowd.most:
-        crowd.notes.say("withheld", tenant=tenant, lane=lane)
+        crowd.notes.say("withheld", tenant=tenant, route=route)
         return
     crowd.open += 1
     try:
         crowd.serial += 1
-        name = f"{crowd.tag}-{lane}-{crowd.serial}"
+        name = f"{crowd.tag}-{route}-{crowd.serial}"
         for turn in range(1 + crowd.random.randrange(3)):
             yield insist(
                 crowd,
-                f"/v1/tenants/{tenant}/lanes/{lane}/turns",
+                f"/v1/tenants/{tenant}/routes/{route}/turns",
                 {"program": name, "input": f"{name} turn {turn} of the shared prompt"},
             )
             kind = crowd.random.choice(lookups)
             document = {"input": f"{name}/{turn}"}
             if kind in ("claims", "notices"):
                 document["key"] = f"{name}/{turn}"
-                again = post(crowd, f"/v1/tenants/{tenant}/lanes/{kind}/lookups", document)
-                yield insist(crowd, f"/v1/tenants/{tenant}/lanes/{kind}/lookups", document)
+                again = post(crowd, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
+                yield insist(crowd, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
                 yield again
             else:
-                yield insist(crowd, f"/v1/tenants/{tenant}/lanes/{kind}/lookups", document)
+                yield insist(crowd, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
             if crowd.random.random() < 0.3:
                 yield look(crowd, f"/v1/tenants/{tenant}/programs/{name}")
     finally:
@@ -141,20 +155,21 @@
 
 
 def arrivals(crowd, seconds, factor, done):
+    """Start programs at the deployments' rates, and call `done` once all have ended."""
     reactor = crowd.reactor
     crowd.end_s = reactor.seconds() + seconds
     running = []
 
-    def arrive(tenant, lane, rate, lookups):
+    def arrive(tenant, route, rate, lookups):
         if reactor.seconds() >= crowd.end_s:
             return
-        running.append(program(crowd, tenant, lane, lookups))
-        reactor.callLater(crowd.random.expovariate(rate * factor), arrive, tenant, lane, rate, lookups)
+        running.append(program(crowd, tenant, route, lookups))
+        reactor.callLater(crowd.random.expovariate(rate * factor), arrive, tenant, route, rate, lookups)
 
     for tenant, shape in DEPLOYMENTS.items():
-        for lane, rate in shape.items():
-            if lane != "lookups":
-                arrive(tenant, lane, rate, shape["lookups"])
+        for route, rate in shape.items():
+            if route != "lookups":
+                arrive(tenant, route, rate, shape["lookups"])
 
     def check():
         if reactor.seconds() >= crowd.end_s and (crowd.open == 0 or reactor.seconds() > crowd.end_s + 40):
@@ -168,6 +183,8 @@
 
 @cappa.command(name="callers", help="Stand-in callers of both deployments, at the brief's rates.")
 class Callers(Struct, kw_only=True):
+    """Arguments of the command."""
+
     notes: Annotated[str, cappa.Arg(help="file that the callers' notes go to")]
     doors: Annotated[list[str], cappa.Arg(long="--door", help="IP:port of an edge daemon; may be given again")]
     seconds: Annotated[float, cappa.Arg(long=True, help="how long programs arrive")] = 10.0
@@ -177,6 +194,7 @@
 
 
 def main():
+    """Run the command line; returns the exit status."""
     from twisted.internet import reactor
 
     command = cappa.parse(Callers)
--- a/frostpost/testbed/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -1,8 +1,6 @@
 """What state costs by its size, measured in this process: the ledger, its snapshot, the turn_store."""
 
 import os
-import sys
-from argparse import ArgumentParser
 from resource import RUSAGE_SELF, getrusage
 from tempfile import TemporaryDirectory
 from time import perf_counter, process_time
@@ -18,29 +16,33 @@
 from frostpost.turn_store import serving
 from frostpost.turn_store.segments import SiloFiles, open_log, read_spot, write_batch
 
-KEEP_MS, ANSWER_BYTES, ROUNDS = 3600000, 400, 2000
+RETENTION_MS, ANSWER_BYTES, ROUNDS = 3600000, 400, 2000
 encode = msgpack.Encoder().encode
 
 
 def name_of(program, number):
+    """Return the name of a program's turn."""
     return f"{program:016x}{number:016x}"
 
 
 def runners(count):
+    """Return a number of candidates."""
     return tuple(Candidate(f"runner-{n:06d}", 1 << 20) for n in range(count))
 
 
 def turn_ops(program, number, candidates):
+    """Return the two operations of a turn."""
     this, previous = name_of(program, number), name_of(program, number - 1) if number else ""
     return (
         Begin(
             this, name_of(program, 0), 1 << 30, 400, previous, 5000, candidates, (("part-of-tenant", 2000),), "", 4000
         ),
-        End(this, 360, KEEP_MS, 2000),
+        End(this, 360, RETENTION_MS, 2000),
     )
 
 
 def each_us(count, job):
+    """Return the processor microseconds that a job takes for each of `count` things."""
     begun_s = process_time()
     job()
     return round((process_time() - begun_s) / count * 1e6, 2)
@@ -56,11 +58,13 @@
 
 
 def apply_all(program_ledger, ops, now_ms=0):
+    """Apply operations to a ledger."""
     for op in ops:
         act(program_ledger, now_ms, (), (), op)
 
 
 def grown(programs, turns, candidates):
+    """Return a ledger with programs of some turns each."""
     program_ledger = ProgramLedger()
     for program in range(programs):
         for number in range(turns):
@@ -100,14 +104,16 @@
 
 
 def claimed(count):
+    """Return a ledger with idempotency keys."""
     program_ledger = ProgramLedger()
     for n in range(count):
         key = name_of(n, 1)
-        apply_all(program_ledger, (Claim(key, key, KEEP_MS), Resolve(key, key, os.urandom(ANSWER_BYTES))))
+        apply_all(program_ledger, (Claim(key, key, RETENTION_MS), Resolve(key, key, os.urandom(ANSWER_BYTES))))
     return program_ledger
 
 
 def measure_keys(count):
+    """Return what a key costs."""
     program_ledger, memory_bytes = held_bytes(count, lambda: claimed(count))
     return {
         "keys": count,
@@ -139,6 +145,7 @@
 
 
 def measure_chain(turns):
+    """Return what a turn costs after many others of its program."""
     program_ledger, last = ProgramLedger(), turns - 1
     for number in range(turns):
         apply_all(program_ledger, turn_ops(1, number, runners(8)))
@@ -156,7 +163,7 @@
         "turns_before": last + 1,
         "begin_us": each_us(ROUNDS, often(begin)),
         "begin_of_a_first_turn_us": each_us(ROUNDS, often(first)),
-        "verdict_bytes": len(encode(act(program_ledger, 0, (), (), begin))),
+        "result_bytes": len(encode(act(program_ledger, 0, (), (), begin))),
     }
 
 
@@ -172,6 +179,7 @@
 
 
 def measure_turn_store(folder, body_bytes, count, batch):
+    """Return what storing and reading a body costs."""
     log, index, _, _ = open_log(os.path.join(folder, f"turn_store-{body_bytes}"), SiloFiles(), 8 << 20)
     bodies = [(name_of(n, body_bytes), os.urandom(body_bytes)) for n in range(count)]
     used_s, begun_s = process_time(), perf_counter()
@@ -191,11 +199,8 @@
     }
 
 
-def main(words=None):
-    parser = ArgumentParser(prog="python -m frostpost.testbed.scale_slopes")
-    parser.add_argument("--programs", type=int, default=2000)
-    parser.add_argument("--turns", type=int, default=67)
-    options = parser.parse_args(words)
+def measure(options):
+    """Measure by the number of programs and turns that the arguments ask for; returns the exit status."""
     with TemporaryDirectory(prefix="scale-") as folder:
         keys = measure_keys(20000)
         accounts = measure_accounts(20000)
@@ -213,7 +218,3 @@
         }
     print(json.format(json.encode(found), indent=1).decode())
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -11,12 +11,12 @@
 from test_cluster_ring import hellos, new_house
 from twisted.internet.task import Clock
 
+from frostpost.admin import arguments, commands, inner
 from frostpost.admin import fleet as fleets
-from frostpost.admin import inner
-from frostpost.admin import main as pruner_main
 from frostpost.admin.remedies import findings_of
 from frostpost.cluster import asking, ring, status
 from frostpost.cluster import leaf as assembly
+from frostpost.command import main
 from frostpost.program_ledger.words import End
 from frostpost.virtual_synchrony.outer import Directory, Hello, Renew, StatusAsk, StatusTell
 from frostpost.virtual_synchrony.words import VERSION, Frame, Member, Place, Roster
@@ -144,7 +144,7 @@
         worlds.kill(world, daemon)
     world.run(world.now_ms() + 3000)
     fleet, findings = looked(world, replies)
-    assert {(f.fault, f.where) for f in findings} == {
+    assert {(f.problem, f.where) for f in findings} == {
         ("VoterAway", killed.name),
         ("Silent", killed.name),
         ("Silent", leaf.name),
@@ -228,7 +228,7 @@
 )
 def test_each_fault_is_found_alone(fleet, faults):
     found = findings_of(fleet, fleets.chief_of(fleet))
-    assert {(f.fault, f.where) for f in found} == faults and all(f.cause and f.remedy for f in found)
+    assert {(f.problem, f.where) for f in found} == faults and all(f.cause and f.remedy for f in found)
 
 
 def test_frames_that_come_in_pieces_are_read_once_whole():
@@ -262,7 +262,7 @@
 
 def test_several_seeds_are_taken(monkeypatch):
     seen = []
-    monkeypatch.setattr("sys.argv", ["admin", "fleet", "--seed", "a:1", "--seed", "b:2", "--doctor"])
-    monkeypatch.setitem(pruner_main.ACTS, pruner_main.Fleet, lambda command, _: seen.append(command))
-    pruner_main.main()
+    monkeypatch.setattr("sys.argv", ["frostpost", "admin", "fleet", "--seed", "a:1", "--seed", "b:2", "--doctor"])
+    monkeypatch.setitem(commands.ACTIONS, arguments.Fleet, lambda command, _: seen.append(command))
+    main()
     assert (seen[0].seed, seen[0].doctor) == (["a:1", "b:2"], True)
