--- a/frostpost/program_ledger/apply.py
+++ b/frostpost/program_ledger/apply.py
@@ -1,5 +1,6 @@
 """One step of the turn ledger: (program_ledger, clock, members, voters, op) -> verdict."""
 
+from collections.abc import Callable
 from heapq import heappop
 
 from . import keys, placement, settings, turns
@@ -18,7 +19,7 @@
     SetRouting,
 )
 
-STEPS = {
+STEPS: dict[type, Callable] = {
     Begin: turns.begin,
     Move: turns.move,
     End: turns.end,
@@ -30,7 +31,7 @@
     LookRouting: settings.look_routing,
     Retired: settings.retired,
 }
-NAMED = {Retire: settings.retire, LookRetired: settings.look_retired}
+NAMED: dict[type, Callable] = {Retire: settings.retire, LookRetired: settings.look_retired}
 
 
 def knows(op):
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -119,10 +119,14 @@
 }
 
 
-@contextmanager
 def planted(name, table=PLANTS):
-    """Context manager: put a planted fault into the code."""
-    changes = table.get(name, [])
+    """Context manager: put a planted fault into the code; nothing for an unknown name."""
+    return changed(table.get(name, []))
+
+
+@contextmanager
+def changed(changes):
+    """Context manager: set module attributes, given as (module, attribute, value), and set them back at the end."""
     kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
     for module, word, fault in changes:
         setattr(module, word, fault)
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -35,7 +35,7 @@
 
 
 def owed(synchrony, said, union):
-    mine = {}
+    mine: dict[str, list[int]] = {}
     for ordinal in sorted(union):
         holders = sorted(n for n, e in said.items() if holds(e, ordinal))
         if holders and holders[0] == synchrony.name:
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -26,7 +26,7 @@
     graph = hearing(synchrony)
     rest = sorted(graph, key=lambda m: (RANK[role(synchrony, m.name)], m.name, m.boot))
     while True:
-        group = []
+        group: list = []
         for member in rest:
             if all(member in graph[g] and g in graph[member] for g in group):
                 group.append(member)
--- a/frostpost/write_ahead_log/disk.py
+++ b/frostpost/write_ahead_log/disk.py
@@ -129,7 +129,8 @@
 
 def append(log: WriteAheadLog, payloads: list[bytes]) -> None:
     """Write records at the end of the file; a failed write leaves the log as it was."""
-    serial, checksum, size, parts, held_bytes = log.serial, log.checksum, log.size, [], 0
+    parts: list[bytes] = []
+    serial, checksum, size, held_bytes = log.serial, log.checksum, log.size, 0
     try:
         for payload in payloads:
             serial += 1
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -1,7 +1,5 @@
 """Faults planted in the product's code, each of which the judge has to catch."""
 
-from contextlib import contextmanager
-
 from msgspec import structs
 from twisted.internet.defer import succeed
 
@@ -15,6 +13,7 @@
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
+from frostpost.simulator.plants import changed
 from frostpost.virtual_synchrony import recovery, settling
 from frostpost.virtual_synchrony.outer import Told
 
@@ -183,14 +182,6 @@
 }
 
 
-@contextmanager
 def planted(name):
-    changes = PLANTS[name]() if name else []
-    kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
-    for module, word, fault in changes:
-        setattr(module, word, fault)
-    try:
-        yield
-    finally:
-        for module, word, was in kept:
-            setattr(module, word, was)
+    """Context manager: put a planted error into the code; nothing for the empty name."""
+    return changed(PLANTS[name]() if name else [])
