--- a/frostpost/ledger/snapshots.py
+++ b/frostpost/ledger/snapshots.py
@@ -156,7 +156,8 @@
     """The snapshot with empty tables in place of the large ones."""
     if not tables:
         return state
-    chunks, at = [], 0
+    chunks: list[bytes] = []
+    at = 0
     for table in tables:
         empty = b"\x80" if state[table.start : table.start + 1] == map_header(0)[:1] else b"\x90"
         chunks += (state[at : table.start], empty)
