--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -52,8 +52,8 @@
             turn_store_client.received(leaf, place.member.name, body)
         case Directory():
             lease.directed(leaf, body.places)
-            if place.role == RING and not lease.lease_ok(leaf):
-                lease.renew(leaf)
+            if place.role == RING:
+                lease.greeted(leaf, place)
         case Hello():
             if place.role == RING:
                 founding.waits(leaf, place.member.name)
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -68,16 +68,39 @@
             leaf.links["send"](f"@{seed}", Hello())
 
 
+def renewal(leaf):
+    """The request for a lease as of now."""
+    held = session(leaf)
+    return Renew(now_ms(leaf), held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
+
+
 def renew(leaf):
     held, now = session(leaf), now_ms(leaf)
     held.renewed_ms = now
-    message = Renew(now, held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
+    message = renewal(leaf)
     everywhere = now - held.heard_ms > 2 * (leaf.settings.lease_ms // RENEWS)
     for name, address in ring_addresses(leaf).items():
         if everywhere or name == held.sequencer:
             leaf.links["send"](address, message)
 
 
+def search(leaf):
+    """The sequencer has no lease to give: ask all of the ring, now and then at the pace of a search."""
+    held = session(leaf)
+    held.heard_ms = NEVER
+    if now_ms(leaf) - held.renewed_ms >= leaf.settings.lease_ms // SEEKS:
+        renew(leaf)
+
+
+def greeted(leaf, place):
+    """A daemon of the ring speaks unasked: one that isn't the known sequencer may have come to be it."""
+    held = session(leaf)
+    if not lease_ok(leaf):
+        renew(leaf)
+    elif place.member.name != held.sequencer:
+        leaf.links["send"](address_of(place), renewal(leaf))
+
+
 def directed(leaf, places):
     """Places of the ring's daemons, told by any daemon."""
     session(leaf)
@@ -97,7 +120,10 @@
             held.sequencer = grant.sequencer
             return True
         return False
-    if grant.lease_ms <= 0 and now < held.until_ms and grant.epoch <= held.epoch:
+    if grant.epoch < held.epoch:
+        return False
+    if grant.lease_ms <= 0 and grant.version <= held.held:
+        search(leaf)
         return False
     moved = held.sequencer != place.member.name or held.epoch != grant.epoch
     held.sequencer, held.heard_ms = place.member.name, now
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -1,9 +1,8 @@
-import socket
-from collections import deque
+"""Frames between daemons: the listening side, and the links of the sending side."""
 
-from msgspec import DecodeError, msgpack
-from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint
-from twisted.internet.protocol import Factory, connectionDone
+from msgspec import DecodeError, Struct, msgpack
+from twisted.internet.endpoints import TCP4ServerEndpoint
+from twisted.internet.protocol import Factory
 from twisted.protocols.basic import Int32StringReceiver
 
 from frostpost.virtual_synchrony.outer import RoutingTell, SiloGot, SiloPut
@@ -11,24 +10,18 @@
 
 from .context import count
 from .heart import received
+from .link import MAX_FRAME_BYTES, Link
 from .news import say
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Frame).decode
-MOST = 64 << 20
-QUEUED = 8 << 20
 BULK = (Piece, BodyPiece, SiloPut, SiloGot, RoutingTell)
-SILENT_MS = 1000
 
 
-def end_silence(transport):
-    handle = getattr(transport, "getHandle", lambda: None)()
-    if hasattr(handle, "setsockopt"):
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
+class FrameReader(Int32StringReceiver):
+    """Protocol of the listening side: decodes frames and hands on those that are meant for this daemon."""
 
-
-class Ear(Int32StringReceiver):
-    MAX_LENGTH = MOST
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def stringReceived(self, data):
         ctx = self.factory.ctx
@@ -46,118 +39,65 @@
         if frame.to not in ("", ctx.place.member.name) or barred(ctx, frame.place.member.name):
             count(ctx, "misdirected")
             return
+        links = ctx.links.get("send")
+        if isinstance(links, Links):
+            links.heard(frame.place)
         self.factory.hear(ctx, frame)
 
 
-class Mouth(Int32StringReceiver):
-    MAX_LENGTH = MOST
-
-    def connectionMade(self):
-        self.transport.setTcpNoDelay(True)
-        end_silence(self.transport)
-        self.transport.registerProducer(self, True)
-        self.link.mouth, self.link.paused = self, False
-        self.link.drain()
-
-    def pauseProducing(self):
-        self.link.paused = True
-
-    def resumeProducing(self):
-        self.link.paused = False
-        self.link.drain()
-
-    def stopProducing(self):
-        self.link.paused = True
-
-    def connectionLost(self, reason=connectionDone):
-        self.link.lost()
-
-
-class Link:
-    __slots__ = ("ctx", "host", "port", "mouth", "paused", "queue", "bytes", "connecting", "rest_ms")
-
-    def __init__(self, ctx, host, port):
-        self.ctx, self.host, self.port = ctx, host, port
-        self.mouth, self.paused, self.connecting = None, True, False
-        self.queue, self.bytes = deque(), 0
-
-    def send(self, data):
-        if self.bytes + len(data) > QUEUED:
-            count(self.ctx, "link_full")
-            return
-        self.queue.append(data)
-        self.bytes += len(data)
-        if self.mouth is None:
-            self.connect()
-        elif not self.paused:
-            self.drain()
-
-    def drain(self):
-        while self.queue and self.mouth is not None and not self.paused:
-            data = self.queue.popleft()
-            self.bytes -= len(data)
-            self.mouth.sendString(data)
-
-    def connect(self):
-        if self.connecting:
-            return
-        self.connecting = True
-        factory = Factory()
-
-        def build(_):
-            mouth = Mouth()
-            mouth.link = self
-            return mouth
-
-        factory.buildProtocol = build
-        endpoint = TCP4ClientEndpoint(self.ctx.reactor, self.host, self.port, timeout=1)
-        endpoint.connect(factory).addCallbacks(self.connected, self.failed)
-
-    def connected(self, _):
-        self.connecting = False
-
-    def failed(self, _):
-        self.lost()
-        self.connecting = True
-        self.ctx.reactor.callLater(0.2, self.rested)
-
-    def rested(self):
-        self.connecting = False
-
-    def lost(self):
-        self.mouth, self.paused, self.connecting = None, True, False
-        self.queue.clear()
-        self.bytes = 0
-
-
 def barred(ctx, name):
     return name in ctx.hook.get("cut", ())
 
 
 def listen(ctx, hear=received):
-    factory = Factory.forProtocol(Ear)
+    factory = Factory.forProtocol(FrameReader)
     factory.ctx, factory.hear = ctx, hear
     settings = ctx.settings
     return TCP4ServerEndpoint(ctx.reactor, settings.port, interface=settings.host).listen(factory)
 
 
-def sender(ctx):
-    links = {}
+class Heard(Struct, frozen=True):
+    """Which process spoke last from an address, and when."""
+
+    boot: int
+    at_s: float
 
-    def send(to, body):
+
+class Links:
+    """Sends frames by a daemon's name or by "@host:port"; bulk goes over links of its own."""
+
+    def __init__(self, ctx):
+        self.ctx, self.links, self.last_heard = ctx, {}, {}
+
+    def __call__(self, to, body):
         if to.startswith("@"):
             host, _, port = to[1:].rpartition(":")
             name = ""
         else:
-            peer = ctx.core.synchrony.peers.get(to)
-            if peer is None or barred(ctx, to):
+            peer = self.ctx.core.synchrony.peers.get(to)
+            if peer is None or barred(self.ctx, to):
                 return
             host, port, name = peer.place.host, peer.place.port, to
-        bulk = isinstance(body, BULK)
-        key = (host, int(port), bulk)
-        link = links.get(key)
+        key = (host, int(port), isinstance(body, BULK))
+        link = self.links.get(key)
         if link is None:
-            link = links[key] = Link(ctx, host, int(port))
-        link.send(encode(Frame(VERSION, ctx.place, name, body)))
+            link = self.links[key] = Link(self.ctx, host, int(port))
+        link.send(encode(Frame(VERSION, self.ctx.place, name, body)))
 
-    return send
+    def heard(self, place):
+        """A frame came from a place: what is pending or dead on the way there is dialled anew."""
+        found = [self.links[k] for k in ((place.host, place.port, bulk) for bulk in (False, True)) if k in self.links]
+        if not found:
+            return
+        address, boot = (place.host, place.port), place.member.boot
+        before = self.last_heard.get(address)
+        self.last_heard[address] = Heard(boot, self.ctx.reactor.seconds())
+        for link in found:
+            if before is not None and before.boot != boot:
+                link.restarted(before.at_s)
+            link.heard()
+
+
+def sender(ctx):
+    """The function (to, body) by which a daemon sends; it keeps the links."""
+    return Links(ctx)
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,8 +1,11 @@
 from .events import Booted
 from .memory import memory
 from .state import Proposal, Recovery, count, elect, write
-from .watch import desire
-from .words import ConfigurationId, Exchange, Install, Plan, Propose, TurnAway
+from .watch import desire, serving
+from .words import ConfigurationId, Exchange, Install, Member, Plan, Propose, TurnAway
+
+# A heartbeat last sent then is due: whom this daemon hears is told before it proposes.
+NEVER_MS = -(1 << 40)
 
 
 def patience(synchrony, desired):
@@ -35,6 +38,7 @@
     desired = desire(synchrony)
     if desired != synchrony.desired:
         synchrony.desired, synchrony.desired_ms = desired, synchrony.now_ms
+        synchrony.beat_ms = NEVER_MS
     settled = synchrony.recovery is None and synchrony.proposal is None
     if settled and set(desired) == set(synchrony.configuration.members) and not sole(synchrony):
         synchrony.desired_ms = synchrony.now_ms
@@ -64,7 +68,8 @@
     known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
         return say_exchange(synchrony, out)
-    if message.id <= synchrony.promised or synchrony.me not in message.members:
+    refused = message.id <= synchrony.promised or synchrony.me not in message.members
+    if refused or breaks_up(synchrony, message):
         out.sends.append((frm, TurnAway(message.id, synchrony.promised)))
         return
     if synchrony.proposal and synchrony.proposal.id < message.id:
@@ -72,6 +77,18 @@
     promise(synchrony, out, frm, message)
 
 
+def breaks_up(synchrony, message):
+    """Whether an outsider's proposal would part this daemon from a member of the serving primary that it still hears.
+
+    A member's own proposal is never refused for this: its proposer has left the primary already, which must be replaced.
+    """
+    members = synchrony.configuration.members
+    if not serving(synchrony) or Member(message.id.proposer, message.id.boot) in members:
+        return False
+    wanted = desire(synchrony)
+    return any(member in wanted and member not in message.members for member in members)
+
+
 def promise(synchrony, out, frm, message):
     synchrony.promised = message.id
     synchrony.recovery = Recovery(
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -42,6 +42,8 @@
     unwell: bool = False
     ready: bool = False
     applied: int = 0
+    serving: bool = False
+    last_primary: ConfigurationId = NOWHERE
     leaving: bool = False
     shunned_ms: int = -(1 << 40)
     shuns: int = 0
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -1,3 +1,4 @@
+from .memory import NOWHERE
 from .state import RANK, role
 from .words import Beat, Install
 
@@ -20,11 +21,31 @@
     return graph
 
 
+def serving(synchrony):
+    """Whether this daemon stands in an opened primary that no proposal has reached."""
+    return synchrony.primary.opened and synchrony.recovery is None and synchrony.proposal is None
+
+
+def preference(synchrony, member):
+    """Sort key of the order in which members are taken into the wanted configuration.
+
+    Members of an opened primary come first, of the newest where there are several, then those that were in a primary
+    before, then newcomers: who can't hear all of a primary that serves doesn't break it up by the order of names.
+    """
+    if member == synchrony.me:
+        opened, epoch, last = serving(synchrony), synchrony.configuration.id.epoch, synchrony.log.primary
+    else:
+        peer = synchrony.peers[member.name]
+        opened, epoch, last = peer.serving, peer.configuration.epoch, peer.last_primary
+    return RANK[role(synchrony, member.name)], -epoch if opened else 0, last == NOWHERE, member.name, member.boot
+
+
 def desire(synchrony):
+    """The configuration that this daemon wants: the first clique, in order of preference, that it is a member of."""
     if synchrony.unwell or synchrony.leaving:
         return (synchrony.me,)
     graph = hearing(synchrony)
-    rest = sorted(graph, key=lambda m: (RANK[role(synchrony, m.name)], m.name, m.boot))
+    rest = sorted(graph, key=lambda member: preference(synchrony, member))
     while True:
         group = []
         for member in rest:
@@ -52,6 +73,8 @@
                     synchrony.primary.ready,
                     synchrony.applied,
                     dict(synchrony.news),
+                    serving(synchrony),
+                    synchrony.log.primary,
                 ),
             )
         )
@@ -63,7 +86,7 @@
     peer.hears = frozenset(message.hears)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
-    peer.news = message.news
+    peer.news, peer.serving, peer.last_primary = message.news, message.serving, message.last_primary
     agreed = message.configuration == synchrony.configuration.id == message.promised
     if agreed and message.echo_ms > peer.granted_ms:
         peer.granted_ms = message.echo_ms
--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/words.py
@@ -60,6 +60,8 @@
     ready: bool
     applied: int
     news: dict[str, int]
+    serving: bool = False
+    last_primary: ConfigurationId = ConfigurationId(0, "", 0)
 
 
 class Roster(Struct, frozen=True, array_like=True, tag=2):
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -8,9 +8,9 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.outer import Grant, Hello, Renew, RoutingAsk, RoutingTell
+from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell
 from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
-from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member, Place
+from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Frame, Member, Place
 
 LEASE_MS = 1200
 IDS = ConfigurationId(3, "s1", 1)
@@ -203,3 +203,62 @@
     clock.advance(0.9)
     assembly.tend(leaf)
     assert [(to, type(body)) for to, body in sent(leaf)] == [("@h:7", Renew), ("@h:8", Renew), ("@h:9", Hello)]
+
+
+def known(clock, *names):
+    """An agent that holds a lease of s1 and knows the other replicas."""
+    agent = new_leaf(clock)
+    places = tuple(place_of(name, port=number) for number, name in enumerate(names, 7))
+    lease.granted(agent, places[0], Grant(int(clock.seconds() * 1000), 1000, "s1", epoch=4, places=places))
+    sent(agent)
+    return agent, places
+
+
+def test_an_empty_grant_of_the_leader_itself_sends_the_agent_to_all_replicas_at_once():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    clock.advance(LEASE_MS / 5000)
+    lease.granted(agent, places[0], Grant(1000, 0, "s1", epoch=4))
+    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:7", Renew), ("@h:8", Renew), ("@h:9", Renew)]
+    assert lease.lease_ok(agent)
+
+
+def test_empty_grants_are_asked_for_again_at_the_pace_of_a_search():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2")
+    for _ in range(24):
+        clock.advance(0.02)
+        lease.granted(agent, places[0], Grant(1000, 0, "s1", epoch=4))
+        assembly.tend(agent)
+    asked = [to for to, body in sent(agent) if isinstance(body, Renew)]
+    assert LEASE_MS * 0.4 / (LEASE_MS / lease.SEEKS) - 2 <= asked.count("@h:8") <= 9
+
+
+def test_an_empty_grant_because_the_agents_routing_is_old_sets_off_no_search():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    clock.advance(LEASE_MS / 5000)
+    lease.granted(agent, places[0], Grant(1240, 0, "s1", version=3, epoch=4))
+    assert sent(agent) == [("@h:7", RoutingAsk(0))]
+
+
+def test_a_replica_that_greets_is_asked_though_the_lease_still_runs():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    assembly.received(agent, Frame(1, places[1], "", Directory(places)))
+    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", Renew)]
+    assembly.received(agent, Frame(1, places[0], "", Directory(places)))
+    assert sent(agent) == []
+
+
+def test_a_grant_of_an_older_configuration_takes_no_agent_back():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2")
+    assert lease.granted(agent, places[1], Grant(1000, 600, "s2", epoch=5, places=places))
+    assert not lease.granted(agent, places[0], Grant(1000, 1200, "s1", epoch=4))
+    assert agent.session.sequencer == "s2" and agent.session.until_ms == 2000
--- /dev/null
+++ b/tests/test_links.py
@@ -0,0 +1,132 @@
+"""Links between daemons: an attempt that began while the other end was dark is cut short when that end is heard."""
+
+from types import SimpleNamespace
+
+import pytest
+from twisted.internet.testing import MemoryReactorClock, StringTransport
+
+from frostpost.cluster.settings import DaemonSettings
+from frostpost.daemon.links import Links
+from frostpost.virtual_synchrony.outer import Hello
+from frostpost.virtual_synchrony.words import Member, Place
+
+ADDRESS = ("10.0.0.2", 7380)
+TO = "@10.0.0.2:7380"
+
+
+def place_of(boot=1):
+    return Place(Member("s2", boot), "storage", "z", *ADDRESS, 0)
+
+
+@pytest.fixture
+def links():
+    reactor = MemoryReactorClock()
+    settings = DaemonSettings("s1", "storage", "z", "10.0.0.1", 7380, detect_ms=500)
+    place = Place(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
+    return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hook={}))
+
+
+def dials(links):
+    return [(host, port) for host, port, *_ in links.ctx.reactor.tcpClients]
+
+
+def accept(links):
+    """The newest attempt is answered; -> its transport."""
+    factory = links.ctx.reactor.tcpClients[-1][2]
+    protocol = factory.buildProtocol(None)
+    transport = StringTransport()
+    transport.setTcpNoDelay = lambda on: None
+    transport.abortConnection = lambda: protocol.connectionLost(None)
+    protocol.makeConnection(transport)
+    return transport
+
+
+def refuse(links):
+    from twisted.internet.error import ConnectionRefusedError
+    from twisted.python.failure import Failure
+
+    *_, factory, _, _ = links.ctx.reactor.tcpClients[-1]
+    factory.clientConnectionFailed(links.ctx.reactor.connectors[-1], Failure(ConnectionRefusedError()))
+
+
+def test_a_pending_attempt_is_begun_anew_once_the_other_end_is_heard(links):
+    links(TO, Hello())
+    links.ctx.reactor.advance(0.3)
+    links.heard(place_of())
+    links.ctx.reactor.advance(0.001)
+    assert dials(links) == [ADDRESS, ADDRESS]
+    assert links.ctx.reactor.connectors[0].stoppedConnecting
+
+
+def test_an_attempt_just_begun_is_left_a_heartbeat(links):
+    links(TO, Hello())
+    links.ctx.reactor.advance(0.02)
+    for _ in range(5):
+        links.heard(place_of())
+    links.ctx.reactor.advance(0.07)
+    assert len(dials(links)) == 1
+    links.ctx.reactor.advance(0.02)
+    assert len(dials(links)) == 2
+
+
+def test_hearing_again_and_again_over_a_one_way_cut_dials_no_more_often_than_heartbeats(links):
+    links(TO, Hello())
+    for _ in range(100):
+        links.ctx.reactor.advance(0.01)
+        links.heard(place_of())
+    assert len(dials(links)) <= 11
+
+
+def test_an_attempt_that_is_answered_in_time_is_kept(links):
+    links(TO, Hello())
+    links.heard(place_of())
+    accept(links)
+    links.ctx.reactor.advance(1)
+    assert len(dials(links)) == 1
+
+
+def test_the_rest_after_a_refusal_ends_when_the_other_end_is_heard(links):
+    links(TO, Hello())
+    refuse(links)
+    links(TO, Hello())
+    assert len(dials(links)) == 1
+    links.ctx.reactor.advance(0.04)
+    links.heard(place_of())
+    links.ctx.reactor.advance(0.061)
+    assert len(dials(links)) == 2
+
+
+def test_a_refused_link_is_tried_again_soon(links):
+    links(TO, Hello())
+    refuse(links)
+    links.ctx.reactor.advance(0.051)
+    links(TO, Hello())
+    assert len(dials(links)) == 2
+
+
+def test_a_connection_to_a_process_that_is_gone_is_dropped_when_its_successor_is_heard(links):
+    links(TO, Hello())
+    accept(links)
+    links.ctx.reactor.advance(0.1)
+    links.heard(place_of(boot=1))
+    links.ctx.reactor.advance(0.7)
+    links.heard(place_of(boot=2))
+    links.ctx.reactor.advance(0.001)
+    assert len(dials(links)) == 2
+
+
+def test_a_connection_that_may_be_to_the_successor_is_kept(links):
+    links(TO, Hello())
+    links.heard(place_of(boot=1))
+    links.ctx.reactor.advance(0.05)
+    accept(links)
+    links.ctx.reactor.advance(0.7)
+    links.heard(place_of(boot=2))
+    links.ctx.reactor.advance(0.2)
+    assert len(dials(links)) == 1
+
+
+def test_a_frame_from_where_nothing_is_sent_opens_no_link(links):
+    links.heard(place_of())
+    links.ctx.reactor.advance(1)
+    assert dials(links) == []
--- /dev/null
+++ b/tests/test_membership.py
@@ -0,0 +1,180 @@
+"""Whom a replica wants in a configuration, and which proposals it refuses while it serves."""
+
+import pytest
+
+from frostpost.virtual_synchrony import membership, watch
+from frostpost.virtual_synchrony.events import Out, Received, Tick
+from frostpost.virtual_synchrony.memory import Log
+from frostpost.virtual_synchrony.state import Bounds, Peer, begin
+from frostpost.virtual_synchrony.step import step
+from frostpost.virtual_synchrony.words import Beat, Configuration, ConfigurationId, Member, Place, Propose, TurnAway
+
+PRIMARY, OUTSIDE = ConfigurationId(7, "s2", 1), ConfigurationId(9, "s1", 1)
+
+
+def place_of(name, boot=1):
+    return Place(Member(name, boot), "storage", "z", name, 1, 0)
+
+
+def member(name, boot=1):
+    return Member(name, boot)
+
+
+def replica(name, members, others, serving=True):
+    """A replica that hears `others`, all of which hear one another, in a primary of `members`."""
+    synchrony, _ = begin(place_of(name), Bounds(), (), (), Log(), 10_000)
+    everyone = frozenset(member(n) for n in (name, *others))
+    for other in others:
+        inside = other in members
+        synchrony.peers[other] = Peer(
+            place_of(other),
+            heard_ms=10_000,
+            hears=everyone,
+            configuration=PRIMARY if inside else ConfigurationId(1, other, 1),
+            promised=PRIMARY if inside else ConfigurationId(1, other, 1),
+            serving=inside and serving,
+            last_primary=PRIMARY if inside else ConfigurationId(0, "", 0),
+        )
+    if name in members:
+        synchrony.configuration = Configuration(PRIMARY, tuple(member(n) for n in members), members[0])
+        synchrony.promised = synchrony.log.primary = PRIMARY
+        synchrony.primary.opened = serving
+    return synchrony
+
+
+def deaf(synchrony, here, there):
+    """`here` doesn't hear `there`."""
+    if here == synchrony.name:
+        synchrony.peers[there].heard_ms = 0
+    else:
+        synchrony.peers[here].hears -= {member(there)}
+
+
+def wanted(synchrony):
+    return [m.name for m in watch.desire(synchrony)]
+
+
+def propose(synchrony, proposer, members, epoch=9, boot=1):
+    """-> the messages that the replica answers a proposal with."""
+    out = Out()
+    message = Propose(ConfigurationId(epoch, proposer, boot), tuple(member(n) for n in members), members[0])
+    membership.proposed(synchrony, out, proposer, message)
+    return [type(body) for _, body in out.sends]
+
+
+def test_members_of_a_serving_primary_are_wanted_before_a_newcomer_with_a_lower_name():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
+    deaf(synchrony, "s4", "s1")
+    assert sorted(wanted(synchrony)) == ["s2", "s3", "s4"]
+
+
+def test_a_newcomer_that_does_not_hear_all_of_the_primary_is_refused_by_the_others():
+    newcomer = replica("s1", ("s2", "s3", "s4"), ("s2", "s3", "s4"))
+    deaf(newcomer, "s1", "s4")
+    assert sorted(wanted(newcomer)) == ["s1", "s2", "s3"]
+    for name, others in (("s2", ("s1", "s3", "s4")), ("s3", ("s1", "s2", "s4"))):
+        assert propose(replica(name, ("s2", "s3", "s4"), others), "s1", ("s1", "s2", "s3")) == [TurnAway]
+
+
+def test_a_newcomer_that_all_hear_is_wanted_as_well():
+    assert sorted(wanted(replica("s2", ("s2", "s3"), ("s1", "s3")))) == ["s1", "s2", "s3"]
+
+
+def test_without_a_serving_primary_those_with_a_memory_come_first():
+    synchrony = replica("s2", ("s2", "s3"), ("s1", "s3"), serving=False)
+    deaf(synchrony, "s3", "s1")
+    assert sorted(wanted(synchrony)) == ["s2", "s3"]
+
+
+def test_the_newest_of_two_primaries_is_preferred():
+    synchrony = replica("s3", ("s3", "s4"), ("s1", "s4"))
+    synchrony.peers["s1"].serving, synchrony.peers["s1"].configuration = True, ConfigurationId(5, "s1", 1)
+    deaf(synchrony, "s4", "s1")
+    assert sorted(wanted(synchrony)) == ["s3", "s4"]
+
+
+def test_an_outsiders_proposal_that_leaves_out_a_member_that_is_heard_is_refused():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
+    assert propose(synchrony, "s1", ("s1", "s2", "s3")) == [TurnAway]
+    assert synchrony.recovery is None and watch.serving(synchrony)
+
+
+def test_an_outsiders_proposal_that_holds_all_members_is_taken():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
+    assert TurnAway not in propose(synchrony, "s1", ("s1", "s2", "s3", "s4"))
+    assert synchrony.recovery is not None
+
+
+@pytest.mark.parametrize("why", ["silent", "leaving", "unwell", "deaf to another"])
+def test_a_member_that_is_not_wanted_any_more_protects_nothing(why):
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
+    lost = synchrony.peers["s4"]
+    if why == "silent":
+        lost.heard_ms = synchrony.now_ms - synchrony.bounds.detect_ms
+    elif why == "deaf to another":
+        deaf(synchrony, "s4", "s3")
+        deaf(synchrony, "s3", "s4")
+    else:
+        setattr(lost, why, True)
+    assert TurnAway not in propose(synchrony, "s1", ("s1", "s2", "s3"))
+
+
+def test_a_members_own_proposal_is_not_refused_since_the_primary_is_broken_already():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
+    assert TurnAway not in propose(synchrony, "s3", ("s2", "s3"))
+
+
+def test_a_member_that_runs_anew_is_an_outsider():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
+    assert propose(synchrony, "s3", ("s2", "s3"), boot=2) == [TurnAway]
+
+
+def test_a_replica_without_a_serving_primary_refuses_no_higher_proposal():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"), serving=False)
+    assert TurnAway not in propose(synchrony, "s1", ("s1", "s2", "s3"))
+
+
+def beat_of(synchrony):
+    out = Out()
+    watch.beat(synchrony, out)
+    return next(body for _, body in out.sends)
+
+
+def test_heartbeats_tell_whether_a_primary_is_served_and_the_last_one():
+    serving = beat_of(replica("s2", ("s2", "s3"), ("s3",)))
+    assert (serving.serving, serving.last_primary) == (True, PRIMARY)
+    broken = replica("s2", ("s2", "s3"), ("s3",))
+    propose(broken, "s3", ("s2", "s3"))
+    assert not beat_of(broken).serving
+
+
+def test_a_replica_tells_at_once_whom_it_no_longer_hears_and_proposes_later():
+    synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
+    synchrony.desired = watch.desire(synchrony)
+    synchrony.beat_ms = synchrony.now_ms
+    quiet = synchrony.now_ms + synchrony.bounds.detect_ms // 5
+    for peer in synchrony.peers.values():
+        peer.heard_ms = quiet
+    synchrony.peers["s4"].heard_ms = synchrony.now_ms - synchrony.bounds.detect_ms + 20
+    sent = []
+    for now_ms in range(10_020, 10_070, 20):
+        synchrony, out = step(synchrony, Tick(now_ms))
+        sent += [(now_ms, type(body), body) for to, body in out.sends if to == "s3"]
+    beats = [body for _, kind, body in sent if kind is Beat]
+    assert beats and member("s4") not in beats[0].hears
+    assert not any(kind is Propose for _, kind, _ in sent)
+
+
+def test_heartbeats_of_the_version_before_are_read():
+    from msgspec import msgpack
+
+    old = msgpack.encode([1, [7, "s2", 1], [7, "s2", 1], [], 5, 4, False, True, 3, {}])
+    beat = msgpack.decode(old, type=Beat)
+    assert (beat.serving, beat.last_primary) == (False, ConfigurationId(0, "", 0))
+
+
+def test_heard_heartbeats_are_kept_of_a_peer():
+    synchrony = replica("s2", ("s2", "s3"), ("s1", "s3"))
+    beat = Beat(PRIMARY, PRIMARY, (), 1, 1, False, True, 3, {}, True, PRIMARY)
+    step(synchrony, Received(10_010, place_of("s1"), beat))
+    assert (synchrony.peers["s1"].serving, synchrony.peers["s1"].last_primary) == (True, PRIMARY)
