--- a/frostpost/simulator/wires.py
+++ b/frostpost/simulator/wires.py
@@ -34,6 +34,7 @@
         "reading",
         "fin",
         "stuck_s",
+        "patience_s",
         "__weakref__",
     )
 
@@ -42,7 +43,7 @@
         self.other = self.protocol = self.producer = None
         self.out, self.out_bytes, self.busy, self.closing, self.connected = deque(), 0, False, False, True
         self.streaming = self.held = self.fin = False
-        self.paused, self.reading, self.stuck_s = False, True, 0.0
+        self.paused, self.reading, self.stuck_s, self.patience_s = False, True, 0.0, PATIENCE_S
         host.wires.append(self)
 
     @property
@@ -53,6 +54,10 @@
     def finishing(self):
         return self.closing and (self.producer is None or self.streaming and not self.held)
 
+    def retry_s(self):
+        """How long the kernel waits until it sends again what was not acknowledged."""
+        return RETRY_S
+
     def write(self, data):
         if not self.connected or self.finishing or not data:
             return
@@ -145,10 +150,11 @@
     target = other.host
     gone = target.life != other.life or not target.alive
     if not passing(wire) or gone and not target.powered:
-        wire.stuck_s += RETRY_S
-        if wire.stuck_s > PATIENCE_S:
+        wait_s = wire.retry_s()
+        wire.stuck_s += wait_s
+        if wire.stuck_s > wire.patience_s:
             return lost(wire, ConnectionLost())
-        return pump(wire, RETRY_S)
+        return pump(wire, wait_s)
     wire.stuck_s = 0.0
     if gone or not other.connected:
         wire.out.clear()
--- a/tests/fleet_simulator/jobs.py
+++ b/tests/fleet_simulator/jobs.py
@@ -16,6 +16,7 @@
     def __init__(self, line, message):
         self.line, self.runner, self.message = line, line.runner, message
         self.fields, self.run, self.trouble, self.over = message.fields, None, "", False
+        self.came_ms = now_ms(self.runner)
 
     def field(self, name):
         return self.fields.get(name, b"").decode()
@@ -26,6 +27,8 @@
             return self.turn_away(421)
         if not self.field(b"x-attempt-id"):
             return self.turn_away(400)
+        if "shed" in runner.odds and runner.random.random() < runner.odds["shed"]:
+            return self.turn_away(503)
         if len(runner.working) < runner.slots:
             return self.begin()
         if len(runner.queue) >= runner.slots // 2:
@@ -87,6 +90,7 @@
             self.field(b"x-operation-key"),
             self.field(b"x-previous-turn"),
             self.field(b"last-event-id"),
+            self.came_ms,
         )
         runner.notes.runs.append(self.run)
         if self.fields.get(b"x-token-count"):
--- a/tests/fleet_simulator/judge.py
+++ b/tests/fleet_simulator/judge.py
@@ -8,6 +8,7 @@
 
 PROMISES = (408, 421, 429, 503)
 RESUMABLE = "/free/"
+STEADY = ("after ack", "core cut", "cut", "freeze", "kill", "wipe")
 
 
 def prefix_of(uri):
@@ -18,11 +19,26 @@
     return request.kind == "safe" or request.uri.startswith(RESUMABLE)
 
 
+def touches(world, trouble, edge, since_ms, at_ms):
+    """Whether a trouble keeps an edge from being in touch, by itself or by unsettling the core.
+
+    A loss inside the tolerance unsettles the core when it begins and when it ends; in between the others go on.
+    """
+    if trouble.from_ms > at_ms or trouble.until_ms < since_ms or not trouble.names:
+        return False
+    daemons = [world.daemons[n] for n in trouble.names if n in world.daemons]
+    if any(d.host.address == edge for d in daemons):
+        return True
+    if all(d.role == "edge" for d in daemons):
+        return False
+    begins, ends = trouble.from_ms >= since_ms, trouble.until_ms <= at_ms
+    return begins or ends or trouble.kind not in STEADY
+
+
 def in_touch(world, edge, at_ms):
     """Whether an edge met no trouble and the core was settled for the whole contact time before."""
     since_ms = at_ms - world.notes.sheet["contact"]
-    names = {d.name for d in world.daemons.values() if d.host.address == edge or d.role != "edge"}
-    return not any(t.from_ms <= at_ms and t.until_ms >= since_ms and names & set(t.names) for t in world.notes.troubles)
+    return not any(touches(world, t, edge, since_ms, at_ms) for t in world.notes.troubles)
 
 
 def twice(world, runs_of, tries):
--- a/tests/fleet_simulator/list.py
+++ b/tests/fleet_simulator/list.py
@@ -11,11 +11,11 @@
 class Listing:
     """history: (at_ms, entries by runner id), newest last."""
 
-    __slots__ = ("host", "notes", "history", "lag_ms", "down", "calls")
+    __slots__ = ("host", "notes", "history", "lag_ms", "down", "calls", "reader")
 
     def __init__(self, host, notes, lag_ms):
         self.host, self.notes, self.history, self.lag_ms = host, notes, [(-1e9, {})], lag_ms
-        self.down, self.calls = False, 0
+        self.down, self.calls, self.reader = False, 0, ""
 
     def now_ms(self):
         return self.host.seconds() * 1000
@@ -54,6 +54,7 @@
         if listing.down:
             return
         listing.calls += 1
+        listing.reader = self.transport.getPeer().host
         token = message.start.decode().partition("page-token=")[2].split(" ")[0]
         entries, first = [e for _, e in sorted(listing.shown().items())], int(token or 0)
         after = first + PAGE if first + PAGE < len(entries) else None
--- a/tests/fleet_simulator/main.py
+++ b/tests/fleet_simulator/main.py
@@ -9,56 +9,50 @@
 import cappa
 from msgspec import Struct, json
 
-from . import play as fleet_simulator_play
-from . import works as fleet_simulator_works
+from . import play as days
+from .kinds import KINDS
 from .plants import PLANTS, planted
-from .world import Shape
-
-SHAPES = {
-    "three": Shape(),
-    "one": Shape(1, 3, 3, 3),
-    "five": Shape(5, 1, 1, 1),
-    "seed": Shape(3, 1, 1, 1, seeds=1),
-    "bare": Shape(3, 1, 1, 1, tolerated=0),
-    "two": Shape(5, 1, 1, 1, tolerated=2),
-    "many": Shape(3, 3, 1, 1),
-    "spare": Shape(3, 1, 2, 1),
-    "zones": Shape(3, 1, 2, 1, tolerated=0, tolerated_zones=1),
-}
+from .shapes import SHAPES
 
 
 @cappa.command(name="fleet_simulator", help="Play seeded days of a deployment and judge them.")
-class Copse(Struct, kw_only=True):
+class Simulate(Struct, kw_only=True):
     first: Annotated[int, cappa.Arg(long=True, help="first seed")] = 1
     seeds: Annotated[int, cappa.Arg(long=True, help="how many seeds")] = 20
     shape: Annotated[str, cappa.Arg(long=True, help=f"one of {', '.join(SHAPES)}, or all in turn")] = "three"
-    kinds: Annotated[
-        list[str],
-        cappa.Arg(long="--kind", help=f"troubles: {', '.join(fleet_simulator_works.KINDS)}, retire; all if not given"),
-    ] = []
+    kinds: Annotated[list[str], cappa.Arg(long="--kind", help=f"troubles: {', '.join(KINDS)}; all if not given")] = []
     closing: Annotated[str, cappa.Arg(long=True, help="power, kill, wipe or none; drawn if not given")] = ""
     gap_ms: Annotated[int, cappa.Arg(long=True, help="the longest wait between two troubles")] = 2500
+    storm_ms: Annotated[int, cappa.Arg(long=True, help="how long troubles go on")] = 30000
     plant: Annotated[str, cappa.Arg(long=True, help=f"a fault planted in the code: {', '.join(PLANTS)}")] = ""
     workers: Annotated[int, cappa.Arg(long=True)] = 3
 
 
 def one(job):
-    seed, shape, kinds, closing, gap_ms, plant = job
+    seed, shape, kinds, closing, gap_ms, storm_ms, plant = job
     with planted(plant):
-        _, report = fleet_simulator_play.play(
-            seed, SHAPES[shape], kinds or None, gap_ms=gap_ms, closing=closing or None
+        _, report = days.play(
+            seed, SHAPES[shape], kinds or None, storm_ms=storm_ms, gap_ms=gap_ms, closing=closing or None
         )
     return shape, report
 
 
 def main():
-    command = cappa.parse(Copse)
+    command = cappa.parse(Simulate)
     shapes = list(SHAPES) if command.shape == "all" else [command.shape]
     if not set(shapes) <= set(SHAPES) or command.plant not in ("", *PLANTS):
         print(f"UnknownWord: {command.shape} {command.plant}", file=sys.stderr)
         return 64
     jobs = [
-        (seed, shapes[seed % len(shapes)], command.kinds, command.closing, command.gap_ms, command.plant)
+        (
+            seed,
+            shapes[seed % len(shapes)],
+            command.kinds,
+            command.closing,
+            command.gap_ms,
+            command.storm_ms,
+            command.plant,
+        )
         for seed in range(command.first, command.first + command.seeds)
     ]
     start_s, rules, tries, acks, backs, odd = time.monotonic(), Counter(), Counter(), Counter(), [], 0
--- a/tests/fleet_simulator/notes.py
+++ b/tests/fleet_simulator/notes.py
@@ -54,6 +54,7 @@
     key: str = ""
     previous: str = ""
     last_event: str = ""
+    came_ms: float = 0.0
     status: int = 200
     pieces: list = []
     first: int = 1
@@ -85,6 +86,14 @@
     until_ms: float = 1e12
 
 
+class Isolation(Struct):
+    """An edge that no storage machine hears or reaches, while clients and runners do."""
+
+    edge: str
+    from_ms: float
+    until_ms: float
+
+
 class Notes:
     """sheet: the deployment's figures in ms. shown: (at_ms, runner id, state) as the list came to show it."""
 
@@ -92,3 +101,14 @@
         self.sheet, self.tries, self.runs, self.versions, self.troubles = sheet, [], [], [], []
         self.shown, self.strays, self.away, self.held, self.marks, self.lives = [], [], [], None, [], []
         self.list_troubles, self.tap = [], lambda request: None
+        self.isolations, self.acknowledged_by, self.on_acknowledged = [], "", lambda control: None
+
+    def end_isolations(self, now_ms):
+        """All cuts are over, or a storage machine has come that none of them holds off."""
+        for alone in self.isolations:
+            alone.until_ms = min(alone.until_ms, now_ms)
+
+    def acknowledged(self, control):
+        """A change was acknowledged by the daemon at this address."""
+        self.acknowledged_by = control
+        self.on_acknowledged(control)
--- a/tests/fleet_simulator/operator.py
+++ b/tests/fleet_simulator/operator.py
@@ -34,7 +34,7 @@
             headers.append((b"X-Base-Revision", b"%d" % base))
         body = b"" if document is None else json.encode(document)
         request = Try(f"{self.tag}{self.serial}", "control", f"/frostpost/{path}", body, 1000, headers, method=method)
-        request.sent_ms = self.now_ms()
+        request.sent_ms, request.edge = self.now_ms(), control[0]
         try:
             line = yield dial(self, control)
         except Exception:
@@ -82,6 +82,7 @@
         status = answer.status if answer is not None else 0
         if status == 200:
             version.acked_ms = self.now_ms()
+            self.notes.acknowledged(answer.edge)
         elif 400 <= status < 500:
             version.no = status
         return status
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -6,14 +6,16 @@
 from msgspec import Struct
 from twisted.python import log
 
+from . import bearing
 from . import judge as judge
 from . import troubles as troubles
 from . import world as worlds
 from .config import acknowledgements, handled, read_back, reverts
 from .inner import inner
+from .kinds import KINDS, strike
+from .leases import LeaseMonitor, served_past_lease
 from .notes import Broken
 from .stage import await_, crowd_of, open_, probe, settle
-from .works import KINDS
 
 STORM_MS = 16000
 ODDS = {"lose": 0.02, "cut": 0.03, "surplus": 0.02, "noise": 0.01, "fail": 0.01, "silent": 0.01}
@@ -44,28 +46,13 @@
     next_()
 
 
-def retire_one(world, random, operator):
-    daemon = random.choice(world.of("storage"))
-
-    def emptied(done):
-        if done and not daemon.gone:
-            worlds.wipe(world, daemon)
-            daemon.gone = True
-            world.notes.marks.append(("retired", daemon.name, world.now_ms()))
-
-    operator.retire(daemon.name, world.now_ms() + 9000).addCallback(emptied)
-
-
 def storm(world, random, operators, kinds, until_ms, gap_ms, trace):
     def next_():
         if world.now_ms() >= until_ms:
             return
         kind = random.choice(kinds)
         trace.append((round(world.now_ms()), kind))
-        if kind == "retire":
-            retire_one(world, random, operators[1])
-        else:
-            KINDS[kind](world, random)
+        strike(world, random, kind)
         world.later(random.uniform(100, gap_ms), next_)
 
     world.later(random.uniform(300, 1500), next_)
@@ -73,15 +60,19 @@
 
 def heal(world):
     world.net.cuts.clear()
+    world.cuts.clear()
+    world.notes.end_isolations(world.now_ms())
     world.listing.down = False
     for daemon in list(world.daemons.values()):
-        daemon.drive.delay_ms = 2.0
+        daemon.drive.delay_ms, daemon.drive.room = worlds.DISK_MS, worlds.DISK_ROOM
         daemon.drive.broken.clear()
         daemon.host.thaw()
         if not daemon.gone:
             daemon.host.powered = True
             worlds.start(world, daemon)
     for trouble in world.notes.troubles:
+        if trouble.kind == "roll":
+            continue
         trouble.until_ms = min(trouble.until_ms, world.now_ms())
     for runner in world.runners.values():
         runner.host.thaw()
@@ -102,6 +93,7 @@
         *judge.lost(world, tries),
         *judge.drains(world, tries),
         *judge.cut_off(world, runs_of, tries),
+        *served_past_lease(world, tries),
         *acknowledgements(world),
         *handled(world, tries),
         *reverts(world, tries),
@@ -128,11 +120,14 @@
         for runner in world.runners.values():
             runner.odds = dict(odds)
         crowd, from_ms = crowd_of(world, "c"), world.now_ms()
+        world.operators, world.crowd, world.changes_until_ms = operators, crowd, from_ms + storm_ms
+        monitor = LeaseMonitor(world)
+        monitor.watch()
         for daemon in world.of("edge"):
             probe(world, crowd, daemon)
         crowd.arrive(from_ms + storm_ms, load_ms)
         changes(world, random, operators, from_ms + storm_ms)
-        kinds = sorted(kinds if kinds is not None else [*KINDS, "retire"])
+        kinds = sorted(kinds if kinds is not None else KINDS)
         if kinds:
             storm(world, random, operators, kinds, from_ms + storm_ms, gap_ms, trace)
         world.run(from_ms + storm_ms)
@@ -154,7 +149,7 @@
         if served < 0.25:
             broken.append(Broken("RECOVER", f"{served:.2f} of {len(late)} served: {Counter(t.status for t in late)}"))
         document = await_(world, operators[0].read(world.now_ms() + 5000), 6000)
-        broken += judged(world, document)
+        broken += [*judged(world, document), *monitor.broken]
         odd = [*inner(world), *failures]
         if not acked or acked not in (200, 400):
             odd.append(f"a change in calm times got {acked}")
@@ -180,7 +175,7 @@
     if closing == "none":
         return
     world.run(world.now_ms() + 5000)
-    while troubles.lost(world):
+    while bearing.lost(world):
         world.run(world.now_ms() + 200)
     crowd.arrive(world.now_ms() + 1500, 100)
     fallen, wiped = [], min(world.shape.tolerated if closing == "wipe" else 0, len(world.of("storage")) - 1)
--- a/tests/fleet_simulator/troubles.py
+++ b/tests/fleet_simulator/troubles.py
@@ -3,10 +3,9 @@
 from frostpost.simulator import drives
 
 from . import world as worlds
+from .bearing import lasting_ms, victim
 from .notes import Trouble
 
-CATCH_UP_MS = 3000
-
 
 def begin(world, kind, names):
     trouble = Trouble(kind, tuple(names), world.now_ms())
@@ -18,28 +17,6 @@
     trouble.until_ms = world.now_ms()
 
 
-def lost(world):
-    """Machines with a disk that count as lost now."""
-    now = world.now_ms()
-    return {
-        n
-        for t in world.notes.troubles
-        for n in t.names
-        if t.until_ms + CATCH_UP_MS > now
-        and n in world.daemons
-        and world.daemons[n].role != "edge"
-        and not world.daemons[n].gone
-    }
-
-
-def victim(world, random, *roles):
-    """A daemon to be troubled, or None where that is more than is to be borne."""
-    found = [d for d in world.of(*roles) if d.host.alive and d.owner is not None]
-    down = lost(world)
-    found = [d for d in found if d.role == "edge" or len(down | {d.name}) <= world.shape.tolerated]
-    return random.choice(found) if found else None
-
-
 def back(world, daemon, trouble):
     worlds.start(world, daemon)
     over(world, trouble)
@@ -58,8 +35,12 @@
     kill_one(world, random, "storage")
 
 
-def wipe_one(world, random):
-    daemon = victim(world, random, "storage", "core")
+def kill_edge(world, random):
+    kill_one(world, random, "edge")
+
+
+def wipe_one(world, random, *roles):
+    daemon = victim(world, random, *(roles or ("storage", "core")))
     if daemon is None:
         return
     trouble = begin(world, "wipe", [daemon.name])
@@ -73,7 +54,7 @@
         return
     trouble = begin(world, "freeze", [daemon.name])
     daemon.host.freeze()
-    world.later(random.uniform(100, 5000), thaw, world, daemon, daemon.host.life, trouble)
+    world.later(lasting_ms(random), thaw, world, daemon, daemon.host.life, trouble)
 
 
 def freeze_storage(world, random):
@@ -90,30 +71,6 @@
     over(world, trouble)
 
 
-def cut_edge(world, random):
-    cut_one(world, random, "edge", most_ms=8000)
-
-
-def cut_one(world, random, *roles, most_ms=5000):
-    daemon = victim(world, random, *(roles or ("storage", "core", "edge")))
-    if daemon is None:
-        return
-    trouble, here, pairs = begin(world, "cut", [daemon.name]), daemon.host.address, set()
-    one_way = random.random() < 0.3
-    for other in world.daemons.values():
-        if other is not daemon:
-            pairs.add((here, other.host.address))
-            if not one_way:
-                pairs.add((other.host.address, here))
-    world.net.cuts |= pairs
-    world.later(random.uniform(100, most_ms), mend, world, pairs, trouble)
-
-
-def mend(world, pairs, trouble):
-    world.net.cuts -= pairs
-    over(world, trouble)
-
-
 def slow_disk(world, random):
     daemon = victim(world, random, "storage", "core")
     if daemon is None:
@@ -183,21 +140,6 @@
         world.later(random.uniform(100, 1500), back, world, daemon, trouble)
 
 
-def cut_halves(world, random):
-    """All daemons fall into two sides."""
-    names = sorted(n for n, d in world.daemons.items() if not d.gone)
-    side = {n for n in names if random.random() < 0.5}
-    trouble, pairs = begin(world, "halves", names), set()
-    for here in names:
-        for there in names:
-            if (here in side) != (there in side):
-                pairs.add((world.daemons[here].host.address, world.daemons[there].host.address))
-    if random.random() < 0.3:
-        pairs = {(a, b) for a, b in pairs if a < b}
-    world.net.cuts |= pairs
-    world.later(random.uniform(100, 4000), mend, world, pairs, trouble)
-
-
 def freeze_many(world, random):
     for daemon in world.of("storage", "edge", "core"):
         if random.random() < 0.4 and daemon.host.alive:
--- a/tests/fleet_simulator/wires.py
+++ b/tests/fleet_simulator/wires.py
@@ -1,15 +1,38 @@
-"""Connections that tell of their own abort only in the next turn, as a real transport does."""
+"""Connections that tell of their own abort only in the next turn and send again as a kernel does."""
 
-from twisted.internet.error import ConnectionLost, ConnectionRefusedError
+import socket
+
+from twisted.internet.error import ConnectionLost, ConnectionRefusedError, TimeoutError
 from twisted.python.failure import Failure
 
 from frostpost.simulator import net as nets
 from frostpost.simulator import wires
 
+FIRST_RETRY_S, CONNECT_RETRY_S = 0.2, 1.0
+
+
+class Handle:
+    """A connection's socket, as far as the product sets options of it."""
+
+    def __init__(self, wire):
+        self.wire = wire
+
+    def setsockopt(self, level, option, value):
+        if (level, option) == (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
+            self.wire.patience_s = value / 1000
+
 
 class Strand(wires.Wire):
     __slots__ = ()
 
+    def getHandle(self):
+        return Handle(self)
+
+    def retry_s(self):
+        """Twice as long each time, and no longer than the connection's patience lasts."""
+        left_s = self.patience_s - self.stuck_s
+        return min(max(FIRST_RETRY_S, self.stuck_s), max(0.0, left_s) + 0.001)
+
     def abortConnection(self):
         if not self.connected:
             return
@@ -27,6 +50,13 @@
 class Dialler(nets.Connector):
     __slots__ = ()
 
+    def again(self):
+        """A kernel sends its first packet again after a second."""
+        wait_s = min(CONNECT_RETRY_S, self.end_s - self.net.clock.seconds())
+        if wait_s <= 0:
+            return self.fail(TimeoutError())
+        return self.net.clock.callLater(wait_s, self.arrive)
+
     def arrive(self):
         if self.state != "connecting" or self.life != self.host.life or not self.host.alive:
             return None
--- a/tests/fleet_simulator/works.py
+++ b/tests/fleet_simulator/works.py
@@ -1,5 +1,11 @@
 """Work that is planned on the machines, and what befalls the runners and their list."""
 
+from types import SimpleNamespace
+
+from frostpost.cluster.assembly import reread
+from frostpost.platform import settings
+
+from . import bearing, returns
 from . import troubles as troubles
 from . import world as worlds
 from .notes import Trouble
@@ -28,13 +34,22 @@
 
 
 def roll_storage(world, random):
-    daemon = troubles.victim(world, random, "storage")
+    roll(world, random, "storage")
+
+
+def roll_core(world, random):
+    roll(world, random, "core")
+
+
+def roll(world, random, role):
+    daemon = bearing.victim(world, random, role, how=random.choice(("", "leader")))
     if daemon is None:
         return
     trouble = troubles.begin(world, "roll", [daemon.name])
     worlds.leave(world, daemon)
     world.later(2500, worlds.kill, world, daemon)
     world.later(2700, troubles.back, world, daemon, trouble)
+    world.later(2700, returns.after, world, random, daemon)
 
 
 def drain_runner(world, random):
@@ -84,27 +99,70 @@
     world.later(random.uniform(500, 9000), up)
 
 
-KINDS = {
-    "after_ack": troubles.after_ack,
-    "storage_power": troubles.storage_power,
-    "cut_halves": troubles.cut_halves,
-    "freeze_many": troubles.freeze_many,
-    "kill": troubles.kill_one,
-    "kill_storage": troubles.kill_storage,
-    "wipe": troubles.wipe_one,
-    "freeze": troubles.freeze_one,
-    "freeze_storage": troubles.freeze_storage,
-    "freeze_edge": troubles.freeze_edge,
-    "cut": troubles.cut_one,
-    "cut_edge": troubles.cut_edge,
-    "slow_disk": troubles.slow_disk,
-    "bad_disk": troubles.bad_disk,
-    "replace": troubles.replace_one,
-    "add_storage": add_storage,
-    "roll_edge": roll_edge,
-    "roll_storage": roll_storage,
-    "drain": drain_runner,
-    "crash_runner": crash_runner,
-    "freeze_runner": freeze_runner,
-    "list_down": list_down,
-}
+def config_change(world, random):
+    operate(world, 1)
+
+
+def config_race(world, random):
+    operate(world, 2)
+
+
+def operate(world, many):
+    if world.now_ms() < world.changes_until_ms:
+        for operator in world.operators[:many]:
+            operator.modify(world.now_ms() + 6000)
+
+
+def seed_turnover(world, random):
+    """The settings name other control machines from now on."""
+    found = [f"{d.host.address}:{worlds.CONTROL}" for d in world.of("core")]
+    if found:
+        world.seeds[:] = random.sample(found, min(len(found), world.shape.seeds))
+
+
+def hup(world, random):
+    """Some machines are told to read their settings again."""
+    for daemon in world.daemons.values():
+        if daemon.host.alive and daemon.owner is not None and random.random() < 0.3:
+            told = settings.from_document(worlds.document_of(world, daemon))
+            front = SimpleNamespace(reread=lambda told=told: told)
+            world.later(random.uniform(0, 1000), daemon.host.enter, reread, daemon.owner, front)
+
+
+def replace_planned(world, random):
+    """An empty machine comes first, then the old one is told to leave for good."""
+    daemon = bearing.victim(world, random, "storage", "core")
+    if daemon is None:
+        return
+    trouble = troubles.begin(world, "replace", [daemon.name])
+    world.serial += 1
+    fresh = worlds.add(world, f"{daemon.role}-{daemon.zone}-x{world.serial}", daemon.role, daemon.zone)
+    fresh.first = False
+    trouble.names = (daemon.name, fresh.name)
+    worlds.start(world, fresh)
+    world.later(1000, worlds.leave, world, daemon)
+
+    def gone():
+        worlds.wipe(world, daemon)
+        daemon.gone = True
+        troubles.over(world, trouble)
+
+    world.later(3500, gone)
+
+
+def retire(world, random):
+    """A storage machine is emptied and taken away; now and then another loses its disk right after."""
+    daemon = bearing.victim(world, random, "storage")
+    if daemon is None or len(world.of("storage")) <= 2 * world.shape.tolerated + 1:
+        return
+
+    def emptied(done):
+        if not done or daemon.gone:
+            return
+        worlds.wipe(world, daemon)
+        daemon.gone = True
+        world.notes.marks.append(("retired", daemon.name, world.now_ms()))
+        if random.random() < 0.4:
+            troubles.wipe_one(world, random, "storage")
+
+    world.operators[1].retire(daemon.name, world.now_ms() + 9000).addCallback(emptied)
--- a/tests/fleet_simulator/world.py
+++ b/tests/fleet_simulator/world.py
@@ -22,8 +22,18 @@
 from .runners import Runner, raise_runner
 
 FRONT, READINESS, CONTROL, INNER, RUNNER = 8149, 8141, 8144, 7380, 9000
-SHEET = {"contact": 3000, "ack": 4000, "drain": 3000, "apply": 2000, "recovery": 12000, "window": 8000, "keep": 20000}
+SHEET = {
+    "contact": 3000,
+    "ack": 4000,
+    "drain": 3000,
+    "apply": 2000,
+    "recovery": 12000,
+    "window": 8000,
+    "keep": 20000,
+    "lease": 1200,
+}
 RESTART_MS = 300
+DELAY, DISK_MS, DISK_ROOM = "delay_ms", 2.0, 1 << 40
 POOLS = (("model", 3, 6, True), ("model2", 2, 6, True), ("tools", 3, 6, False), ("tools2", 2, 6, False))
 
 
@@ -37,6 +47,8 @@
     seeds: int = 3
     tolerated: int = 1
     tolerated_zones: int = 0
+    tolerated_regions: int = 0
+    regions: int = 1
 
 
 class Daemon(Struct):
@@ -51,6 +63,7 @@
     gone: bool = False
     lives: int = 0
     since_ms: float = 0.0
+    wall_offset_s: float = 0.0
 
 
 class World:
@@ -62,7 +75,13 @@
         self.zones, self.starts, self.serial = [f"z{n}" for n in range(shape.zones)], [], 0
         self.listing = raise_listing(self.add_host("platform", "z0"), self.notes, 800)
         self.callers = self.add_host("callers", "z0")
-        self.seeds, self.settled_ms = [], 0.0
+        self.regions = {zone: f"r{n % shape.regions}" for n, zone in enumerate(self.zones)}
+        self.seeds, self.settled_ms, self.cuts = [], 0.0, []
+        self.operators, self.crowd, self.changes_until_ms = [], None, 1e12
+
+    def controls(self):
+        """The control addresses that the operator's list shows."""
+        return [(d.host.address, CONTROL) for d in self.of("core")]
 
     def now_ms(self):
         return self.net.clock.seconds() * 1000
@@ -99,10 +118,12 @@
 
 
 def add(world, name, role, zone):
+    if role == "storage":
+        world.notes.end_isolations(world.now_ms())
     host = world.add_host(name, zone)
     host.alive = False
     drive = drives.Drive(Random(world.random.random()))
-    drive.delay_ms = 2.0
+    drive.delay_ms = DISK_MS
     host.thread_ms = lambda: drive.delay_ms * (0.5 + world.random.random())
     daemon = world.daemons[name] = Daemon(name, role, zone, host, drive)
     return daemon
@@ -141,15 +162,19 @@
         "serves": serves[daemon.role],
         "ip": address,
         "zone": daemon.zone,
-        "region": "r",
-        "zones": {z: "r" for z in world.zones},
+        "region": world.regions[daemon.zone],
+        "zones": dict(world.regions),
         "bind-addresses": {k: f"{address}:{p}" for k, p in bound[daemon.role].items()},
         "port-range": [INNER, INNER + 15],
         "seeds": list(world.seeds),
         "initial-start": daemon.first,
         "limits": {"memory-mb": 260, "max-fds": 4100, "disk-mb": 0 if daemon.role == "edge" else 200},
         "data-dir": None if daemon.role == "edge" else f"/{daemon.name}",
-        "tolerance": {"machines": world.shape.tolerated, "zones": world.shape.tolerated_zones, "regions": 0},
+        "tolerance": {
+            "machines": world.shape.tolerated,
+            "zones": world.shape.tolerated_zones,
+            "regions": world.shape.tolerated_regions,
+        },
         "timers": {
             "contact-ms": sheet["contact"],
             "ack-ms": sheet["ack"],
@@ -213,7 +238,7 @@
 
     machine = Machine(
         seconds=host.seconds,
-        wall_s=lambda: 1.8e9 + host.seconds(),
+        wall_s=lambda: 1.8e9 + daemon.wall_offset_s + host.seconds(),
         in_thread=host.in_thread,
         token=lambda size: token.randbytes(size).hex(),
         sleep=lambda wait_s: None,
@@ -279,4 +304,4 @@
 
 
 def controls(world):
-    return [(d.host.address, CONTROL) for d in world.of("core")]
+    return world.controls()
--- a/tests/test_fleet_simulator_days.py
+++ b/tests/test_fleet_simulator_days.py
@@ -1,8 +1,8 @@
 import pytest
-from fleet_simulator.main import SHAPES
+from fleet_simulator.shapes import SHAPES
 from fleet_simulator.play import play
 
-PLANNED = ("add_storage", "drain", "retire", "roll_edge", "roll_storage")
+PLANNED = ("add_nodes", "scale_in", "retire", "roll_term", "roll_storage")
 
 
 def clean(report):
--- a/tests/test_fleet_simulator_edges.py
+++ b/tests/test_fleet_simulator_edges.py
@@ -6,7 +6,7 @@
 import pytest
 from fleet_simulator import judge as judge
 from fleet_simulator import stage as plays
-from fleet_simulator import troubles as troubles
+from fleet_simulator import bearing
 from fleet_simulator import works as works
 from fleet_simulator import world as worlds
 from fleet_simulator.crowd import MOST_TOKENS
@@ -95,7 +95,7 @@
     world, crowd = opened
     world.run(world.now_ms() + 3000)
     fresh = replace(world, world.of("storage")[first])
-    world.run(world.now_ms() + 200 + troubles.CATCH_UP_MS + gap_ms)
+    world.run(world.now_ms() + 200 + bearing.CATCH_UP_MS + gap_ms)
     replace(world, next(d for d in world.of("storage") if d is not fresh))
     world.run(world.now_ms() + 5000)
     assert plays.settle(world, 7000) >= 0
--- a/tests/test_fleet_simulator_plants.py
+++ b/tests/test_fleet_simulator_plants.py
@@ -12,9 +12,9 @@
     "end_unawaited": ("LOST", [1, 2, 3], {"closing": "power"}),
     "chain_reversed": ("UNASKED", [1], {}),
     "base_ignored": ("CONFIG", [3, 1], {}),
-    "unordered_ack": ("CONFIG", [3, 1], {"kinds": ["kill_storage"]}),
-    "lease_ignored": ("CONFIG", [1, 2, 3], {"kinds": ["cut_edge"]}),
-    "drain_ignored": ("DRAIN", [1], {"kinds": ["drain"]}),
+    "unordered_ack": ("CONFIG", [3, 1], {"kinds": ["node_kill_storage"]}),
+    "lease_ignored": ("CONFIG", [1, 2, 3], {"kinds": ["node_cut_edge"]}),
+    "drain_ignored": ("DRAIN", [1], {"kinds": ["scale_in"]}),
     "every_voter": ("RECOVER", [1], {"closing": "wipe"}),
 }
 
