--- a/frostpost/daemon/machine.py
+++ b/frostpost/daemon/machine.py
@@ -18,6 +18,7 @@
     exists: Callable = os.path.exists
     makedirs: Callable = os.makedirs
     read: Callable = lambda path: read_whole(path)
+    pwrite: Callable = os.pwrite
 
 
 class Machine(Struct, frozen=True):
@@ -29,6 +30,9 @@
     files: Files = Files()
 
 
+MACHINE = Machine()
+
+
 def read_whole(path):
     with open(path, "rb") as file:
         return file.read()
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import Protocol
 
-from .parsing import ResponseParser
+from .parsing import ResponseParser, UnreadableError
 
 USER_TIMEOUT_MS = 2000
 DRAIN_S = 1.0
@@ -48,9 +48,9 @@
         if self.parser is None:
             return self.drop()
         try:
-            self.parser.dataReceived(data)
-        except Exception as error:
-            self._broken(type(error).__name__)
+            self.parser.read(data)
+        except UnreadableError as error:
+            self._broken(str(error))
 
     def connectionLost(self, reason):
         self.lost = True
@@ -78,6 +78,12 @@
         if not self.lost and not self.dirty:
             self.transport.resumeProducing()
 
+    def learn(self, head):
+        """What an answer's head tells of the connection itself."""
+        self.close = self.close or head.close
+        if head.keep_ms > 0:
+            self.keep_ms = head.keep_ms
+
     def _head(self, status, fields):
         if self.exchange is not None:
             self.exchange.heard_head(status, fields)
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -80,7 +80,7 @@
 def breaks_up(synchrony, message):
     """Whether an outsider's proposal would part this daemon from a member of the serving primary that it still hears.
 
-    A member's own proposal is never refused for this: its proposer has left the primary already, which must be replaced.
+    A member's own proposal is never refused for this: its proposer has left the primary, which must be replaced.
     """
     members = synchrony.configuration.members
     if not serving(synchrony) or Member(message.id.proposer, message.id.boot) in members:
--- a/tests/test_fleet_simulator_days.py
+++ b/tests/test_fleet_simulator_days.py
@@ -1,6 +1,6 @@
 import pytest
-from fleet_simulator.shapes import SHAPES
 from fleet_simulator.play import play
+from fleet_simulator.shapes import SHAPES
 
 PLANNED = ("add_nodes", "scale_in", "retire", "roll_term", "roll_storage")
 
--- a/tests/test_fleet_simulator_edges.py
+++ b/tests/test_fleet_simulator_edges.py
@@ -4,9 +4,9 @@
 from random import Random
 
 import pytest
+from fleet_simulator import bearing
 from fleet_simulator import judge as judge
 from fleet_simulator import stage as plays
-from fleet_simulator import bearing
 from fleet_simulator import works as works
 from fleet_simulator import world as worlds
 from fleet_simulator.crowd import MOST_TOKENS
