--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 from twisted.internet.defer import succeed
 
-from frostpost.cluster import lease, operating
+from frostpost.cluster import lease, operating, serving
 from frostpost.platform import front, listing
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import turns
@@ -113,6 +113,25 @@
     return [(operating, "set_routing", set_routing)]
 
 
+def lease_stretched():
+    """A leader grants leases from its own belief that it leads, and not from what a majority of the voters gave it."""
+    return [(serving, "lease_remaining_ms", lambda synchrony, now_ms: 2 * synchrony.bounds.lease_ms)]
+
+
+def leases_not_waited_out():
+    """A new leader tells a routing as honoured though leases of the one before it still run."""
+    kept = serving.honoured
+
+    def honoured(ctx, sessions):
+        installed_ms, ctx.core.synchrony.installed_ms = ctx.core.synchrony.installed_ms, -(1 << 40)
+        try:
+            return kept(ctx, sessions)
+        finally:
+            ctx.core.synchrony.installed_ms = installed_ms
+
+    return [(serving, "honoured", honoured)]
+
+
 PLANTS = {
     "end_unawaited": end_unawaited,
     "claim_skipped": claim_skipped,
@@ -130,9 +149,12 @@
 }
 
 
+LEASE_PLANTS = {"lease_stretched": lease_stretched, "leases_not_waited_out": leases_not_waited_out}
+
+
 @contextmanager
 def planted(name):
-    changes = PLANTS[name]() if name else []
+    changes = {**PLANTS, **LEASE_PLANTS}[name]() if name else []
     kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
     for module, word, fault in changes:
         setattr(module, word, fault)
--- a/tests/test_fleet_simulator_cuts.py
+++ b/tests/test_fleet_simulator_cuts.py
@@ -9,6 +9,7 @@
 from fleet_simulator.config import handled, reverts
 from fleet_simulator.leases import LeaseMonitor, served_past_lease
 from fleet_simulator.notes import Isolation
+from fleet_simulator.plants import planted
 from fleet_simulator.shapes import SHAPES
 
 from frostpost.cluster import serving
@@ -216,3 +217,29 @@
     assert plays.await_(day.world, asker.modify(day.world.now_ms() + 4000), 5000) in (200, 400, 412)
     assert day.back_ms() <= CONTACT_MS
     assert day.faults() == []
+
+
+def edge_beside_the_old_leader(plant):
+    """The leader and an edge are cut off together while the operator goes on; -> what the lease monitor saw."""
+    with planted(plant):
+        day = Day()
+        leader, edge = bearing.leader(day.world, "storage"), day.world.of("edge")[0]
+        side = [leader, edge]
+        rest = [d for d in day.world.daemons.values() if d not in side]
+        pairs = cuts.pairs_between(day.random, cuts.addresses(side), cuts.addresses(rest), False)
+        cuts.cut(day.world, pairs, troubles.begin(day.world, "core cut", [d.name for d in side]), 6000)
+        for number in range(24):
+            asker = plays.operator_of(day.world, f"o{number}")
+            day.world.later(number * 120, asker.modify, day.world.now_ms() + 5000)
+        day.run(9000)
+        assert max(v.acked_ms for v in day.world.notes.versions) > day.world.now_ms() - 9000
+        return {b.rule for b in day.monitor.broken}
+
+
+def test_an_edge_beside_the_old_leader_serves_by_nothing_older_than_was_acknowledged():
+    assert edge_beside_the_old_leader("") == set()
+
+
+@pytest.mark.parametrize("plant", ["lease_stretched", "leases_not_waited_out"])
+def test_a_planted_fault_of_the_leases_is_seen(plant):
+    assert edge_beside_the_old_leader(plant) == {"LEASE"}
