--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -9,6 +9,8 @@
 
 RENEWS = 5
 SEEKS = 20
+# One renewal in so many goes to all replicas, which forget agents that they do not hear for long.
+INTRODUCE_EVERY = 256
 NEVER = -(1 << 40)
 
 
@@ -19,6 +21,7 @@
     until_ms: int = NEVER
     heard_ms: int = NEVER
     renewed_ms: int = NEVER
+    renewals: int = 0
     greeted_ms: int = NEVER
     asked_ms: int = NEVER
     epoch: int = 0
@@ -74,11 +77,22 @@
     return Renew(now_ms(leaf), held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
 
 
+def due_ms(leaf):
+    """When `tend` has something to do next, on this daemon's clock."""
+    held = session(leaf)
+    every_ms, seek_ms = leaf.settings.lease_ms // RENEWS, leaf.settings.lease_ms // SEEKS
+    lost_ms = held.heard_ms + 2 * every_ms + 1
+    if now_ms(leaf) < lost_ms:
+        return min(held.renewed_ms + every_ms, lost_ms)
+    return min(held.renewed_ms + seek_ms, held.greeted_ms + (4 * every_ms if leaf.directory else seek_ms))
+
+
 def renew(leaf):
     held, now = session(leaf), now_ms(leaf)
-    held.renewed_ms = now
+    held.renewed_ms, held.renewals = now, held.renewals + 1
     message = renewal(leaf)
-    everywhere = now - held.heard_ms > 2 * (leaf.settings.lease_ms // RENEWS)
+    lost = now - held.heard_ms > 2 * (leaf.settings.lease_ms // RENEWS)
+    everywhere = lost or held.renewals % INTRODUCE_EVERY == 0
     for name, address in ring_addresses(leaf).items():
         if everywhere or name == held.sequencer:
             leaf.links["send"](address, message)
@@ -90,6 +104,8 @@
     held.heard_ms = NEVER
     if now_ms(leaf) - held.renewed_ms >= leaf.settings.lease_ms // SEEKS:
         renew(leaf)
+    if leaf.ticker is not None:
+        leaf.ticker.wake(due_ms(leaf) - now_ms(leaf))
 
 
 def greeted(leaf, place):
@@ -112,14 +128,30 @@
         renew(leaf)
 
 
+def redirected(leaf, place, leader):
+    """A replica that doesn't lead names the leader that it knows, if any; -> whether the leader changed."""
+    held = session(leaf)
+    from_leader = place.member.name == held.sequencer
+    if leader and leader != held.sequencer and (from_leader or not lease_ok(leaf)):
+        held.sequencer = leader
+        return True
+    if from_leader:
+        search(leaf)
+    return False
+
+
+def introduce(leaf, places, leader):
+    """Make this daemon known to replicas that it hasn't spoken to, so that each greets it when it comes to lead."""
+    for place in places:
+        if leaf.directory.get(place.member.name) != place and place.member.name != leader:
+            leaf.links["send"](address_of(place), renewal(leaf))
+
+
 def granted(leaf, place, grant):
     """-> whether the sequencer changed."""
     held, now = session(leaf), now_ms(leaf)
     if grant.sequencer != place.member.name:
-        if grant.sequencer and now >= held.until_ms and grant.sequencer != held.sequencer:
-            held.sequencer = grant.sequencer
-            return True
-        return False
+        return redirected(leaf, place, grant.sequencer)
     if grant.epoch < held.epoch:
         return False
     if grant.lease_ms <= 0 and grant.version <= held.held:
@@ -129,11 +161,14 @@
     held.sequencer, held.heard_ms = place.member.name, now
     if grant.lease_ms > 0:
         held.until_ms = max(held.until_ms, grant.sent_ms + grant.lease_ms)
-    held.voters, held.version, held.honoured = grant.voters, grant.version, grant.honoured
+    held.voters, held.version = grant.voters, grant.version
+    # What every running lease has honoured stays so: no later lease is granted on an older routing.
+    held.honoured = max(held.honoured, grant.honoured)
     held.leaves = max(1, grant.leaves)
     if grant.draining and "drained" in leaf.extras:
         leaf.extras["drained"](grant.draining)
     if grant.places:
+        introduce(leaf, grant.places, held.sequencer)
         leaf.directory = {p.member.name: p for p in grant.places}
         held.epoch = grant.epoch
     if grant.version > held.held and now - held.asked_ms >= 100:
--- a/frostpost/daemon/link.py
+++ b/frostpost/daemon/link.py
@@ -21,7 +21,7 @@
     return bounds.detect_ms / 1000
 
 
-def limit_silence(transport, silence_s):
+def end_silence(transport, silence_s):
     """Let the kernel give a connection up whose bytes nobody acknowledges."""
     handle = getattr(transport, "getHandle", lambda: None)()
     if hasattr(handle, "setsockopt"):
@@ -37,22 +37,27 @@
         self.link = link
 
     def connectionMade(self):
+        """Start to send what is queued."""
         self.transport.setTcpNoDelay(True)
-        limit_silence(self.transport, 2 * detect_s(self.link.ctx))
+        end_silence(self.transport, 2 * detect_s(self.link.ctx))
         self.transport.registerProducer(self, True)
         self.link.opened(self)
 
     def pauseProducing(self):
+        """Stop sending while the connection's buffer is full."""
         self.link.paused = True
 
     def resumeProducing(self):
+        """Send again."""
         self.link.paused = False
         self.link.drain()
 
     def stopProducing(self):
+        """Stop sending."""
         self.link.paused = True
 
     def connectionLost(self, reason=connectionDone):
+        """Drop what is queued, unless another connection has taken over."""
         if self.link.writer is self:
             self.link.lost()
 
@@ -87,6 +92,7 @@
             self.drain()
 
     def drain(self):
+        """Send what is queued as long as the connection takes it."""
         while self.queue and self.writer is not None and not self.paused:
             data = self.queue.popleft()
             self.queued_bytes -= len(data)
@@ -104,20 +110,25 @@
         self.attempt.addCallbacks(self.connected, self.failed)
 
     def opened(self, writer):
+        """A connection is open."""
         self.writer, self.paused, self.opened_s = writer, False, self.ctx.reactor.seconds()
         self.drain()
 
     def connected(self, _):
+        """The attempt is over."""
         self.attempt = None
 
     def failed(self, _):
+        """Drop the queue and rest before the next attempt."""
         self.lost()
         self.rest = self.ctx.reactor.callLater(detect_s(self.ctx) / RESTS, self.rested)
 
     def rested(self):
+        """Allow the next attempt."""
         self.rest = None
 
     def lost(self):
+        """Drop the connection and the queue."""
         self.writer, self.paused, self.attempt = None, True, None
         self.queue.clear()
         self.queued_bytes = 0
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -24,6 +24,7 @@
     MAX_LENGTH = MAX_FRAME_BYTES
 
     def stringReceived(self, data):
+        """Decode a frame and hand it on; frames that are not understood end the connection."""
         ctx = self.factory.ctx
         try:
             frame = decode(data)
@@ -46,10 +47,12 @@
 
 
 def barred(ctx, name):
+    """Tell whether a test hook cuts the link to a daemon."""
     return name in ctx.hook.get("cut", ())
 
 
 def listen(ctx, hear=received):
+    """Listen for peers; Deferred of the port."""
     factory = Factory.forProtocol(FrameReader)
     factory.ctx, factory.hear = ctx, hear
     settings = ctx.settings
@@ -70,6 +73,7 @@
         self.ctx, self.links, self.last_heard = ctx, {}, {}
 
     def __call__(self, to, body):
+        """Queue a message for a daemon by name, or for "@host:port"."""
         if to.startswith("@"):
             host, _, port = to[1:].rpartition(":")
             name = ""
--- a/frostpost/testbed/contests.py
+++ b/frostpost/testbed/contests.py
@@ -1,11 +1,14 @@
+"""A proof of racing configuration changes."""
+
 import time
 from concurrent.futures import ThreadPoolExecutor
 
 from .fleet import call, ready, wait_for
 
 
-def insist(fleet, names, path, method, document, gos=20):
-    for _ in range(gos):
+def insist(fleet, names, path, method, document, attempts=20):
+    """Send a request until it has a final answer."""
+    for _ in range(attempts):
         wait_for(lambda: ready(fleet, names), 20)
         said = call(fleet, names[0], path, method, document, 40)
         if said[0] not in (0, 500, 503, 504):
@@ -14,6 +17,7 @@
 
 
 def race(fleet, pool, doors, n):
+    """Send two changes against one version through two daemons; return their sorted status codes."""
     path = "/v1/config/tenants/tamar"
     version = insist(fleet, doors, path, "GET", None)[1].get("version", 0)
     jobs = [
@@ -23,7 +27,7 @@
             door,
             path,
             "PUT",
-            {"template": "kitchens", "parameters": {"keep_ms": 600000 + 2 * n + k}},
+            {"template": "kitchens", "parameters": {"retention_ms": 600000 + 2 * n + k}},
             15,
             {"if-match": str(version)},
         )
@@ -33,6 +37,7 @@
 
 
 def races(fleet, facts):
+    """Run races, an invalid change and a large one."""
     doors = [n for n, d in fleet.daemons.items() if d.role == "edge"][:2]
     won = []
     with ThreadPoolExecutor(2) as pool:
@@ -49,6 +54,6 @@
         doors,
         "/v1/config/templates/large",
         "PUT",
-        {"lanes": {"one": {"kind": "turn", "pools": ["hmodel"]}}, "notes": notes},
+        {"routes": {"one": {"kind": "turn", "pools": ["hmodel"]}}, "notes": notes},
     )
     facts["large_ms"] = round((time.monotonic() - start_s) * 1000)
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -15,7 +15,7 @@
 
 from .scale_counts import count_kinds
 
-WAIT_MS, KEEP_MS, WINDOW_MS, MOST_UNDER_WAY = 5000, 600000, 60000, 4000
+WAIT_MS, RETENTION_MS, WINDOW_MS, MOST_UNDER_WAY = 5000, 600000, 60000, 4000
 TURNS, WATCH_S, FEED_S = 67, 0.1, 0.02
 
 
@@ -33,12 +33,13 @@
     started: int = 0
     under_way: int = 0
     measuring: bool = False
-    fault: str = ""
+    error: str = ""
     since_s: float | None = None
     chains: dict[str, list[str]] = field(default_factory=dict)
 
 
 def hollow_front():
+    """Return an HTTP front that does nothing."""
     return SimpleNamespace(
         wire=None,
         routing_from_body=lambda body: body,
@@ -49,6 +50,7 @@
 
 
 def leaf_settings(name, role, host, port, seed, data=""):
+    """Return a leaf's settings."""
     control = (host, port) if data else None
     return DaemonSettings(
         name=name,
@@ -65,6 +67,7 @@
 
 
 def start_leaf(settings, reactor, stop):
+    """Start a leaf without an HTTP front."""
     leaf = leaves.make_leaf(settings, hollow_front(), reactor, Machine())
     count_kinds(leaf)
     leaves.start_leaf(leaf, hollow_front(), stop)
@@ -110,28 +113,31 @@
 
 
 def broken(failure, load):
-    load.fault = load.fault or failure.getTraceback()[-1500:]
+    """Keep the first traceback of a failed job."""
+    load.error = load.error or failure.getTraceback()[-1500:]
 
 
 def finished(load):
+    """Count a job as ended."""
     load.under_way -= 1
 
 
 def note(load, what):
+    """Count an outcome, while measuring."""
     if load.measuring:
         load.outcomes[what] = load.outcomes.get(what, 0) + 1
 
 
 @inlineCallbacks
 def timed(load, reactor, values, asked, kind):
-    """Wait for a verdict; -> whether it was of the kind wanted."""
+    """Wait for a result; -> whether it was of the kind wanted."""
     at_s = reactor.seconds()
     result = yield asked
     if load.measuring:
         values.append((reactor.seconds() - at_s) * 1000)
-    verdict = result.ok if result.is_ok() else result.error
-    note(load, type(verdict).__name__ if verdict is not None else "Synced")
-    return kind is None and result.is_ok() or kind is not None and isinstance(verdict, kind)
+    outcome = result.ok if result.is_ok() else result.error
+    note(load, type(outcome).__name__ if outcome is not None else "Synced")
+    return kind is None and result.is_ok() or kind is not None and isinstance(outcome, kind)
 
 
 @inlineCallbacks
@@ -159,7 +165,7 @@
     if not ok:
         return
     bodied = timed(load, reactor, load.put_ms, turn_store.put(leaf, this, load.body, WAIT_MS), None)
-    end = asking.tell(leaf, End(this, 360, KEEP_MS, len(load.body)))
+    end = asking.tell(leaf, End(this, 360, RETENTION_MS, len(load.body)))
     ended = yield timed(load, reactor, load.ended_ms, end, Ended)
     yield bodied
     if ended:
@@ -168,6 +174,7 @@
 
 @inlineCallbacks
 def keyed(leaf, load, reactor, number):
+    """Claim and resolve an idempotency key."""
     this = f"{leaf.settings.name}-{leaf.place.member.boot:013x}-{number:010d}"
     claim = Claim(f"key-{this}", this, WINDOW_MS)
     ok = yield timed(load, reactor, load.claimed_ms, asking.ask(leaf, claim, WAIT_MS), Claimed)
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -37,7 +37,12 @@
     else:
         peer = synchrony.peers[member.name]
         opened, epoch, last = peer.serving, peer.configuration.epoch, peer.last_primary
-    return RANK[role(synchrony, member.name)], -epoch if opened else 0, last == NOWHERE, member.name, member.boot
+    return -epoch if opened else 0, last == NOWHERE
+
+
+def rank(synchrony, member):
+    """Sort key of the members of a configuration: replicas first, then by name."""
+    return RANK[role(synchrony, member.name)], member.name, member.boot
 
 
 def desire(synchrony):
@@ -45,14 +50,15 @@
     if synchrony.unwell or synchrony.leaving:
         return (synchrony.me,)
     graph = hearing(synchrony)
-    rest = sorted(graph, key=lambda member: preference(synchrony, member))
+    rest = sorted(graph, key=lambda member: rank(synchrony, member))
+    rest.sort(key=lambda member: (RANK[role(synchrony, member.name)], *preference(synchrony, member)))
     while True:
         group = []
         for member in rest:
             if all(member in graph[g] and g in graph[member] for g in group):
                 group.append(member)
         if synchrony.me in group:
-            return tuple(group)
+            return tuple(sorted(group, key=lambda member: rank(synchrony, member)))
         rest = [m for m in rest if m not in group]
 
 
@@ -80,13 +86,21 @@
         )
 
 
+def judged(synchrony, peer):
+    """What the wanted configuration depends on in a peer."""
+    return alive(synchrony, peer), peer.hears, peer.serving, peer.configuration, peer.last_primary
+
+
 def beaten(synchrony, out, frm, message):
     peer = synchrony.peers[frm]
+    before = judged(synchrony, peer)
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
     peer.hears = frozenset(message.hears)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
     peer.news, peer.serving, peer.last_primary = message.news, message.serving, message.last_primary
+    if before != judged(synchrony, peer):
+        synchrony.changed = True
     agreed = message.configuration == synchrony.configuration.id == message.promised
     if agreed and message.echo_ms > peer.granted_ms:
         peer.granted_ms = message.echo_ms
--- a/tests/fleet_simulator/cuts.py
+++ b/tests/fleet_simulator/cuts.py
@@ -1,131 +1,88 @@
-"""Cuts between machines: counted ones among each other, one machine from the counted ones, sides of a fleet."""
+"""Cuts between machines, and calls of operators at a daemon that is cut off."""
 
-from . import bearing, returns
 from . import world as worlds
-from .notes import Isolation
-from .troubles import back, begin, over
+from .notes import Version
+from .routes import first_document, paths_of
+from .stage import operator_of
 
-CUT_ODDS = {"one_way": 0.3, "both": 0.2, "seeds": 0.2}
+WAYS = ("both", "out", "in")
+RETIRED = "storage-z0-1"
+FIRST_ISSUE = 1000
 
 
-def addresses(daemons):
-    return [d.host.address for d in daemons]
+def pairs_of(world, daemons, way="both"):
+    """The links between some daemons and all others, as `Net.cuts` names them; out: only what the daemons send."""
+    inside = {daemon.host.address for daemon in daemons}
+    outside = {daemon.host.address for daemon in world.daemons.values()} - inside
+    out = {(here, there) for here in inside for there in outside}
+    back = {(there, here) for here, there in out}
+    return {"both": out | back, "out": out, "in": back}[way]
 
 
-def pairs_between(random, here, there, one_way):
-    """Directed pairs of addresses that a cut bars; one direction only, either of them, where it is one-way."""
-    outward = {(a, b) for a in here for b in there if a != b}
-    inward = {(b, a) for a, b in outward}
-    if one_way:
-        return outward if random.random() < 0.5 else inward
-    return outward | inward
+def cut(world, daemons, for_ms, way="both"):
+    """Cut daemons off from all others for a while; -> the cut links."""
+    pairs = pairs_of(world, daemons, way)
+    world.net.cuts |= pairs
+    world.later(for_ms, world.net.cuts.difference_update, pairs)
+    return pairs
 
 
-def cut(world, pairs, trouble, for_ms, then=lambda: None):
-    """Bar the pairs for a while; overlapping cuts each hold their own."""
-    world.cuts.append(pairs)
-    world.net.cuts |= pairs
+def leader(world):
+    """The storage daemon that sequences, or None."""
+    from frostpost.cluster.serving import sequencing
+
+    found = [d for d in world.of("storage") if d.host.alive and d.owner is not None and d.owner.ctx.core is not None]
+    return next((daemon for daemon in found if sequencing(daemon.owner.ctx)), None)
+
+
+def replacement(world, issue, base):
+    """A change that replaces the first configuration by a like one of another number."""
+    document = dict(first_document(), issue=issue)
+    return Version(issue, base, paths_of(document), document, world.now_ms())
+
+
+class Caller:
+    """Calls one daemon in every way there is, again and again."""
+
+    def __init__(self, world, daemon, tag="cut"):
+        self.world, self.daemon, self.tag = world, daemon, tag
+        self.operator, self.control = operator_of(world, tag), (daemon.host.address, worlds.CONTROL)
+
+    def call(self, method, path, document=None, version=None):
+        """One call; -> Deferred of its Try."""
+        if version is not None:
+            self.world.notes.add_version(version)
+        return self.operator.call(self.control, method, path, document, version)
+
+    def change(self, base, kind="Replace"):
+        """A valid change on top of a version."""
+        issue = FIRST_ISSUE + len(self.world.notes.versions)
+        version = replacement(self.world, issue, base)
+        change = version.document if kind == "Replace" else {"issue": issue}
+
+        def answered(request):
+            if request.status == 200:
+                version.acked_ms = self.world.now_ms()
+            return request
+
+        return self.call("POST", f"Configuration.{kind}", change, version).addCallback(answered)
+
+    def all_calls(self, base):
+        """Every kind of call at once."""
+        self.call("GET", "Configuration.Query")
+        self.change(base, "Replace")
+        self.change(base, "Modify")
+        self.call("GET", f"Retire.Query/{RETIRED}")
+        self.call("POST", "Retire.Initiate/nobody", {"deadline-s": 10})
+        self.call("GET", "Retire.Query/nobody")
+
+    def call_on(self, base, until_ms, every_ms=250):
+        """All kinds of calls, again and again until a moment."""
+        if self.world.now_ms() < until_ms:
+            self.all_calls(base)
+            self.world.later(every_ms, self.call_on, base, until_ms, every_ms)
 
-    def mend():
-        if pairs in world.cuts:
-            world.cuts.remove(pairs)
-        world.net.cuts.difference_update(pairs)
-        world.net.cuts.update(*world.cuts)
-        over(world, trouble)
-        then()
-
-    world.later(for_ms, mend)
-    return mend
-
-
-def counted(world):
-    return world.of("storage", "core")
-
-
-def core_cut(world, random, how=None, for_ms=None, one_way=None):
-    """A counted machine is cut off from the other counted ones; edges still reach it."""
-    how = random.choice(("", "", "leader", "reader", "seed")) if how is None else how
-    daemon = bearing.victim(world, random, "storage", "core", how=how)
-    if daemon is None:
-        return None
-    one_way = random.random() < CUT_ODDS["one_way"] if one_way is None else one_way
-    for_ms = bearing.lasting_ms(random) if for_ms is None else for_ms
-    trouble = begin(world, "core cut", [daemon.name])
-    others = [d for d in counted(world) if d is not daemon]
-    pairs = pairs_between(random, addresses([daemon]), addresses(others), one_way)
-    mend = cut(world, pairs, trouble, for_ms, lambda: returns.after(world, random, daemon))
-    if random.random() < CUT_ODDS["both"]:
-        world.later(for_ms * random.uniform(0.1, 0.7), restart_inside, world, random, daemon, others)
-    if random.random() < CUT_ODDS["seeds"]:
-        seeds_of(world, random, daemon)
-    returns.during(world, random, daemon, for_ms)
-    return daemon, mend
-
-
-def restart_inside(world, random, daemon, others):
-    """The machine that is cut off is restarted, and now and then all others that count after it."""
-    if not daemon.gone:
-        worlds.kill(world, daemon, random.random() < 0.5)
-        world.later(random.uniform(200, 800), worlds.start, world, daemon)
-    if random.random() < 0.5:
-        world.later(random.uniform(500, 2500), restart_all, world, random, others)
-
-
-def restart_all(world, random, daemons):
-    daemons = [d for d in daemons if d.host.alive and not d.gone]
-    trouble = begin(world, "all down", [d.name for d in daemons])
-    for daemon in daemons:
-        worlds.kill(world, daemon, False)
-        world.later(random.uniform(200, 900), worlds.start, world, daemon)
-    world.later(900, over, world, trouble)
-
-
-def seeds_of(world, random, daemon):
-    """New settings name the machine that is cut off first, and some edges are restarted with them."""
-    if daemon.role == "core":
-        own = f"{daemon.host.address}:{worlds.CONTROL}"
-        world.seeds[:] = [own, *(s for s in world.seeds if s != own)][: max(1, len(world.seeds))]
-    for edge in world.of("edge"):
-        if edge.host.alive and random.random() < 0.4:
-            trouble = begin(world, "kill", [edge.name])
-            worlds.kill(world, edge, False)
-            world.later(random.uniform(100, 600), back, world, edge, trouble)
-
-
-def node_cut(world, random, *roles):
-    """A machine is cut off from all counted ones (an edge), or from all others."""
-    daemon = bearing.victim(world, random, *(roles or ("edge", "edge", "storage", "core")))
-    if daemon is None:
-        return
-    trouble, one_way, for_ms = begin(world, "cut", [daemon.name]), random.random() < 0.3, bearing.lasting_ms(random)
-    others = counted(world) if daemon.role == "edge" else list(world.daemons.values())
-    pairs = pairs_between(random, addresses([daemon]), addresses(others), one_way)
-    if daemon.role == "edge" and not one_way:
-        world.notes.isolations.append(Isolation(daemon.host.address, world.now_ms(), world.now_ms() + for_ms))
-    cut(world, pairs, trouble, for_ms, lambda: returns.after(world, random, daemon))
-
-
-def edge_cut(world, random):
-    node_cut(world, random, "edge")
-
-
-def runner_cut(world, random):
-    """Some runners are cut off from all machines."""
-    runners = [r.host.address for r in world.runners.values() if random.random() < 0.3]
-    trouble = begin(world, "runner cut", [d.name for d in world.of("edge")])
-    cut(
-        world,
-        pairs_between(random, runners, addresses(world.daemons.values()), False),
-        trouble,
-        bearing.lasting_ms(random),
-    )
-
-
-def halves(world, random):
-    """All machines fall into two sides, now and then with one direction still open."""
-    daemons = [d for d in world.daemons.values() if not d.gone]
-    side = [d for d in daemons if random.random() < 0.5]
-    trouble = begin(world, "halves", [d.name for d in daemons])
-    rest = [d for d in daemons if d not in side]
-    pairs = pairs_between(random, addresses(side), addresses(rest), random.random() < 0.3)
-    cut(world, pairs, trouble, bearing.lasting_ms(random))
+    def calls(self, from_ms, until_ms):
+        """The calls at this daemon that were sent between two moments."""
+        here = self.daemon.host.address
+        return [c for c in self.world.notes.control_calls if c.daemon == here and from_ms <= c.sent_ms < until_ms]
--- a/tests/fleet_simulator/kinds.py
+++ b/tests/fleet_simulator/kinds.py
@@ -1,6 +1,7 @@
 """Every kind of trouble and work that a drawn day may hold, under the name that the platform's bench gives it."""
 
-from . import cuts, machines, servers, troubles, works
+from . import machine_cuts as cuts
+from . import machines, servers, troubles, works
 
 KINDS = {
     "add_nodes": works.add_storage,
--- a/tests/fleet_simulator/machines.py
+++ b/tests/fleet_simulator/machines.py
@@ -145,7 +145,7 @@
         return
     trouble, for_ms = begin(world, "zone", [d.name for d in daemons]), bearing.lasting_ms(random)
     if random.random() < 0.5:
-        from .cuts import addresses, cut, pairs_between
+        from .machine_cuts import addresses, cut, pairs_between
 
         rest = [d for d in world.daemons.values() if d not in daemons]
         cut(world, pairs_between(random, addresses(daemons), addresses(rest), False), trouble, for_ms)
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -14,6 +14,7 @@
 from .inner import inner
 from .kinds import KINDS, strike
 from .leases import LeaseMonitor, served_past_lease
+from .linearizability import linearizable
 from .notes import Broken
 from .stage import await_, crowd_of, open_, probe, settle
 
@@ -87,6 +88,7 @@
     return [
         *judge.twice(world, runs_of, tries),
         *judge.promised(runs_of, tries),
+        *judge.overrun(runs_of, tries),
         *judge.mixed(world, runs_of, tries),
         *judge.budgets(tries),
         *judge.unasked(world, tries),
@@ -94,6 +96,7 @@
         *judge.drains(world, tries),
         *judge.cut_off(world, runs_of, tries),
         *served_past_lease(world, tries),
+        *linearizable(world.notes.versions, world.notes.control_calls),
         *acknowledgements(world),
         *handled(world, tries),
         *reverts(world, tries),
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -111,7 +111,8 @@
     clock = Clock()
     ctx, sessions = new_ring(clock)
     ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
-    assert renewed(ctx, sessions, 0) == Grant(0, 0, "s2") and not sessions.leaves
+    assert renewed(ctx, sessions, 0) == Grant(0, 0, "s2")
+    assert [(seen.address, seen.until_ms < 0) for seen in sessions.leaves.values()] == [("@h:2", True)]
     ctx, sessions = new_ring(clock, granted_ms=-LEASE_MS)
     assert renewed(ctx, sessions, 0).lease_ms == 0
 
@@ -262,3 +263,50 @@
     assert lease.granted(agent, places[1], Grant(1000, 600, "s2", epoch=5, places=places))
     assert not lease.granted(agent, places[0], Grant(1000, 1200, "s1", epoch=4))
     assert agent.session.sequencer == "s2" and agent.session.until_ms == 2000
+
+
+def test_the_known_leader_that_leads_no_more_sends_the_agent_to_the_one_it_names_or_to_all():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    assert lease.granted(agent, places[0], Grant(1000, 0, "s2"))
+    assert agent.session.sequencer == "s2" and lease.lease_ok(agent)
+    clock.advance(LEASE_MS / 5000)
+    assert not lease.granted(agent, places[1], Grant(1000, 0, ""))
+    assert [to for to, _ in sent(agent)] == ["@h:7", "@h:8", "@h:9"]
+
+
+def test_another_replica_that_names_a_leader_changes_nothing_while_the_lease_runs():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    assert not lease.granted(agent, places[1], Grant(1000, 0, "s3"))
+    assert agent.session.sequencer == "s1" and sent(agent) == []
+
+
+def test_an_agent_introduces_itself_to_replicas_that_are_new_to_it():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    anew = (places[0], place_of("s2", port=8, boot=2), places[2])
+    lease.granted(agent, places[0], Grant(1000, 1000, "s1", epoch=5, places=anew))
+    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", Renew)]
+
+
+def test_one_renewal_in_many_goes_to_all_replicas():
+    clock = Clock()
+    clock.advance(1)
+    agent, places = known(clock, "s1", "s2", "s3")
+    for _ in range(2 * lease.INTRODUCE_EVERY):
+        lease.granted(agent, places[0], Grant(int(clock.seconds() * 1000), 1000, "s1", epoch=4))
+        lease.renew(agent)
+    assert [to for to, _ in sent(agent)].count("@h:8") == 2
+
+
+def test_a_replica_that_does_not_lead_knows_the_agents_that_spoke_to_it():
+    clock = Clock()
+    ctx, sessions = new_ring(clock)
+    ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
+    renewed(ctx, sessions, 0)
+    assert sessions.leaves["e1"].address == "@h:2"
+    assert serving.survey_of(sessions, 0).count == 0
--- a/tests/test_fleet_simulator_cuts.py
+++ b/tests/test_fleet_simulator_cuts.py
@@ -3,7 +3,8 @@
 from random import Random
 
 import pytest
-from fleet_simulator import bearing, cuts, machines, troubles
+from fleet_simulator import bearing, machines, troubles
+from fleet_simulator import machine_cuts as cuts
 from fleet_simulator import stage as plays
 from fleet_simulator import world as worlds
 from fleet_simulator.config import handled, reverts
