--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -58,6 +58,20 @@
         ctx.stepping = False
     if ctx.ticker is not None and unsettled(ctx.core.synchrony):
         ctx.ticker.wake()
+    continue_snapshot(ctx)
+
+
+def continue_snapshot(ctx):
+    """Let the event loop run before the next slice of a snapshot under way."""
+    if ctx.core.snapshots.busy and not ctx.slicing:
+        ctx.slicing = True
+        ctx.reactor.callLater(0, next_slice, ctx)
+
+
+def next_slice(ctx):
+    """Go on with the snapshot under way."""
+    ctx.slicing = False
+    feed(ctx, cores.Slice(clock_ms(ctx)))
 
 
 def answered(ctx, answer):
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -12,6 +12,12 @@
     )
 
 
+def judged(synchrony, peer):
+    """What a tick judges of a peer, as far as heartbeats tell it."""
+    told = peer.hears, peer.configuration, peer.promised, peer.ready, peer.serving, peer.last_primary
+    return alive(synchrony, peer), *told
+
+
 def hearing(synchrony):
     mine = {p.place.member for p in synchrony.peers.values() if alive(synchrony, p)}
     graph = {synchrony.me: mine}
@@ -86,11 +92,6 @@
         )
 
 
-def judged(synchrony, peer):
-    """What the wanted configuration depends on in a peer."""
-    return alive(synchrony, peer), peer.hears, peer.serving, peer.configuration, peer.last_primary
-
-
 def beaten(synchrony, out, frm, message):
     peer = synchrony.peers[frm]
     before = judged(synchrony, peer)
