--- a/frostpost/simulator/wire_flow.py
+++ b/frostpost/simulator/wire_flow.py
@@ -37,10 +37,11 @@
     target = other.host
     gone = target.life != other.life or not target.alive
     if not passing(wire) or gone and not target.powered:
-        wire.stuck_s += RETRY_S
-        if wire.stuck_s > PATIENCE_S:
+        wait_s = wire.retry_s()
+        wire.stuck_s += wait_s
+        if wire.stuck_s > wire.patience_s:
             return lost(wire, ConnectionLost())
-        return pump(wire, RETRY_S)
+        return pump(wire, wait_s)
     wire.stuck_s = 0.0
     if gone or not other.connected:
         wire.out.clear()
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -123,6 +123,25 @@
     return [(operating, "set_routing", set_routing)]
 
 
+def lease_stretched():
+    """A leader grants leases from its own belief that it leads, and not from what a majority of the voters gave it."""
+    return [(serving, "lease_remaining_ms", lambda synchrony, now_ms: 2 * synchrony.bounds.lease_ms)]
+
+
+def leases_not_waited_out():
+    """A new leader tells a routing as honoured though leases of the one before it still run."""
+    kept = serving.honoured
+
+    def honoured(ctx, sessions):
+        installed_ms, ctx.core.synchrony.installed_ms = ctx.core.synchrony.installed_ms, -(1 << 40)
+        try:
+            return kept(ctx, sessions)
+        finally:
+            ctx.core.synchrony.installed_ms = installed_ms
+
+    return [(serving, "honoured", honoured)]
+
+
 def orders_forgotten():
     """A change that was taken isn't known again."""
     return [(taken_changes, "was_taken", lambda program_ledger, version, digest: False)]
@@ -182,6 +201,9 @@
 }
 
 
+LEASE_PLANTS = {"lease_stretched": lease_stretched, "leases_not_waited_out": leases_not_waited_out}
+
+
 def planted(name):
     """Context manager: put a planted error into the code; nothing for the empty name."""
-    return changed(PLANTS[name]() if name else [])
+    return changed({**PLANTS, **LEASE_PLANTS}[name]() if name else [])
