--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -44,6 +44,7 @@
         case Grant():
             if lease.granted(leaf, place, body):
                 asking.send_all(leaf)
+            turn_store_client.granted(leaf)
         case Told():
             asking.told(leaf, body)
         case RoutingTell():
--- a/frostpost/cluster/operating.py
+++ b/frostpost/cluster/operating.py
@@ -59,7 +59,7 @@
 
 def retire(leaf, name, wait_ms):
     """-> Deferred[Result[RetireState, Unavailable]]: empty a storage daemon."""
-    return verdict_of(leaf, Retire(name, True, 2 * leaf.settings.tolerated + 1), None, wait_ms)
+    return verdict_of(leaf, Retire(name, True, leaf.settings.least_replicas), None, wait_ms)
 
 
 def look_retired(leaf, name, wait_ms):
--- a/frostpost/cluster/replica.py
+++ b/frostpost/cluster/replica.py
@@ -17,22 +17,23 @@
     """What a storage daemon holds beside its context."""
 
     __slots__ = (
-        "ctx",
-        "settings",
-        "sessions",
         "background",
-        "turn_store",
-        "reactor",
+        "charter",
+        "ctx",
+        "greeted",
+        "leaves",
+        "leaving",
         "machine",
-        "send",
+        "peers",
+        "reactor",
         "records",
-        "waiting",
-        "charter",
-        "tasks",
+        "send",
+        "sessions",
+        "settings",
         "stop",
-        "peers",
-        "leaves",
-        "greeted",
+        "tasks",
+        "turn_store",
+        "waiting",
     )
 
     def __init__(self, ctx, settings, stop):
@@ -40,6 +41,7 @@
         self.sessions, self.background = serving.Sessions(), tenders.VoterChanges()
         self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
         self.turn_store, self.send, self.records, self.waiting, self.charter = None, None, [], True, ()
+        self.leaving = False
 
 
 class Crash(Struct):
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -22,6 +22,8 @@
 from .replica import ROLE, Crash, Replica, ring_settings
 
 LEAVE_S = 0.4
+HANDOVER_S = 0.05
+HANDOVER_SHARE = 4
 
 
 def assemble(settings, reactor, machine, stop):
@@ -88,7 +90,7 @@
     loop(replica, ctx.disk.watch, 0.1)
     loop(replica, lambda: tick_ledger(ctx), settings.tick_ms / 1000)
     loop(replica, lambda: repair(replica), 0.2)
-    loop(replica, lambda: tenders.tend(ctx, replica.background, 2 * settings.tolerated + 1, settings.catch_up_ms), 0.15)
+    loop(replica, lambda: tenders.tend(ctx, replica.background, settings), 0.15)
     loop(replica, lambda: tidy(replica), 10.0)
     loop(replica, lambda: peers.keep(replica.peers, ctx.core.synchrony), 1.0)
     loop(replica, lambda: greet(replica), 0.03)
@@ -122,7 +124,7 @@
         if p.place.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
     turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
-    ctx.core.synchrony.news = {tenders.MISSING: replica.turn_store.missing}
+    ctx.core.synchrony.news = tenders.report(replica.turn_store, replica.leaving)
 
 
 def greet(replica):
@@ -186,7 +188,22 @@
 
 
 def leave(replica):
-    """Leave the configuration in order, then end."""
-    if not replica.waiting:
-        heart.feed(replica.ctx, Left(clock_ms(replica.ctx)))
+    """Give the vote up if the others do without it, leave the configuration in order, then end."""
+    if replica.leaving:
+        return
+    replica.leaving = True
+    if replica.waiting:
+        replica.reactor.callLater(LEAVE_S, replica.stop, 0)
+        return
+    replica.ctx.core.synchrony.news = tenders.report(replica.turn_store, True)
+    until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // HANDOVER_SHARE
+    leave_without_vote(replica, until_ms)
+
+
+def leave_without_vote(replica, until_ms):
+    """Wait until this replica is no voter, where that is to be had in time."""
+    if clock_ms(replica.ctx) < until_ms and tenders.dispensable(replica.ctx, replica.settings):
+        replica.reactor.callLater(HANDOVER_S, leave_without_vote, replica, until_ms)
+        return
+    heart.feed(replica.ctx, Left(clock_ms(replica.ctx)))
     replica.reactor.callLater(LEAVE_S, replica.stop, 0)
--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -6,6 +6,8 @@
 
 from frostpost.proxy.words import Wire
 
+from .voter_rule import Tolerance
+
 Address = tuple[str, int]
 
 
@@ -26,6 +28,7 @@
     tolerated: int = 1
     tolerated_zones: int = 0
     tolerated_regions: int = 0
+    regions: dict[str, str] = {}
     memory_mb: int = 256
     max_fds: int = 4096
     disk_mb: int = 0
@@ -51,6 +54,15 @@
     cache_bytes: int = 24 << 20
     trace: bool = False
 
+    @property
+    def tolerance(self):
+        return Tolerance(self.tolerated, self.tolerated_zones, self.tolerated_regions)
+
+    @property
+    def least_replicas(self):
+        """How many replicas, each in a zone and region of its own, leave a majority after any loss to be borne."""
+        return 2 * max(self.tolerated, self.tolerated_zones, self.tolerated_regions) + 1
+
 
 class Front(Struct, frozen=True):
     """listen(leaf) -> Deferred[list of ports]; fetch_list(leaf) -> Deferred[list[Runner]];
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -1,4 +1,4 @@
-"""Voters that change by themselves, one at a time, and storage daemons that are emptied."""
+"""Voters that change by themselves, one step at a time, and replicas that are emptied."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -6,90 +6,174 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.heart import ask, feed
 from frostpost.daemon.news import say
+from frostpost.ledger.words import SWAP_RULES, Done, Look
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import Left, SetVoters
 from frostpost.virtual_synchrony.state import names
 
 from .serving import sequencing, voters_of
+from .voter_rule import ReplicaView, Waits, next_voters, sound
 
-MISSING = "missing"
-AWAY_MS = 1000
+MISSING, COUNTED, LEAVING = "missing", "counted", "leaving"
+TO_NEWCOMER_SHARE = 4
+ASK_MS = 2000
 
 
 class VoterChanges(Struct):
-    """away: voters that aren't members, and since when. busy: a change is under way."""
+    """What the sequencer remembers between two looks; it forgets all of it when it stops being the sequencer.
+
+    away: voters that aren't members, and since when. voters_ms: since when the voters are those in force.
+    marks: for each replica that is emptied, the ledger index from which on its copies aren't counted by anybody.
+    """
 
     away: dict[str, int] = {}
+    voters: tuple[str, ...] = ()
+    voters_ms: int = 0
+    marks: dict[str, int] = {}
+    epoch: int = 0
     busy: bool = False
     left: bool = False
 
 
-def whole(ctx, name):
-    """Whether a member has been refilled and lacks no body."""
+def report(turn_store, leaving):
+    """What a replica tells the others of its copies, with each heartbeat."""
+    return {MISSING: turn_store.missing, COUNTED: turn_store.counted, **({LEAVING: 1} if leaving else {})}
+
+
+def news_of(ctx, name):
+    """What a member of this configuration told last of its copies; empty if it holds no full ledger in it."""
     synchrony = ctx.core.synchrony
     if name == synchrony.name:
-        return synchrony.primary.ready and not synchrony.news.get(MISSING, 0)
+        return synchrony.news if synchrony.primary.ready else {}
     peer = synchrony.peers.get(name)
-    if peer is None or peer.configuration != synchrony.configuration.id:
-        return False
-    return peer.ready and not peer.news.get(MISSING, 1)
+    if peer is None or peer.configuration != synchrony.configuration.id or not peer.ready:
+        return {}
+    return peer.news
 
 
-def wish(ctx, background, least, away_ms):
-    """The voters after one safe change, or None if they are right.
+def whole(ctx, name, since=0):
+    """Whether a member holds the whole ledger and every body, as counted in this configuration and after `since`."""
+    news, opened = news_of(ctx, name), ctx.core.synchrony.primary.base + 1
+    return news.get(MISSING, 1) == 0 and news.get(COUNTED, -1) >= max(since, opened)
 
-    A voter that is gone gives way to a newcomer before the newcomer is added: with both in the set, a newcomer that is
-    lost again would leave too few for good.
-    """
-    voters, present = tuple(voters_of(ctx)), names(ctx.core.synchrony.configuration)
-    retiring, now = ctx.core.ledger.program_ledger.retiring, clock_ms(ctx)
-    background.away = {v: background.away.get(v, now) for v in voters if v not in present}
-    fresh = [n for n in present if n not in voters and n not in retiring and whole(ctx, n)]
-    away = [v for v, since_ms in background.away.items() if now - since_ms >= min(away_ms, AWAY_MS)]
-    if fresh and away and len(voters) > 1:
-        return tuple(v for v in voters if v != away[0])
-    if fresh and not background.away:
-        return tuple(sorted((*voters, fresh[0])))
-    if len(voters) <= least:
-        return None
-    leaving = [v for v in voters if v in retiring and all(whole(ctx, n) for n in present if n not in retiring)]
-    gone = [v for v, since_ms in background.away.items() if now - since_ms >= away_ms]
-    for name in (*leaving, *gone):
-        return tuple(v for v in voters if v != name)
-    return None
+
+def view(ctx, changes, name, regions):
+    """A replica as the rule for voters sees it."""
+    synchrony, now = ctx.core.synchrony, clock_ms(ctx)
+    peer = synchrony.peers.get(name)
+    place = synchrony.place if name == synchrony.name else peer.place if peer is not None else None
+    zone = place.cell if place is not None else ""
+    present = name in names(synchrony.configuration)
+    return ReplicaView(
+        name,
+        zone,
+        regions.get(zone, ""),
+        present=present,
+        whole=present and whole(ctx, name),
+        leaving=bool(news_of(ctx, name).get(LEAVING)),
+        emptying=name in ctx.core.ledger.program_ledger.retiring,
+        away_ms=now - changes.away.get(name, now),
+    )
+
+
+def observe(ctx, changes):
+    """Take in since when voters are away, and since when the set in force is."""
+    synchrony, now = ctx.core.synchrony, clock_ms(ctx)
+    voters, present = tuple(voters_of(ctx)), names(synchrony.configuration)
+    changes.away = {v: changes.away.get(v, now) for v in voters if v not in present}
+    if voters != changes.voters or synchrony.configuration.id.epoch != changes.epoch:
+        changes.voters, changes.voters_ms, changes.marks = voters, now, {}
+        changes.epoch = synchrony.configuration.id.epoch
+
+
+def wish(ctx, changes, settings):
+    """The voters after one safe change, or None if they are right."""
+    observe(ctx, changes)
+    voters = [view(ctx, changes, n, settings.regions) for n in changes.voters]
+    present = names(ctx.core.synchrony.configuration)
+    others = [view(ctx, changes, n, settings.regions) for n in present if n not in changes.voters]
+    waits = Waits(settings.catch_up_ms // TO_NEWCOMER_SHARE, settings.catch_up_ms)
+    return next_voters(voters, others, settings.tolerance, waits, ctx.core.ledger.rules >= SWAP_RULES)
+
+
+def staying(ctx):
+    """Members that aren't emptied."""
+    return [n for n in names(ctx.core.synchrony.configuration) if n not in ctx.core.ledger.program_ledger.retiring]
+
+
+def emptied(ctx, changes):
+    """Replicas asked to leave that are no voters, whose copies nobody counts and the others all have."""
+    retiring = ctx.core.ledger.program_ledger.retiring
+    return [
+        n
+        for n, state in retiring.items()
+        if state == "in_service"
+        and n in changes.marks
+        and n not in voters_of(ctx)
+        and all(whole(ctx, other, changes.marks[n]) for other in staying(ctx))
+    ]
+
+
+def unmarked(ctx, changes):
+    """Replicas asked to leave that no daemon with a running lease takes for a voter any more."""
+    synchrony, voters = ctx.core.synchrony, voters_of(ctx)
+    since_ms = max(changes.voters_ms, synchrony.installed_ms)
+    if clock_ms(ctx) - since_ms < synchrony.bounds.lease_ms:
+        return []
+    retiring = ctx.core.ledger.program_ledger.retiring
+    return [n for n, state in retiring.items() if state == "in_service" and n not in voters and n not in changes.marks]
+
+
+def dispensable(ctx, settings):
+    """Whether this replica is a voter, and a sound set of voters remains without it."""
+    name, voters = ctx.core.synchrony.name, voters_of(ctx)
+    rest = [view(ctx, VoterChanges(), n, settings.regions) for n in voters if n != name]
+    return ctx.core.synchrony.primary.opened and name in voters and sound(rest, settings.tolerance)
 
 
 @inlineCallbacks
-def tend(ctx, background, least, away_ms):
-    """Called several times a second in every ring daemon."""
-    program_ledger, synchrony = ctx.core.ledger.program_ledger, ctx.core.synchrony
-    if program_ledger.retiring.get(synchrony.name) == "completed" and not background.left:
-        background.left = True
-        say("retired", name=synchrony.name)
-        feed(ctx, Left(clock_ms(ctx)))
+def tend(ctx, changes, settings):
+    """Called several times a second in every replica."""
+    leave_emptied(ctx, changes)
     if not sequencing(ctx):
-        background.away = {}
+        changes.away, changes.voters, changes.marks = {}, (), {}
         return
-    if background.busy:
+    if changes.busy:
         return
-    background.busy = True
+    changes.busy = True
     try:
-        while (after := wish(ctx, background, least, away_ms)) is not None and sequencing(ctx):
-            before = tuple(ctx.core.ledger.voters)
-            result = yield ask(ctx, SetVoters(synchrony.configuration.id, before, after), 2000)
-            say("voters", before=list(before), after=list(after), decided=result.is_ok())
-            if not result.is_ok() or tuple(ctx.core.ledger.voters) != after:
-                break
-        for name in emptied(ctx):
-            yield ask(ctx, Retired(name), 2000)
+        yield change_voters(ctx, changes, settings)
+        yield let_go(ctx, changes)
     finally:
-        background.busy = False
+        changes.busy = False
 
 
-def emptied(ctx):
-    """Storage daemons asked to leave that are no voters, and whose bodies the others have."""
-    retiring, present = ctx.core.ledger.program_ledger.retiring, names(ctx.core.synchrony.configuration)
-    staying = [n for n in present if n not in retiring]
-    if not all(whole(ctx, n) for n in staying):
-        return []
-    return [n for n, state in retiring.items() if state == "in_service" and n not in voters_of(ctx)]
+def leave_emptied(ctx, changes):
+    """A replica that was let go leaves the configuration."""
+    synchrony = ctx.core.synchrony
+    if ctx.core.ledger.program_ledger.retiring.get(synchrony.name) == "completed" and not changes.left:
+        changes.left = True
+        say("retired", name=synchrony.name)
+        feed(ctx, Left(clock_ms(ctx)))
+
+
+@inlineCallbacks
+def change_voters(ctx, changes, settings):
+    while (after := wish(ctx, changes, settings)) is not None and sequencing(ctx):
+        before = tuple(ctx.core.ledger.voters)
+        result = yield ask(ctx, SetVoters(ctx.core.synchrony.configuration.id, before, after), ASK_MS)
+        say("voters", before=list(before), after=list(after), decided=result.is_ok())
+        if not result.is_ok() or tuple(ctx.core.ledger.voters) != after:
+            return
+        yield ask(ctx, Look(), ASK_MS)
+
+
+@inlineCallbacks
+def let_go(ctx, changes):
+    """Let replicas go whose copies the others hold: first a mark in the order, then a count after it, then the end."""
+    for name in unmarked(ctx, changes):
+        epoch, result = changes.epoch, (yield ask(ctx, Look(), ASK_MS))
+        if result.is_ok() and isinstance(result.ok, Done) and changes.epoch == epoch:
+            changes.marks[name] = result.ok.index
+    for name in emptied(ctx, changes):
+        yield ask(ctx, Retired(name), ASK_MS)
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -7,6 +7,7 @@
 from . import configs, duties, keys, programs
 from .state import Ledger
 from .words import (
+    SWAP_RULES,
     Ballot,
     ClaimKey,
     Done,
@@ -155,12 +156,23 @@
 
 
 def voters_(ledger, entry, op):
-    one = len(set(op.before) ^ set(op.after)) == 1
-    if op.before != ledger.voters or op.configuration != entry.configuration or not one:
+    if op.before != ledger.voters or op.configuration != entry.configuration or not one_step(ledger, op):
         return NotHeld("voters")
     ledger.voters = op.after
     return VotersSet(op.after)
 
 
+def one_step(ledger, op):
+    """One voter more or less, or one that is no member exchanged for another.
+
+    Quorums of the set before, of which the members hold the change, and of the set after then always meet.
+    """
+    gone, new = set(op.before) - set(op.after), set(op.after) - set(op.before)
+    if len(gone) + len(new) == 1:
+        return True
+    exchanged = len(gone) == len(new) == 1 and ledger.rules >= SWAP_RULES
+    return exchanged and gone.isdisjoint(member.name for member in ledger.members)
+
+
 def config(ledger, entry, op):
     return configs.one(ledger, entry, op)
--- a/frostpost/ledger/words.py
+++ b/frostpost/ledger/words.py
@@ -101,6 +101,10 @@
     change: SetConfig | None
 
 
+# The rules of the ledger from which on a voter that is no member may be exchanged in one step.
+SWAP_RULES = 3
+
+
 class Look(Struct, array_like=True, frozen=True, tag="look"):
     pass
 
--- a/frostpost/platform/settings.py
+++ b/frostpost/platform/settings.py
@@ -76,6 +76,7 @@
     "serves": {"type": "list", "schema": {"type": "string"}, "nullable": True},
     "ip": {"type": "string", "required": True, "check_with": check_ip},
     "zone": {"type": "string", "nullable": True},
+    "zones": {"type": "dict", "nullable": True, "valuesrules": {"type": "string", "nullable": True}},
     "bind-addresses": table(front=ADDRESS, readiness=ADDRESS, control=ADDRESS),
     "port-range": {
         "type": "list",
@@ -145,6 +146,7 @@
     fields |= whole(
         document.get("tolerance") or {}, tolerated="machines", tolerated_zones="zones", tolerated_regions="regions"
     )
+    fields["regions"] = {zone: region or "" for zone, region in (document.get("zones") or {}).items()}
     if api.get("address"):
         fields["list_host"], fields["list_port"] = address_of(api["address"])
     if api.get("rate-per-s") is not None:
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -7,6 +7,7 @@
 from frostpost.cluster.context import now_ms
 from frostpost.program_ledger.words import Abort, Begin, Begun, End, Ended, Move, NoPlace, NoTurn, TokensSpent
 from frostpost.turn_store.client import fetch, put
+from frostpost.turn_store.client import lasts as bodies_last
 
 from . import picking
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
@@ -123,7 +124,11 @@
 
 @inlineCallbacks
 def close(leaf, route, call, tokens, data, until_ms):
-    """True once the turn lasts: its body on a majority's disks and its end decided."""
+    """True once the turn lasts: its end decided, and its body on disks of a majority of the voters of a running lease.
+
+    The voters are looked at last: a body that was put while the end was being decided may have been put on voters that
+    others took the place of meanwhile.
+    """
     wait_ms = max(LEAST_END_MS, until_ms - now_ms(leaf))
     keep_ms = route.keep_ms + KEEP_TICKS * leaf.settings.tick_ms if route.retained else 0
     end = End(call.attempt, tokens, keep_ms=keep_ms, size=len(data) if keep_ms else 0)
@@ -135,4 +140,7 @@
     if not (results[0].is_ok() and isinstance(results[0].ok, Ended)):
         lasts = False
         tell(leaf, end if not keep_ms or results[1].is_ok() else End(call.attempt, tokens))
+    if lasts and keep_ms and not bodies_last(leaf, results[1].ok.holders):
+        again = yield put(leaf, call.attempt, data, max(LEAST_END_MS, until_ms - now_ms(leaf)))
+        lasts = again.is_ok()
     return lasts
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -7,6 +7,7 @@
 from frostpost.ledger.programs import line
 from frostpost.ledger.records import Runner
 from frostpost.ledger.words import (
+    SWAP_RULES,
     ClaimKey,
     Drain,
     Finish,
@@ -101,20 +102,29 @@
 
 
 def revote(world, node, random):
+    """One voter more or less, or one that is away exchanged for another."""
     synchrony, before = node.core.synchrony, node.core.ledger.voters
     full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
-    if spare and len(before) < 5 and random.random() < 0.6:
+    absent = sorted(set(before) - {m.name for m in synchrony.configuration.members})
+    if spare and absent and node.core.ledger.rules >= SWAP_RULES and majority(before, full | ready_self(node)):
+        gone = random.choice(absent)
+        after = (*(v for v in before if v != gone), random.choice(spare))
+    elif spare and len(before) < 5 and random.random() < 0.6:
         after = (*before, random.choice(spare))
     elif len(before) > 3:
         gone = random.choice(before)
         after = tuple(v for v in before if v != gone)
     else:
         return
-    if majority(after, full | ({node.name} if synchrony.primary.ready else set())):
+    if majority(after, full | ready_self(node)):
         ask(world, node.name, SetVoters(synchrony.configuration.id, before, after))
 
 
+def ready_self(node):
+    return {node.name} if node.core.synchrony.primary.ready else set()
+
+
 def tap(state):
     def heard(world, node, answer):
         if not isinstance(answer, Decided):
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -130,7 +130,7 @@
     if load.measuring:
         values.append((reactor.seconds() - at_s) * 1000)
     verdict = result.ok if result.is_ok() else result.error
-    note(load, type(verdict).__name__ if verdict is not None else "Synced")
+    note(load, type(verdict).__name__)
     return kind is None and result.is_ok() or kind is not None and isinstance(verdict, kind)
 
 
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -26,6 +26,12 @@
     timers: dict[str, object] = {}
 
 
+class Synced(Struct, frozen=True):
+    """A body is on disk at these replicas, a majority of the voters among them."""
+
+    holders: frozenset[str]
+
+
 class Fetch(Struct):
     """exhausted: the daemons that have said that they lack all of what is still wanted."""
 
@@ -52,7 +58,10 @@
 
 
 def put(leaf, turn, data, wait_ms):
-    """-> Deferred[Result[None, Unavailable]]: Ok once a majority of the voters has synced the body."""
+    """-> Deferred[Result[Synced, Unavailable]]: Ok once a majority of the voters has synced the body.
+
+    The voters are those of a lease that runs at that moment.
+    """
     state = putting(leaf)
     state.number += 1
     job = Put(state.number, turn, data, Deferred(lambda _: drop(state.puts, job)))
@@ -138,10 +147,25 @@
     if not synced:
         return
     job.synced.add(name)
+    count_holders(leaf, job)
+
+
+def lasts(leaf, holders):
+    """Whether these are a majority of the voters under a lease that runs now."""
     voters = lease.voters(leaf)
-    if sum(voter in job.synced for voter in voters) * 2 > len(voters):
+    return lease.lease_ok(leaf) and 2 * sum(voter in holders for voter in voters) > len(voters)
+
+
+def count_holders(leaf, job):
+    if lasts(leaf, job.synced):
         remember(cache_of(leaf), job.turn, job.data)
-        end(putting(leaf).puts, job, Ok(None))
+        end(putting(leaf).puts, job, Ok(Synced(frozenset(job.synced))))
+
+
+def granted(leaf):
+    """A lease was granted, maybe with other voters: what is put already is counted anew."""
+    for job in list(putting(leaf).puts.values()):
+        count_holders(leaf, job)
 
 
 def got(leaf, job, name, items):
--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/words.py
@@ -19,7 +19,7 @@
 from .places import Member, Place
 
 VERSION = 1
-SPEAKS = 2
+SPEAKS = 3
 
 
 class ConfigurationId(Struct, frozen=True, array_like=True, order=True):
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 from twisted.internet.defer import succeed
 
-from frostpost.cluster import lease, operating
+from frostpost.cluster import lease, operating, tenders
 from frostpost.platform import front, listing
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import turns
@@ -13,6 +13,7 @@
 from frostpost.proxy import exchange, pool, serve, stream, turn
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
+from frostpost.turn_store import repair
 from frostpost.virtual_synchrony import recovery, settling
 
 
@@ -108,6 +109,26 @@
     return [(operating, "set_routing", set_routing)]
 
 
+def let_go_early():
+    """A replica that is emptied goes before its copies are counted, and before leases have run out."""
+
+    def emptied(ctx, changes):
+        retiring, voters = ctx.core.ledger.program_ledger.retiring, tenders.voters_of(ctx)
+        return [name for name, state in retiring.items() if state == "in_service" and name not in voters]
+
+    return [(tenders, "emptied", emptied)]
+
+
+def fetched_in_rounds():
+    """Missing bodies are asked for in rounds only."""
+    return [(repair, "wake", lambda replica: None)]
+
+
+def vote_kept():
+    """A voter that ends in order takes its vote with it."""
+    return [(tenders, "dispensable", lambda ctx, settings: False), (tenders, "LEAVING", "kept")]
+
+
 PLANTS = {
     "end_unawaited": end_unawaited,
     "claim_skipped": claim_skipped,
@@ -125,9 +146,22 @@
 }
 
 
+def never_refilled():
+    """A replica that comes back empty never gets the ledger, and acknowledges from memory for ever."""
+    return [(settling, "fetch", lambda synchrony, out: None)]
+
+
+COPY_PLANTS = {
+    "never_refilled": never_refilled,
+    "let_go_early": let_go_early,
+    "fetched_in_rounds": fetched_in_rounds,
+    "vote_kept": vote_kept,
+}
+
+
 @contextmanager
 def planted(name):
-    changes = PLANTS[name]() if name else []
+    changes = (PLANTS | COPY_PLANTS)[name]() if name else []
     kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
     for module, word, fault in changes:
         setattr(module, word, fault)
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_tenders.py
@@ -7,8 +7,10 @@
 from twisted.internet.task import Clock
 
 from frostpost.cluster import tenders
+from frostpost.cluster.voter_rule import Tolerance
 from frostpost.daemon.machine import Machine
 from frostpost.ledger.state import Ledger
+from frostpost.ledger.words import SWAP_RULES, Done, Look
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
@@ -17,6 +19,8 @@
 ID = ConfigurationId(3, "s1", 1)
 AWAY_MS = 4800
 VOTERS = ("s1", "s2", "s3")
+OPENED = 1
+WHOLE = {"missing": 0, "counted": OPENED}
 
 
 def new_ctx(present, voters=VOTERS, retiring=(), clock=None):
@@ -26,18 +30,23 @@
         place_of("s1"), Bounds(), (), voters, True, None, Configuration(ID, members, min(present)), ID
     )
     synchrony.primary.opened = synchrony.primary.ready = True
+    synchrony.news = dict(WHOLE)
     synchrony.peers = {
-        n: Peer(place_of(n), configuration=ID, ready=True, news={"missing": 0}) for n in present if n != "s1"
+        n: Peer(place_of(n), configuration=ID, ready=True, news=dict(WHOLE)) for n in present if n != "s1"
     }
-    ledger = Ledger(voters=voters)
+    ledger = Ledger(voters=voters, rules=SWAP_RULES)
     ledger.program_ledger.retiring = dict.fromkeys(retiring, "in_service")
     return SimpleNamespace(
         core=SimpleNamespace(synchrony=synchrony, ledger=ledger), machine=Machine(seconds=(clock or Clock()).seconds)
     )
 
 
-def wish(ctx, background=None, least=3):
-    return tenders.wish(ctx, background or tenders.VoterChanges(), least, AWAY_MS)
+def settings(machines=1):
+    return SimpleNamespace(tolerance=Tolerance(machines), regions={}, catch_up_ms=AWAY_MS)
+
+
+def wish(ctx, background=None, machines=1):
+    return tenders.wish(ctx, background or tenders.VoterChanges(), settings(machines))
 
 
 def test_whole_member_is_added_and_one_at_a_time():
@@ -46,7 +55,14 @@
 
 
 @pytest.mark.parametrize(
-    "change", [{"ready": False}, {"news": {"missing": 2}}, {"news": {}}, {"configuration": ConfigurationId(2, "s1", 1)}]
+    "change",
+    [
+        {"ready": False},
+        {"news": WHOLE | {"missing": 2}},
+        {"news": WHOLE | {"counted": OPENED - 1}},
+        {"news": {}},
+        {"configuration": ConfigurationId(2, "s1", 1)},
+    ],
 )
 def test_member_that_is_not_whole_is_not_added(change):
     ctx = new_ctx((*VOTERS, "s4"))
@@ -57,9 +73,9 @@
 
 def test_own_daemon_is_added_only_when_whole():
     ctx = new_ctx(("s1", "s2", "s3", "s4"), ("s2", "s3", "s4"))
-    ctx.core.synchrony.news = {"missing": 1}
+    ctx.core.synchrony.news = WHOLE | {"missing": 1}
     assert wish(ctx) is None
-    ctx.core.synchrony.news = {"missing": 0}
+    ctx.core.synchrony.news = dict(WHOLE)
     assert wish(ctx) == ("s1", "s2", "s3", "s4")
 
 
@@ -75,7 +91,7 @@
     assert wish(ctx, background) is None
     clock.advance(0.02)
     assert wish(ctx, background) == VOTERS
-    assert wish(ctx, background, least=4) is None
+    assert wish(ctx, background, machines=2) is None
 
 
 def test_voter_that_came_back_counts_anew():
@@ -89,10 +105,10 @@
 def test_retiring_voter_is_removed_only_when_all_others_are_whole_and_enough():
     four = (*VOTERS, "s4")
     ctx = new_ctx(four, four, retiring=("s2",))
-    ctx.core.synchrony.peers["s4"].news = {"missing": 1}
+    ctx.core.synchrony.peers["s4"].news = WHOLE | {"missing": 1}
     assert wish(ctx) is None
-    ctx.core.synchrony.peers["s4"].news = {"missing": 0}
-    ctx.core.synchrony.peers["s2"].news = {"missing": 5}
+    ctx.core.synchrony.peers["s4"].news = dict(WHOLE)
+    ctx.core.synchrony.peers["s2"].news = WHOLE | {"missing": 5}
     assert wish(ctx) == ("s1", "s3", "s4")
     assert wish(new_ctx(VOTERS, VOTERS, retiring=("s2",))) is None
 
@@ -102,17 +118,78 @@
     assert wish(ctx) == ("s1", "s2", "s3", "s4")
 
 
-def test_emptied_is_one_in_service_that_is_no_voter_once_the_others_are_whole():
-    ctx = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s2", "s4"))
-    assert tenders.emptied(ctx) == ["s4"]
-    ctx.core.synchrony.peers["s3"].news = {"missing": 1}
-    assert tenders.emptied(ctx) == []
+def test_a_newcomer_takes_the_place_of_a_voter_that_is_away_in_one_step():
+    clock, background = Clock(), tenders.VoterChanges()
+    ctx = new_ctx(("s1", "s2", "s4"), VOTERS, clock=clock)
+    assert wish(ctx, background) is None
+    clock.advance(AWAY_MS / tenders.TO_NEWCOMER_SHARE / 1000)
+    assert wish(ctx, background) == ("s1", "s2", "s4")
+    ctx.core.synchrony.peers["s2"].news = WHOLE | {"missing": 1}
+    assert wish(ctx, background) is None
+
+
+def test_before_all_know_of_exchanges_the_newcomer_is_added_first():
+    clock, background = Clock(), tenders.VoterChanges()
+    ctx = new_ctx(("s1", "s2", "s4"), VOTERS, clock=clock)
+    ctx.core.ledger.rules = SWAP_RULES - 1
+    wish(ctx, background)
+    clock.advance(AWAY_MS / tenders.TO_NEWCOMER_SHARE / 1000)
+    assert wish(ctx, background) == ("s1", "s2", "s3", "s4")
+
+
+def test_a_voter_that_is_told_to_end_gives_its_vote_up_where_the_others_do_without():
+    four = (*VOTERS, "s4")
+    ctx = new_ctx(four, four)
+    ctx.core.synchrony.peers["s4"].news = WHOLE | {"leaving": 1}
+    assert wish(ctx) == VOTERS
+    ctx = new_ctx(four, VOTERS)
+    ctx.core.synchrony.peers["s4"].news = WHOLE | {"leaving": 1}
+    assert wish(ctx) is None
+    ctx.core.synchrony.news = WHOLE | {"leaving": 1}
+    assert wish(ctx) is None and not tenders.dispensable(ctx, settings())
+    assert tenders.dispensable(new_ctx(four, four), settings())
+    assert not tenders.dispensable(new_ctx(four, four), settings(machines=2))
+
+
+def test_emptied_is_one_in_service_that_is_no_voter_once_the_others_are_whole_since_its_mark():
+    ctx, background = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s2", "s4")), tenders.VoterChanges()
+    assert tenders.emptied(ctx, background) == []
+    background.marks = {"s2": OPENED, "s4": OPENED}
+    assert tenders.emptied(ctx, background) == ["s4"]
+    background.marks["s4"] = OPENED + 1
+    assert tenders.emptied(ctx, background) == []
+    background.marks["s4"] = OPENED
+    ctx.core.synchrony.peers["s3"].news = WHOLE | {"missing": 1}
+    assert tenders.emptied(ctx, background) == []
+
+
+def test_no_mark_is_set_while_a_lease_may_run_under_which_the_leaver_is_a_voter():
+    clock, background = Clock(), tenders.VoterChanges()
+    four = (*VOTERS, "s4")
+    before, after = new_ctx(four, four, ("s4",), clock), new_ctx(four, VOTERS, ("s4",), clock)
+    lease_s = after.core.synchrony.bounds.lease_ms / 1000
+    tenders.observe(before, background)
+    clock.advance(2 * lease_s)
+    assert tenders.unmarked(before, background) == []
+    tenders.observe(after, background)
+    clock.advance(lease_s - 0.01)
+    assert tenders.unmarked(after, background) == []
+    clock.advance(0.02)
+    assert tenders.unmarked(after, background) == ["s4"]
+    after.core.synchrony.installed_ms = int(clock.seconds() * 1000)
+    assert tenders.unmarked(after, background) == []
 
 
 def tended(ctx, background, monkeypatch):
+    """What is asked of the order; every question is answered, and changes nothing."""
     asked = []
-    monkeypatch.setattr(tenders, "ask", lambda _, op, wait_ms: asked.append(op) or succeed(Ok(None)))
-    tenders.tend(ctx, background, 3, AWAY_MS)
+
+    def ask(_, op, wait_ms):
+        asked.append(op)
+        return succeed(Ok(Done(OPENED) if isinstance(op, Look) else None))
+
+    monkeypatch.setattr(tenders, "ask", ask)
+    tenders.tend(ctx, background, settings())
     return asked
 
 
@@ -125,9 +202,12 @@
     assert tended(ctx, tenders.VoterChanges(), monkeypatch) == []
 
 
-def test_emptied_daemon_is_told_to_the_ledger(monkeypatch):
-    ctx = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s4",))
-    assert tended(ctx, tenders.VoterChanges(), monkeypatch) == [Retired("s4")]
+def test_emptied_daemon_is_told_to_the_ledger_after_its_mark(monkeypatch):
+    clock, background = Clock(), tenders.VoterChanges()
+    ctx = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s4",), clock=clock)
+    assert tended(ctx, background, monkeypatch) == []
+    clock.advance(ctx.core.synchrony.bounds.lease_ms / 1000)
+    assert tended(ctx, background, monkeypatch) == [Look(), Retired("s4")]
 
 
 def test_time_away_before_another_daemon_sequenced_does_not_count(monkeypatch):
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -145,6 +145,7 @@
 
 def test_the_doctor_tells_of_daemons_that_hold_the_rules_back():
     from frostpost.admin.doctor import of_daemon
+    from frostpost.virtual_synchrony.words import SPEAKS
 
     said = {
         "primary": True,
@@ -158,4 +159,5 @@
         "counts": {},
     }
     assert [f.fault for f in of_daemon("e1", said)] == ["OlderRules"]
-    assert list(of_daemon("e1", {**said, "rules": 2})) == []
+    assert [f.fault for f in of_daemon("e1", {**said, "rules": SPEAKS - 1})] == ["OlderRules"]
+    assert list(of_daemon("e1", {**said, "rules": SPEAKS})) == []
--- a/tests/test_proxy_stage.py
+++ b/tests/test_proxy_stage.py
@@ -19,6 +19,9 @@
 from frostpost.proxy import keyed, pool, serve, turn
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
+from frostpost.turn_store.client import Synced
+
+HOLDERS = frozenset({"s1", "s2"})
 
 
 def a_route(**more):
@@ -83,13 +86,14 @@
         leaf.runners = {runner.id: runner for runner in runners}
         leaf.wire = Wire(request_headers, read_head)
         self.told, self.asked, self.puts, self.seen = [], [], [], []
-        self.verdicts, self.chain, self.lease, self.gone = {}, {}, True, None
+        self.verdicts, self.chain, self.lease, self.gone, self.voters = {}, {}, True, None, HOLDERS
         self.wires = []
         if patch is not None:
             for module in (keyed, turn):
                 patch.setattr(module, "ask", self.ask)
                 patch.setattr(module, "tell", lambda leaf, op: self.told.append(op))
             patch.setattr(turn, "put", self.put)
+            patch.setattr(turn, "bodies_last", lambda leaf, holders: holders <= self.voters)
             patch.setattr(
                 turn,
                 "fetch",
@@ -115,7 +119,8 @@
 
     def put(self, leaf, name, data, wait_ms):
         self.puts.append((name, data))
-        verdict = self.verdicts.get("put", Ok(None))
+        verdict = self.verdicts.get("put", Ok(Synced(HOLDERS)))
+        verdict = verdict.pop(0) if isinstance(verdict, list) else verdict
         return verdict if isinstance(verdict, Deferred) else succeed(verdict)
 
     def serve(self, **more):
--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -1,6 +1,6 @@
 import pytest
 from expression import Error, Ok
-from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from test_proxy_stage import HEAD, HOLDERS, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
@@ -18,6 +18,7 @@
     TokensSpent,
 )
 from frostpost.proxy import failures
+from frostpost.turn_store.client import Synced
 
 ONE, TWO = b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n"
 RUNNERS = [a_runner("r1"), a_runner("r2")]
@@ -51,10 +52,34 @@
     assert s.asked[1] == End("a1", 4, 9000 + 10 * 500, 6) and s.puts == [("a1", b"ina\nb\n")]
     s.verdicts[End].callback(Ok(Ended()))
     assert s.seen[-1] == ("data", TWO)
-    s.verdicts["put"].callback(Ok(None))
+    s.verdicts["put"].callback(Ok(Synced(HOLDERS)))
     assert s.seen[-1] == "end" and s.told == []
 
 
+def test_a_turn_whose_holders_are_no_majority_any_more_is_put_again_before_it_ends(monkeypatch):
+    s = stage(monkeypatch)
+    end, again = Deferred(), Deferred()
+    s.verdicts.update({End: end, "put": [Ok(Synced(HOLDERS)), again]})
+    s.serve(program="g", budget=9, most_tokens=5)
+    s.connect().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
+    s.voters = frozenset({"others"})
+    end.callback(Ok(Ended()))
+    assert len(s.puts) == 2 and s.seen[-1] != "end"
+    again.callback(Ok(Synced(s.voters)))
+    assert s.seen[-1] == "end" and s.told == []
+
+
+def test_a_turn_that_is_not_put_again_in_time_is_cut(monkeypatch):
+    s = stage(monkeypatch)
+    end = Deferred()
+    s.verdicts.update({End: end, "put": [Ok(Synced(HOLDERS)), Error(failures.Unavailable(9))]})
+    s.serve(program="g", budget=9, most_tokens=5)
+    s.connect().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
+    s.voters = frozenset({"others"})
+    end.callback(Ok(Ended()))
+    assert s.seen[-1] == "cut"
+
+
 @pytest.mark.parametrize(
     "verdicts",
     [
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -18,10 +18,11 @@
 def leaf(monkeypatch):
     clock = Clock()
     made = Leaf(SimpleNamespace(), clock, SimpleNamespace(member=Member("e", 9)), machine_of(clock))
-    made.extras = {"ring": dict(RING), "voters": tuple(RING), "sent": []}
+    made.extras = {"ring": dict(RING), "voters": tuple(RING), "sent": [], "lease": True}
     made.links["send"] = lambda to, body: made.extras["sent"].append((to, body))
     monkeypatch.setattr(client.lease, "ring_addresses", lambda leaf: leaf.extras["ring"], raising=False)
     monkeypatch.setattr(client.lease, "voters", lambda leaf: leaf.extras["voters"], raising=False)
+    monkeypatch.setattr(client.lease, "lease_ok", lambda leaf: leaf.extras["lease"], raising=False)
     return made
 
 
@@ -49,10 +50,28 @@
         assert seen == []
     assert cache.cached(client.cache_of(leaf), "t") is None
     client.received(leaf, "s2", SiloDone(9, 1, True))
-    assert seen == [Ok(None)] and cache.cached(leaf.cache, "t") == b"body"
+    assert seen == [Ok(client.Synced(frozenset({"s0", "s2", "other"})))] and cache.cached(leaf.cache, "t") == b"body"
     assert leaf.reactor.getDelayedCalls() == []
 
 
+def test_put_counts_the_voters_of_a_running_lease_only(leaf):
+    seen = outcome(client.put(leaf, "t", b"body", 2000))
+    leaf.extras["lease"] = False
+    for name in ("s0", "s1"):
+        client.received(leaf, name, SiloDone(9, 1, True))
+    client.granted(leaf)
+    assert seen == []
+    leaf.extras.update(lease=True, voters=("s1", "s2", "s3"))
+    client.granted(leaf)
+    assert seen == []
+    leaf.extras["voters"] = ("s0", "s1", "s3")
+    client.granted(leaf)
+    assert seen == [Ok(client.Synced(frozenset({"s0", "s1"})))]
+    assert client.lasts(leaf, {"s0", "s1"}) and not client.lasts(leaf, {"s0", "s2"})
+    leaf.extras["lease"] = False
+    assert not client.lasts(leaf, {"s0", "s1"})
+
+
 def test_put_is_sent_again_to_those_that_have_not_synced_and_ends_in_time(leaf):
     seen = outcome(client.put(leaf, "t", b"body", 1000))
     taken(leaf)
