--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -11,9 +11,8 @@
 
 from . import picking
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
-from .lookup import hold_until_ms, retry_ms
+from .lookup import hold_until_ms, lasting_ms, retry_ms
 
-LEAST_END_MS = 1000
 LEAST_ASK_MS = 200
 PAUSE_MS = 20
 KEEP_TICKS = 10
@@ -129,7 +128,7 @@
     The voters are looked at last: a body that was put while the end was being decided may have been put on voters that
     others took the place of meanwhile.
     """
-    wait_ms = max(LEAST_END_MS, until_ms - now_ms(leaf))
+    wait_ms = lasting_ms(leaf, until_ms)
     keep_ms = route.keep_ms + KEEP_TICKS * leaf.settings.tick_ms if route.retained else 0
     end = End(call.attempt, tokens, keep_ms=keep_ms, size=len(data) if keep_ms else 0)
     asked = [ask(leaf, end, wait_ms)]
@@ -141,6 +140,6 @@
         lasts = False
         tell(leaf, end if not keep_ms or results[1].is_ok() else End(call.attempt, tokens))
     if lasts and keep_ms and not bodies_last(leaf, results[1].ok.holders):
-        again = yield put(leaf, call.attempt, data, max(LEAST_END_MS, until_ms - now_ms(leaf)))
+        again = yield put(leaf, call.attempt, data, lasting_ms(leaf, until_ms))
         lasts = again.is_ok()
     return lasts
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -10,7 +10,7 @@
 from frostpost.program_ledger import apply as ledger
 from frostpost.program_ledger import turns
 from frostpost.program_ledger.words import Claim, Claimed, End, RoutingSet, SetRouting
-from frostpost.proxy import exchange, pool, serve, stream, turn
+from frostpost.proxy import pool, sending, serve, stream, turn
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
 from frostpost.turn_store import repair
@@ -69,7 +69,7 @@
 
 
 def echo_unread():
-    return [(exchange, "doubt", lambda head, call, first: "")]
+    return [(sending, "doubt", lambda head, call, fresh: "")]
 
 
 def cut_ended():
@@ -77,10 +77,15 @@
 
 
 def resumed_always():
+    kept = stream.attempts_for
+
     def may_resume(route, state, outcome):
         return isinstance(outcome, Broken) and not state.spliced
 
-    return [(stream, "may_resume", may_resume)]
+    def attempts_for(route, repeatable):
+        return kept(route, True)
+
+    return [(stream, "may_resume", may_resume), (stream, "attempts_for", attempts_for)]
 
 
 def tokens_forgotten():
