--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -6,7 +6,8 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.heart import ask, feed
 from frostpost.daemon.news import say
-from frostpost.ledger.words import SWAP_RULES, Done, Look
+from frostpost.ledger.operations import SWAP_RULES, Look
+from frostpost.ledger.results import Done
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import Left, SetVoters
 from frostpost.virtual_synchrony.state import names
@@ -62,7 +63,7 @@
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     peer = synchrony.peers.get(name)
     place = synchrony.place if name == synchrony.name else peer.place if peer is not None else None
-    zone = place.cell if place is not None else ""
+    zone = place.zone if place is not None else ""
     present = name in names(synchrony.configuration)
     return ReplicaView(
         name,
@@ -143,7 +144,7 @@
     changes.busy = True
     try:
         yield change_voters(ctx, changes, settings)
-        yield let_go(ctx, changes)
+        yield release_emptied(ctx, changes)
     finally:
         changes.busy = False
 
@@ -169,8 +170,8 @@
 
 
 @inlineCallbacks
-def let_go(ctx, changes):
-    """Let replicas go whose copies the others hold: first a mark in the order, then a count after it, then the end."""
+def release_emptied(ctx, changes):
+    """Release replicas whose copies the others hold: first a mark in the order, then a count after it, then the end."""
     for name in unmarked(ctx, changes):
         epoch, result = changes.epoch, (yield ask(ctx, Look(), ASK_MS))
         if result.is_ok() and isinstance(result.ok, Done) and changes.epoch == epoch:
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -1,3 +1,5 @@
+"""Settings of a daemon of the own HTTP interface."""
+
 import tomllib
 
 from expression import Error, Ok
@@ -8,11 +10,15 @@
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
+    """A setting that is wrong: which and why."""
+
     path: str
     text: str
 
 
 class VoterChanges(Struct, frozen=True, forbid_unknown_fields=True):
+    """Intervals of the periodic jobs, in milliseconds."""
+
     load_ms: int = 500
     list_ms: int = 1000
     tick_ms: int = 1000
@@ -20,13 +26,15 @@
 
 
 class Doors(Struct, frozen=True, forbid_unknown_fields=True):
+    """Bounds of the HTTP interface: milliseconds, bytes and counts."""
+
     in_flight: int = 400
     lag_ms: int = 60
     ask_ms: int = 1500
     connect_ms: int = 500
     stall_ms: int = 5000
     body_bytes: int = 1 << 20
-    verdict_bytes: int = 1 << 20
+    result_bytes: int = 1 << 20
     line_bytes: int = 1 << 16
     linger_ms: int = 500
     config_bytes: int = 64 << 20
@@ -36,9 +44,11 @@
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
+    """All settings of a daemon."""
+
     name: str
     role: str
-    cell: str
+    zone: str
     host: str
     port: int
     http_port: int
@@ -54,13 +64,15 @@
 
 
 def address(text):
+    """Tell whether a text is `IP:port`."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     numeric = len(parts) == 4 and all(p.isdigit() and int(p) < 256 for p in parts)
     return numeric and port.isdigit() and 0 < int(port) < 65536
 
 
-def faults_of(settings):
+def errors_of(settings):
+    """Yield the errors in settings that have the right types."""
     if settings.role not in ("edge", "core", "storage"):
         yield SettingsInvalid("role", "must be edge, core or storage")
     if settings.role == "storage" and not settings.data:
@@ -83,13 +95,14 @@
 
 
 def read(path, flags):
+    """Read a TOML file and overriding values; Ok(Settings) or Error(SettingsInvalid)."""
     try:
         with open(path, "rb") as file:
             document = tomllib.load(file)
-    except OSError as fault:
-        return Error(SettingsInvalid(path, fault.strerror or "cannot be read"))
-    except tomllib.TOMLDecodeError as fault:
-        return Error(SettingsInvalid(path, str(fault)))
+    except OSError as error:
+        return Error(SettingsInvalid(path, error.strerror or "cannot be read"))
+    except tomllib.TOMLDecodeError as error:
+        return Error(SettingsInvalid(path, str(error)))
     document.update({k: v for k, v in flags.items() if v is not None})
     unknown = set(document.get("bounds", {})) - set(Bounds.__struct_fields__)
     unknown |= set(document.get("weights", {})) - set(Weights.__struct_fields__)
@@ -97,8 +110,8 @@
         return Error(SettingsInvalid(sorted(unknown)[0], "is no known setting"))
     try:
         settings = convert(document, Settings)
-    except ValidationError as fault:
-        text, _, where = str(fault).partition(" - at ")
+    except ValidationError as error:
+        text, _, where = str(error).partition(" - at ")
         return Error(SettingsInvalid(where.strip("`") or path, text))
-    fault = next(faults_of(settings), None)
-    return Error(fault) if fault else Ok(settings)
+    error = next(errors_of(settings), None)
+    return Error(error) if error else Ok(settings)
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -1,3 +1,5 @@
+"""Reads: status, runners, programs, explanations, configuration, metrics."""
+
 from shutil import disk_usage
 
 from msgspec import Raw
@@ -8,21 +10,22 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import lease_ok
 from frostpost.daemon.heart import ask
+from frostpost.ledger.operations import Look
 from frostpost.ledger.programs import whole
-from frostpost.ledger.words import Look
 from frostpost.placement.judge import Question, explain
 from frostpost.virtual_synchrony.state import sequencer
 
-from . import faults
+from . import errors
 
 
 def status(ctx):
+    """Return a daemon's status document."""
     synchrony, ledger = ctx.core.synchrony, ctx.core.ledger
     return {
         "name": synchrony.name,
         "boot": synchrony.me.boot,
         "role": synchrony.place.role,
-        "cell": synchrony.place.cell,
+        "zone": synchrony.place.zone,
         "serving": lease_ok(ctx.core, clock_ms(ctx)) and not ctx.leaving,
         "leaving": ctx.leaving,
         "up_ms": clock_ms(ctx) - ctx.started_ms,
@@ -70,6 +73,7 @@
 
 
 def free_part(folder):
+    """Return the free share of the disk that holds a folder, None for no folder."""
     if not folder:
         return None
     usage = disk_usage(folder)
@@ -77,20 +81,22 @@
 
 
 def placed(place):
+    """Return where a daemon listens."""
     return {
         "name": place.member.name,
         "role": place.role,
-        "cell": place.cell,
+        "zone": place.zone,
         "inner": f"{place.host}:{place.port}",
         "http": f"{place.host}:{place.http_port}",
     }
 
 
 def runners(ctx):
+    """Return the runners with load and drain marks."""
     ledger = ctx.core.ledger
     found = []
     for runner in ledger.runners.values():
-        held = ctx.statuses.get(runner.name)
+        held = ctx.runner_health.get(runner.name)
         found.append(
             {
                 **named(runner),
@@ -104,15 +110,17 @@
 
 
 def named(runner):
+    """Return a record's fields by name."""
     return {f: getattr(runner, f) for f in runner.__struct_fields__}
 
 
 def program(ctx, tenant, name):
+    """Return a program's budget and history, or an error."""
     held = ctx.core.ledger.programs.get(f"{tenant}/{name}")
     if held is None:
-        return faults.NoSuch("this program has no history kept here")
+        return errors.NoSuch("this program has no history kept here")
     if not all(whole(line) for line in held.lines):
-        return faults.Internal("kept history failed its checksum")
+        return errors.Internal("kept history failed its checksum")
     return {
         "program": name,
         "budget": held.budget,
@@ -122,30 +130,33 @@
     }
 
 
-def explained(ctx, tenant, lane):
-    found = ctx.lanes.get((tenant, lane))
+def explained(ctx, tenant, route):
+    """Return vetoes and scores of every runner for a route, or an error."""
+    found = ctx.routes.get((tenant, route))
     if found is None:
-        return faults.NoLane(f"tenant {tenant} has no lane {lane}")
+        return errors.NoRoute(f"tenant {tenant} has no route {route}")
     question = Question(
-        found.pools, ctx.settings.cell, (), "explain", clock_ms(ctx), leaving=frozenset(ctx.core.ledger.leaving)
+        found.pools, ctx.settings.zone, (), "explain", clock_ms(ctx), leaving=frozenset(ctx.core.ledger.leaving)
     )
-    rows = explain(question, ctx.core.ledger.runners.values(), ctx.statuses, ctx.settings.weights)
+    rows = explain(question, ctx.core.ledger.runners.values(), ctx.runner_health, ctx.settings.weights)
     return {
-        "lane": named(found),
+        "route": named(found),
         "runners": [{"runner": r.name, "vetoes": v, "scores": s, "total": round(t, 4)} for r, v, s, t in rows],
     }
 
 
 def config(ctx, path):
+    """Return one document with its version, or an error."""
     held, mark = ctx.documents.get(path), ctx.core.ledger.configs.get(path)
     if held is None or mark is None or not mark.digest:
-        return faults.NoSuch(f"there is no {path}")
+        return errors.NoSuch(f"there is no {path}")
     if mark.version != held[0]:
-        return faults.ConfigChanging()
+        return errors.ConfigChanging()
     return {"path": path, "version": held[0], "document": Raw(body_of(ctx, path))}
 
 
 def configs(ctx):
+    """Return the versions of all documents and the index of the last change."""
     ledger = ctx.core.ledger
     return {
         "index": ledger.config_index,
@@ -155,19 +166,21 @@
     }
 
 
-def routes(app, ctx, answer, turn_away):
+def routes(app, ctx, answer, refuse):
+    """Add the paths of reads."""
+
     def serve(request, found):
         if isinstance(found, dict):
             if "version" in found:
                 request.setHeader("etag", f'"{found["version"]}"')
             return answer(request, found)
-        return turn_away(request, found, "")
+        return refuse(request, found, "")
 
     def leased(request, look):
         if not lease_ok(ctx.core, clock_ms(ctx)):
-            return turn_away(request, faults.NoPrimary(), "")
+            return refuse(request, errors.NoPrimary(), "")
         if ctx.honoured < ctx.need_config:
-            return turn_away(request, faults.ConfigChanging(), "")
+            return refuse(request, errors.ConfigChanging(), "")
         return serve(request, look())
 
     @app.route("/v1/status", methods=["GET"])
@@ -182,14 +195,14 @@
     def program_(request, tenant, name):
         def look(result):
             if result.is_error():
-                return turn_away(request, result.error, "")
+                return refuse(request, result.error, "")
             return leased(request, lambda: program(ctx, tenant, name))
 
         return ask(ctx, Look(), ctx.settings.doors.ask_ms).addCallback(look)
 
-    @app.route("/v1/tenants/<tenant>/lanes/<lane>/explain", methods=["GET"])
-    def explain_(request, tenant, lane):
-        return leased(request, lambda: explained(ctx, tenant, lane))
+    @app.route("/v1/tenants/<tenant>/routes/<route>/explain", methods=["GET"])
+    def explain_(request, tenant, route):
+        return leased(request, lambda: explained(ctx, tenant, route))
 
     @app.route("/v1/config", methods=["GET"])
     def configs_(request):
@@ -202,9 +215,9 @@
     @app.route("/v1/ready", methods=["GET"])
     def ready(request):
         if ctx.leaving:
-            return turn_away(request, faults.Leaving(), "")
+            return refuse(request, errors.Leaving(), "")
         if not lease_ok(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.need_config:
-            return turn_away(request, faults.NoPrimary(), "")
+            return refuse(request, errors.NoPrimary(), "")
         return answer(request, {"ready": True})
 
     @app.route("/metrics", methods=["GET"])
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -114,7 +114,7 @@
     return [(operating, "set_routing", set_routing)]
 
 
-def let_go_early():
+def released_early():
     """A replica that is emptied goes before its copies are counted, and before leases have run out."""
 
     def emptied(ctx, changes):
@@ -158,7 +158,7 @@
 
 COPY_PLANTS = {
     "never_refilled": never_refilled,
-    "let_go_early": let_go_early,
+    "released_early": released_early,
     "fetched_in_rounds": fetched_in_rounds,
     "vote_kept": vote_kept,
 }
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_tenders.py
@@ -9,8 +9,9 @@
 from frostpost.cluster import tenders
 from frostpost.cluster.voter_rule import Tolerance
 from frostpost.daemon.machine import Machine
+from frostpost.ledger.operations import SWAP_RULES, Look
+from frostpost.ledger.results import Done
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import SWAP_RULES, Done, Look
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
--- a/tests/test_fleet_simulator_copies.py
+++ b/tests/test_fleet_simulator_copies.py
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize(
     "plant, story",
     [
-        ("let_go_early", lambda: story_of_an_emptied_holder(2)),
+        ("released_early", lambda: story_of_an_emptied_holder(2)),
         ("fetched_in_rounds", lambda: story_of_two_replacements(1)),
         ("vote_kept", lambda: story_of_a_planned_replacement(1, 0)),
         ("every_voter", lambda: story_of_all_down_while_replacing(1, 600)),
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,10 +1,11 @@
 from msgspec import Struct, msgpack
 
 from frostpost.ledger.apply import apply, decode_state, encode
+from frostpost.ledger.operations import Reserve, Rules, Settle, Tick
 from frostpost.ledger.programs import line
-from frostpost.ledger.records import Runner
+from frostpost.ledger.records import Duty, Runner
+from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import BudgetSpent, Done, Duty, Reserve, Reserved, Rules, Settle, Tick
 from frostpost.virtual_synchrony.events import Open
 from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
 
@@ -27,8 +28,8 @@
         self.ledger, said = apply(self.ledger, Entry(ID, index, index, ME, number, msgpack.encode(op)))
         return said
 
-    def turn(self, output="out", keep_ms=60000, budget=100, budget_keep_ms=600000, used=40):
-        said = self.tell(Reserve("p", 60, budget, keep_ms, ("pool",), (("r1", "i"),), (), budget_keep_ms))
+    def turn(self, output="out", retention_ms=60000, budget=100, budget_retention_ms=600000, used=40):
+        said = self.tell(Reserve("p", 60, budget, retention_ms, ("pool",), (("r1", "i"),), (), budget_retention_ms))
         if isinstance(said, Reserved):
             assert isinstance(self.tell(Settle(said.index, used, line("in", output))), Done)
         return said
@@ -43,8 +44,8 @@
 
 def test_what_was_answered_under_a_longer_time_is_kept_for_it():
     book = Book()
-    book.turn("long", keep_ms=60000)
-    book.turn("short", keep_ms=1000)
+    book.turn("long", retention_ms=60000)
+    book.turn("short", retention_ms=1000)
     book.wait(59000)
     assert book.lines() == ["long", "short"]
     book.wait(1000)
@@ -72,8 +73,8 @@
 
 def test_after_a_full_stop_times_start_anew():
     book = Book()
-    book.turn("long", keep_ms=60000)
-    book.turn("short", keep_ms=1000)
+    book.turn("long", retention_ms=60000)
+    book.turn("short", retention_ms=1000)
     book.wait(59000)
     book.tell(Open((Member("e9", 9),), (), ("s1",)))
     book.ledger.duties["ticks"] = Duty(ME, 5)
@@ -92,7 +93,7 @@
     program: str
     amount: int
     budget: int
-    keep_ms: int
+    retention_ms: int
     pools: tuple[str, ...]
     candidates: tuple[tuple[str, str], ...]
     marks: tuple[tuple[str, int], ...]
@@ -101,7 +102,7 @@
 class OldPlace(Struct, frozen=True, array_like=True):
     member: Member
     role: str
-    cell: str
+    zone: str
     host: str
     port: int
     http_port: int
@@ -119,7 +120,7 @@
 def test_frames_recorded_of_the_version_before_are_understood():
     from pathlib import Path
 
-    from frostpost.ledger.words import Op
+    from frostpost.ledger.operations import Op
     from frostpost.virtual_synchrony.words import Beat, Frame
 
     types = {"frame": Frame, "op": Op, "state": Ledger}
@@ -133,7 +134,7 @@
     reserve = next(o for kind, o in said if kind == "op")
     assert reserve == Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 0)
     ledger = said[-1][1]
-    assert ledger.rules == 1 and ledger.programs["p"].spent == 2 and ledger.programs["p"].kept_ms == 0
+    assert ledger.rules == 1 and ledger.programs["p"].spent == 2 and ledger.programs["p"].retained_until_ms == 0
 
 
 def test_a_program_has_one_expiry_waiting_however_many_its_turns():
@@ -158,6 +159,6 @@
         "config_index": 1,
         "counts": {},
     }
-    assert [f.fault for f in of_daemon("e1", said)] == ["OlderRules"]
-    assert [f.fault for f in of_daemon("e1", {**said, "rules": SPEAKS - 1})] == ["OlderRules"]
+    assert [f.problem for f in of_daemon("e1", said)] == ["OlderRules"]
+    assert [f.problem for f in of_daemon("e1", {**said, "rules": SPEAKS - 1})] == ["OlderRules"]
     assert list(of_daemon("e1", {**said, "rules": SPEAKS})) == []
--- a/tests/test_ledger_voters.py
+++ b/tests/test_ledger_voters.py
@@ -3,8 +3,9 @@
 import pytest
 
 from frostpost.ledger.apply import act
+from frostpost.ledger.operations import SWAP_RULES
+from frostpost.ledger.results import NotHeld, VotersSet
 from frostpost.ledger.state import Ledger
-from frostpost.ledger.words import SWAP_RULES, NotHeld, VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
 
