--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -68,6 +68,16 @@
             leaf.links["send"](f"@{seed}", Hello())
 
 
+def due_ms(leaf):
+    """When `tend` has something to do next, on this daemon's clock."""
+    held = session(leaf)
+    every_ms, seek_ms = leaf.settings.lease_ms // RENEWS, leaf.settings.lease_ms // SEEKS
+    lost_ms = held.heard_ms + 2 * every_ms + 1
+    if now_ms(leaf) < lost_ms:
+        return min(held.renewed_ms + every_ms, lost_ms)
+    return min(held.renewed_ms + seek_ms, held.greeted_ms + (4 * every_ms if leaf.directory else seek_ms))
+
+
 def renew(leaf):
     held, now = session(leaf), now_ms(leaf)
     held.renewed_ms = now
@@ -103,7 +113,9 @@
     held.sequencer, held.heard_ms = place.member.name, now
     if grant.lease_ms > 0:
         held.until_ms = max(held.until_ms, grant.sent_ms + grant.lease_ms)
-    held.voters, held.version, held.honoured = grant.voters, grant.version, grant.honoured
+    held.voters, held.version = grant.voters, grant.version
+    # What every running lease has honoured stays so: no later lease is granted on an older routing.
+    held.honoured = max(held.honoured, grant.honoured)
     held.leaves = max(1, grant.leaves)
     if grant.draining and "drained" in leaf.extras:
         leaf.extras["drained"](grant.draining)
--- a/frostpost/cluster/replica.py
+++ b/frostpost/cluster/replica.py
@@ -27,6 +27,7 @@
         "peers",
         "reactor",
         "records",
+        "seeking",
         "send",
         "sessions",
         "settings",
@@ -42,6 +43,7 @@
         self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
         self.turn_store, self.send, self.records, self.waiting, self.charter = None, None, [], True, ()
         self.leaving = False
+        self.seeking = None
 
 
 class Crash(Struct):
