--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -5,7 +5,17 @@
 from frostpost.daemon.ticker import Ticker
 from frostpost.daemon.waiting import until
 from frostpost.turn_store import client as turn_store_client
-from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, RoutingTell, SiloDone, SiloGot, Told
+from frostpost.virtual_synchrony.outer import (
+    CharterAsk,
+    CharterHeld,
+    Directory,
+    Grant,
+    Hello,
+    RoutingTell,
+    SiloDone,
+    SiloGot,
+    Told,
+)
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 
 from . import asking, directory, founding, lease, peers, status
@@ -52,6 +62,10 @@
             lease.routed(leaf, body)
         case SiloDone() | SiloGot():
             turn_store_client.received(leaf, place.member.name, body)
+        case CharterAsk():
+            founding.asked(leaf, place, body)
+        case CharterHeld():
+            founding.held(leaf, place, body)
         case Directory():
             lease.directed(leaf, body.places)
             if place.role == RING and not lease.lease_ok(leaf):
--- a/frostpost/virtual_synchrony/outer.py
+++ b/frostpost/virtual_synchrony/outer.py
@@ -100,7 +100,21 @@
     facts: bytes
 
 
+class CharterAsk(Struct, frozen=True, array_like=True, tag=40):
+    """A founder asks another seed which charter it keeps, or to keep this one if `names` isn't empty."""
+
+    names: tuple[str, ...] = ()
+
+
+class CharterHeld(Struct, frozen=True, array_like=True, tag=41):
+    """The charter that a seed keeps on its disk; empty if it keeps none."""
+
+    names: tuple[str, ...] = ()
+
+
 OUTER = (
+    CharterAsk,
+    CharterHeld,
     Hello,
     Directory,
     Renew,
--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/words.py
@@ -2,6 +2,8 @@
 
 from .outer import (
     AskRing,
+    CharterAsk,
+    CharterHeld,
     Directory,
     Grant,
     Hello,
@@ -211,6 +213,8 @@
     | SiloGot
     | StatusAsk
     | StatusTell
+    | CharterAsk
+    | CharterHeld
 )
 
 
--- a/tests/test_cluster_founding.py
+++ b/tests/test_cluster_founding.py
@@ -1,5 +1,6 @@
 from random import Random
 
+import pytest
 from test_cluster_lease import place_of
 from test_turn_store_drive import Threads, lose_unsynced
 from twisted.internet.task import Clock
@@ -10,9 +11,10 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
-from frostpost.virtual_synchrony.outer import Directory, Hello
-from frostpost.virtual_synchrony.words import Frame, Roster
+from frostpost.virtual_synchrony.outer import CharterAsk, CharterHeld, Directory, Hello
+from frostpost.virtual_synchrony.words import Frame, Member, Place, Roster
 
+NAMES = ("s1", "s2", "s3")
 SEEDS = ("10.0.0.10:70", "10.0.0.9:70", "10.0.0.9:8")
 FIRST, SECOND = ("10.0.0.9", 8), ("10.0.0.9", 70)
 
@@ -20,7 +22,7 @@
 class Core:
     """A core daemon on a drive that can lose its power."""
 
-    def __init__(self, address=FIRST, first_start=True, drive=None, clock=None, tolerated=1):
+    def __init__(self, address=FIRST, first_start=True, drive=None, clock=None, tolerated=1, kept=None):
         self.clock, self.threads, self.out = clock or Clock(), Threads(), []
         self.drive = drive or drives.Drive(Random(7), {}, {}, {})
         settings = DaemonSettings(
@@ -28,10 +30,23 @@
         )
         machine = Machine(seconds=self.clock.seconds, in_thread=self.threads.run, files=drives.files_of(self.drive))
         self.leaf = Leaf(settings, self.clock, place_of("c1", "core"), machine)
-        self.leaf.links["send"] = lambda to, body: self.out.append(body)
+        self.kept = {seed: () for seed in SEEDS if seed != f"{address[0]}:{address[1]}"} if kept is None else kept
+        self.silent = set()
+        self.leaf.links["send"] = self.send
         assembly.lease.session(self.leaf)
         founding.begin(self.leaf)
 
+    def send(self, to, body):
+        """Other seeds keep what they are asked to, and answer."""
+        seed = to.removeprefix("@")
+        if not isinstance(body, CharterAsk):
+            self.out.append(body)
+        elif seed in self.kept and seed not in self.silent:
+            self.kept[seed] = body.names or self.kept[seed]
+            host, port = seed.split(":")
+            place = Place(Member(seed, 1), "core", "z", host, int(port), 0)
+            assembly.received(self.leaf, Frame(1, place, "", CharterHeld(self.kept[seed])))
+
     def hello(self, *names, role="storage"):
         for name in names:
             assembly.received(self.leaf, Frame(1, place_of(name, role), "", Hello()))
@@ -132,3 +147,52 @@
     assert core.after(STILL_S) == ("s1", "s2", "s3")
     lose_unsynced(core.drive)
     assert Core(drive=core.drive).leaf.charter == ("s1", "s2", "s3")
+
+
+def test_no_charter_is_proposed_before_all_other_seeds_have_answered():
+    core = Core()
+    silent, other = core.kept
+    core.silent = {silent}
+    core.hello("s1", "s2", "s3")
+    assert core.after(STILL_S) == core.after(FEW_S) == () and core.kept[other] == ()
+    core.silent = set()
+    assert core.after(STILL_S) == ("s1", "s2", "s3") and core.kept[other] == core.kept[silent] == core.leaf.charter
+
+
+def test_no_charter_is_handed_out_before_all_other_seeds_keep_it():
+    core = Core()
+    late = next(iter(core.kept))
+    core.hello("s1", "s2", "s3")
+    sent = core.send
+    core.leaf.links["send"] = lambda to, body: (
+        None if to == f"@{late}" and body == CharterAsk(NAMES) else sent(to, body)
+    )
+    assert core.after(STILL_S) == core.after(FEW_S) == ()
+    core.hello("s4")
+    assert core.out[-1] == Directory((), ())
+    core.leaf.links["send"] = sent
+    assert core.after(STILL_S) == NAMES == core.kept[late]
+
+
+@pytest.mark.parametrize("lost", SEEDS[:2])
+def test_a_founder_without_its_disk_finds_the_charter_with_any_other_seed(lost):
+    core = Core()
+    core.hello(*NAMES)
+    assert core.after(STILL_S) == NAMES
+    kept = core.kept | {lost: ()}
+    again = Core(kept=kept)
+    again.hello("s9")
+    assert again.after(FEW_S) == NAMES and set(again.kept.values()) == {NAMES}
+
+
+def test_a_seed_keeps_a_charter_over_a_loss_of_power_but_does_not_hand_it_out():
+    core = Core(SECOND)
+    asker = Place(Member("c1", 1), "core", "z", *FIRST, 0)
+    assembly.received(core.leaf, Frame(1, asker, "", CharterAsk()))
+    assembly.received(core.leaf, Frame(1, asker, "", CharterAsk(NAMES)))
+    assert core.out == [CharterHeld(()), CharterHeld(NAMES)]
+    lose_unsynced(core.drive)
+    again = Core(SECOND, drive=core.drive)
+    assembly.received(again.leaf, Frame(1, asker, "", CharterAsk()))
+    again.hello("s1")
+    assert again.out == [CharterHeld(NAMES), Directory((), ())]
--- a/tests/test_fleet_simulator_founding.py
+++ b/tests/test_fleet_simulator_founding.py
@@ -112,3 +112,40 @@
     world.later(500, restart, world, world.daemons["storage-z0-1"], False)
     world.run(world.now_ms() + 4000)
     assert plays.settle(world, 12000) >= 0
+
+
+def test_the_founders_disk_and_a_storage_machines_lost_at_first_start_found_no_second_fleet():
+    """The settings still say first start, and the machines that remember are out of the founder's reach."""
+    world, operator = founded(15, lambda daemon: 0)
+    held = charters(world)
+    founder, wiped = world.of("core")[0], world.of("storage")[0]
+    worlds.wipe(world, founder)
+    worlds.wipe(world, wiped)
+    apart = [d for d in world.of("storage") if d is not wiped]
+    for other in apart:
+        for here in (founder, wiped):
+            world.net.cuts |= {(here.host.address, other.host.address), (other.host.address, here.host.address)}
+    for daemon in (founder, wiped):
+        world.later(500, restart, world, daemon, True)
+    world.run(world.now_ms() + 9000)
+    assert charters(world) <= held
+    world.net.cuts.clear()
+    world.run(world.now_ms() + 4000)
+    assert plays.settle(world, 12000) >= 0 and charters(world) <= held
+    assert plays.await_(world, operator.read(), 5000)["issue"] == 3
+
+
+def test_no_second_fleet_is_founded_by_a_founder_that_reaches_no_other_seed():
+    world, _ = founded(16, lambda daemon: 0)
+    held = charters(world)
+    founder, *seeds = world.of("core")
+    wiped, *apart = world.of("storage")
+    worlds.wipe(world, founder)
+    worlds.wipe(world, wiped)
+    for other in (*seeds, *apart):
+        for here in (founder, wiped):
+            world.net.cuts |= {(here.host.address, other.host.address), (other.host.address, here.host.address)}
+    for daemon in (founder, wiped):
+        world.later(500, restart, world, daemon, True)
+    world.run(world.now_ms() + 9000)
+    assert charters(world) <= held
