--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/words.py
@@ -2,6 +2,8 @@
 
 from .outer import (
     AskRing,
+    CharterAsk,
+    CharterHeld,
     Directory,
     Grant,
     Hello,
@@ -19,7 +21,7 @@
 from .places import Member, Place
 
 VERSION = 1
-SPEAKS = 2
+SPEAKS = 3
 
 
 class ConfigurationId(Struct, frozen=True, array_like=True, order=True):
@@ -213,6 +215,8 @@
     | SiloGot
     | StatusAsk
     | StatusTell
+    | CharterAsk
+    | CharterHeld
 )
 
 
