--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -151,6 +151,7 @@
     """-> whether the sequencer changed."""
     held, now = session(leaf), now_ms(leaf)
     if grant.sequencer != place.member.name:
+        directed(leaf, grant.places)
         return redirected(leaf, place, grant.sequencer)
     if grant.epoch < held.epoch:
         return False
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -68,12 +68,24 @@
     return seen
 
 
+def member_places(synchrony):
+    """Where the members of the configuration are, as far as is known."""
+    others = [synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers]
+    return (synchrony.place, *others)
+
+
 def renewed(ctx, sessions, place, message):
     """A leaf renews its lease; -> the Grant."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not sequencing(ctx):
         meet(sessions, place, message.version, now)
-        return Grant(message.sent_ms, 0, sequencer(synchrony) if synchrony.primary.opened else "")
+        opened = synchrony.primary.opened
+        return Grant(
+            message.sent_ms,
+            0,
+            sequencer(synchrony) if opened else "",
+            places=member_places(synchrony) if opened else (),
+        )
     held = ctx.core.ledger.program_ledger.routing_version
     follow(ctx, sessions)
     seen = meet(sessions, place, message.version, now)
@@ -86,17 +98,7 @@
         sessions.survey = None
     seen.until_ms = max(seen.until_ms, now + lease_ms)
     epoch = synchrony.configuration.id.epoch
-    places = (
-        ()
-        if message.epoch == epoch
-        else tuple(
-            p
-            for p in (
-                synchrony.place,
-                *(synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers),
-            )
-        )
-    )
+    places = () if message.epoch == epoch else member_places(synchrony)
     return Grant(
         message.sent_ms,
         lease_ms,
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -111,7 +111,8 @@
     clock = Clock()
     ctx, sessions = new_ring(clock)
     ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
-    assert renewed(ctx, sessions, 0) == Grant(0, 0, "s2")
+    granted = renewed(ctx, sessions, 0)
+    assert granted == Grant(0, 0, "s2", places=granted.places)
     assert [(seen.address, seen.until_ms < 0) for seen in sessions.leaves.values()] == [("@h:2", True)]
     ctx, sessions = new_ring(clock, granted_ms=-LEASE_MS)
     assert renewed(ctx, sessions, 0).lease_ms == 0
@@ -310,3 +311,23 @@
     renewed(ctx, sessions, 0)
     assert sessions.leaves["e1"].address == "@h:2"
     assert serving.survey_of(sessions, 0).count == 0
+
+
+def test_a_replica_that_does_not_lead_tells_where_the_leader_is():
+    clock = Clock()
+    clock.advance(5)
+    agent, places = known(clock, "s1", "s2")
+    clock.advance(2 * LEASE_MS / 1000)
+    new = place_of("s3", port=9)
+    assert lease.granted(agent, places[1], Grant(1000, 0, "s3", places=(places[1], new)))
+    sent(agent)
+    clock.advance(1)
+    lease.renew(agent)
+    assert "@h:9" in [to for to, _ in sent(agent)]
+
+
+def test_the_grant_of_a_replica_that_does_not_lead_holds_the_places_of_the_members():
+    clock = Clock()
+    ctx, sessions = new_ring(clock)
+    ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
+    assert {p.member.name for p in renewed(ctx, sessions, 0).places} == {"s1", "s2", "s3"}
