--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -7,6 +7,7 @@
 from frostpost.daemon.core import Decided, lease_ok
 from frostpost.ledger import duties
 from frostpost.ledger.operations import (
+    SWAP_RULES,
     ClaimKey,
     Drain,
     Finish,
@@ -107,21 +108,30 @@
 
 
 def revote(world, node, random):
-    """Hand in a change of voters that is allowed."""
+    """Hand in a change of voters that is allowed: one more or less, or an exchange for one that is away."""
     synchrony, before = node.core.synchrony, node.core.ledger.voters
     full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
-    if spare and len(before) < 5 and random.random() < 0.6:
+    absent = sorted(set(before) - {m.name for m in synchrony.configuration.members})
+    if spare and absent and node.core.ledger.rules >= SWAP_RULES and majority(before, full | ready_self(node)):
+        gone = random.choice(absent)
+        after = (*(v for v in before if v != gone), random.choice(spare))
+    elif spare and len(before) < 5 and random.random() < 0.6:
         after = (*before, random.choice(spare))
     elif len(before) > 3:
         gone = random.choice(before)
         after = tuple(v for v in before if v != gone)
     else:
         return
-    if majority(after, full | ({node.name} if synchrony.primary.ready else set())):
+    if majority(after, full | ready_self(node)):
         ask(world, node.name, SetVoters(synchrony.configuration.id, before, after))
 
 
+def ready_self(node):
+    """The names of full copies that this node adds to its peers': its own, or none."""
+    return {node.name} if node.core.synchrony.primary.ready else set()
+
+
 def tap(state):
     """Return a function that hears all answers and follows up on reservations and claims."""
 
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -59,7 +59,7 @@
     rest = sorted(graph, key=lambda member: rank(synchrony, member))
     rest.sort(key=lambda member: (RANK[role(synchrony, member.name)], *preference(synchrony, member)))
     while True:
-        group = []
+        group: list = []
         for member in rest:
             if all(member in graph[g] and g in graph[member] for g in group):
                 group.append(member)
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -1,11 +1,9 @@
 """Faults planted in the product's code, each of which the judge has to catch."""
 
-from contextlib import contextmanager
-
 from msgspec import structs
 from twisted.internet.defer import succeed
 
-from frostpost.cluster import lease, operating, serving
+from frostpost.cluster import lease, operating, serving, tenders
 from frostpost.platform import control, front, listing, routing
 from frostpost.platform.server import reply
 from frostpost.program_ledger import apply as ledger
@@ -15,6 +13,8 @@
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
+from frostpost.simulator.plants import changed
+from frostpost.turn_store import repair
 from frostpost.virtual_synchrony import recovery, settling
 from frostpost.virtual_synchrony.outer import Told
 
@@ -143,6 +143,31 @@
     return [(serving, "honoured", honoured)]
 
 
+def released_early():
+    """A replica that is emptied goes before its copies are counted, and before leases have run out."""
+
+    def emptied(ctx, changes):
+        retiring, voters = ctx.core.ledger.program_ledger.retiring, tenders.voters_of(ctx)
+        return [name for name, state in retiring.items() if state == "in_service" and name not in voters]
+
+    return [(tenders, "emptied", emptied)]
+
+
+def fetched_in_rounds():
+    """Missing bodies are asked for in rounds only."""
+    return [(repair, "wake", lambda replica: None)]
+
+
+def vote_kept():
+    """A voter that ends in order takes its vote with it."""
+    kept = tenders.view
+
+    def view(ctx, changes, name, regions):
+        return structs.replace(kept(ctx, changes, name, regions), leaving=False)
+
+    return [(tenders, "dispensable", lambda ctx, settings: False), (tenders, "view", view)]
+
+
 def orders_forgotten():
     """A change that was taken isn't known again."""
     return [(taken_changes, "was_taken", lambda program_ledger, version, digest: False)]
@@ -202,17 +227,20 @@
 }
 
 
+def never_refilled():
+    """A replica that comes back empty never gets the ledger, and acknowledges from memory for ever."""
+    return [(settling, "fetch", lambda synchrony, out: None)]
+
+
+COPY_PLANTS = {
+    "never_refilled": never_refilled,
+    "released_early": released_early,
+    "fetched_in_rounds": fetched_in_rounds,
+    "vote_kept": vote_kept,
+}
 LEASE_PLANTS = {"lease_stretched": lease_stretched, "leases_not_waited_out": leases_not_waited_out}
 
 
-@contextmanager
 def planted(name):
-    changes = {**PLANTS, **LEASE_PLANTS}[name]() if name else []
-    kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
-    for module, word, fault in changes:
-        setattr(module, word, fault)
-    try:
-        yield
-    finally:
-        for module, word, was in kept:
-            setattr(module, word, was)
+    """Context manager: put a planted error into the code; nothing for the empty name."""
+    return changed((PLANTS | COPY_PLANTS | LEASE_PLANTS)[name]() if name else [])
