--- a/tests/fleet_simulator/troubles.py
+++ b/tests/fleet_simulator/troubles.py
@@ -6,6 +6,8 @@
 from .bearing import lasting_ms, victim
 from .notes import Trouble
 
+SEED_LAG_MS = 3000
+
 
 def begin(world, kind, names):
     trouble = Trouble(kind, tuple(names), world.now_ms())
@@ -105,6 +107,18 @@
     look()
 
 
+def name_as_seed(world, daemon, fresh):
+    """Settings written from some time later on name the successor of a control machine."""
+    if daemon.role != "core":
+        return
+    old, new = f"{daemon.host.address}:{worlds.CONTROL}", f"{fresh.host.address}:{worlds.CONTROL}"
+
+    def rename():
+        world.seeds[:] = [new if seed == old else seed for seed in world.seeds]
+
+    world.later(SEED_LAG_MS, rename)
+
+
 def replace_one(world, random):
     """A machine gives way to an empty one at another address."""
     daemon = victim(world, random, "storage", "core")
@@ -117,9 +131,7 @@
     fresh = worlds.add(world, f"{daemon.role}-{daemon.zone}-x{world.serial}", daemon.role, daemon.zone)
     fresh.first = False
     trouble.names = (daemon.name, fresh.name)
-    if daemon.role == "core":
-        old, new = f"{daemon.host.address}:{worlds.CONTROL}", f"{fresh.host.address}:{worlds.CONTROL}"
-        world.later(3000, lambda: world.seeds.__setitem__(slice(None), [new if s == old else s for s in world.seeds]))
+    name_as_seed(world, daemon, fresh)
     world.later(random.uniform(300, 3000), back, world, fresh, trouble)
 
 
--- a/tests/fleet_simulator/works.py
+++ b/tests/fleet_simulator/works.py
@@ -140,6 +140,7 @@
     fresh.first = False
     trouble.names = (daemon.name, fresh.name)
     worlds.start(world, fresh)
+    troubles.name_as_seed(world, daemon, fresh)
     world.later(1000, worlds.leave, world, daemon)
 
     def gone():
