--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -10,7 +10,7 @@
 from frostpost.background.runners import poll_all
 from frostpost.background.ticking import tick_ledger
 from frostpost.daemon import disk as disks
-from frostpost.daemon.context import Context, clock_ms
+from frostpost.daemon.context import Context, Hooks, clock_ms
 from frostpost.daemon.core import begin
 from frostpost.daemon.heart import TICK_MS, beat
 from frostpost.daemon.links import listen, sender
@@ -29,9 +29,9 @@
         return
     try:
         with open(ctx.settings.hooks, "rb") as file:
-            ctx.hook = json.decode(file.read())
+            ctx.hooks = json.decode(file.read(), type=Hooks)
     except (OSError, DecodeError):
-        ctx.hook = {}
+        ctx.hooks = Hooks()
 
 
 def loops(ctx):
--- a/frostpost/cluster/context.py
+++ b/frostpost/cluster/context.py
@@ -1,5 +1,6 @@
 """The one context object of a daemon that is no member of the ring: an edge or a core daemon."""
 
+from frostpost.daemon.context import Hooks
 from frostpost.daemon.machine import MACHINE
 
 
@@ -24,7 +25,7 @@
         "leaving",
         "flights",
         "calls",
-        "hook",
+        "hooks",
         "asking",
         "tasks",
         "charter",
@@ -43,7 +44,7 @@
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
         self.leaving, self.flights, self.calls, self.tasks = False, 0, 0, []
-        self.hook, self.asking, self.ticker, self.told = {}, None, None, {}
+        self.hooks, self.asking, self.ticker, self.told = Hooks(), None, None, {}
         self.life, self.front, self.lag_ms, self.parts, self.extras = None, None, 0.0, {}, {}
 
 
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -2,9 +2,18 @@
 
 from collections import deque
 
+from msgspec import Struct
+
 from .machine import MACHINE
 
 
+class Hooks(Struct):
+    """What a test asks of a running daemon: peers whose links are cut, and milliseconds that each sync is delayed."""
+
+    cut: list[str] = []
+    sync_delay_ms: int = 0
+
+
 class Context:
     """All of a daemon's mutable state outside the pure core."""
 
@@ -31,7 +40,7 @@
         "counts",
         "bodies",
         "tasks",
-        "hook",
+        "hooks",
         "agent",
         "retries",
         "life",
@@ -57,7 +66,8 @@
         self.inputs, self.asking, self.tasks = deque(), deque(), []
         self.stepping = self.slicing = self.leaving = self.stamping = False
         self.waiters, self.links, self.routes, self.runner_health = {}, {}, {}, {}
-        self.key_waiters, self.counts, self.hook, self.documents = {}, {}, {}, {}
+        self.key_waiters, self.counts, self.documents = {}, {}, {}
+        self.hooks = Hooks()
         self.honoured = self.need_config = self.flights = self.calls = 0
         self.channels, self.ticker = {}, None
         self.list_ms = self.tick_ms = self.pruned_ms = self.listed_ms = 0
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -80,7 +80,7 @@
         """Run a job of the disk in a thread."""
         self.busy, self.since_ms = True, clock_ms(self.ctx)
         self.allowed_ms = self.bounds.detect_ms + snapshot_bytes(batch) * 1000 // self.bounds.refill_bytes_s
-        delay_ms = self.ctx.hook.get("sync_delay_ms", 0)
+        delay_ms = self.ctx.hooks.sync_delay_ms
         self.ctx.machine.in_thread(delayed, self.ctx.machine, delay_ms, job, *args).addCallbacks(
             self.done, failed, callbackArgs=(self.up_to,)
         )
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -154,7 +154,7 @@
 
 def barred(ctx, name):
     """Tell whether a test hook cuts the link to a daemon."""
-    return name in ctx.hook.get("cut", ())
+    return name in ctx.hooks.cut
 
 
 def listen(ctx, hear=received):
--- a/frostpost/simulator/valley.py
+++ b/frostpost/simulator/fleet.py
@@ -34,7 +34,7 @@
     wall_s: float = 1.8e9
 
 
-class Valley(Struct):
+class SimulatedFleet(Struct):
     """All machines of a simulation."""
 
     seed: int
@@ -53,11 +53,11 @@
     amends: int = 0
 
 
-def add_host(valley, name, zone):
+def add_host(fleet, name, zone):
     """Add a machine to the network."""
-    address = f"127.1.0.{len(valley.net.hosts) + 1}"
-    host = Host(valley.net, name, address, zone)
-    valley.net.hosts[address] = host
+    address = f"127.1.0.{len(fleet.net.hosts) + 1}"
+    host = Host(fleet.net, name, address, zone)
+    fleet.net.hosts[address] = host
     return host
 
 
@@ -85,40 +85,40 @@
 def make(seed, edges=2, storages=3, cores=2, bounds=None, pools=POOLS, doors=None):
     """Return a simulation with all daemons started."""
     random = Random(seed)
-    valley = Valley(seed, random, Net(random))
-    seconds = valley.net.clock.seconds
-    valley.notes, valley.runner_notes = Notes(None, seconds), Notes(None, seconds)
-    raise_platform(valley)
-    valley.callers = add_host(valley, "callers", "a")
-    raise_runners(valley, pools)
+    fleet = SimulatedFleet(seed, random, Net(random))
+    seconds = fleet.net.clock.seconds
+    fleet.notes, fleet.runner_notes = Notes(None, seconds), Notes(None, seconds)
+    raise_platform(fleet)
+    fleet.callers = add_host(fleet, "callers", "a")
+    raise_runners(fleet, pools)
     names = [
         (letter + str(n + 1), role, "abc"[n % 3])
         for role, letter, many in (("storage", "s", storages), ("core", "c", cores), ("edge", "e", edges))
         for n in range(many)
     ]
     voters = [n for n, role, _ in names if role == "storage"]
-    hosts = {name: add_host(valley, name, zone) for name, _, zone in names}
+    hosts = {name: add_host(fleet, name, zone) for name, _, zone in names}
     seeds = [f"{hosts[n].address}:{PORT}" for n, role, _ in names if role != "edge"][:3]
     for name, role, zone in names:
-        add(valley, name, role, zone, hosts[name], seeds, voters, bounds or {}, doors)
-    for name in valley.daemons:
-        start(valley, name)
-    return valley
+        add(fleet, name, role, zone, hosts[name], seeds, voters, bounds or {}, doors)
+    for name in fleet.daemons:
+        start(fleet, name)
+    return fleet
 
 
-def add(valley, name, role, zone, host, seeds, voters, bounds, doors=None):
+def add(fleet, name, role, zone, host, seeds, voters, bounds, doors=None):
     """Add a daemon."""
     settings = settings_of(name, role, zone, host.address, seeds, voters, bounds, doors or {})
-    drive = drives.Drive(Random(valley.random.random()))
-    valley.daemons[name] = Daemon(host, settings, drive)
-    host.thread_ms = lambda: drive.delay_ms * (0.5 + valley.random.random())
+    drive = drives.Drive(Random(fleet.random.random()))
+    fleet.daemons[name] = Daemon(host, settings, drive)
+    host.thread_ms = lambda: drive.delay_ms * (0.5 + fleet.random.random())
 
 
-def raise_platform(valley):
+def raise_platform(fleet):
     """Start the platform's list of runners."""
-    host = add_host(valley, "platform", "a")
-    valley.platform = platforms.Platform(lag_s=0.5, seconds=valley.net.clock.seconds)
-    listen(host, 80, platforms.build(valley.platform, host))
+    host = add_host(fleet, "platform", "a")
+    fleet.platform = platforms.Platform(lag_s=0.5, seconds=fleet.net.clock.seconds)
+    listen(host, 80, platforms.build(fleet.platform, host))
 
 
 def listen(host, port, site):
@@ -126,25 +126,25 @@
     TCP4ServerEndpoint(host, port).listen(site)
 
 
-def raise_runners(valley, pools):
+def raise_runners(fleet, pools):
     """Start the runners of all pools."""
     for pool, many, room in pools:
         for n in range(many):
-            host = add_host(valley, f"{pool}{n + 1}", "abc"[n % 3])
-            raise_runner(valley, host, f"{pool}{n + 1}", pool, room)
-    platforms.show(valley.platform, list(valley.rows))
-    valley.platform.pages[0] = (-1.0, list(valley.rows))
+            host = add_host(fleet, f"{pool}{n + 1}", "abc"[n % 3])
+            raise_runner(fleet, host, f"{pool}{n + 1}", pool, room)
+    platforms.show(fleet.platform, list(fleet.rows))
+    fleet.platform.pages[0] = (-1.0, list(fleet.rows))
 
 
-def raise_runner(valley, host, name, pool, room, listed=True, careless=False):
+def raise_runner(fleet, host, name, pool, room, listed=True, careless=False):
     """Start one runner and list it."""
-    serial = len(valley.runner_notes.lines) + len(valley.backs)
+    serial = len(fleet.runner_notes.lines) + len(fleet.backs)
     runner = runners.Runner(
-        name, f"i{serial}-{len(valley.backs)}", pool, host.zone, room, valley.random.randrange(1 << 30)
+        name, f"i{serial}-{len(fleet.backs)}", pool, host.zone, room, fleet.random.randrange(1 << 30)
     )
     runner.careless = careless
-    valley.backs[host.address] = runner
-    listen(host, 80, runners.build(host, runner, valley.runner_notes))
+    fleet.backs[host.address] = runner
+    listen(host, 80, runners.build(host, runner, fleet.runner_notes))
     row = {
         "name": name,
         "instance": runner.instance,
@@ -155,13 +155,13 @@
         "room": room,
     }
     if listed:
-        valley.rows = [r for r in valley.rows if r["name"] != name and r["host"] != host.address] + [row]
+        fleet.rows = [r for r in fleet.rows if r["name"] != name and r["host"] != host.address] + [row]
     return runner
 
 
-def machine_of(valley, daemon):
+def machine_of(fleet, daemon):
     """Return the clocks, threads and files of a simulated machine."""
-    token = Random(valley.random.random())
+    token = Random(fleet.random.random())
     return Machine(
         seconds=daemon.host.seconds,
         wall_s=lambda: daemon.wall_s + daemon.host.seconds(),
@@ -172,65 +172,65 @@
     )
 
 
-def start(valley, name):
+def start(fleet, name):
     """Start a daemon."""
-    daemon = valley.daemons[name]
+    daemon = fleet.daemons[name]
     daemon.host.boot()
     try:
-        daemon.ctx, site = assemble(daemon.settings, daemon.host, machine_of(valley, daemon))
+        daemon.ctx, site = assemble(daemon.settings, daemon.host, machine_of(fleet, daemon))
     except OSError as error:
-        return exited(valley, name, type(error).__name__)
-    daemon.hand = Hand(daemon.ctx, lambda: daemon.host.callLater(0, exited, valley, name, None))
+        return exited(fleet, name, type(error).__name__)
+    daemon.hand = Hand(daemon.ctx, lambda: daemon.host.callLater(0, exited, fleet, name, None))
     daemon.ctx.life = make_life(daemon.hand)
-    raise_(daemon.ctx, site, daemon.hand, lambda failure: exited(valley, name, failure.type.__name__))
+    raise_(daemon.ctx, site, daemon.hand, lambda failure: exited(fleet, name, failure.type.__name__))
 
 
-def exited(valley, name, why):
+def exited(fleet, name, why):
     """Handle a daemon's exit; one that failed is started again."""
-    daemon = valley.daemons[name]
+    daemon = fleet.daemons[name]
     status = daemon.hand.status if why is None else why
     daemon.exits.append(status)
     for call in daemon.host.die():
         drives.kill(daemon.drive, [call])
     if status != 0:
-        later(valley, 1000, revive, valley, name)
+        later(fleet, 1000, revive, fleet, name)
 
 
-def kill(valley, name, power=False):
+def kill(fleet, name, power=False):
     """Kill a daemon, or cut its power."""
-    daemon = valley.daemons[name]
+    daemon = fleet.daemons[name]
     if not daemon.host.alive:
         return
     jobs = daemon.host.die(power)
     (drives.lose_power if power else drives.kill)(daemon.drive, jobs)
 
 
-def revive(valley, name):
+def revive(fleet, name):
     """Start a daemon again if it is down."""
-    if not valley.daemons[name].host.alive:
-        start(valley, name)
+    if not fleet.daemons[name].host.alive:
+        start(fleet, name)
 
 
-def warn(valley, name):
+def warn(fleet, name):
     """Tell a daemon to leave."""
-    daemon = valley.daemons[name]
+    daemon = fleet.daemons[name]
     if daemon.host.alive:
         daemon.host.enter(daemon.ctx.life.leave)
 
 
-def later(valley, wait_ms, call, *args):
+def later(fleet, wait_ms, call, *args):
     """Schedule a call on the simulation's clock."""
-    return valley.net.clock.callLater(wait_ms / 1000, call, *args)
+    return fleet.net.clock.callLater(wait_ms / 1000, call, *args)
 
 
-def clock_ms(valley):
+def clock_ms(fleet):
     """Return the simulation's time in milliseconds."""
-    return valley.net.clock.seconds() * 1000
+    return fleet.net.clock.seconds() * 1000
 
 
-def run(valley, until_ms):
+def run(fleet, until_ms):
     """Run all machines up to a time in milliseconds."""
-    net, hosts = valley.net, list(valley.net.hosts.values())
+    net, hosts = fleet.net, list(fleet.net.hosts.values())
     while True:
         due_s = [net.clock.calls[0].getTime()] if net.clock.calls else []
         due_s += [d for h in hosts if (d := h.due_s()) is not None]
--- a/frostpost/simulator/valley_calls.py
+++ b/frostpost/simulator/fleet_calls.py
@@ -4,50 +4,50 @@
 
 from frostpost.testbed import callers
 
-from .valley import HTTP, clock_ms
+from .fleet import HTTP, clock_ms
 
 
-def doors(valley):
+def doors(fleet):
     """Return the HTTP addresses of the edge daemons."""
-    return [f"{d.host.address}:{HTTP}" for n, d in valley.daemons.items() if d.settings.role == "edge"]
+    return [f"{d.host.address}:{HTTP}" for n, d in fleet.daemons.items() if d.settings.role == "edge"]
 
 
-def ready(valley, name):
+def ready(fleet, name):
     """Tell whether a daemon serves."""
     from frostpost.daemon.core import lease_ok
 
-    daemon = valley.daemons[name]
+    daemon = fleet.daemons[name]
     ctx = daemon.ctx
     return (
         daemon.host.alive
         and not daemon.host.frozen
         and ctx is not None
         and not ctx.leaving
-        and lease_ok(ctx.core, int(clock_ms(valley)))
+        and lease_ok(ctx.core, int(clock_ms(fleet)))
         and ctx.honoured >= ctx.need_config
     )
 
 
-def crowd(valley, seconds, factor, tag="p"):
+def crowd(fleet, seconds, factor, tag="p"):
     """Start stand-in callers."""
-    valley.callers.catch_up()
-    valley.crowd = callers.Crowd(valley.callers, doors(valley), valley.seed, valley.notes, tag)
+    fleet.callers.catch_up()
+    fleet.crowd = callers.Crowd(fleet.callers, doors(fleet), fleet.seed, fleet.notes, tag)
     over = []
-    callers.arrivals(valley.crowd, seconds, factor, lambda: over.append(True))
+    callers.arrivals(fleet.crowd, seconds, factor, lambda: over.append(True))
     return over
 
 
-def call(valley, name, path, method="GET", document=None, headers=None):
+def call(fleet, name, path, method="GET", document=None, headers=None):
     """Send an HTTP request; returns a list that receives (status, body)."""
     from treq.client import HTTPClient
     from twisted.web.client import Agent
 
     from frostpost.http_api.http_client import ByNumber
 
-    host, box = valley.callers, []
+    host, box = fleet.callers, []
     host.catch_up()
     client = HTTPClient(Agent.usingEndpointFactory(host, ByNumber(host, 1)))
-    daemon = valley.daemons[name]
+    daemon = fleet.daemons[name]
     done = client.request(
         method,
         f"http://{daemon.host.address}:{HTTP}{path}",
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -7,8 +7,8 @@
 from frostpost.virtual_synchrony.state import Bounds
 
 from . import world as worlds
-from .blows import FAULTS, heal
 from .checks import Broken, evs
+from .core_faults import FAULTS, heal
 from .ledger import ledger
 from .storm import BUDGET, Work, serves, storm, tap, watch, work
 
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -25,8 +25,8 @@
 from frostpost.virtual_synchrony.state import majority
 
 from . import world as worlds
-from .blows import FAULTS, voters_down
 from .checks import Broken
+from .core_faults import FAULTS, voters_down
 
 encode = msgpack.Encoder().encode
 BUDGET = 60
--- a/frostpost/simulator/sweep.py
+++ b/frostpost/simulator/sweep.py
@@ -9,7 +9,7 @@
 from msgspec import json
 
 from . import whole
-from .blows import FAULTS
+from .core_faults import FAULTS
 from .plants import PLANTS, planted
 from .play import play
 
--- a/frostpost/simulator/whole.py
+++ b/frostpost/simulator/whole.py
@@ -9,25 +9,25 @@
 from frostpost.testbed.templates import TEMPLATES, TENANTS
 from frostpost.testbed.told import Breach
 
-from . import valley as valleys
-from . import valley_calls
-from .chores import CHORES
-from .gusts import CORE, PLATFORM, heal, roll
+from . import fleet as fleets
+from . import fleet_calls
+from .fleet_events import CHORES
+from .fleet_faults import CORE, PLATFORM, heal, roll
 
 BACK_MS = 12000
 PLANNED = {"roll": roll, **{k: v for k, v in CHORES.items() if k != "misbehave"}}
 ALL = {**CORE, **PLATFORM, **CHORES, "roll": roll}
 
 
-def slow_runners(valley, random):
+def slow_runners(fleet, random):
     """Make all runners slow."""
-    for runner in valley.backs.values():
+    for runner in fleet.backs.values():
         runner.piece_ms = 120.0
 
 
-def slow_edge(valley, random):
+def slow_edge(fleet, random):
     """Make one edge daemon's disk slow."""
-    valley.daemons["e1"].drive.delay_ms = 3500.0
+    fleet.daemons["e1"].drive.delay_ms = 3500.0
 
 
 class Report(Struct):
@@ -41,37 +41,37 @@
     runs: int
 
 
-def settled(valley, wait_ms):
+def settled(fleet, wait_ms):
     """Run until all daemons are ready, for at most `wait_ms`; returns whether they are."""
-    end_ms = valleys.clock_ms(valley) + wait_ms
-    while valleys.clock_ms(valley) < end_ms:
-        valleys.run(valley, valleys.clock_ms(valley) + 100)
-        ids = {d.ctx.core.synchrony.configuration.id for d in valley.daemons.values() if d.ctx}
-        if len(ids) == 1 and all(valley_calls.ready(valley, n) for n in valley.daemons):
+    end_ms = fleets.clock_ms(fleet) + wait_ms
+    while fleets.clock_ms(fleet) < end_ms:
+        fleets.run(fleet, fleets.clock_ms(fleet) + 100)
+        ids = {d.ctx.core.synchrony.configuration.id for d in fleet.daemons.values() if d.ctx}
+        if len(ids) == 1 and all(fleet_calls.ready(fleet, n) for n in fleet.daemons):
             return True
     return False
 
 
-def stamp_all(valley):
+def stamp_all(fleet):
     """Put all templates and tenants into effect; returns whether all were taken."""
     boxes = []
     for kind, documents in (("templates", TEMPLATES), ("tenants", TENANTS)):
         for name, document in documents.items():
-            boxes.append(valley_calls.call(valley, "e1", f"/v1/config/{kind}/{name}", "PUT", document))
+            boxes.append(fleet_calls.call(fleet, "e1", f"/v1/config/{kind}/{name}", "PUT", document))
             for _ in range(40):
                 if boxes[-1]:
                     break
-                valleys.run(valley, valleys.clock_ms(valley) + 50)
+                fleets.run(fleet, fleets.clock_ms(fleet) + 50)
     return all(b and b[0][0] == 200 for b in boxes)
 
 
-def storm(valley, random, kinds, storm_ms, gap_ms):
+def storm(fleet, random, kinds, storm_ms, gap_ms):
     """Schedule random faults."""
     at_ms, end_ms = 500.0, storm_ms
     while at_ms < end_ms:
         kind = random.choice(kinds)
-        valleys.later(valley, at_ms, ALL[kind], valley, random)
-        valley.trace.append((round(at_ms), kind))
+        fleets.later(fleet, at_ms, ALL[kind], fleet, random)
+        fleet.trace.append((round(at_ms), kind))
         at_ms += random.uniform(20, gap_ms)
 
 
@@ -90,36 +90,34 @@
 ):
     """Play one seeded storm; return (simulation, report)."""
     tight = {"rewrite_entries": 60, "piece_bytes": 1500, "batch": 16} if seed % 2 else {}
-    valley = valleys.make(seed, edges, storages, cores, bounds or tight)
+    fleet = fleets.make(seed, edges, storages, cores, bounds or tight)
     random = Random(seed * 7919 + 1)
     broken = []
-    if not settled(valley, BACK_MS) or not stamp_all(valley):
+    if not settled(fleet, BACK_MS) or not stamp_all(fleet):
         broken.append(Breach("back", "the fleet did not come up"))
-    valley_calls.crowd(valley, storm_ms / 1000 + 3, factor)
+    fleet_calls.crowd(fleet, storm_ms / 1000 + 3, factor)
     if prepare:
-        prepare(valley, random)
-    storm(valley, random, sorted(kinds or (PLANNED if planned else ALL)), storm_ms, gap_ms)
-    start_ms = valleys.clock_ms(valley)
-    valleys.run(valley, start_ms + storm_ms)
+        prepare(fleet, random)
+    storm(fleet, random, sorted(kinds or (PLANNED if planned else ALL)), storm_ms, gap_ms)
+    start_ms = fleets.clock_ms(fleet)
+    fleets.run(fleet, start_ms + storm_ms)
     if planned:
-        settled(valley, 40000)
-    heal(valley)
-    healed_ms = valleys.clock_ms(valley)
-    back_ms = valleys.clock_ms(valley) - healed_ms if settled(valley, BACK_MS) else -1.0
+        settled(fleet, 40000)
+    heal(fleet)
+    healed_ms = fleets.clock_ms(fleet)
+    back_ms = fleets.clock_ms(fleet) - healed_ms if settled(fleet, BACK_MS) else -1.0
     if back_ms < 0:
         broken.append(Breach("back", f"not served again {BACK_MS} ms after the healing"))
-    valleys.run(valley, valleys.clock_ms(valley) + 1000)
-    seen = len(valley.notes.lines)
-    valley.callers.catch_up()
-    after = callers.Crowd(valley.callers, valley_calls.doors(valley), seed + 1, valley.notes, "z")
+    fleets.run(fleet, fleets.clock_ms(fleet) + 1000)
+    seen = len(fleet.notes.lines)
+    fleet.callers.catch_up()
+    after = callers.Crowd(fleet.callers, fleet_calls.doors(fleet), seed + 1, fleet.notes, "z")
     callers.arrivals(after, 1.5, max(factor, 0.3), lambda: None)
-    valleys.run(valley, valleys.clock_ms(valley) + 6000)
-    late = summary([n for n in valley.notes.lines[seen:] if n.get("request", "z")[0] == "z"])
+    fleets.run(fleet, fleets.clock_ms(fleet) + 6000)
+    late = summary([n for n in fleet.notes.lines[seen:] if n.get("request", "z")[0] == "z"])
     if late["results"].get("served", 0) * 10 < late["asked"] * 9:
         broken.append(Breach("back", f"calls after the healing: {late['results']}"))
-    broken += judge(valley.notes.lines, valley.runner_notes.lines, planned=planned)
-    for host in valley.net.hosts.values():
+    broken += judge(fleet.notes.lines, fleet.runner_notes.lines, planned=planned)
+    for host in fleet.net.hosts.values():
         broken += [Breach("internal", f"{host.name}: {text}") for text in host.breaks[:2]]
-    return valley, Report(
-        seed, broken, back_ms, summary(valley.notes.lines), valley.trace, len(valley.runner_notes.lines)
-    )
+    return fleet, Report(seed, broken, back_ms, summary(fleet.notes.lines), fleet.trace, len(fleet.runner_notes.lines))
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -23,14 +23,14 @@
 def new_leaf(clock, name="e1", seeds=("h:9",)):
     settings = DaemonSettings(name, "edge", "z", "h", 2, seeds=seeds, lease_ms=LEASE_MS)
     leaf = Leaf(settings, clock, place_of(name, "edge", 2), Machine(seconds=clock.seconds))
-    leaf.links["send"] = lambda to, body: leaf.hook.setdefault("sent", []).append((to, body))
+    leaf.links["send"] = lambda to, body: leaf.extras.setdefault("sent", []).append((to, body))
     leaf.extras["routing_from_body"] = lambda body: body.decode()
     lease.session(leaf)
     return leaf
 
 
 def sent(leaf):
-    return leaf.hook.pop("sent", [])
+    return leaf.extras.pop("sent", [])
 
 
 def new_ring(clock, granted_ms=0, voters=("s1", "s2", "s3")):
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,6 +1,6 @@
 from test_stories import later, raised
 
-from frostpost.simulator import valley_calls
+from frostpost.simulator import fleet_calls
 from frostpost.testbed.judge import judge
 from frostpost.testbed.told import asks, error_of, route_of
 
@@ -15,14 +15,14 @@
 
 
 def test_a_crowd_is_shed_by_urgency_at_once_and_leaves_no_trace():
-    valley = raised(doors={"in_flight": 10})
-    over = valley_calls.crowd(valley, 2.5, 2.5)
-    later(valley, 2500)
-    peak = list(asks(valley.notes.lines).values())
-    later(valley, 12000)
-    assert over and valley.crowd.open == 0
-    answers = {n["request"]: n for n in valley.notes.lines if n["kind"] == "answered"}
-    found = asks(valley.notes.lines)
+    fleet = raised(doors={"in_flight": 10})
+    over = fleet_calls.crowd(fleet, 2.5, 2.5)
+    later(fleet, 2500)
+    peak = list(asks(fleet.notes.lines).values())
+    later(fleet, 12000)
+    assert over and fleet.crowd.open == 0
+    answers = {n["request"]: n for n in fleet.notes.lines if n["kind"] == "answered"}
+    found = asks(fleet.notes.lines)
     crowded = [a for a in found.values() if error_of(a) == "Crowded"]
     assert len(crowded) > 50
     assert all(answers[a.request]["retry_after"] == "1" and answers[a.request]["took_ms"] < 20 for a in crowded)
@@ -30,11 +30,11 @@
     assert share["urgent"] < share["normal"] < share["batch"]
     urgent = [a for a in found.values() if a.status == 200 and route_of(a.tenant, a.route).get("urgency") == "urgent"]
     assert urgent and all(a.answered_ms - a.asked_ms <= route_of(a.tenant, a.route)["deadline_ms"] for a in urgent)
-    assert judge(valley.notes.lines, valley.runner_notes.lines, planned=True) == []
-    ledger = valley.daemons["s1"].ctx.core.ledger
+    assert judge(fleet.notes.lines, fleet.runner_notes.lines, planned=True) == []
+    ledger = fleet.daemons["s1"].ctx.core.ledger
     assert not ledger.reservations and not ledger.running
-    seen = len(valley.notes.lines)
-    valley_calls.crowd(valley, 1.0, 0.2, tag="z")
-    later(valley, 5000)
-    after = asks(valley.notes.lines[seen:])
+    seen = len(fleet.notes.lines)
+    fleet_calls.crowd(fleet, 1.0, 0.2, tag="z")
+    later(fleet, 5000)
+    after = asks(fleet.notes.lines[seen:])
     assert sum(a.status == 200 for a in after.values()) >= 0.9 * len(after) > 0
