--- a/frostpost/program_ledger/__init__.py
+++ b/frostpost/program_ledger/__init__.py
@@ -0,0 +1,1 @@
+"""Replicated state of programs as trees of turns: attempts, budgets, operation keys, routing; pure functions."""
--- a/frostpost/program_ledger/apply.py
+++ b/frostpost/program_ledger/apply.py
@@ -35,6 +35,7 @@
 
 
 def knows(op):
+    """Tell whether an operation belongs to this ledger."""
     return type(op) in STEPS or type(op) in NAMED
 
 
@@ -46,6 +47,7 @@
 
 
 def expire_tomb(program_ledger, now_ms, name):
+    """Forget that an attempt has ended."""
     if program_ledger.tombs.get(name, 0) <= now_ms:
         program_ledger.tombs.pop(name, None)
         program_ledger.refused.pop(name, None)
@@ -61,6 +63,7 @@
 
 
 def expire(program_ledger, now_ms):
+    """Do all that is due by `now_ms` of the ledger's clock."""
     while program_ledger.expiries and program_ledger.expiries[0][0] <= now_ms:
         _, kind, name = heappop(program_ledger.expiries)
         EXPIRE[kind](program_ledger, now_ms, name)
--- a/frostpost/program_ledger/keys.py
+++ b/frostpost/program_ledger/keys.py
@@ -8,6 +8,7 @@
 
 
 def claim(program_ledger, now_ms, op):
+    """Give a key to its first attempt; others learn that it is at work, or its answer."""
     if tomb(op) in program_ledger.tombs:
         return NoAttempt(op.attempt)
     held = program_ledger.keys.get(op.key)
@@ -22,10 +23,12 @@
 
 
 def tomb(op):
+    """Return the name under which an attempt is remembered as having given up a key."""
     return f"{op.attempt}|{op.key}"
 
 
 def resolve(program_ledger, now_ms, op):
+    """Record the answer of a key's attempt."""
     held = program_ledger.keys.get(op.key)
     if held is None or held.attempt != op.attempt:
         return NoAttempt(op.attempt)
@@ -35,6 +38,7 @@
 
 
 def disclaim(program_ledger, now_ms, op):
+    """Give up a key whose work was not run; a late claim of the same attempt is refused."""
     held = program_ledger.keys.get(op.key)
     if held is not None and held.attempt == op.attempt:
         if held.answered:
@@ -45,6 +49,7 @@
 
 
 def expire_key(program_ledger, now_ms, name):
+    """Remove a key whose window has passed."""
     held = program_ledger.keys.get(name)
     if held is not None and held.until_ms <= now_ms:
         del program_ledger.keys[name]
--- a/frostpost/program_ledger/placement.py
+++ b/frostpost/program_ledger/placement.py
@@ -39,6 +39,7 @@
 
 
 def held_tokens(use, parts):
+    """Return how many tokens of the leading prompt parts a runner has read."""
     if use is None:
         return 0
     tokens = 0
@@ -50,6 +51,7 @@
 
 
 def read(use, parts, most_tokens):
+    """Count prompt parts as read by a runner; the least recently used drop out above `most_tokens`."""
     for part, size in parts:
         before = use.parts.pop(part, 0)
         use.parts[part] = size
@@ -60,11 +62,13 @@
 
 
 def leave(program_ledger, runner):
+    """Count one running attempt less at a runner."""
     use = program_ledger.runners.get(runner)
     if use is not None and use.active:
         use.active -= 1
 
 
 def forget(program_ledger, now_ms):
+    """Forget runners without attempts that were not used for a while."""
     for name in [n for n, u in program_ledger.runners.items() if not u.active and now_ms - u.used_ms > FORGET_MS]:
         del program_ledger.runners[name]
--- a/frostpost/program_ledger/settings.py
+++ b/frostpost/program_ledger/settings.py
@@ -38,6 +38,7 @@
 
 
 def retired(program_ledger, now_ms, op):
+    """Note that a storage daemon has been emptied."""
     if op.name not in program_ledger.retiring:
         return NoAttempt(op.name)
     program_ledger.retiring[op.name] = "completed"
@@ -45,6 +46,7 @@
 
 
 def look_retired(program_ledger, present, voters, op):
+    """Return how far the retirement of a storage daemon is."""
     held = program_ledger.retiring.get(op.name)
     known = op.name in present or op.name in voters
     if held == "completed" and known:
--- a/frostpost/program_ledger/state.py
+++ b/frostpost/program_ledger/state.py
@@ -16,6 +16,8 @@
 
 
 class Attempt(Struct, array_like=True):
+    """An attempt that was begun and not ended; until_ms: when it no longer occupies its runner."""
+
     program: str
     amount: int
     previous: str
@@ -37,6 +39,8 @@
 
 
 class Key(Struct, array_like=True):
+    """An operation key: the attempt that owns it, the end of its window, and the answer once there is one."""
+
     attempt: str
     until_ms: int
     answer: bytes = b""
--- a/frostpost/program_ledger/turns.py
+++ b/frostpost/program_ledger/turns.py
@@ -28,11 +28,13 @@
 
 
 def begun(program_ledger, name, attempt):
+    """Return the runner and chain of an open attempt, or NoAttempt if a part of the chain is gone."""
     chain = chain_of(program_ledger, attempt.previous)
     return NoAttempt(name) if chain is None else Begun(attempt.runner, chain)
 
 
 def begin(program_ledger, now_ms, op):
+    """Reserve budget and a runner for an attempt; the same attempt again gets the same result."""
     if op.attempt in program_ledger.tombs or op.attempt in program_ledger.turns:
         return program_ledger.refused.get(op.attempt) or NoAttempt(op.attempt)
     open_ = program_ledger.attempts.get(op.attempt)
@@ -64,6 +66,7 @@
 
 
 def move(program_ledger, now_ms, op):
+    """Give an attempt another runner; the same move again gets the same result."""
     attempt = program_ledger.attempts.get(op.attempt)
     if attempt is None:
         return NoAttempt(op.attempt)
@@ -82,12 +85,14 @@
 
 
 def unplace(program_ledger, attempt):
+    """Take an attempt off its runner."""
     if attempt.placed:
         attempt.placed = False
         leave(program_ledger, attempt.runner)
 
 
 def close(program_ledger, name, tokens):
+    """Remove an open attempt and account the tokens that it put out."""
     attempt = program_ledger.attempts.pop(name)
     unplace(program_ledger, attempt)
     account = program_ledger.accounts.get(attempt.program)
@@ -101,6 +106,7 @@
 
 
 def entomb(program_ledger, now_ms, name):
+    """Remember for a while that an attempt has ended, so that it can't begin again."""
     program_ledger.tombs[name] = now_ms + TOMB_MS
     heappush(program_ledger.expiries, (now_ms + TOMB_MS, "tomb", name))
 
@@ -113,6 +119,7 @@
 
 
 def end(program_ledger, now_ms, op):
+    """End an attempt; kept, it becomes a turn that others may follow."""
     if op.attempt not in program_ledger.attempts:
         ended = op.attempt in program_ledger.turns or op.keep_ms <= 0 and op.attempt in program_ledger.tombs
         return Ended() if ended else NoAttempt(op.attempt)
@@ -133,6 +140,7 @@
 
 
 def keep_chain(program_ledger, turn, until_ms):
+    """Keep a turn and those before it at least until `until_ms`."""
     while turn and turn in program_ledger.turns:
         held = program_ledger.turns[turn]
         if held.kept_until_ms >= until_ms:
@@ -142,6 +150,7 @@
 
 
 def abort(program_ledger, now_ms, op):
+    """End an attempt that no runner ran; it can't begin any more."""
     if op.attempt in program_ledger.attempts:
         close(program_ledger, op.attempt, 0)
     program_ledger.refused.pop(op.attempt, None)
@@ -151,12 +160,14 @@
 
 
 def expire_attempt(program_ledger, now_ms, name):
+    """Free the runner of an attempt whose time is over; its tokens stay reserved."""
     attempt = program_ledger.attempts.get(name)
     if attempt is not None:
         unplace(program_ledger, attempt)
 
 
 def expire_turn(program_ledger, now_ms, name):
+    """Remove a turn whose retention has passed."""
     turn = program_ledger.turns.get(name)
     if turn is None:
         return
@@ -168,6 +179,7 @@
 
 
 def expire_account(program_ledger, now_ms, name):
+    """Remove the account of a program that was not used for a while."""
     account = program_ledger.accounts.get(name)
     if account is None:
         return
--- a/frostpost/program_ledger/words.py
+++ b/frostpost/program_ledger/words.py
@@ -54,12 +54,16 @@
 
 
 class Claim(Struct, array_like=True, frozen=True, tag="claimKey"):
+    """Claim an operation key for an attempt."""
+
     key: str
     attempt: str
     window_ms: int
 
 
 class Resolve(Struct, array_like=True, frozen=True, tag="resolveKey"):
+    """Record the answer of a claimed key."""
+
     key: str
     attempt: str
     answer: bytes
@@ -90,16 +94,22 @@
 
 
 class Retire(Struct, array_like=True, frozen=True, tag="retire"):
+    """Begin to empty a storage daemon; least: how many others must remain."""
+
     name: str
     known: bool
     least: int
 
 
 class Retired(Struct, array_like=True, frozen=True, tag="retired"):
+    """A storage daemon has been emptied."""
+
     name: str
 
 
 class LookRetired(Struct, array_like=True, frozen=True, tag="lookRetired"):
+    """Read how far the retirement of a storage daemon is."""
+
     name: str
 
 
@@ -116,14 +126,18 @@
 
 
 class Ended(Struct, array_like=True, frozen=True, tag="ended"):
-    pass
+    """The operation took effect, or had before."""
 
 
 class NoTurn(Struct, array_like=True, frozen=True, tag="NoTurn"):
+    """The turn to follow is not kept."""
+
     turn: str
 
 
 class TokensSpent(Struct, array_like=True, frozen=True, tag="TokensSpent"):
+    """The program's budget leaves no attempt."""
+
     budget: int
     spent: int
 
@@ -135,26 +149,34 @@
 
 
 class NoAttempt(Struct, array_like=True, frozen=True, tag="NoAttempt"):
+    """There is no such attempt, or it has ended."""
+
     attempt: str
 
 
 class Claimed(Struct, array_like=True, frozen=True, tag="claimed"):
-    pass
+    """The attempt owns the key."""
 
 
 class KeyAtWork(Struct, array_like=True, frozen=True, tag="KeyAtWork"):
-    pass
+    """Another attempt owns the key and has no answer yet."""
 
 
 class KeyAnswered(Struct, array_like=True, frozen=True, tag="keyAnswered"):
+    """The key has an answer."""
+
     answer: bytes
 
 
 class RoutingSet(Struct, array_like=True, frozen=True, tag="routingSet"):
+    """The change led to this version."""
+
     version: int
 
 
 class RoutingMoved(Struct, array_like=True, frozen=True, tag="RoutingMoved"):
+    """The routing is at this version, not at the one that the change names."""
+
     version: int
 
 
--- a/frostpost/turn_store/cache.py
+++ b/frostpost/turn_store/cache.py
@@ -9,12 +9,15 @@
 
 
 class Cache(Struct):
+    """Bodies in memory, least recently used first, up to a bound in bytes."""
+
     bound_bytes: int
     items: OrderedDict
     used_bytes: int = 0
 
 
 def cache_of(leaf):
+    """Return an agent's cache; it is made at first use."""
     if leaf.cache is None:
         leaf.cache = Cache(getattr(leaf.settings, "cache_bytes", CACHE_BYTES), OrderedDict())
     return leaf.cache
@@ -29,6 +32,7 @@
 
 
 def remember(cache, turn, data):
+    """Keep a body; the least recently used drop out."""
     if len(data) + ENTRY_BYTES > cache.bound_bytes:
         return
     old = cache.items.pop(turn, None)
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -18,6 +18,8 @@
 
 
 class Put(Struct):
+    """A body on its way to the replicas; synced: those that have it on disk."""
+
     number: int
     turn: str
     data: bytes
@@ -40,12 +42,15 @@
 
 
 class Putting(Struct):
+    """Return an agent's puts and fetches; made at first use."""
+
     number: int = 0
     puts: dict[int, Put] = {}
     fetches: dict[int, Fetch] = {}
 
 
 def putting(leaf):
+    """Return an agent's puts and fetches; made at first use."""
     if not isinstance(leaf.putting, Putting):
         leaf.putting = Putting()
     return leaf.putting
@@ -69,6 +74,7 @@
 
 
 def send_puts(leaf, job):
+    """Send a body to every replica that has not confirmed it, and again after a while."""
     later(leaf, job, "resend", RESEND_MS, lambda: send_puts(leaf, job))
     message = SiloPut(leaf.place.member.boot, job.number, job.turn, job.data)
     for name, address in lease.ring_addresses(leaf).items():
@@ -96,6 +102,7 @@
 
 
 def ask_next(leaf, job):
+    """Ask another replica for what is still wanted."""
     names = sorted(lease.ring_addresses(leaf))
     fresh = [name for name in names if name not in job.asked]
     again = [name for name in job.asked if name in names and name not in job.exhausted]
@@ -109,6 +116,7 @@
 
 
 def ask(leaf, job, name):
+    """Ask one replica for what is still wanted."""
     if name in job.asked:
         job.asked.remove(name)
     job.asked.append(name)
@@ -118,6 +126,7 @@
 
 
 def out_of_reach(leaf, job):
+    """End a fetch whose bodies no replica has."""
     end(putting(leaf).fetches, job, Error(Unavailable(RETRY_MS, "bodies out of reach")))
 
 
@@ -135,6 +144,7 @@
 
 
 def done(leaf, job, name, synced):
+    """Count a replica's confirmation; a majority of the voters ends the put."""
     if not synced:
         return
     job.synced.add(name)
@@ -145,6 +155,7 @@
 
 
 def got(leaf, job, name, items):
+    """Take in the bodies that a replica sent."""
     for turn, data in items:
         if turn in job.wanted:
             del job.wanted[turn]
@@ -160,6 +171,7 @@
 
 
 def answered(leaf, job):
+    """Ask the next replica, or give up once all lack what is wanted."""
     names = lease.ring_addresses(leaf).keys()
     if names <= job.exhausted:
         out_of_reach(leaf, job)
@@ -168,6 +180,7 @@
 
 
 def later(leaf, job, what, wait_ms, call):
+    """Start a timer of a job in place of the one of the same name."""
     timer = job.timers.pop(what, None)
     if timer is not None and timer.active():
         timer.cancel()
@@ -175,6 +188,7 @@
 
 
 def drop(jobs, job):
+    """Forget a job and cancel its timers."""
     jobs.pop(job.number, None)
     for timer in job.timers.values():
         if timer.active():
@@ -182,6 +196,7 @@
 
 
 def end(jobs, job, result):
+    """End a job with a result, once."""
     if job.number in jobs:
         drop(jobs, job)
         job.result.callback(result)
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -95,11 +95,13 @@
 
 
 def denied_by_all(state, turn):
+    """Tell whether every peer has said that it lacks a turn's body."""
     tried = state.tried.get(turn)
     return tried is not None and bool(state.peers) and all(peer in tried.denied for peer in state.peers)
 
 
 def repairing(replica):
+    """Return a replica's state of repair; made at first use."""
     if replica.turn_store.repairing is None:
         replica.turn_store.repairing = Repair(int(replica.machine.token(4), 16))
     return replica.turn_store.repairing
@@ -130,6 +132,7 @@
 
 
 def ask_all(replica):
+    """Ask every peer for its next batch."""
     for peer in replica.turn_store.repairing.peers:
         ask_next(replica, peer)
 
@@ -157,6 +160,7 @@
 
 
 def send_ask(replica, state, peer, turns):
+    """Send a request for some turns' bodies to a peer."""
     now = store.now_ms(replica.turn_store)
     state.number += 1
     state.asks[peer] = Ask(state.number, turns, now + SILENT_MS, state.index)
@@ -212,5 +216,6 @@
 
 
 def woken(replica):
+    """Go on asking."""
     replica.turn_store.repairing.waking = False
     ask_all(replica)
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -15,6 +15,8 @@
 
 
 class SiloFiles(Files, frozen=True):
+    """File operations that segments need beside those of a log."""
+
     pread: Callable = os.pread
     unlink: Callable = os.unlink
     listdir: Callable = os.listdir
@@ -39,6 +41,7 @@
 
 
 def name_of(number):
+    """Return the file name of a segment."""
     return f"{number:08d}"
 
 
@@ -58,6 +61,7 @@
 
 
 def spots_of(number, found):
+    """Return where each turn's body lies in a segment: (segment, offset, length)."""
     spots = {}
     for record in found:
         with suppress(DecodeError, ValidationError):
@@ -66,6 +70,7 @@
 
 
 def roll(log):
+    """Close the open segment and open the next."""
     close_log(log)
     log.write_ahead_log, _, _ = write_ahead_logs.open_(log.folder, name_of(log.number + 1), log.files)
     log.number += 1
@@ -95,6 +100,7 @@
 
 
 def mend(log):
+    """Cut off what a failed write left behind, or close the segment."""
     if log.write_ahead_log is not None:
         try:
             log.files.ftruncate(log.write_ahead_log.fd, log.write_ahead_log.size)
@@ -103,6 +109,7 @@
 
 
 def close_log(log):
+    """Close the open segment."""
     if log.write_ahead_log is not None:
         with suppress(OSError):
             write_ahead_logs.close(log.write_ahead_log)
--- a/frostpost/turn_store/store.py
+++ b/frostpost/turn_store/store.py
@@ -47,6 +47,7 @@
 
 
 def now_ms(turn_store):
+    """Return the clock in milliseconds."""
     return int(turn_store.machine.seconds() * 1000)
 
 
@@ -71,14 +72,17 @@
 
 
 def held(turn_store, turn):
+    """Tell whether a turn's body is on disk."""
     return turn in turn_store.index
 
 
 def used_bytes(turn_store):
+    """Return the bytes on disk and in the queue."""
     return sum(turn_store.sizes.values()) + turn_store.queued_bytes
 
 
 def has_room(turn_store, count_bytes=0):
+    """Tell whether that many bytes may still be queued."""
     return (
         not turn_store.lost
         and used_bytes(turn_store) + count_bytes <= turn_store.disk_bytes
@@ -102,17 +106,20 @@
 
 
 def enqueue(turn_store, turn, data):
+    """Queue a body for writing."""
     turn_store.pending[turn] = []
     turn_store.queue.append((turn, data))
     turn_store.queued_bytes += len(data)
 
 
 def keep_young(turn_store, turn):
+    """Keep a body from expiring for a while, until the ledger knows its turn."""
     turn_store.young.pop(turn, None)
     turn_store.young[turn] = now_ms(turn_store)
 
 
 def write_next(turn_store):
+    """Write the queue as one batch, if none is being written."""
     if turn_store.busy or turn_store.lost or not turn_store.queue:
         return
     batch, turn_store.queue = turn_store.queue, []
@@ -124,6 +131,7 @@
 
 
 def settle(turn_store, batch, written, fault=None):
+    """Take over what a batch wrote, and answer those who wait for it."""
     turn_store.busy = False
     turn_store.queued_bytes -= sum(len(data) for _, data in batch)
     if written is not None:
@@ -146,6 +154,7 @@
 
 
 def drop_queue(turn_store):
+    """Empty the queue; return the (Deferred, turn) pairs that waited."""
     waiting = [(d, turn) for turn, _ in turn_store.queue for d in turn_store.pending.pop(turn)]
     turn_store.queued_bytes -= sum(len(data) for _, data in turn_store.queue)
     turn_store.queue = []
@@ -192,6 +201,7 @@
 
 
 def remove_segment(turn_store, number):
+    """Remove a segment's file."""
     try:
         turn_store.log.files.unlink(os.path.join(turn_store.log.folder, name_of(number)))
     except FileNotFoundError:
@@ -203,6 +213,7 @@
 
 
 def move_sparse(turn_store, live_bytes):
+    """Write the live bodies of a sparse segment again, so that it can be removed."""
     sparse = [n for n, total in live_bytes.items() if total * 2 < turn_store.sizes[n]]
     if turn_store.lost or not sparse:
         return
--- a/frostpost/write_ahead_log/__init__.py
+++ b/frostpost/write_ahead_log/__init__.py
@@ -0,0 +1,1 @@
+"""An append-only checksummed log with snapshots by rewriting."""
--- a/frostpost/write_ahead_log/disk.py
+++ b/frostpost/write_ahead_log/disk.py
@@ -87,6 +87,7 @@
 
 
 def set_aside(log, offset):
+    """Move a damaged file aside and return the error."""
     moved_to = f"{log.path}.corrupt-{offset}"
     log.files.replace(log.path, moved_to)
     return Corrupt(log.path, offset, moved_to)
@@ -107,6 +108,7 @@
 
 
 def write_again(log, data, offset):
+    """Write the believed bytes again, so that no page counts as clean that never reached the disk."""
     fd = log.files.open(log.path, os.O_WRONLY)
     try:
         view = memoryview(data)
--- a/frostpost/write_ahead_log/records.py
+++ b/frostpost/write_ahead_log/records.py
@@ -71,6 +71,7 @@
 
 
 def read_current(data, offset):
+    """Read a record of the current format at an offset, or return None."""
     start = offset + HEADER.size
     if start > len(data):
         return None
@@ -82,6 +83,7 @@
 
 
 def read_first_format(data, offset):
+    """Read a record of the first format at an offset, or return None."""
     start = offset + HEADER_1.size
     if start > len(data):
         return None
@@ -108,6 +110,7 @@
 
 
 def continues(record, serial, checksum):
+    """Tell whether a record follows the one before it."""
     expected = serial if record.is_mark else serial + 1
     return record.serial == expected and record.previous in (None, checksum)
 
@@ -122,6 +125,7 @@
 
 
 def valid_records(data, magic, start):
+    """Yield the valid records that begin with a magic number, from an offset on."""
     offset = data.find(magic, start)
     while offset >= 0:
         record = read_at(data, offset)
