--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -57,21 +57,28 @@
     return ctx.core.ledger.voters or synchrony.voters or synchrony.voters0
 
 
+def meet(sessions, place, version, now):
+    """Note an agent that speaks, also where this replica doesn't lead: it greets the agent when it comes to."""
+    seen = sessions.leaves.get(place.member.name)
+    address = f"@{place.host}:{place.port}"
+    if seen is None or seen.boot != place.member.boot:
+        seen = LeafSeen(address, place.member.boot, version, now - 1)
+        sessions.leaves[place.member.name], sessions.survey = seen, None
+    seen.address = address
+    return seen
+
+
 def renewed(ctx, sessions, place, message):
     """A leaf renews its lease; -> the Grant."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not sequencing(ctx):
+        meet(sessions, place, message.version, now)
         return Grant(message.sent_ms, 0, sequencer(synchrony) if synchrony.primary.opened else "")
     held = ctx.core.ledger.program_ledger.routing_version
     follow(ctx, sessions)
-    seen = sessions.leaves.get(place.member.name)
-    address = f"@{place.host}:{place.port}"
-    if seen is None or seen.boot != place.member.boot:
-        seen = LeafSeen(address, place.member.boot, message.version, now - 1)
-        sessions.leaves[place.member.name], sessions.survey = seen, None
+    seen = meet(sessions, place, message.version, now)
     if message.version > seen.version:
         seen.version, sessions.survey = message.version, None
-    seen.address = address
     left_ms = lease_remaining_ms(synchrony, now)
     graced = seen.until_ms > now and now - sessions.version_ms <= synchrony.bounds.lease_ms * GRACE_RATIO
     lease_ms = left_ms if seen.version >= held or graced else 0
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/watch.py
@@ -1,3 +1,4 @@
+from .memory import NOWHERE
 from .state import RANK, role
 from .words import Beat, Install
 
@@ -13,7 +14,8 @@
 
 def judged(synchrony, peer):
     """What a tick judges of a peer, as far as heartbeats tell it."""
-    return alive(synchrony, peer), peer.hears, peer.configuration, peer.promised, peer.ready
+    told = peer.hears, peer.configuration, peer.promised, peer.ready, peer.serving, peer.last_primary
+    return alive(synchrony, peer), *told
 
 
 def hearing(synchrony):
@@ -25,18 +27,44 @@
     return graph
 
 
+def serving(synchrony):
+    """Whether this daemon stands in an opened primary that no proposal has reached."""
+    return synchrony.primary.opened and synchrony.recovery is None and synchrony.proposal is None
+
+
+def preference(synchrony, member):
+    """Sort key of the order in which members are taken into the wanted configuration.
+
+    Members of an opened primary come first, of the newest where there are several, then those that were in a primary
+    before, then newcomers: who can't hear all of a primary that serves doesn't break it up by the order of names.
+    """
+    if member == synchrony.me:
+        opened, epoch, last = serving(synchrony), synchrony.configuration.id.epoch, synchrony.log.primary
+    else:
+        peer = synchrony.peers[member.name]
+        opened, epoch, last = peer.serving, peer.configuration.epoch, peer.last_primary
+    return -epoch if opened else 0, last == NOWHERE
+
+
+def rank(synchrony, member):
+    """Sort key of the members of a configuration: replicas first, then by name."""
+    return RANK[role(synchrony, member.name)], member.name, member.boot
+
+
 def desire(synchrony):
+    """The configuration that this daemon wants: the first clique, in order of preference, that it is a member of."""
     if synchrony.unwell or synchrony.leaving:
         return (synchrony.me,)
     graph = hearing(synchrony)
-    rest = sorted(graph, key=lambda m: (RANK[role(synchrony, m.name)], m.name, m.boot))
+    rest = sorted(graph, key=lambda member: rank(synchrony, member))
+    rest.sort(key=lambda member: (RANK[role(synchrony, member.name)], *preference(synchrony, member)))
     while True:
         group: list = []
         for member in rest:
             if all(member in graph[g] and g in graph[member] for g in group):
                 group.append(member)
         if synchrony.me in group:
-            return tuple(group)
+            return tuple(sorted(group, key=lambda member: rank(synchrony, member)))
         rest = [m for m in rest if m not in group]
 
 
@@ -57,6 +85,8 @@
                     synchrony.primary.ready,
                     synchrony.applied,
                     dict(synchrony.news),
+                    serving(synchrony),
+                    synchrony.log.primary,
                 ),
             )
         )
@@ -69,7 +99,7 @@
     peer.hears = frozenset(message.hears)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
-    peer.news = message.news
+    peer.news, peer.serving, peer.last_primary = message.news, message.serving, message.last_primary
     if before != judged(synchrony, peer):
         synchrony.changed = True
     agreed = message.configuration == synchrony.configuration.id == message.promised
