--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -167,6 +167,7 @@
 
 
 def count_holders(leaf, job):
+    """End a put, and keep its body, once a majority of the voters has it on disk."""
     if lasts(leaf, job.synced):
         remember(cache_of(leaf), job.turn, job.data)
         end(putting(leaf).puts, job, Ok(Synced(frozenset(job.synced))))
