--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -12,6 +12,7 @@
 from frostpost.cluster import assembly, founding, peers, ring
 from frostpost.daemon import disk as keepers
 from frostpost.daemon import rewriting as rewritings
+from frostpost.daemon.context import Hooks
 from frostpost.turn_store import segments
 from frostpost.virtual_synchrony.events import Booted, Probe, Rewrite, Snapshot
 from frostpost.write_ahead_log import disk as logs
@@ -170,7 +171,7 @@
         self.threads, self.synced, self.stalled, self.crashed, self.now_s = Threads(), 0, [], [], 0.0
         machine = Machine(seconds=lambda: self.now_s, in_thread=self.threads.run, files=model.files_of(disk))
         core = SimpleNamespace(synchrony=SimpleNamespace(bounds=Bounds()), snapshots=SimpleNamespace(busy=False))
-        self.ctx = SimpleNamespace(machine=machine, hook={}, core=core, counts={}, stepping=True, inputs=self)
+        self.ctx = SimpleNamespace(machine=machine, hooks=Hooks(), core=core, counts={}, stepping=True, inputs=self)
         self.ctx.life = SimpleNamespace(crash=lambda: self.crashed.append(True))
         log, self.records, self.fault = keepers.open_(FOLDER, machine.files)
         self.keeper = keepers.Keeper(self.ctx, log)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,6 +6,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from frostpost.cluster.settings import DaemonSettings
+from frostpost.daemon.context import Hooks
 from frostpost.daemon.links import Links
 from frostpost.virtual_synchrony.outer import Hello
 from frostpost.virtual_synchrony.words import Member, Place
@@ -23,7 +24,7 @@
     reactor = MemoryReactorClock()
     settings = DaemonSettings("s1", "storage", "z", "10.0.0.1", 7380, detect_ms=500)
     place = Place(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
-    return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hook={}))
+    return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hooks=Hooks()))
 
 
 def dials(links):
