--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -60,6 +60,7 @@
                 founding.waits(leaf, place.member.name)
             elif not leaf.directory:
                 leaf.extras.setdefault("askers", {})[place.member.name] = place
+                return
             direct(leaf, place)
         case Roster():
             lease.directed(leaf, [place])
--- a/frostpost/daemon/ticker.py
+++ b/frostpost/daemon/ticker.py
@@ -5,6 +5,10 @@
 from twisted.python.failure import Failure
 
 
+# A tick this share of a period away counts as reached: times are sums of floating-point numbers.
+ROUNDING = 1e-3
+
+
 class Ticker:
     """Runs a job at the ticks of a fixed period, but only from the tick on at which something is due.
 
@@ -58,5 +62,5 @@
     def _delay_s(self, in_ms):
         """Seconds to the first tick at which that time is over, at least to the next tick."""
         passed = (self.reactor.seconds() - self.origin_s) / self.period_s
-        ticks = max(ceil(passed + in_ms / 1000 / self.period_s), int(passed) + 1)
-        return max(0.0, (ticks - passed) * self.period_s)
+        ticks = max(ceil(passed + in_ms / 1000 / self.period_s - ROUNDING), int(passed + ROUNDING) + 1)
+        return (ticks - passed) * self.period_s
--- a/frostpost/virtual_synchrony/roster.py
+++ b/frostpost/virtual_synchrony/roster.py
@@ -1,9 +1,12 @@
 """Who is where: replicas tell it each other and the seeds, often only while it is news.
 
-A replica outside an opened primary tells all that it knows, in every period and to everybody. In an opened primary a
-list that has changed is told a few times; then each member repeats it now and then, and only the sequencer goes on
-reporting to the seeds in every period. Its report has no places, and so has every member's repeated one to the seeds:
-a seed takes the sender's place from the frame, and answers a report without places only if it has news.
+A replica outside an opened primary tells all that it knows to its peers in every period. In an opened primary a list
+that has changed is told a few times, and then repeated now and then.
+
+A seed keeps the places of those that report to it, and answers with its directory. A replica outside an opened primary
+reports in every period and names itself, to which a seed always answers. A member of one reports without any place, to
+which a seed answers only with news: in as many periods after a change as it tells its peers, then now and then, the
+sequencer always.
 """
 
 from .state import Peer, sequencer
@@ -14,7 +17,7 @@
 
 
 def tell(synchrony, out):
-    """Tell what this replica knows of all places, as far as it is due in this period."""
+    """Tell peers and seeds of places, as far as it is due in this period."""
     synchrony.roster_ms = synchrony.now_ms
     places = (synchrony.place, *(peer.place for peer in synchrony.peers.values()))
     if places != synchrony.roster_places:
@@ -22,11 +25,11 @@
     synchrony.roster_periods += 1
     fresh = not settled(synchrony) or synchrony.roster_periods <= REPEATS
     again = synchrony.roster_periods % REMIND_PERIODS == 0
-    whole = Roster(places, synchrony.leaving)
     if fresh or again or sequencer(synchrony) == synchrony.name:
-        report = whole if fresh else Roster((), synchrony.leaving)
+        report = Roster(() if settled(synchrony) else (synchrony.place,), synchrony.leaving)
         out.sends += [(seed, report) for seed in distant_seeds(synchrony)]
     if fresh or again:
+        whole = Roster(places, synchrony.leaving)
         out.sends += [(name, whole) for name in synchrony.peers]
 
 
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -146,3 +146,21 @@
     monkeypatch.setattr(watch, "beaten", forgetful)
     plays.play(13, 0, 5, 0, gap_ms=1500)
     assert slept.effects
+
+
+@pytest.mark.parametrize("period_s", (0.02, 0.05, 0.1, 1 / 3))
+@pytest.mark.parametrize("start_s", (0.0, 1.1, 12345.6789, 1e6 + 0.3))
+def test_tick_never_comes_twice_however_times_are_rounded(period_s, start_s):
+    clock, ran = Clock(), []
+    clock.rightNow = start_s
+
+    def run():
+        ran.append(clock.seconds())
+        assert len(ran) <= 400
+
+    ticker = Ticker(clock, period_s, run, lambda: 0, lambda failure: failure.raiseException())
+    ticker.start()
+    for _ in range(200):
+        clock.advance(clock.calls[0].getTime() - clock.seconds())
+    assert len(ran) == pytest.approx(200, abs=1)
+    assert min(later - before for before, later in zip(ran, ran[1:], strict=False)) > period_s / 2
