--- a/tests/fleet_simulator/race_day.py
+++ b/tests/fleet_simulator/race_day.py
@@ -10,7 +10,10 @@
 from .races import Races, acknowledged
 from .stage import await_, crowd_of, open_, probe, settle
 
-CONTROL_KINDS = ("kill", "kill_storage", "freeze", "cut", "cut_halves", "slow_disk", "storage_power", "replace", "wipe")
+CONTROL_KINDS = (
+    *("node_kill", "node_kill_storage", "node_freeze", "core_cut", "halves", "disk_slow", "storage_power"),
+    *("replace_core", "wipe"),
+)
 PATIENCE_MS = 9000
 
 
