--- /dev/null
+++ b/frostpost/simulator/explore_plants.py
@@ -0,0 +1,159 @@
+"""Safety rules of the ordering protocol that the model checker can switch off, each by substituting one function."""
+
+from frostpost.ledger import apply as applying
+from frostpost.ledger.results import VotersSet
+from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
+from frostpost.virtual_synchrony.state import names
+from frostpost.virtual_synchrony.words import Safe, TurnAway
+
+from .plants import any_voter, eager_deliver, old_length
+
+ORIGINAL = {
+    "settle": recovery.settle,
+    "drain": settling.drain,
+    "become_ready": settling.become_ready,
+    "beaten": watch.beaten,
+    "refill": settling.refill,
+}
+
+
+def acknowledge_unsynced(synchrony, out):
+    """A replica acknowledges what it has written and not synced."""
+    order = synchrony.order
+    while order.top + 1 in order.held:
+        order.top += 1
+        if synchrony.storage and synchrony.primary.ready_at >= 0:
+            settling.record(synchrony, out, order.held[order.top])
+    ordering.acknowledge(synchrony, out, order.top)
+
+
+def promise_anything(synchrony, out, frm, message):
+    """A member forgets that it promised a higher configuration."""
+    if synchrony.me not in message.members:
+        out.sends.append((frm, TurnAway(message.id, synchrony.promised)))
+        return
+    membership.promise(synchrony, out, frm, message)
+
+
+def never_bound(synchrony, id):
+    """A member that confirmed a configuration takes part in another of the same epoch."""
+    return False
+
+
+def confirm_unsynced(synchrony, out):
+    """A member confirms a recovery before its disk has synced what it was handed."""
+    synced, synchrony.synced = synchrony.synced, synchrony.wrote + len(synchrony.order.held)
+    ORIGINAL["settle"](synchrony, out)
+    synchrony.synced = synced
+
+
+def one_acknowledgement(synchrony, out, frm, message):
+    """What one member has acknowledged counts as held by all."""
+    order = synchrony.order
+    if message.id == synchrony.configuration.id and not synchrony.recovery and message.top > order.acks.get(frm, 0):
+        order.acks[frm] = message.top
+        for name in names(synchrony.configuration):
+            out.sends.append((name, Safe(synchrony.configuration.id, message.top)))
+
+
+def own_changes_only(plan, best):
+    """Changes of voters that other members hold aren't counted."""
+    return best.coming
+
+
+def no_changes(plan, best):
+    """Changes of voters that aren't settled aren't counted."""
+    return ()
+
+
+def apply_before_ready(synchrony, out):
+    """A replica applies entries before its log reaches them, and so never logs them."""
+    primary = synchrony.primary
+    if not synchrony.storage or primary.ready_at >= 0:
+        return ORIGINAL["drain"](synchrony, out)
+    while primary.settled and synchrony.applied + 1 in synchrony.waiting:
+        settling.apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
+
+
+def stale_voters(synchrony, out):
+    """A replica records the voters that the donor told, though it has applied later changes."""
+    voters, synchrony.voters = synchrony.voters, ()
+    ORIGINAL["become_ready"](synchrony, out)
+    synchrony.voters = voters
+
+
+def old_voters_keep(entries):
+    """In a recovery, what follows a change of voters is kept by a majority of the old voters alone."""
+    return ()
+
+
+def confirmed_keeps(synchrony, group):
+    """A member that has confirmed a recovery helps to keep entries in another one from the same configuration."""
+    plan, last = synchrony.recovery.plan, synchrony.configuration.id
+    return [n for n in group if plan[n].memory and plan[n].memory.primary == last]
+
+
+def any_voters(ledger, entry, op):
+    """Voters are replaced without a check of what they were before."""
+    ledger.voters = op.after
+    return VotersSet(op.after)
+
+
+def always_leased(synchrony, now_ms):
+    """A replica that has opened a primary once holds a lease for good."""
+    return synchrony.primary.opened
+
+
+def echo_for_all(synchrony, out, frm, message):
+    """A voter's heartbeat extends a lease though it has promised another configuration."""
+    ORIGINAL["beaten"](synchrony, out, frm, message)
+    peer = synchrony.peers[frm]
+    peer.granted_ms = max(peer.granted_ms, message.echo_ms)
+
+
+def lease_from_receipt(synchrony, out, frm, message):
+    """A lease counts from when the heartbeat came back."""
+    ORIGINAL["beaten"](synchrony, out, frm, message)
+    peer = synchrony.peers[frm]
+    if peer.granted_ms == message.echo_ms:
+        peer.granted_ms = synchrony.now_ms
+
+
+def no_rebroadcast(synchrony, out):
+    """Members hand nothing on in a recovery."""
+    synchrony.recovery.owed = {}
+
+
+def no_resend(synchrony, out):
+    """Nothing is sent again."""
+
+
+def never_opened(synchrony, out, index, state):
+    """A replica that was refilled past the opening never counts its primary as open."""
+    opened = synchrony.primary.opened
+    ORIGINAL["refill"](synchrony, out, index, state)
+    synchrony.primary.opened = opened
+
+
+PLANTS = {
+    "acknowledge_unsynced": [(ordering, "advance", acknowledge_unsynced), (recovery, "advance", acknowledge_unsynced)],
+    "minority_primary": [(settling, "majorities", any_voter), (recovery, "majorities", any_voter)],
+    "base_before_rebroadcast": [(settling, "length_of", old_length)],
+    "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
+    "one_acknowledgement": [(ordering, "acked", one_acknowledgement)],
+    "promise_anything": [(membership, "proposed", promise_anything)],
+    "never_bound": [(membership, "bound", never_bound)],
+    "confirm_unsynced": [(recovery, "settle", confirm_unsynced)],
+    "own_changes_only": [(settling, "coming", own_changes_only)],
+    "no_changes": [(settling, "coming", no_changes)],
+    "apply_before_ready": [(settling, "drain", apply_before_ready)],
+    "stale_voters": [(settling, "become_ready", stale_voters)],
+    "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
+    "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
+    "any_voters": [(applying, "voters_", any_voters)],
+    "always_leased": [(watch, "lease_ok", always_leased)],
+    "echo_for_all": [(watch, "beaten", echo_for_all)],
+    "lease_from_receipt": [(watch, "beaten", lease_from_receipt)],
+    "no_rebroadcast": [(recovery, "rebroadcast", no_rebroadcast)],
+    "no_resend": [(ordering, "remind", no_resend)],
+}
