--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,5 +1,5 @@
 from .events import Booted
-from .memory import memory
+from .memory import memory, voters_in
 from .state import Proposal, Recovery, count, elect, write
 from .watch import desire
 from .words import ConfigurationId, Exchange, Install, Plan, Propose, TurnAway
@@ -64,7 +64,7 @@
     known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
         return say_exchange(synchrony, out)
-    if message.id <= synchrony.promised or synchrony.me not in message.members:
+    if message.id <= synchrony.promised or bound(synchrony, message.id) or synchrony.me not in message.members:
         out.sends.append((frm, TurnAway(message.id, synchrony.promised)))
         return
     if synchrony.proposal and synchrony.proposal.id < message.id:
@@ -72,6 +72,16 @@
     promise(synchrony, out, frm, message)
 
 
+def bound(synchrony, id):
+    """Whether this member has confirmed another configuration of the same epoch, which may open a primary.
+
+    An opened primary was confirmed by a majority of the voters, so no second one can be opened in its epoch.
+    """
+    if id.epoch != synchrony.promised.epoch:
+        return False
+    return synchrony.recovery is None or synchrony.recovery.complete
+
+
 def promise(synchrony, out, frm, message):
     synchrony.promised = message.id
     synchrony.recovery = Recovery(
@@ -95,6 +105,7 @@
         memory(synchrony.log) if synchrony.storage else None,
         synchrony.applied,
         synchrony.voters or synchrony.voters0,
+        voters_in(order.held.values()),
     )
     out.sends.append((synchrony.recovery.proposer, said))
 
--- a/frostpost/virtual_synchrony/memory.py
+++ b/frostpost/virtual_synchrony/memory.py
@@ -56,5 +56,9 @@
 
 
 def coming(log):
-    tail = log.entries[max(0, log.settled - log.start) :]
-    return tuple(decode_voters(e.payload).after for e in tail if e.payload[:8] == VOTERS_HEAD)
+    return voters_in(log.entries[max(0, log.settled - log.start) :])
+
+
+def voters_in(entries):
+    """The sets of voters that entries ask for."""
+    return tuple(decode_voters(e.payload).after for e in entries if e.payload[:8] == VOTERS_HEAD)
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -1,7 +1,8 @@
 from .events import Changed, Delivered
+from .memory import voters_in
 from .ordering import act, advance
 from .settling import judge, prepare
-from .state import Order, count, majorities, sequencer
+from .state import Order, count, majorities, majority, sequencer
 from .words import Complete, Configuration, Rebroadcast
 
 
@@ -98,15 +99,17 @@
     recovery, order = synchrony.recovery, synchrony.order
     group = [m.name for m in recovery.group]
     safe = max(recovery.plan[n].safe for n in group)
-    acting = synchrony.primary.able
+    acting, changes = synchrony.primary.able, []
     while order.delivered < safe and order.delivered + 1 in order.held:
         order.delivered += 1
         entry = order.held[order.delivered]
         out.answers.append(Delivered(entry, False, acting))
+        changes += voters_in([entry])
         if acting:
             act(synchrony, out, entry)
     out.answers.append(Changed(Configuration(synchrony.configuration.id, recovery.group, sequencer(synchrony)), True))
-    keeping = acting and majorities(synchrony.primary, full_voters(synchrony, group))
+    full = full_voters(synchrony, group)
+    keeping = acting and majorities(synchrony.primary, full) and all(majority(v, full) for v in changes)
     gap = False
     for ordinal in sorted(o for o in order.held if o > order.delivered):
         if ordinal != order.delivered + 1:
@@ -119,6 +122,7 @@
         out.answers.append(Delivered(entry, True, keeping and not gap))
         if keeping and not gap:
             act(synchrony, out, entry)
+            keeping = all(majority(voters, full) for voters in voters_in([entry]))
     begin(synchrony, out)
 
 
@@ -128,8 +132,13 @@
 
 
 def full_voters(synchrony, group):
+    """Members whose logs hold what this configuration ordered, and that have confirmed no other recovery from it.
+
+    One that has may already count for a primary that begins without the entries that would be kept here.
+    """
     plan, last = synchrony.recovery.plan, synchrony.configuration.id
-    return [n for n in group if plan[n].memory and plan[n].memory.primary == last]
+    full = [n for n in group if plan[n].memory and plan[n].memory.primary == last]
+    return [n for n in full if not plan[n].obligations]
 
 
 def begin(synchrony, out):
--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -25,6 +25,12 @@
     return said.memory.length - said.top + reach(plan, said.last)
 
 
+def coming(plan, best):
+    """Voters that unsettled entries ask for; any member may be the only one that holds such an entry."""
+    said = [voters for e in plan.values() if e.last == best.primary for voters in e.coming]
+    return tuple(dict.fromkeys((*best.coming, *said)))
+
+
 def judge(plan):
     memories = {n: e.memory for n, e in plan.items() if e.memory}
     if not memories:
@@ -35,7 +41,7 @@
     donor = max(memories, key=lambda n: (memories[n].primary, lengths[n], n))
     best, base = memories[donor], lengths[donor]
     untouched = base <= 1 and all(v in plan for v in best.voters)
-    found = Primary(donor=donor, base=base, voters=best.voters, coming=best.coming)
+    found = Primary(donor=donor, base=base, voters=best.voters, coming=coming(plan, best))
     if majorities(found, memories) or untouched:
         found.able = True
         return found
@@ -55,7 +61,8 @@
 
 def become_ready(synchrony, out):
     primary, log = synchrony.primary, synchrony.log
-    log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, primary.voters
+    voters = synchrony.voters or primary.voters
+    log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, voters
     del log.entries[max(0, primary.base - log.start) :]
     primary.ready_at = write(synchrony, out, Installed(log.primary, log.base, log.voters))
     later = {**synchrony.waiting}
@@ -113,7 +120,7 @@
 
 def drain(synchrony, out):
     log, primary = synchrony.log, synchrony.primary
-    if not primary.settled:
+    if not primary.settled or (synchrony.storage and primary.ready_at < 0):
         return
     if synchrony.waiting and synchrony.storage and primary.ready_at >= 0:
         first = min(synchrony.waiting)
--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/words.py
@@ -79,6 +79,8 @@
 
 
 class Exchange(Struct, frozen=True, array_like=True, tag=5):
+    """What a member holds at the start of a recovery. coming: voters asked for by entries that it has not delivered."""
+
     id: ConfigurationId
     last: ConfigurationId
     top: int
@@ -88,6 +90,7 @@
     memory: Memory | None
     applied: int
     voters: tuple[str, ...]
+    coming: tuple[tuple[str, ...], ...] = ()
 
 
 class Plan(Struct, frozen=True, array_like=True, tag=6):
