--- a/frostpost/simulator/explore_hash.py
+++ b/frostpost/simulator/explore_hash.py
@@ -9,7 +9,20 @@
 
 OLD_MS = 2000
 OLD_SHUN_MS = 11000
-UNOBSERVED = {"counts", "bounds", "place", "wrote", "synced", "acks_at", "ready_at", "sync_at", "work", "state"}
+# Counters of statistics and of how often addresses were told again; marks on the disk, which `unsynced` tells apart.
+UNOBSERVED = {
+    "counts",
+    "bounds",
+    "place",
+    "wrote",
+    "synced",
+    "acks_at",
+    "ready_at",
+    "sync_at",
+    "roster_periods",
+    "work",
+    "state",
+}
 WHOLE = {tuple, list, set, frozenset, bytearray}
 SIMPLE = {int, str, bytes, bool, float, type(None)}
 encode = msgpack.Encoder(order="deterministic").encode
