--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -1,7 +1,7 @@
 from msgspec import msgpack
 
 from .events import Appended, Applied, Filled, Installed, Open, Snapshot, SnapshotAsked, SnapshotReceived
-from .memory import NOWHERE
+from .memory import NOWHERE, pending_voters
 from .state import Primary, count, majorities, names, role, sequencer, write
 from .words import Entry, Fetch, Fill, Ready
 
@@ -33,7 +33,7 @@
     donor = max(memories, key=lambda n: (memories[n].primary, lengths[n], n))
     best, base = memories[donor], lengths[donor]
     untouched = base <= 1 and all(v in plan for v in best.voters)
-    found = Primary(donor=donor, base=base, voters=best.voters, coming=best.coming)
+    found = Primary(donor=donor, base=base, voters=best.voters, coming=pending_voters(plan, best))
     if majorities(found, memories) or untouched:
         found.able = True
         return found
@@ -53,7 +53,8 @@
 
 def become_ready(synchrony, out):
     primary, log = synchrony.primary, synchrony.log
-    log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, primary.voters
+    voters = synchrony.voters or primary.voters
+    log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, voters
     del log.entries[max(0, primary.base - log.start) :]
     primary.ready_at = write(synchrony, out, Installed(log.primary, log.base, log.voters))
     later = {**synchrony.waiting}
