--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -9,6 +9,8 @@
 
 RENEWS = 5
 SEEKS = 20
+# One renewal in so many goes to all replicas, which forget agents that they do not hear for long.
+INTRODUCE_EVERY = 256
 NEVER = -(1 << 40)
 
 
@@ -19,6 +21,7 @@
     until_ms: int = NEVER
     heard_ms: int = NEVER
     renewed_ms: int = NEVER
+    renewals: int = 0
     greeted_ms: int = NEVER
     asked_ms: int = NEVER
     epoch: int = 0
@@ -68,6 +71,12 @@
             leaf.links["send"](f"@{seed}", Hello())
 
 
+def renewal(leaf):
+    """The request for a lease as of now."""
+    held = session(leaf)
+    return Renew(now_ms(leaf), held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
+
+
 def due_ms(leaf):
     """When `tend` has something to do next, on this daemon's clock."""
     held = session(leaf)
@@ -80,14 +89,34 @@
 
 def renew(leaf):
     held, now = session(leaf), now_ms(leaf)
-    held.renewed_ms = now
-    message = Renew(now, held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
-    everywhere = now - held.heard_ms > 2 * (leaf.settings.lease_ms // RENEWS)
+    held.renewed_ms, held.renewals = now, held.renewals + 1
+    message = renewal(leaf)
+    lost = now - held.heard_ms > 2 * (leaf.settings.lease_ms // RENEWS)
+    everywhere = lost or held.renewals % INTRODUCE_EVERY == 0
     for name, address in ring_addresses(leaf).items():
         if everywhere or name == held.sequencer:
             leaf.links["send"](address, message)
 
 
+def search(leaf):
+    """The sequencer has no lease to give: ask all of the ring, now and then at the pace of a search."""
+    held = session(leaf)
+    held.heard_ms = NEVER
+    if now_ms(leaf) - held.renewed_ms >= leaf.settings.lease_ms // SEEKS:
+        renew(leaf)
+    if leaf.ticker is not None:
+        leaf.ticker.wake(due_ms(leaf) - now_ms(leaf))
+
+
+def greeted(leaf, place):
+    """A daemon of the ring speaks unasked: one that isn't the known sequencer may have come to be it."""
+    held = session(leaf)
+    if not lease_ok(leaf):
+        renew(leaf)
+    elif place.member.name != held.sequencer:
+        leaf.links["send"](address_of(place), renewal(leaf))
+
+
 def directed(leaf, places):
     """Places of the ring's daemons, told by any daemon."""
     session(leaf)
@@ -99,15 +128,34 @@
         renew(leaf)
 
 
+def redirected(leaf, place, leader):
+    """A replica that doesn't lead names the leader that it knows, if any; -> whether the leader changed."""
+    held = session(leaf)
+    from_leader = place.member.name == held.sequencer
+    if leader and leader != held.sequencer and (from_leader or not lease_ok(leaf)):
+        held.sequencer = leader
+        return True
+    if from_leader:
+        search(leaf)
+    return False
+
+
+def introduce(leaf, places, leader):
+    """Make this daemon known to replicas that it hasn't spoken to, so that each greets it when it comes to lead."""
+    for place in places:
+        if leaf.directory.get(place.member.name) != place and place.member.name != leader:
+            leaf.links["send"](address_of(place), renewal(leaf))
+
+
 def granted(leaf, place, grant):
     """-> whether the sequencer changed."""
     held, now = session(leaf), now_ms(leaf)
     if grant.sequencer != place.member.name:
-        if grant.sequencer and now >= held.until_ms and grant.sequencer != held.sequencer:
-            held.sequencer = grant.sequencer
-            return True
+        return redirected(leaf, place, grant.sequencer)
+    if grant.epoch < held.epoch:
         return False
-    if grant.lease_ms <= 0 and now < held.until_ms and grant.epoch <= held.epoch:
+    if grant.lease_ms <= 0 and grant.version <= held.held:
+        search(leaf)
         return False
     moved = held.sequencer != place.member.name or held.epoch != grant.epoch
     held.sequencer, held.heard_ms = place.member.name, now
@@ -120,6 +168,7 @@
     if grant.draining and "drained" in leaf.extras:
         leaf.extras["drained"](grant.draining)
     if grant.places:
+        introduce(leaf, grant.places, held.sequencer)
         leaf.directory = {p.member.name: p for p in grant.places}
         held.epoch = grant.epoch
     if grant.version > held.held and now - held.asked_ms >= 100:
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -14,11 +14,10 @@
 from frostpost.virtual_synchrony.events import Left, Received
 from frostpost.virtual_synchrony.memory import NOWHERE, replay
 from frostpost.virtual_synchrony.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.virtual_synchrony.state import names
 from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
-from . import peers, serving, status, tenders
+from . import greeting, peers, serving, status, tenders
 from .replica import ROLE, Crash, Replica, ring_settings
 
 LEAVE_S = 0.4
@@ -94,6 +93,7 @@
     loop(replica, lambda: repair(replica), 0.2)
     loop(replica, lambda: keep_addresses(replica), 1.0)
     loop(replica, lambda: tidy(replica), 10.0)
+    loop(replica, lambda: greeting.greet_lapsed(replica), settings.lease_ms / 1000)
     say("started", name=settings.name, founding=list(charter))
 
 
@@ -127,7 +127,7 @@
 def watch(replica):
     """See whether the disk is well, and whether an opening was missed."""
     replica.ctx.disk.watch()
-    greet(replica)
+    greeting.greet_known(replica)
 
 
 def change_voters(replica):
@@ -137,7 +137,7 @@
 def applied(replica):
     """An operation was applied: tell the leaves of a new routing, and of an opening."""
     serving.follow(replica.ctx, replica.sessions)
-    greet(replica)
+    greeting.greet_known(replica)
 
 
 def repair(replica):
@@ -151,25 +151,6 @@
     ctx.core.synchrony.news = tenders.report(replica.turn_store, replica.leaving)
 
 
-def greet(replica):
-    """A sequencer that has just opened tells the leaves that it knows, so that they need not look for it."""
-    ctx = replica.ctx
-    synchrony = ctx.core.synchrony
-    if not serving.sequencing(ctx) or replica.greeted == synchrony.configuration.id:
-        return
-    replica.greeted = synchrony.configuration.id
-    places = tuple(
-        p
-        for p in (
-            synchrony.place,
-            *(synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers),
-        )
-    )
-    known = {f"@{a}" for a in replica.leaves.addresses} | {s.address for s in replica.sessions.leaves.values()}
-    for address in sorted(known):
-        replica.send(address, Directory(places))
-
-
 def keep_addresses(replica):
     """Keep on disk where the other daemons are."""
     peers.keep(replica.peers, replica.ctx.core.synchrony)
--- a/frostpost/simulator/wires.py
+++ b/frostpost/simulator/wires.py
@@ -8,7 +8,7 @@
 from twisted.internet.interfaces import IConsumer, IPushProducer, ITCPTransport
 from zope.interface import implementer
 
-from .wire_flow import KERNEL, pump, reset
+from .wire_flow import KERNEL, PATIENCE_S, RETRY_S, pump, reset
 
 
 @implementer(ITCPTransport, IConsumer, IPushProducer)
@@ -35,6 +35,7 @@
         "reading",
         "fin",
         "stuck_s",
+        "patience_s",
         "__weakref__",
     )
 
@@ -43,7 +44,7 @@
         self.other = self.protocol = self.producer = None
         self.out, self.out_bytes, self.busy, self.closing, self.connected = deque(), 0, False, False, True
         self.streaming = self.held = self.fin = False
-        self.paused, self.reading, self.stuck_s = False, True, 0.0
+        self.paused, self.reading, self.stuck_s, self.patience_s = False, True, 0.0, PATIENCE_S
         host.wires.append(self)
 
     @property
@@ -56,6 +57,10 @@
         """Whether all was written and the end may be sent."""
         return self.closing and (self.producer is None or self.streaming and not self.held)
 
+    def retry_s(self):
+        """How long the kernel waits until it sends again what was not acknowledged."""
+        return RETRY_S
+
     def write(self, data):
         """Queue bytes; pause the producer if the buffer is full."""
         if not self.connected or self.finishing or not data:
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -175,3 +175,14 @@
     for _ in range(10000):
         reactor.run()
     assert min(reactor.delays_s) > 0.04
+
+
+@pytest.mark.parametrize("start_s", [0.0, 0.1, 1.8013, 4.89, 1234.567])
+def test_a_tick_is_never_planned_at_the_time_of_the_one_that_runs(start_s):
+    clock, ran_s = Clock(), []
+    clock.rightNow = start_s
+    ticker = Ticker(clock, 0.05, lambda: ran_s.append(clock.seconds()), lambda: -5, None)
+    ticker.start()
+    for _ in range(400):
+        clock.advance(min(call.getTime() for call in clock.calls) - clock.seconds())
+    assert all(later - earlier > 0.049 for earlier, later in zip(ran_s, ran_s[1:], strict=False))
