--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -5,7 +5,7 @@
 from frostpost.program_ledger.words import Begin, Candidate, End
 from frostpost.turn_store import store
 
-from . import troubles
+from . import bearing
 from . import world as worlds
 from .crowd import MOST_TOKENS
 from .play import judged
@@ -59,7 +59,7 @@
 
 def caught_up(world):
     """Run on until a loss that has just been made good is over."""
-    world.run(world.now_ms() + troubles.CATCH_UP_MS)
+    world.run(world.now_ms() + bearing.CATCH_UP_MS)
 
 
 def emptied(world, operator, daemon):
