--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -18,6 +18,8 @@
 
 
 class Put(Struct):
+    """A body on its way to the replicas; synced: those that have it on disk."""
+
     number: int
     turn: str
     data: bytes
@@ -46,12 +48,15 @@
 
 
 class Putting(Struct):
+    """Return an agent's puts and fetches; made at first use."""
+
     number: int = 0
     puts: dict[int, Put] = {}
     fetches: dict[int, Fetch] = {}
 
 
 def putting(leaf):
+    """Return an agent's puts and fetches; made at first use."""
     if not isinstance(leaf.putting, Putting):
         leaf.putting = Putting()
     return leaf.putting
@@ -78,6 +83,7 @@
 
 
 def send_puts(leaf, job):
+    """Send a body to every replica that has not confirmed it, and again after a while."""
     later(leaf, job, "resend", RESEND_MS, lambda: send_puts(leaf, job))
     message = SiloPut(leaf.place.member.boot, job.number, job.turn, job.data)
     for name, address in lease.ring_addresses(leaf).items():
@@ -105,6 +111,7 @@
 
 
 def ask_next(leaf, job):
+    """Ask another replica for what is still wanted."""
     names = sorted(lease.ring_addresses(leaf))
     fresh = [name for name in names if name not in job.asked]
     again = [name for name in job.asked if name in names and name not in job.exhausted]
@@ -118,6 +125,7 @@
 
 
 def ask(leaf, job, name):
+    """Ask one replica for what is still wanted."""
     if name in job.asked:
         job.asked.remove(name)
     job.asked.append(name)
@@ -127,6 +135,7 @@
 
 
 def out_of_reach(leaf, job):
+    """End a fetch whose bodies no replica has."""
     end(putting(leaf).fetches, job, Error(Unavailable(RETRY_MS, "bodies out of reach")))
 
 
@@ -144,6 +153,7 @@
 
 
 def done(leaf, job, name, synced):
+    """Count a replica's confirmation; a majority of the voters ends the put."""
     if not synced:
         return
     job.synced.add(name)
@@ -157,6 +167,7 @@
 
 
 def count_holders(leaf, job):
+    """End a put, and keep its body, once a majority of the voters has it on disk."""
     if lasts(leaf, job.synced):
         remember(cache_of(leaf), job.turn, job.data)
         end(putting(leaf).puts, job, Ok(Synced(frozenset(job.synced))))
@@ -169,6 +180,7 @@
 
 
 def got(leaf, job, name, items):
+    """Take in the bodies that a replica sent."""
     for turn, data in items:
         if turn in job.wanted:
             del job.wanted[turn]
@@ -184,6 +196,7 @@
 
 
 def answered(leaf, job):
+    """Ask the next replica, or give up once all lack what is wanted."""
     names = lease.ring_addresses(leaf).keys()
     if names <= job.exhausted:
         out_of_reach(leaf, job)
@@ -192,6 +205,7 @@
 
 
 def later(leaf, job, what, wait_ms, call):
+    """Start a timer of a job in place of the one of the same name."""
     timer = job.timers.pop(what, None)
     if timer is not None and timer.active():
         timer.cancel()
@@ -199,6 +213,7 @@
 
 
 def drop(jobs, job):
+    """Forget a job and cancel its timers."""
     jobs.pop(job.number, None)
     for timer in job.timers.values():
         if timer.active():
@@ -206,6 +221,7 @@
 
 
 def end(jobs, job, result):
+    """End a job with a result, once."""
     if job.number in jobs:
         drop(jobs, job)
         job.result.callback(result)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -3,9 +3,12 @@
 from types import SimpleNamespace
 
 import pytest
+from twisted.internet.interfaces import IWriteDescriptor
 from twisted.internet.testing import MemoryReactorClock, StringTransport
+from zope.interface import directlyProvides, providedBy
 
 from frostpost.cluster.settings import DaemonSettings
+from frostpost.daemon.context import Hooks
 from frostpost.daemon.links import Links
 from frostpost.virtual_synchrony.outer import Hello
 from frostpost.virtual_synchrony.words import Member, Place
@@ -23,7 +26,7 @@
     reactor = MemoryReactorClock()
     settings = DaemonSettings("s1", "storage", "z", "10.0.0.1", 7380, detect_ms=500)
     place = Place(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
-    return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hook={}))
+    return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hooks=Hooks()))
 
 
 def dials(links):
@@ -130,3 +133,47 @@
     links.heard(place_of())
     links.ctx.reactor.advance(1)
     assert dials(links) == []
+
+
+class Descriptor(StringTransport):
+    """A transport that buffers what is written until it is told to hand it to the kernel."""
+
+    def __init__(self):
+        super().__init__()
+        self.handed, self.calls = b"", 0
+
+    def setTcpNoDelay(self, on):
+        pass
+
+    def doWrite(self):
+        self.calls += 1
+        self.handed = self.value()
+
+
+def accept_descriptor(links):
+    """The newest attempt is answered by a transport that is a write descriptor; -> the transport."""
+    protocol, transport = links.ctx.reactor.tcpClients[-1][2].buildProtocol(None), Descriptor()
+    directlyProvides(transport, IWriteDescriptor, *providedBy(transport))
+    protocol.makeConnection(transport)
+    return transport
+
+
+def test_frames_are_handed_to_the_kernel_at_once_and_together(links):
+    links(TO, Hello())
+    links(TO, Hello())
+    transport = accept_descriptor(links)
+    assert transport.calls == 1 and transport.handed == transport.value() != b""
+    links(TO, Hello())
+    assert transport.calls == 2 and transport.handed == transport.value()
+
+
+def test_paused_transport_is_left_alone_until_it_goes_on(links):
+    links(TO, Hello())
+    transport = accept_descriptor(links)
+    transport.producer.pauseProducing()
+    links(TO, Hello())
+    assert transport.calls == 1
+    transport.producer.resumeProducing()
+    assert transport.calls == 2 and transport.handed == transport.value()
+    transport.producer.resumeProducing()
+    assert transport.calls == 2
