--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -21,6 +21,8 @@
 from .replica import ROLE, Crash, Replica, ring_settings
 
 LEAVE_S = 0.4
+HANDOVER_S = 0.05
+HANDOVER_SHARE = 4
 
 
 def assemble(settings, reactor, machine, stop):
@@ -129,8 +131,7 @@
 
 
 def change_voters(replica):
-    settings = replica.settings
-    return tenders.tend(replica.ctx, replica.background, 2 * settings.tolerated + 1, settings.catch_up_ms)
+    return tenders.tend(replica.ctx, replica.background, replica.settings)
 
 
 def applied(replica):
@@ -147,7 +148,7 @@
         if p.place.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
     turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
-    ctx.core.synchrony.news = {tenders.MISSING: replica.turn_store.missing}
+    ctx.core.synchrony.news = tenders.report(replica.turn_store, replica.leaving)
 
 
 def keep_addresses(replica):
@@ -198,7 +199,22 @@
 
 
 def leave(replica):
-    """Leave the configuration in order, then end."""
-    if not replica.waiting:
-        heart.feed(replica.ctx, Left(clock_ms(replica.ctx)))
+    """Give the vote up if the others do without it, leave the configuration in order, then end."""
+    if replica.leaving:
+        return
+    replica.leaving = True
+    if replica.waiting:
+        replica.reactor.callLater(LEAVE_S, replica.stop, 0)
+        return
+    replica.ctx.core.synchrony.news = tenders.report(replica.turn_store, True)
+    until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // HANDOVER_SHARE
+    leave_without_vote(replica, until_ms)
+
+
+def leave_without_vote(replica, until_ms):
+    """Wait until this replica is no voter, where that is to be had in time."""
+    if clock_ms(replica.ctx) < until_ms and tenders.dispensable(replica.ctx, replica.settings):
+        replica.reactor.callLater(HANDOVER_S, leave_without_vote, replica, until_ms)
+        return
+    heart.feed(replica.ctx, Left(clock_ms(replica.ctx)))
     replica.reactor.callLater(LEAVE_S, replica.stop, 0)
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -123,6 +123,10 @@
     change: SetConfig | None
 
 
+# The rules of the ledger from which on a voter that is no member may be exchanged in one step.
+SWAP_RULES = 3
+
+
 class Look(Struct, array_like=True, frozen=True, tag="look"):
     """Take a place in the order without changing anything: a linearizable read."""
 
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -136,7 +136,7 @@
     if load.measuring:
         values.append((reactor.seconds() - at_s) * 1000)
     outcome = result.ok if result.is_ok() else result.error
-    note(load, type(outcome).__name__ if outcome is not None else "Synced")
+    note(load, type(outcome).__name__)
     return kind is None and result.is_ok() or kind is not None and isinstance(outcome, kind)
 
 
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -1,5 +1,6 @@
 """The crash points of what is built on the log: the turn store's segments, the charter, the addresses, the keeper."""
 
+import errno
 import os
 from contextlib import suppress
 from random import Random
@@ -8,7 +9,7 @@
 import disk_model as model
 import pytest
 
-from frostpost.cluster import founding, peers
+from frostpost.cluster import assembly, founding, peers, ring
 from frostpost.daemon import disk as keepers
 from frostpost.daemon import rewriting as rewritings
 from frostpost.turn_store import segments
@@ -312,3 +313,46 @@
     house.keeper.write([Probe(2)])
     house.threads.finish(1)
     assert house.synced == 3 and len(house.threads.jobs) == 1
+
+
+def test_a_file_that_can_not_take_the_place_of_the_log_makes_no_disk_unwell():
+    disk = model.Disk()
+    house = told(disk)
+    house.keeper.write([rewritten(1, []), Probe(2)])
+    house.threads.finish(1)
+    house.threads.finish()
+    house.keeper.write([Probe(3)])
+    disk.failing["write"] = 1
+    while house.threads.jobs:
+        house.threads.finish()
+    assert house.synced == 4 and not house.stalled
+    model.kill(disk)
+    assert [r.number for r in House(disk).records if isinstance(r, Probe)] == [2, 3]
+
+
+def test_a_disk_that_relapses_has_to_be_good_for_longer():
+    disk = model.Disk()
+    house, needed = told(disk), []
+    for _ in range(4):
+        house.keeper.write([Probe(1)])
+        house.now_s += 0.6
+        house.keeper.watch()
+        house.threads.finish()
+        needed.append(0)
+        while house.keeper.unwell:
+            house.keeper.watch()
+            house.threads.finish()
+            needed[-1] += 1
+    assert needed == [3, 6, 12, 12]
+
+
+def test_a_start_on_a_disk_that_can_not_be_written_is_told_and_ends(monkeypatch):
+    told = []
+
+    def assemble(settings, reactor, machine, stop):
+        raise OSError(errno.ENOSPC, "full", "/data/log")
+
+    monkeypatch.setattr(ring, "assemble", assemble)
+    monkeypatch.setattr(assembly, "say", lambda kind, **facts: told.append((kind, facts["error"], facts["path"])))
+    assert assembly.run(SimpleNamespace(role="storage"), None) == os.EX_IOERR
+    assert told == [("DiskError", "ENOSPC", "/data/log")]
