--- a/tests/fleet_simulator/race_day.py
+++ b/tests/fleet_simulator/race_day.py
@@ -10,7 +10,23 @@
 from .races import Races, acknowledged
 from .stage import await_, crowd_of, open_, probe, settle
 
-CONTROL_KINDS = ("kill", "kill_storage", "freeze", "cut", "cut_halves", "slow_disk", "storage_power", "replace", "wipe")
+CONTROL_KINDS = (
+    "node_kill",
+    "node_kill_storage",
+    "node_freeze",
+    "node_cut",
+    "node_slow",
+    "core_cut",
+    "halves",
+    "disk_slow",
+    "disk_stall",
+    "clock_step",
+    "storage_power",
+    "replace_core",
+    "seed_turnover",
+    "after_ack_kill",
+    "wipe",
+)
 PATIENCE_MS = 9000
 
 
@@ -31,6 +47,7 @@
     world, operators, _, _ = open_(seed, shape)
     random, races, trace = Random(f"{seed}race day"), Races(world, lost), []
     crowd, until_ms = crowd_of(world, "c"), world.now_ms() + ms
+    world.operators, world.crowd, world.changes_until_ms = operators, crowd, until_ms
     for daemon in world.of("edge"):
         probe(world, crowd, daemon)
     crowd.arrive(until_ms, 1000)
