--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -11,6 +11,7 @@
 ORIGINAL = {
     "settle": recovery.settle,
     "become_ready": settling.become_ready,
+    "drain": settling.drain,
     "beaten": watch.beaten,
     "refill": settling.refill,
 }
@@ -65,6 +66,16 @@
     return ()
 
 
+def apply_before_ready(synchrony, out):
+    """A replica applies entries before its log reaches them, and so may never log them."""
+    primary = synchrony.primary
+    if not synchrony.storage or primary.ready_at >= 0:
+        ORIGINAL["drain"](synchrony, out)
+        return
+    while primary.settled and not synchrony.paused and synchrony.applied + 1 in synchrony.waiting:
+        settling.apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
+
+
 def stale_voters(synchrony, out):
     """A replica records the voters that the donor told, though it has applied later changes."""
     voters, synchrony.voters = synchrony.voters, ()
@@ -136,6 +147,7 @@
     "confirm_unsynced": [(recovery, "settle", confirm_unsynced)],
     "own_changes_only": [(settling, "pending_voters", own_changes_only)],
     "no_changes": [(settling, "pending_voters", no_changes)],
+    "apply_before_ready": [(settling, "drain", apply_before_ready)],
     "stale_voters": [(settling, "become_ready", stale_voters)],
     "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -112,7 +112,7 @@
 
 def drain(synchrony, out):
     log, primary = synchrony.log, synchrony.primary
-    if not primary.settled or synchrony.paused:
+    if not primary.settled or synchrony.paused or (synchrony.storage and primary.ready_at < 0):
         return
     if synchrony.waiting and synchrony.storage and primary.ready_at >= 0:
         first = min(synchrony.waiting)
--- a/tests/test_explore_plants.py
+++ b/tests/test_explore_plants.py
@@ -23,7 +23,7 @@
     "confirm_unsynced": ({"synced"}, scenario(ask=1, propose=1), 2),
     "own_changes_only": ({"synced", "quorum"}, scenario(4, propose=1, revote=1), 2),
     "no_changes": ({"synced", "quorum"}, scenario(4, propose=1, revote=1), 2),
-    "base_before_rebroadcast": ({"progress"}, Scenario(4, 3, 1, founded=False, budget={"propose": 2}), 2),
+    "base_before_rebroadcast": ({"kept"}, Scenario(4, 3, 1, founded=False, budget={"propose": 2}), 2),
     "any_voters": ({"voters"}, scenario(4, 4, revote=2), 2),
     "always_leased": ({"lease"}, scenario(timed=True, freeze=1, thaw=1), 2),
     "echo_for_all": ({"lease"}, scenario(timed=True, freeze=1, thaw=1), 2),
@@ -31,7 +31,7 @@
     "no_rebroadcast": ({"progress"}, scenario(propose=1, ask=1), 2),
     "no_resend": ({"progress"}, scenario(propose=1, ask=1), 2),
 }
-REPLAYED = {"old_voters_keep", "stale_voters", "confirmed_keeps"}
+REPLAYED = {"apply_before_ready", "old_voters_keep", "stale_voters", "confirmed_keeps"}
 
 
 def test_every_plant_has_its_search_or_its_run():
