--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,52 @@
+"""Disks that an earlier build wrote: this one opens them, knows what they hold, and writes on."""
+
+import pytest
+import stored_data
+from fleet_simulator import cuts, stage
+from msgspec import msgpack, structs
+
+from frostpost.virtual_synchrony.events import Appended, Record, Snapshot
+from frostpost.write_ahead_log import records
+
+STARTED_MS, SERVING_MS = 350, 6000
+
+
+@pytest.fixture(scope="module")
+def stored():
+    return stored_data.load()
+
+
+def test_the_recording_has_a_snapshot_entries_bodies_and_a_charter(stored):
+    files = stored.files["storage-z0-1"]
+    decode = msgpack.Decoder(Record).decode
+    kinds = [type(decode(r.payload)) for r in records.scan(files["/storage-z0-1/log"]).records]
+    assert Snapshot in kinds and Appended in kinds
+    assert records.scan(files["/storage-z0-1/silo/00000001"]).records
+    assert records.scan(stored.files["core-z0-1"]["/core-z0-1/charter"]).records
+    assert len(stored.summary.turns) > 100 and len(stored.summary.keys) > 10
+
+
+def test_each_replica_knows_what_its_disk_holds(stored):
+    world = stored_data.restarted(stored)
+    world.run(STARTED_MS)
+    assert [d.owner is not None and d.owner.ctx.core is not None for d in world.of("storage")] == [True] * 3
+    found = stored_data.summarize(world)
+    assert found.index >= stored.summary.index
+    assert structs.replace(found, index=stored.summary.index) == stored.summary
+
+
+def test_the_deployment_serves_and_takes_changes_on_top_of_what_is_stored(stored):
+    world = stored_data.restarted(stored)
+    world.run(SERVING_MS)
+    assert all(stage.ready(world, daemon) for daemon in world.of("edge"))
+    operator = stage.operator_of(world, "later")
+    base = stored.summary.routing_version
+    version = cuts.replacement(world, base + 2, base)
+    change = operator.change(version, "Replace", version.document, world.now_ms() + 5000)
+    assert stage.await_(world, change, 6000) == 200
+    after = stored_data.summarize(world)
+    assert after.index > stored.summary.index and after.routing_version == base + 2
+    assert after.turns == stored.summary.turns and after.bodies == stored.summary.bodies
+    again = stored_data.restarted(stored_data.StoredDisks(stored_data.disks_of(world), after))
+    again.run(STARTED_MS)
+    assert stored_data.summarize(again).routing_version == base + 2
