--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -4,7 +4,7 @@
 
 from msgspec import DecodeError, Struct, json, to_builtins
 
-from frostpost.virtual_synchrony.outer import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.agent_messages import Directory, Hello, StatusAsk, StatusTell
 
 from . import inner
 from .asking import DONE, FOUND, UNREACHED, say
--- a/frostpost/admin/inner.py
+++ b/frostpost/admin/inner.py
@@ -8,7 +8,7 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from frostpost.virtual_synchrony.words import SPEAKS, VERSION, Frame, Member, Place
+from frostpost.virtual_synchrony.messages import SPEAKS, VERSION, Frame, Member, Place
 
 ROLE = "operator"
 WAIT_S = 2.0
--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -19,8 +19,8 @@
 from frostpost.http_api.http_client import agent
 from frostpost.http_api.lookups import wake
 from frostpost.tenant_config.shelf import Shelf
-from frostpost.virtual_synchrony.memory import replay
-from frostpost.virtual_synchrony.words import SPEAKS, Member, Place
+from frostpost.virtual_synchrony.durable_log import replay
+from frostpost.virtual_synchrony.messages import SPEAKS, Member, Place
 
 
 def read_hooks(ctx):
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -9,8 +9,8 @@
 from frostpost.daemon.waiting import until
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import stamp
+from frostpost.virtual_synchrony.messages import BodyAsk, BodyPiece, NewsAsk, NewsTell
 from frostpost.virtual_synchrony.state import majority
-from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 encode = msgpack.Encoder().encode
--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/asking.py
@@ -6,7 +6,7 @@
 
 from frostpost.program_ledger.words import CoppiceVerdict
 from frostpost.proxy.failures import Unavailable
-from frostpost.virtual_synchrony.outer import AskRing
+from frostpost.virtual_synchrony.agent_messages import AskRing
 
 from .context import count, now_ms
 from .lease import NEVER, lease_ok, ring_addresses, session
--- a/frostpost/cluster/directory.py
+++ b/frostpost/cluster/directory.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.outer import Directory
-from frostpost.virtual_synchrony.places import Member
+from frostpost.virtual_synchrony.agent_messages import Directory
+from frostpost.virtual_synchrony.endpoints import Member
 
 from .context import now_ms
 
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -7,7 +7,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.daemon.news import say
-from frostpost.virtual_synchrony.outer import CharterAsk, CharterHeld
+from frostpost.virtual_synchrony.agent_messages import CharterAsk, CharterHeld
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from .context import now_ms
--- a/frostpost/cluster/greeting.py
+++ b/frostpost/cluster/greeting.py
@@ -1,7 +1,7 @@
 """The leader tells agents where the replicas are, so that an agent finds them though all its seeds are out of reach."""
 
 from frostpost.daemon.context import clock_ms
-from frostpost.virtual_synchrony.outer import Directory
+from frostpost.virtual_synchrony.agent_messages import Directory
 from frostpost.virtual_synchrony.state import names
 
 from . import serving
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -5,7 +5,7 @@
 from frostpost.daemon.ticker import Ticker
 from frostpost.daemon.waiting import until
 from frostpost.turn_store import client as turn_store_client
-from frostpost.virtual_synchrony.outer import (
+from frostpost.virtual_synchrony.agent_messages import (
     CharterAsk,
     CharterHeld,
     Directory,
@@ -16,7 +16,7 @@
     SiloGot,
     Told,
 )
-from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
+from frostpost.virtual_synchrony.messages import SPEAKS, Member, Place, Roster
 
 from . import asking, directory, founding, lease, peers, status
 from .context import Leaf, now_ms
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from frostpost.daemon.news import say
-from frostpost.virtual_synchrony.outer import Hello, Renew, RoutingAsk
+from frostpost.virtual_synchrony.agent_messages import Hello, Renew, RoutingAsk
 
 from .context import count, now_ms
 
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -11,10 +11,10 @@
 from frostpost.daemon.news import say
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
+from frostpost.virtual_synchrony.agent_messages import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.durable_log import NOWHERE, replay
 from frostpost.virtual_synchrony.events import Left, Received
-from frostpost.virtual_synchrony.memory import NOWHERE, replay
-from frostpost.virtual_synchrony.outer import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.virtual_synchrony.words import SPEAKS, Member, Place, Roster
+from frostpost.virtual_synchrony.messages import SPEAKS, Member, Place, Roster
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from . import greeting, peers, serving, status, tenders
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -5,9 +5,18 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.heart import ask
 from frostpost.ledger.apply import decode_op
-from frostpost.virtual_synchrony.outer import AskRing, Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell, Told
+from frostpost.virtual_synchrony.agent_messages import (
+    AskRing,
+    Directory,
+    Grant,
+    Hello,
+    Renew,
+    RoutingAsk,
+    RoutingTell,
+    Told,
+)
+from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
 from frostpost.virtual_synchrony.state import names, sequencer
-from frostpost.virtual_synchrony.watch import lease_remaining_ms
 
 ASK_MS = 5000
 GRACE_RATIO = 0.5
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -5,9 +5,9 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.links import sender
 from frostpost.turn_store.store import used_bytes
-from frostpost.virtual_synchrony.outer import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.agent_messages import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
 from frostpost.virtual_synchrony.state import names, sequencer
-from frostpost.virtual_synchrony.watch import lease_remaining_ms
 
 from . import serving
 from .context import now_ms
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -7,8 +7,8 @@
 from frostpost.ledger.operations import Ballot, Rules
 from frostpost.ledger.results import Result
 from frostpost.ledger.state import Ledger
+from frostpost.virtual_synchrony import failure_detector
 from frostpost.virtual_synchrony import state as synchronies
-from frostpost.virtual_synchrony import watch
 from frostpost.virtual_synchrony.events import (
     Applied,
     Asked,
@@ -20,8 +20,8 @@
     SnapshotReceived,
     Tick,
 )
+from frostpost.virtual_synchrony.messages import SPEAKS
 from frostpost.virtual_synchrony.step import step as synchrony_step
-from frostpost.virtual_synchrony.words import SPEAKS
 
 from . import snapshotting
 from .snapshot_state import Snapshots
@@ -155,4 +155,4 @@
 
 def lease_ok(core, now_ms):
     """Tell whether the lease allows this daemon to serve at that time."""
-    return watch.lease_ok(core.synchrony, now_ms)
+    return failure_detector.lease_ok(core.synchrony, now_ms)
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -7,7 +7,6 @@
 from frostpost.ledger.operations import Finish, Release, Settle, Unclaim
 from frostpost.ledger.results import Reserved, Won
 from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
-from frostpost.virtual_synchrony.due import due_ms, unsettled
 from frostpost.virtual_synchrony.events import (
     Applied,
     Asked,
@@ -18,7 +17,8 @@
     Received,
     Tick,
 )
-from frostpost.virtual_synchrony.words import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.messages import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.timers import due_ms, unsettled
 
 from . import core as cores
 from .context import clock_ms, count
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -5,8 +5,8 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from frostpost.virtual_synchrony.outer import RoutingTell, SiloGot, SiloPut
-from frostpost.virtual_synchrony.words import VERSION, BodyPiece, Frame, Piece
+from frostpost.virtual_synchrony.agent_messages import RoutingTell, SiloGot, SiloPut
+from frostpost.virtual_synchrony.messages import VERSION, BodyPiece, Frame, Piece
 
 from .context import count
 from .heart import received
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -15,7 +15,7 @@
     SnapshotAsked,
     SnapshotReceived,
 )
-from frostpost.virtual_synchrony.words import Piece
+from frostpost.virtual_synchrony.messages import Piece
 
 from .snapshot_state import Loading, Snapshots, Taken, Taking, load, take
 
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -11,7 +11,7 @@
 from frostpost.daemon.core import Decided
 from frostpost.ledger.operations import Look
 from frostpost.virtual_synchrony.events import Asked, Changed
-from frostpost.virtual_synchrony.words import Beat, Roster
+from frostpost.virtual_synchrony.messages import Beat, Roster
 
 from . import world as worlds
 from .storm import encode, serves
--- a/frostpost/simulator/explore_hash.py
+++ b/frostpost/simulator/explore_hash.py
@@ -5,7 +5,7 @@
 
 from msgspec import msgpack
 
-from frostpost.virtual_synchrony.memory import replay
+from frostpost.virtual_synchrony.durable_log import replay
 
 OLD_MS = 2000
 OLD_SHUN_MS = 11000
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -2,9 +2,9 @@
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger.results import VotersSet
-from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
+from frostpost.virtual_synchrony import failure_detector, membership, ordering, recovery, settling
+from frostpost.virtual_synchrony.messages import Safe, TurnAway
 from frostpost.virtual_synchrony.state import names
-from frostpost.virtual_synchrony.words import Safe, TurnAway
 
 from .plants import any_voter, eager_deliver, old_length
 
@@ -12,7 +12,7 @@
     "settle": recovery.settle,
     "become_ready": settling.become_ready,
     "drain": settling.drain,
-    "beaten": watch.beaten,
+    "beaten": failure_detector.beaten,
     "refill": settling.refill,
 }
 
@@ -152,9 +152,9 @@
     "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
     "any_voters": [(applying, "voters_", any_voters)],
-    "always_leased": [(watch, "lease_ok", always_leased)],
-    "echo_for_all": [(watch, "beaten", echo_for_all)],
-    "lease_from_receipt": [(watch, "beaten", lease_from_receipt)],
+    "always_leased": [(failure_detector, "lease_ok", always_leased)],
+    "echo_for_all": [(failure_detector, "beaten", echo_for_all)],
+    "lease_from_receipt": [(failure_detector, "beaten", lease_from_receipt)],
     "no_rebroadcast": [(recovery, "rebroadcast", no_rebroadcast)],
     "no_resend": [(ordering, "remind", no_resend)],
 }
--- a/frostpost/simulator/explore_state.py
+++ b/frostpost/simulator/explore_state.py
@@ -9,7 +9,7 @@
 from msgspec import Struct, field
 
 from frostpost.daemon.core import Core
-from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Place
+from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Place
 
 ATOMS = {int, str, bytes, bool, float, tuple, frozenset, type(None)}
 
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -3,10 +3,10 @@
 from msgspec import structs
 
 from frostpost.daemon import core as cores
+from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
-from frostpost.virtual_synchrony.memory import replay
+from frostpost.virtual_synchrony.messages import SPEAKS, Beat, Member, Place, Roster
 from frostpost.virtual_synchrony.state import Bounds, names
-from frostpost.virtual_synchrony.words import SPEAKS, Beat, Member, Place, Roster
 
 from . import explore_checks as checks
 from .explore_hash import encode, short_hash
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -6,7 +6,7 @@
 from frostpost.ledger import keys, programs
 from frostpost.ledger.records import Mark
 from frostpost.ledger.results import ConfigSet, Won
-from frostpost.virtual_synchrony import membership, ordering, recovery, settling, watch
+from frostpost.virtual_synchrony import failure_detector, membership, ordering, recovery, settling
 from frostpost.virtual_synchrony.events import Delivered
 
 
@@ -107,7 +107,7 @@
     "minority_primary": [(settling, "majorities", any_voter), (recovery, "majorities", any_voter)],
     "base_before_rebroadcast": [(settling, "length_of", old_length)],
     "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
-    "no_lease": [(watch, "lease_ok", ever_leased)],
+    "no_lease": [(failure_detector, "lease_ok", ever_leased)],
     "free_claim": [(keys, "claim", free_claim)],
     "no_compare": [(applying, "config", no_compare)],
     "budget_forgotten": [(programs, "reserve", loose_reserve)],
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -5,6 +5,7 @@
 from msgspec import Struct, field, msgpack
 
 from frostpost.daemon import core as cores
+from frostpost.virtual_synchrony.durable_log import Log, replay, replay_one
 from frostpost.virtual_synchrony.events import (
     Applied,
     Changed,
@@ -15,9 +16,8 @@
     Rewrite,
     Synced,
 )
-from frostpost.virtual_synchrony.memory import Log, replay, replay_one
+from frostpost.virtual_synchrony.messages import Ack, Complete, Place
 from frostpost.virtual_synchrony.state import Bounds
-from frostpost.virtual_synchrony.words import Ack, Complete, Place
 
 from . import world as worlds
 from .checks import Broken
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -7,10 +7,10 @@
 
 from frostpost.daemon import core as cores
 from frostpost.virtual_synchrony import events
+from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
-from frostpost.virtual_synchrony.memory import replay
+from frostpost.virtual_synchrony.messages import SPEAKS, Batch, Member, Place
 from frostpost.virtual_synchrony.state import Bounds
-from frostpost.virtual_synchrony.words import SPEAKS, Batch, Member, Place
 
 
 class Disk(Struct):
--- a/frostpost/tenant_config/shelf.py
+++ b/frostpost/tenant_config/shelf.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.words import BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.messages import BodyAsk, BodyPiece, NewsAsk, NewsTell
 
 
 class Item(Struct, frozen=True, array_like=True):
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -6,7 +6,7 @@
 
 from frostpost.cluster import lease
 from frostpost.proxy.failures import Unavailable
-from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import SiloDone, SiloGet, SiloGot, SiloPut
 
 from .cache import cache_of, cached, remember
 from .repair import cut_short
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.outer import SiloGet
+from frostpost.virtual_synchrony.agent_messages import SiloGet
 
 from . import store
 
--- a/frostpost/turn_store/serving.py
+++ b/frostpost/turn_store/serving.py
@@ -1,6 +1,6 @@
 """A storage daemon's side: bodies put and got by others; answers to its own requests go to the repair."""
 
-from frostpost.virtual_synchrony.outer import SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import SiloDone, SiloGet, SiloGot, SiloPut
 
 from . import store
 from .repair import MESSAGE_BYTES, cut_short, got, lacking, repair
--- a/frostpost/virtual_synchrony/outer.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from .places import Place
+from .endpoints import Place
 
 
 class Hello(Struct, frozen=True, array_like=True, tag=22):
--- a/frostpost/virtual_synchrony/roster.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -9,8 +9,8 @@
 sequencer always.
 """
 
+from .messages import Roster
 from .state import Peer, sequencer
-from .words import Roster
 
 REPEATS = 4
 REMIND_PERIODS = 10
--- a/frostpost/virtual_synchrony/memory.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -1,7 +1,7 @@
 from msgspec import Struct, msgpack
 
 from .events import Appended, Booted, Installed, SetVoters, Snapshot
-from .words import ConfigurationId, Entry, Memory
+from .messages import ConfigurationId, Entry, Memory
 
 NOWHERE = ConfigurationId(0, "", 0)
 decode_voters = msgpack.Decoder(SetVoters).decode
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -1,6 +1,6 @@
 from msgspec import Struct
 
-from .words import Configuration, ConfigurationId, Entry, Member, Message, Place
+from .messages import Configuration, ConfigurationId, Entry, Member, Message, Place
 
 
 class SetVoters(Struct, frozen=True, array_like=True, tag="voters"):
--- a/frostpost/virtual_synchrony/watch.py
+++ b/frostpost/virtual_synchrony/failure_detector.py
@@ -1,6 +1,6 @@
-from .memory import NOWHERE
+from .durable_log import NOWHERE
+from .messages import Beat, Install
 from .state import RANK, role
-from .words import Beat, Install
 
 
 def alive(synchrony, peer):
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,8 +1,8 @@
+from .durable_log import memory, voters_in
 from .events import Booted
-from .memory import memory, voters_in
+from .failure_detector import desire, serving
+from .messages import ConfigurationId, Exchange, Install, Member, Plan, Propose, TurnAway
 from .state import Proposal, Recovery, count, elect, write
-from .watch import desire, serving
-from .words import ConfigurationId, Exchange, Install, Member, Plan, Propose, TurnAway
 
 # A heartbeat last sent then is due: whom this daemon hears is told before it proposes.
 NEVER_MS = -(1 << 40)
--- a/frostpost/virtual_synchrony/words.py
+++ b/frostpost/virtual_synchrony/messages.py
@@ -1,6 +1,6 @@
 from msgspec import Struct
 
-from .outer import (
+from .agent_messages import (
     AskRing,
     CharterAsk,
     CharterHeld,
@@ -18,7 +18,7 @@
     StatusTell,
     Told,
 )
-from .places import Member, Place
+from .endpoints import Member, Place
 
 VERSION = 1
 SPEAKS = 3
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -1,7 +1,7 @@
 from .events import Delivered, Numbered, Overfull
+from .messages import Ack, Batch, Entry, Safe, Submit
 from .settling import act, record, say_ready
 from .state import count, names, sequencer
-from .words import Ack, Batch, Entry, Safe, Submit
 
 
 def asked(synchrony, out, payload, end=False):
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -1,9 +1,9 @@
+from .durable_log import voters_in
 from .events import Changed, Delivered
-from .memory import voters_in
+from .messages import Complete, Configuration, Rebroadcast
 from .ordering import act, advance
 from .settling import judge, prepare
 from .state import Order, count, majorities, majority, sequencer
-from .words import Complete, Configuration, Rebroadcast
 
 
 def holds(exchange, ordinal):
--- a/frostpost/virtual_synchrony/settling.py
+++ b/frostpost/virtual_synchrony/settling.py
@@ -1,9 +1,9 @@
 from msgspec import msgpack
 
+from .durable_log import NOWHERE, pending_voters
 from .events import Appended, Applied, Filled, Installed, Open, Snapshot, SnapshotAsked, SnapshotReceived
-from .memory import NOWHERE, pending_voters
+from .messages import Entry, Fetch, Fill, Ready
 from .state import Primary, count, majorities, names, role, sequencer, write
-from .words import Entry, Fetch, Fill, Ready
 
 encode = msgpack.Encoder().encode
 
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -1,8 +1,8 @@
 from msgspec import Struct, field
 
+from .durable_log import NOWHERE, Log
 from .events import Booted, Out
-from .memory import NOWHERE, Log
-from .words import Configuration, ConfigurationId, Entry, Exchange, Member, Place
+from .messages import Configuration, ConfigurationId, Entry, Exchange, Member, Place
 
 RANK = {"storage": 0, "core": 1, "edge": 2}
 
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -1,7 +1,6 @@
-from . import membership, ordering, recovery, roster, settling, watch
+from . import discovery, failure_detector, membership, ordering, recovery, settling
 from .events import Asked, Left, Out, Received, Stalled, Synced, Tick
-from .state import Peer, count
-from .words import (
+from .messages import (
     Ack,
     Batch,
     Beat,
@@ -20,6 +19,7 @@
     Submit,
     TurnAway,
 )
+from .state import Peer, count
 
 EARLY = (Batch, Safe, Submit, Ready, Ack, Fetch)
 
@@ -42,8 +42,8 @@
             synchrony.unwell, synchrony.changed = unwell, True
         case Left():
             synchrony.leaving = True
-            watch.beat(synchrony, out)
-            roster.tell(synchrony, out)
+            failure_detector.beat(synchrony, out)
+            discovery.tell(synchrony, out)
     loop(synchrony, out)
     return synchrony, out
 
@@ -109,9 +109,9 @@
 
 def ticked(synchrony, out):
     if synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms:
-        watch.beat(synchrony, out)
+        failure_detector.beat(synchrony, out)
     if synchrony.now_ms - synchrony.roster_ms >= synchrony.bounds.detect_ms:
-        roster.tell(synchrony, out)
+        discovery.tell(synchrony, out)
     membership.shrink(synchrony, out)
     membership.seek(synchrony, out)
     recovery.remind(synchrony, out)
@@ -130,9 +130,9 @@
         return
     match body:
         case Beat():
-            watch.beaten(synchrony, out, frm, body)
+            failure_detector.beaten(synchrony, out, frm, body)
         case Roster():
-            roster.told(synchrony, frm, body)
+            discovery.told(synchrony, frm, body)
         case Propose():
             membership.proposed(synchrony, out, frm, body)
         case TurnAway():
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -16,7 +16,7 @@
 from frostpost.simulator.plants import changed
 from frostpost.turn_store import repair
 from frostpost.virtual_synchrony import recovery, settling
-from frostpost.virtual_synchrony.outer import Told
+from frostpost.virtual_synchrony.agent_messages import Told
 
 
 def end_unawaited():
--- a/tests/test_cluster_asking.py
+++ b/tests/test_cluster_asking.py
@@ -8,8 +8,8 @@
 from frostpost.ledger.apply import decode_op
 from frostpost.program_ledger.words import Abort, Begin, End, Ended, LookRouting
 from frostpost.proxy.failures import Unavailable
-from frostpost.virtual_synchrony.outer import AskRing, Grant, Told
-from frostpost.virtual_synchrony.words import Frame
+from frostpost.virtual_synchrony.agent_messages import AskRing, Grant, Told
+from frostpost.virtual_synchrony.messages import Frame
 
 PLACES = (place_of("s1", port=7), place_of("s2", port=8))
 END = End("a", 3)
--- a/tests/test_cluster_founding.py
+++ b/tests/test_cluster_founding.py
@@ -11,8 +11,8 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
-from frostpost.virtual_synchrony.outer import CharterAsk, CharterHeld, Directory, Hello
-from frostpost.virtual_synchrony.words import Frame, Member, Place, Roster
+from frostpost.virtual_synchrony.agent_messages import CharterAsk, CharterHeld, Directory, Hello
+from frostpost.virtual_synchrony.messages import Frame, Member, Place, Roster
 
 NAMES = ("s1", "s2", "s3")
 SEEDS = ("10.0.0.10:70", "10.0.0.9:70", "10.0.0.9:8")
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -8,9 +8,9 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.outer import Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell
+from frostpost.virtual_synchrony.agent_messages import Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell
+from frostpost.virtual_synchrony.messages import Configuration, ConfigurationId, Frame, Member, Place
 from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
-from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Frame, Member, Place
 
 LEASE_MS = 1200
 IDS = ConfigurationId(3, "s1", 1)
--- a/tests/test_cluster_ring.py
+++ b/tests/test_cluster_ring.py
@@ -11,9 +11,9 @@
 from frostpost.daemon import disk as disks
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
+from frostpost.virtual_synchrony.agent_messages import Directory, Hello, Renew
 from frostpost.virtual_synchrony.events import Booted, Installed
-from frostpost.virtual_synchrony.outer import Directory, Hello, Renew
-from frostpost.virtual_synchrony.words import ConfigurationId, Frame, Roster
+from frostpost.virtual_synchrony.messages import ConfigurationId, Frame, Roster
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 CHARTER = ("s1", "s2", "s3")
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_tenders.py
@@ -14,8 +14,8 @@
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import SetVoters
+from frostpost.virtual_synchrony.messages import Configuration, ConfigurationId, Member
 from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
-from frostpost.virtual_synchrony.words import Configuration, ConfigurationId, Member
 
 ID = ConfigurationId(3, "s1", 1)
 AWAY_MS = 4800
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -8,7 +8,7 @@
 from frostpost.daemon.ticker import Ticker
 from frostpost.simulator import play as plays
 from frostpost.simulator import world as worlds
-from frostpost.virtual_synchrony import due, watch
+from frostpost.virtual_synchrony import failure_detector, timers
 from frostpost.virtual_synchrony.events import Tick
 
 NEVER_MS = 10_000_000
@@ -103,7 +103,7 @@
             return self.feed(world, name, input)
         self.ticks += 1
         synchrony = node.core.synchrony
-        if due.due_ms(synchrony) <= input.now_ms:
+        if timers.due_ms(synchrony) <= input.now_ms:
             return self.feed(world, name, input)
         self.slept += 1
         before = facts(synchrony)
@@ -136,14 +136,14 @@
 
 def test_fault_that_forgets_what_a_heartbeat_changed_is_found(monkeypatch):
     slept = SleptTicks(monkeypatch)
-    beaten = watch.beaten
+    beaten = failure_detector.beaten
 
     def forgetful(synchrony, out, frm, message):
         changed = synchrony.changed
         beaten(synchrony, out, frm, message)
         synchrony.changed = changed
 
-    monkeypatch.setattr(watch, "beaten", forgetful)
+    monkeypatch.setattr(failure_detector, "beaten", forgetful)
     for seed in range(11, 17):
         plays.play(seed, 0, 5, 0, gap_ms=1500)
     assert slept.effects
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -18,8 +18,8 @@
 from frostpost.cluster import leaf as assembly
 from frostpost.command import main
 from frostpost.program_ledger.words import End
-from frostpost.virtual_synchrony.outer import Directory, Hello, Renew, StatusAsk, StatusTell
-from frostpost.virtual_synchrony.words import VERSION, Frame, Member, Place, Roster
+from frostpost.virtual_synchrony.agent_messages import Directory, Hello, Renew, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.messages import VERSION, Frame, Member, Place, Roster
 
 OPERATOR = Place(Member("operator", 1), "operator", "", "o", 9, 0)
 ASK = Frame(VERSION, OPERATOR, "", StatusAsk())
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -13,8 +13,8 @@
 from frostpost.simulator.checks import evs
 from frostpost.simulator.ledger import ledger as ledger_faults
 from frostpost.simulator.storm import Work, ask, serves, watch
+from frostpost.virtual_synchrony import failure_detector as watching
 from frostpost.virtual_synchrony import settling
-from frostpost.virtual_synchrony import watch as watching
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, majority
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -7,7 +7,7 @@
 from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.events import Open
-from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
+from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 ID, ME = ConfigurationId(1, "s1", 1), Member("e1", 1)
 RUNNER = Runner("r1", "i", "127.0.0.1", 1, "pool", "a", 4)
@@ -111,7 +111,7 @@
 def test_the_version_before_reads_what_this_one_says():
     raw = msgpack.encode(Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 9))
     assert msgpack.decode(raw, type=OldReserve) == OldReserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),))
-    from frostpost.virtual_synchrony.words import SPEAKS, Place
+    from frostpost.virtual_synchrony.messages import SPEAKS, Place
 
     raw = msgpack.encode(Place(ME, "edge", "a", "h", 1, 2, SPEAKS))
     assert msgpack.decode(raw, type=OldPlace) == OldPlace(ME, "edge", "a", "h", 1, 2)
@@ -121,7 +121,7 @@
     from pathlib import Path
 
     from frostpost.ledger.operations import Op
-    from frostpost.virtual_synchrony.words import Beat, Frame
+    from frostpost.virtual_synchrony.messages import Beat, Frame
 
     types = {"frame": Frame, "op": Op, "state": Ledger}
     rows = (Path(__file__).parent / "traces" / "wire1.frames").read_text().split("\n")
@@ -146,7 +146,7 @@
 
 def test_the_doctor_tells_of_daemons_that_hold_the_rules_back():
     from frostpost.admin.doctor import of_daemon
-    from frostpost.virtual_synchrony.words import SPEAKS
+    from frostpost.virtual_synchrony.messages import SPEAKS
 
     said = {
         "primary": True,
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,7 +10,7 @@
 from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.events import Open
-from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
+from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 scenarios("features/ledger.feature")
 ID = ConfigurationId(1, "s1", 1)
--- a/tests/test_ledger_voters.py
+++ b/tests/test_ledger_voters.py
@@ -7,7 +7,7 @@
 from frostpost.ledger.results import NotHeld, VotersSet
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.words import ConfigurationId, Entry, Member
+from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 ID = ConfigurationId(3, "s1", 1)
 VOTERS = ("s1", "s2", "s3")
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,8 +10,8 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.context import Hooks
 from frostpost.daemon.links import Links
-from frostpost.virtual_synchrony.outer import Hello
-from frostpost.virtual_synchrony.words import Member, Place
+from frostpost.virtual_synchrony.agent_messages import Hello
+from frostpost.virtual_synchrony.messages import Member, Place
 
 ADDRESS = ("10.0.0.2", 7380)
 TO = "@10.0.0.2:7380"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from frostpost.virtual_synchrony import membership, watch
+from frostpost.virtual_synchrony import failure_detector, membership
+from frostpost.virtual_synchrony.durable_log import Log
 from frostpost.virtual_synchrony.events import Out, Received, Tick
-from frostpost.virtual_synchrony.memory import Log
+from frostpost.virtual_synchrony.messages import Beat, Configuration, ConfigurationId, Member, Place, Propose, TurnAway
 from frostpost.virtual_synchrony.state import Bounds, Peer, begin
 from frostpost.virtual_synchrony.step import step
-from frostpost.virtual_synchrony.words import Beat, Configuration, ConfigurationId, Member, Place, Propose, TurnAway
 
 PRIMARY, OUTSIDE = ConfigurationId(7, "s2", 1), ConfigurationId(9, "s1", 1)
 
@@ -51,7 +51,7 @@
 
 
 def wanted(synchrony):
-    return [m.name for m in watch.desire(synchrony)]
+    return [m.name for m in failure_detector.desire(synchrony)]
 
 
 def propose(synchrony, proposer, members, epoch=9, boot=1):
@@ -96,7 +96,7 @@
 def test_an_outsiders_proposal_that_leaves_out_a_member_that_is_heard_is_refused():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
     assert propose(synchrony, "s1", ("s1", "s2", "s3")) == [TurnAway]
-    assert synchrony.recovery is None and watch.serving(synchrony)
+    assert synchrony.recovery is None and failure_detector.serving(synchrony)
 
 
 def test_an_outsiders_proposal_that_holds_all_members_is_taken():
@@ -136,7 +136,7 @@
 
 def beat_of(synchrony):
     out = Out()
-    watch.beat(synchrony, out)
+    failure_detector.beat(synchrony, out)
     return next(body for _, body in out.sends)
 
 
@@ -150,7 +150,7 @@
 
 def test_a_replica_tells_at_once_whom_it_no_longer_hears_and_proposes_later():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
-    synchrony.desired = watch.desire(synchrony)
+    synchrony.desired = failure_detector.desire(synchrony)
     synchrony.beat_ms = synchrony.now_ms
     quiet = synchrony.now_ms + synchrony.bounds.detect_ms // 5
     for peer in synchrony.peers.values():
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -11,7 +11,7 @@
 from frostpost.cluster import asking, tracing
 from frostpost.platform import main, settings
 from frostpost.program_ledger.words import End, Ended, LookRouting
-from frostpost.virtual_synchrony.outer import Told
+from frostpost.virtual_synchrony.agent_messages import Told
 
 
 @pytest.fixture
--- a/tests/test_proxy_roster.py
+++ b/tests/test_proxy_roster.py
@@ -12,7 +12,7 @@
 from frostpost.daemon.machine import Machine
 from frostpost.proxy import roster
 from frostpost.proxy.words import Runner
-from frostpost.virtual_synchrony.places import Member, Place
+from frostpost.virtual_synchrony.endpoints import Member, Place
 
 
 def a_runner(name, **more):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -10,9 +10,9 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import world as worlds
-from frostpost.virtual_synchrony import roster
-from frostpost.virtual_synchrony.outer import Directory
-from frostpost.virtual_synchrony.words import SPEAKS, Frame, Member, Place, Roster
+from frostpost.virtual_synchrony import discovery
+from frostpost.virtual_synchrony.agent_messages import Directory
+from frostpost.virtual_synchrony.messages import SPEAKS, Frame, Member, Place, Roster
 
 SEED = "@seed:1"
 MINUTE_MS = 60_000
@@ -67,10 +67,10 @@
     rows = ring.play(26_000, from_ms=20_000)
     for sender in ("s1", "s2", "s3"):
         told = [row for row in rows if row[1] == sender]
-        assert sum(row[2] == SEED for row in told) >= roster.REPEATS
+        assert sum(row[2] == SEED for row in told) >= discovery.REPEATS
         peers = {f"s{n}" for n in range(1, 5)} - {sender}
         for peer in peers:
-            assert sum(row[2] == peer and len(row[3].places) == 4 for row in told) >= roster.REPEATS
+            assert sum(row[2] == peer and len(row[3].places) == 4 for row in told) >= discovery.REPEATS
 
 
 def test_replica_outside_a_primary_tells_all_in_every_period(monkeypatch):
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -1,9 +1,9 @@
 from frostpost.simulator import world as worlds
 from frostpost.simulator.play import back
 from frostpost.virtual_synchrony.events import Out
+from frostpost.virtual_synchrony.messages import Submit
 from frostpost.virtual_synchrony.ordering import submitted
 from frostpost.virtual_synchrony.state import sequencer
-from frostpost.virtual_synchrony.words import Submit
 
 
 def test_all_members_follow_the_proposers_sequencer_even_if_roles_are_unknown():
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -15,7 +15,7 @@
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.state import Account, Key, ProgramLedger, Turn
 from frostpost.virtual_synchrony.events import SnapshotReceived
-from frostpost.virtual_synchrony.words import Member
+from frostpost.virtual_synchrony.messages import Member
 
 
 def ledger_of(turns):
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -8,8 +8,8 @@
 from frostpost.cluster.context import Leaf
 from frostpost.proxy.failures import Unavailable
 from frostpost.turn_store import cache, client
-from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
-from frostpost.virtual_synchrony.places import Member
+from frostpost.virtual_synchrony.agent_messages import Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.endpoints import Member
 
 RING = {f"s{n}": f"@s{n}:1" for n in range(3)}
 
--- a/tests/test_turn_store_repair.py
+++ b/tests/test_turn_store_repair.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 
 from frostpost.turn_store import repair, store
-from frostpost.virtual_synchrony.outer import SiloGet, SiloGot
+from frostpost.virtual_synchrony.agent_messages import SiloGet, SiloGot
 
 ROUND_MS = 200
 LINK_MS, SYNC_MS, LINK_BYTES_MS = 2.0, 4.0, 75_000
--- a/tests/test_turn_store_serving.py
+++ b/tests/test_turn_store_serving.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.turn_store import serving, store
-from frostpost.virtual_synchrony.outer import Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import Hello, SiloDone, SiloGet, SiloGot, SiloPut
 
 
 class Net:
