--- a/frostpost/admin/doctor.py
+++ b/frostpost/admin/doctor.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, to_builtins
 
-from frostpost.virtual_synchrony.messages import SPEAKS
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION
 
 from .asking import DONE, FOUND, Door, Refused, ask, fail, say
 
@@ -78,7 +78,7 @@
             f"{said['counts']['other_versions']} frames of another version",
             "finish the roll-out; no two inner versions can share a configuration",
         )
-    if said["primary"] and said.get("rules", 1) < SPEAKS:
+    if said["primary"] and said.get("rules", 1) < PROTOCOL_REVISION:
         yield Finding(
             "OlderRules",
             name,
--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -4,7 +4,7 @@
 
 from msgspec import DecodeError, Struct, json, to_builtins
 
-from frostpost.virtual_synchrony.agent_messages import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 
 from . import inner
 from .asking import DONE, FOUND, UNREACHED, say
@@ -64,7 +64,7 @@
     places, asked, fresh = {}, set(), set(seeds)
     for _ in range(DEPTH):
         asked |= fresh
-        for _, told in ask(fresh, Hello(), Directory).values():
+        for _, told in ask(fresh, DirectoryRequest(), DirectoryReply).values():
             places |= {place.member.name: place for place in told.places if place.role == "storage"}
         fresh = {address_of(place) for place in places.values()} - asked
         if not fresh:
@@ -84,12 +84,12 @@
     ring = {name: address_of(place) for name, place in places.items()}
     fleet.zones |= {name: place.zone for name, place in places.items()}
     asked = {*seeds, *ring.values()}
-    reached = take(fleet, ask(asked, StatusAsk(), StatusTell))
+    reached = take(fleet, ask(asked, StatusRequest(), StatusReply))
     fleet.seeds_silent = [seed for seed in seeds if seed not in reached]
     fleet.ring_silent = {name: address for name, address in ring.items() if name not in fleet.ring}
     fleet.listed = leaves_listed(fleet)
     leaves = {name: seen["address"] for name, seen in fleet.listed.items()}
-    take(fleet, ask(set(leaves.values()) - asked, StatusAsk(), StatusTell))
+    take(fleet, ask(set(leaves.values()) - asked, StatusRequest(), StatusReply))
     fleet.leaves_silent = {name: address for name, address in leaves.items() if name not in fleet.leaves}
     return fleet
 
--- a/frostpost/admin/inner.py
+++ b/frostpost/admin/inner.py
@@ -8,7 +8,7 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from frostpost.virtual_synchrony.messages import SPEAKS, VERSION, Frame, Member, Place
+from frostpost.virtual_synchrony.messages import FRAME_VERSION, PROTOCOL_REVISION, Endpoint, Frame, Member
 
 ROLE = "operator"
 WAIT_S = 2.0
@@ -65,8 +65,8 @@
     host, _, there = address.rpartition(":")
     try:
         with socket.create_connection((host, int(there)), timeout=WAIT_S) as connection:
-            place = Place(Member(ROLE, 1), ROLE, "", connection.getsockname()[0], port, 0, SPEAKS)
-            data = encode(Frame(VERSION, place, "", body))
+            place = Endpoint(Member(ROLE, 1), ROLE, "", connection.getsockname()[0], port, 0, PROTOCOL_REVISION)
+            data = encode(Frame(FRAME_VERSION, place, "", body))
             connection.sendall(struct.pack("!I", len(data)) + data)
     except (OSError, ValueError, OverflowError):
         return False
--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -20,7 +20,7 @@
 from frostpost.http_api.lookups import wake
 from frostpost.tenant_config.shelf import Shelf
 from frostpost.virtual_synchrony.durable_log import replay
-from frostpost.virtual_synchrony.messages import SPEAKS, Member, Place
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, Endpoint, Member
 
 
 def read_hooks(ctx):
@@ -68,14 +68,14 @@
 def assemble(settings, reactor, machine):
     """Return (context, site) of a daemon; nothing listens yet."""
     boot = 1 + int(machine.token(6), 16)
-    place = Place(
+    place = Endpoint(
         Member(settings.name, boot),
         settings.role,
         settings.zone,
         settings.host,
         settings.port,
         settings.http_port,
-        SPEAKS,
+        PROTOCOL_REVISION,
     )
     ctx = Context(settings, reactor, place, machine)
     ctx.shelf = Shelf(f"{settings.name}.{boot}")
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -9,7 +9,12 @@
 from frostpost.daemon.waiting import until
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import stamp
-from frostpost.virtual_synchrony.messages import BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.messages import (
+    ConfigBodyChunk,
+    ConfigBodyRequest,
+    ConfigVersionsReply,
+    ConfigVersionsRequest,
+)
 from frostpost.virtual_synchrony.state import majority
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
@@ -132,15 +137,15 @@
 def received(ctx, frm, body):
     """Handle a peer's message about bodies."""
     match body:
-        case NewsAsk():
+        case ConfigVersionsRequest():
             send(ctx, shelves.asked(ctx.shelf, frm, body))
-        case NewsTell():
+        case ConfigVersionsReply():
             ctx.shelf, sends, stores = shelves.told(ctx.shelf, frm, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
-        case BodyAsk():
+        case ConfigBodyRequest():
             send(ctx, shelves.body_asked(ctx.shelf, frm, body))
-        case BodyPiece():
+        case ConfigBodyChunk():
             ctx.shelf, sends, stores = shelves.body_pieced(ctx.shelf, frm, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/asking.py
@@ -6,7 +6,7 @@
 
 from frostpost.program_ledger.words import CoppiceVerdict
 from frostpost.proxy.failures import Unavailable
-from frostpost.virtual_synchrony.agent_messages import AskRing
+from frostpost.virtual_synchrony.agent_messages import OperationRequest
 
 from .context import count, now_ms
 from .lease import NEVER, lease_ok, ring_addresses, session
@@ -75,7 +75,7 @@
     address = ring_addresses(leaf).get(held.sequencer)
     if address is not None:
         asked.sent_ms = now_ms(leaf)
-        leaf.links["send"](address, AskRing(leaf.place.member.boot, asked.number, asked.payload))
+        leaf.links["send"](address, OperationRequest(leaf.place.member.boot, asked.number, asked.payload))
 
 
 def send_all(leaf):
--- a/frostpost/cluster/directory.py
+++ b/frostpost/cluster/directory.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.agent_messages import Directory
+from frostpost.virtual_synchrony.agent_messages import DirectoryReply
 from frostpost.virtual_synchrony.endpoints import Member
 
 from .context import now_ms
@@ -14,13 +14,13 @@
     """What one replica was told last, and when."""
 
     member: Member
-    directory: Directory
+    directory: DirectoryReply
     at_ms: int
 
 
 def current(leaf):
     """The directory as this daemon knows it now."""
-    return Directory(tuple(leaf.directory.values()), leaf.charter)
+    return DirectoryReply(tuple(leaf.directory.values()), leaf.charter)
 
 
 def tell(leaf, place):
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -7,7 +7,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.daemon.news import say
-from frostpost.virtual_synchrony.agent_messages import CharterAsk, CharterHeld
+from frostpost.virtual_synchrony.agent_messages import BootstrapReply, BootstrapRequest
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from .context import now_ms
@@ -130,7 +130,7 @@
         return
     founding.asked_ms = now
     for seed in seeds:
-        leaf.links["send"](f"@{seed}", CharterAsk(names))
+        leaf.links["send"](f"@{seed}", BootstrapRequest(names))
 
 
 def asked(leaf, place, message):
@@ -140,7 +140,7 @@
         return
 
     def answer(_=None):
-        leaf.links["send"](f"@{place.host}:{place.port}", CharterHeld(founding.kept or leaf.charter))
+        leaf.links["send"](f"@{place.host}:{place.port}", BootstrapReply(founding.kept or leaf.charter))
 
     def kept(_):
         founding.kept, founding.writing = message.names, False
--- a/frostpost/cluster/greeting.py
+++ b/frostpost/cluster/greeting.py
@@ -1,7 +1,7 @@
 """The leader tells agents where the replicas are, so that an agent finds them though all its seeds are out of reach."""
 
 from frostpost.daemon.context import clock_ms
-from frostpost.virtual_synchrony.agent_messages import Directory
+from frostpost.virtual_synchrony.agent_messages import DirectoryReply
 from frostpost.virtual_synchrony.state import names
 
 from . import serving
@@ -20,7 +20,7 @@
     """Tell the agents at some addresses where the replicas are."""
     places = configuration_places(replica.ctx.core.synchrony)
     for address in sorted(addresses):
-        replica.send(address, Directory(places))
+        replica.send(address, DirectoryReply(places))
 
 
 def greet_known(replica):
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -6,17 +6,17 @@
 from frostpost.daemon.waiting import until
 from frostpost.turn_store import client as turn_store_client
 from frostpost.virtual_synchrony.agent_messages import (
-    CharterAsk,
-    CharterHeld,
-    Directory,
-    Grant,
-    Hello,
-    RoutingTell,
-    SiloDone,
-    SiloGot,
-    Told,
+    BootstrapReply,
+    BootstrapRequest,
+    DirectoryReply,
+    DirectoryRequest,
+    GetBodiesReply,
+    LeaseReply,
+    OperationReply,
+    PutBodyReply,
+    RoutingUpdate,
 )
-from frostpost.virtual_synchrony.messages import SPEAKS, Member, Place, Roster
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Member
 
 from . import asking, directory, founding, lease, peers, status
 from .context import Leaf, now_ms
@@ -28,7 +28,9 @@
 
 def make_leaf(settings, front, reactor, machine):
     boot = 1 + int(machine.token(6), 16)
-    place = Place(Member(settings.name, boot), settings.role, settings.zone, settings.host, settings.port, 0, SPEAKS)
+    place = Endpoint(
+        Member(settings.name, boot), settings.role, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
+    )
     leaf = Leaf(settings, reactor, place, machine)
     leaf.wire = front.wire
     leaf.links["send"] = sender(leaf)
@@ -50,34 +52,34 @@
     if status.leaf_answered(leaf, place, body):
         return
     match body:
-        case Grant():
+        case LeaseReply():
             if lease.granted(leaf, place, body):
                 asking.send_all(leaf)
             turn_store_client.granted(leaf)
             if leaf.ticker is not None:
                 leaf.ticker.wake(lease.due_ms(leaf) - now_ms(leaf))
-        case Told():
+        case OperationReply():
             asking.told(leaf, body)
-        case RoutingTell():
+        case RoutingUpdate():
             lease.routed(leaf, body)
-        case SiloDone() | SiloGot():
+        case PutBodyReply() | GetBodiesReply():
             turn_store_client.received(leaf, place.member.name, body)
-        case CharterAsk():
+        case BootstrapRequest():
             founding.asked(leaf, place, body)
-        case CharterHeld():
+        case BootstrapReply():
             founding.held(leaf, place, body)
-        case Directory():
+        case DirectoryReply():
             lease.directed(leaf, body.places)
             if place.role == RING:
                 lease.greeted(leaf, place)
-        case Hello():
+        case DirectoryRequest():
             if place.role == RING:
                 founding.waits(leaf, place.member.name)
             elif not leaf.directory:
                 leaf.extras.setdefault("askers", {})[place.member.name] = place
                 return
             direct(leaf, place)
-        case Roster():
+        case DiscoveryUpdate():
             lease.directed(leaf, [place])
             if body.places or directory.is_news(leaf, place):
                 leaf.links["send"](lease.address_of(place), directory.tell(leaf, place))
@@ -124,7 +126,7 @@
     def up(ports):
         leaf.extras["ports"] = ports
         for address in leaf.extras["peers"].addresses if "peers" in leaf.extras else ():
-            leaf.links["send"](f"@{address}", Hello())
+            leaf.links["send"](f"@{address}", DirectoryRequest())
         start_ticker(leaf, stop)
         if leaf.settings.front and leaf.settings.list_host:
             from frostpost.proxy import roster
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from frostpost.daemon.news import say
-from frostpost.virtual_synchrony.agent_messages import Hello, Renew, RoutingAsk
+from frostpost.virtual_synchrony.agent_messages import DirectoryRequest, LeaseRequest, RoutingRequest
 
 from .context import count, now_ms
 
@@ -68,13 +68,13 @@
     if lost and now - held.greeted_ms >= (seek_ms if not leaf.directory else 4 * every_ms):
         held.greeted_ms = now
         for seed in leaf.settings.seeds:
-            leaf.links["send"](f"@{seed}", Hello())
+            leaf.links["send"](f"@{seed}", DirectoryRequest())
 
 
 def renewal(leaf):
     """The request for a lease as of now."""
     held = session(leaf)
-    return Renew(now_ms(leaf), held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
+    return LeaseRequest(now_ms(leaf), held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
 
 
 def due_ms(leaf):
@@ -174,7 +174,7 @@
         held.epoch = grant.epoch
     if grant.version > held.held and now - held.asked_ms >= 100:
         held.asked_ms = now
-        leaf.links["send"](address_of(place), RoutingAsk(held.held))
+        leaf.links["send"](address_of(place), RoutingRequest(held.held))
     if moved:
         say("session", sequencer=held.sequencer, epoch=grant.epoch)
     return moved
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -11,10 +11,17 @@
 from frostpost.daemon.news import say
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
-from frostpost.virtual_synchrony.agent_messages import Directory, Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import (
+    DirectoryReply,
+    DirectoryRequest,
+    GetBodiesReply,
+    GetBodiesRequest,
+    PutBodyReply,
+    PutBodyRequest,
+)
 from frostpost.virtual_synchrony.durable_log import NOWHERE, replay
-from frostpost.virtual_synchrony.events import Left, Received
-from frostpost.virtual_synchrony.messages import SPEAKS, Member, Place, Roster
+from frostpost.virtual_synchrony.events import DrainRequested, MessageReceived
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Member
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from . import greeting, peers, serving, status, tenders
@@ -28,7 +35,9 @@
 def assemble(settings, reactor, machine, stop):
     """-> Replica; its core begins when it knows whether it is a founder, see `begin`."""
     boot = 1 + int(machine.token(6), 16)
-    place = Place(Member(settings.name, boot), ROLE, settings.zone, settings.host, settings.port, 0, SPEAKS)
+    place = Endpoint(
+        Member(settings.name, boot), ROLE, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
+    )
     ctx = Context(ring_settings(settings), reactor, place, machine)
     replica = Replica(ctx, settings, stop)
     ctx.life = Crash(stop)
@@ -121,7 +130,7 @@
         replica.seeking.stop()
         return
     for seed in replica.settings.seeds:
-        replica.ctx.links["send"](f"@{seed}", Hello())
+        replica.ctx.links["send"](f"@{seed}", DirectoryRequest())
 
 
 def watch(replica):
@@ -175,9 +184,9 @@
     place, body, ctx = frame.place, frame.body, replica.ctx
     if status.ring_answered(replica, place, body):
         return None
-    if isinstance(body, Directory):
+    if isinstance(body, DirectoryReply):
         return directed(replica, body)
-    if isinstance(body, (SiloPut, SiloGet, SiloGot, SiloDone)):
+    if isinstance(body, (PutBodyRequest, GetBodiesRequest, GetBodiesReply, PutBodyReply)):
         return turn_stores.received(replica, f"@{place.host}:{place.port}", body)
     if replica.waiting:
         return None
@@ -195,7 +204,7 @@
     ctx = replica.ctx
     for place in message.places:
         if place.member.name != replica.settings.name and place.member.name not in ctx.core.synchrony.peers:
-            heart.feed(ctx, Received(clock_ms(ctx), place, Roster((), False)))
+            heart.feed(ctx, MessageReceived(clock_ms(ctx), place, DiscoveryUpdate((), False)))
 
 
 def leave(replica):
@@ -216,5 +225,5 @@
     if clock_ms(replica.ctx) < until_ms and tenders.dispensable(replica.ctx, replica.settings):
         replica.reactor.callLater(HANDOVER_S, leave_without_vote, replica, until_ms)
         return
-    heart.feed(replica.ctx, Left(clock_ms(replica.ctx)))
+    heart.feed(replica.ctx, DrainRequested(clock_ms(replica.ctx)))
     replica.reactor.callLater(LEAVE_S, replica.stop, 0)
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -6,14 +6,14 @@
 from frostpost.daemon.heart import ask
 from frostpost.ledger.apply import decode_op
 from frostpost.virtual_synchrony.agent_messages import (
-    AskRing,
-    Directory,
-    Grant,
-    Hello,
-    Renew,
-    RoutingAsk,
-    RoutingTell,
-    Told,
+    DirectoryReply,
+    DirectoryRequest,
+    LeaseReply,
+    LeaseRequest,
+    OperationReply,
+    OperationRequest,
+    RoutingRequest,
+    RoutingUpdate,
 )
 from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
 from frostpost.virtual_synchrony.state import names, sequencer
@@ -84,12 +84,12 @@
 
 
 def renewed(ctx, sessions, place, message):
-    """A leaf renews its lease; -> the Grant."""
+    """A leaf renews its lease; -> the LeaseReply."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not sequencing(ctx):
         meet(sessions, place, message.version, now)
         opened = synchrony.primary.opened
-        return Grant(
+        return LeaseReply(
             message.sent_ms,
             0,
             sequencer(synchrony) if opened else "",
@@ -108,7 +108,7 @@
     seen.until_ms = max(seen.until_ms, now + lease_ms)
     epoch = synchrony.configuration.id.epoch
     places = () if message.epoch == epoch else member_places(synchrony)
-    return Grant(
+    return LeaseReply(
         message.sent_ms,
         lease_ms,
         synchrony.name,
@@ -146,7 +146,7 @@
         for seen in sessions.leaves.values():
             if seen.until_ms > clock_ms(ctx):
                 ctx.links["send"](
-                    seen.address, RoutingTell(program_ledger.routing_version, program_ledger.routing_body)
+                    seen.address, RoutingUpdate(program_ledger.routing_version, program_ledger.routing_body)
                 )
 
 
@@ -173,18 +173,18 @@
     """A frame of a leaf; -> whether it was one of these messages."""
     address = f"@{place.host}:{place.port}"
     match body:
-        case Renew():
+        case LeaseRequest():
             ctx.links["send"](address, renewed(ctx, sessions, place, body))
-        case AskRing():
+        case OperationRequest():
             asked(ctx, sessions, address, body)
-        case RoutingAsk():
+        case RoutingRequest():
             program_ledger = ctx.core.ledger.program_ledger
             if program_ledger.routing_version > body.version:
-                ctx.links["send"](address, RoutingTell(program_ledger.routing_version, program_ledger.routing_body))
-        case Hello():
+                ctx.links["send"](address, RoutingUpdate(program_ledger.routing_version, program_ledger.routing_body))
+        case DirectoryRequest():
             synchrony = ctx.core.synchrony
             places = (synchrony.place, *(p.place for p in synchrony.peers.values()))
-            ctx.links["send"](address, Directory(places))
+            ctx.links["send"](address, DirectoryReply(places))
         case _:
             return False
     return True
@@ -197,16 +197,16 @@
     try:
         op = decode_op(message.payload)
     except DecodeError:
-        ctx.links["send"](address, Told(message.boot, message.number, b"", "Unreadable"))
+        ctx.links["send"](address, OperationReply(message.boot, message.number, b"", "Unreadable"))
         return
     sessions.working.add(mark)
 
     def decided(result):
         sessions.working.discard(mark)
         if result.is_ok():
-            told = Told(message.boot, message.number, encode(result.ok))
+            told = OperationReply(message.boot, message.number, encode(result.ok))
         else:
-            told = Told(message.boot, message.number, b"", type(result.error).__name__)
+            told = OperationReply(message.boot, message.number, b"", type(result.error).__name__)
         ctx.links["send"](address, told)
 
     ask(ctx, op, ASK_MS).addCallback(decided)
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -5,7 +5,7 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.links import sender
 from frostpost.turn_store.store import used_bytes
-from frostpost.virtual_synchrony.agent_messages import Directory, Hello, StatusAsk, StatusTell
+from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
 from frostpost.virtual_synchrony.state import names, sequencer
 
@@ -21,25 +21,31 @@
 
 
 def answered(ctx, place, body, facts, directory):
-    """Answer a StatusAsk, or an operator's Hello, over a connection of its own; -> whether the frame ends here."""
-    if place.role in DAEMONS and not isinstance(body, StatusAsk):
+    """Answer an operator over a connection of its own: status or places; -> whether the frame ends here."""
+    if place.role in DAEMONS and not isinstance(body, StatusRequest):
         return False
     address = f"@{place.host}:{place.port}"
-    if isinstance(body, StatusAsk):
-        sender(ctx)(address, StatusTell(json.encode(facts())))
-    elif isinstance(body, Hello):
+    if isinstance(body, StatusRequest):
+        sender(ctx)(address, StatusReply(json.encode(facts())))
+    elif isinstance(body, DirectoryRequest):
         sender(ctx)(address, directory())
     return True
 
 
 def leaf_answered(leaf, place, body):
     return answered(
-        leaf, place, body, lambda: leaf_facts(leaf), lambda: Directory(tuple(leaf.directory.values()), leaf.charter)
+        leaf,
+        place,
+        body,
+        lambda: leaf_facts(leaf),
+        lambda: DirectoryReply(tuple(leaf.directory.values()), leaf.charter),
     )
 
 
 def ring_answered(replica, place, body):
-    return answered(replica.ctx, place, body, lambda: ring_facts(replica), lambda: Directory(ring_places(replica.ctx)))
+    return answered(
+        replica.ctx, place, body, lambda: ring_facts(replica), lambda: DirectoryReply(ring_places(replica.ctx))
+    )
 
 
 def ring_places(ctx):
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -9,7 +9,7 @@
 from frostpost.ledger.operations import SWAP_RULES, Look
 from frostpost.ledger.results import Done
 from frostpost.program_ledger.words import Retired
-from frostpost.virtual_synchrony.events import Left, SetVoters
+from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
 from frostpost.virtual_synchrony.state import names
 
 from .serving import sequencing, voters_of
@@ -155,7 +155,7 @@
     if ctx.core.ledger.program_ledger.retiring.get(synchrony.name) == "completed" and not changes.left:
         changes.left = True
         say("retired", name=synchrony.name)
-        feed(ctx, Left(clock_ms(ctx)))
+        feed(ctx, DrainRequested(clock_ms(ctx)))
 
 
 @inlineCallbacks
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -10,17 +10,17 @@
 from frostpost.virtual_synchrony import failure_detector
 from frostpost.virtual_synchrony import state as synchronies
 from frostpost.virtual_synchrony.events import (
-    Applied,
-    Asked,
-    Filled,
-    Numbered,
-    Out,
-    Overfull,
-    SnapshotAsked,
+    EntryApplied,
+    OperationNumbered,
+    OperationSubmitted,
+    Output,
+    SnapshotInstalled,
     SnapshotReceived,
-    Tick,
+    SnapshotRequested,
+    TimerTick,
+    WindowFull,
 )
-from frostpost.virtual_synchrony.messages import SPEAKS
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION
 from frostpost.virtual_synchrony.step import step as synchrony_step
 
 from . import snapshotting
@@ -63,20 +63,20 @@
 
 def step(core, input):
     """Handle one input; return (core, output)."""
-    out = Out() if isinstance(input, Slice) else synchrony_step(core.synchrony, input)[1]
-    if isinstance(input, Slice | Tick):
+    out = Output() if isinstance(input, Slice) else synchrony_step(core.synchrony, input)[1]
+    if isinstance(input, Slice | TimerTick):
         snapshotting.advance(core, out)
     snapshotting.give_way(core, out)
     told = settle_answers(core, out)
     while asks := ballots(core):
         for payload in asks:
-            _, more = synchrony_step(core.synchrony, Asked(input.now_ms, payload))
+            _, more = synchrony_step(core.synchrony, OperationSubmitted(input.now_ms, payload))
             out.sends += more.sends
             out.writes += more.writes
-            told += [a for a in settle_answers(core, more) if not isinstance(a, (Numbered, Overfull))]
+            told += [a for a in settle_answers(core, more) if not isinstance(a, (OperationNumbered, WindowFull))]
     follow(core)
     snapshotting.rewrite(core, out)
-    return core, Out(out.sends, out.writes, told)
+    return core, Output(out.sends, out.writes, told)
 
 
 def settle_answers(core, out):
@@ -84,15 +84,15 @@
     told = []
     for answer in out.answers:
         match answer:
-            case Applied(entry):
+            case EntryApplied(entry):
                 core.ledger, result = apply(core.ledger, entry)
                 if entry.sender == core.synchrony.me and entry.number:
                     told.append(Decided(entry.number, result))
                 told.append(answer)
-            case Filled():
+            case SnapshotInstalled():
                 told += forgotten(core)
                 told.append(answer)
-            case SnapshotAsked():
+            case SnapshotRequested():
                 snapshotting.asked(core, out, answer)
             case SnapshotReceived():
                 snapshotting.received(core, out, answer)
@@ -141,16 +141,16 @@
     """Return the operation that raises the ledger's rules, once every member speaks the new version."""
     synchrony, ledger = core.synchrony, core.ledger
     if (
-        ledger.rules >= SPEAKS
+        ledger.rules >= PROTOCOL_REVISION
         or core.ruled == synchrony.configuration.id
         or not duties.held(ledger, "ticks", synchrony.me)
     ):
         return []
     places = {p.place.member: p.place for p in synchrony.peers.values()} | {synchrony.me: synchrony.place}
-    if any(m not in places or places[m].speaks < SPEAKS for m in synchrony.configuration.members):
+    if any(m not in places or places[m].speaks < PROTOCOL_REVISION for m in synchrony.configuration.members):
         return []
     core.ruled = synchrony.configuration.id
-    return [encode(Rules(SPEAKS))]
+    return [encode(Rules(PROTOCOL_REVISION))]
 
 
 def lease_ok(core, now_ms):
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -8,7 +8,14 @@
 
 from msgspec import msgpack
 
-from frostpost.virtual_synchrony.events import Probe, Record, Rewrite, Snapshot, Stalled, Synced
+from frostpost.virtual_synchrony.events import (
+    DiskHealthChanged,
+    LogSynced,
+    ProbeRecord,
+    Record,
+    RewriteLog,
+    SnapshotRecord,
+)
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from . import rewriting as rewritings
@@ -61,7 +68,7 @@
     def write(self, writes):
         """Append records after those given before; a Rewrite replaces all before it, in the background."""
         for record in writes:
-            if isinstance(record, Rewrite):
+            if isinstance(record, RewriteLog):
                 rewritings.plan(self.rewriting, record)
             else:
                 self.queue.append(record)
@@ -143,7 +150,7 @@
         from .heart import feed
 
         self.told_up_to = up_to
-        feed(self.ctx, Synced(clock_ms(self.ctx), up_to))
+        feed(self.ctx, LogSynced(clock_ms(self.ctx), up_to))
 
     def report(self, failure):
         """Log and count a failed call of the disk."""
@@ -172,7 +179,7 @@
             say("DiskUnwell" if unwell else "DiskWell")
             from .heart import feed
 
-            feed(self.ctx, Stalled(clock_ms(self.ctx), unwell))
+            feed(self.ctx, DiskHealthChanged(clock_ms(self.ctx), unwell))
 
     def watch(self):
         """Called often: tell of a stalled disk, and probe one that was unwell."""
@@ -181,7 +188,7 @@
         if self.unwell and not self.busy:
             self.probes += 1
             if not self.queue:
-                self.queue = [Probe(self.probes)]
+                self.queue = [ProbeRecord(self.probes)]
         self.next()
 
 
@@ -204,7 +211,7 @@
 
 def snapshot_bytes(batch):
     """Bytes of the snapshots in a batch: they are allowed the time that fetching them took."""
-    return sum(len(record.state) for record in batch if isinstance(record, Snapshot))
+    return sum(len(record.state) for record in batch if isinstance(record, SnapshotRecord))
 
 
 def delayed(machine, delay_ms, job, *args):
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -8,16 +8,22 @@
 from frostpost.ledger.results import Reserved, Won
 from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
 from frostpost.virtual_synchrony.events import (
-    Applied,
-    Asked,
-    Changed,
-    Filled,
-    Numbered,
-    Overfull,
-    Received,
-    Tick,
+    ConfigurationChanged,
+    EntryApplied,
+    MessageReceived,
+    OperationNumbered,
+    OperationSubmitted,
+    SnapshotInstalled,
+    TimerTick,
+    WindowFull,
+)
+from frostpost.virtual_synchrony.messages import (
+    ConfigBodyChunk,
+    ConfigBodyRequest,
+    ConfigVersionsReply,
+    ConfigVersionsRequest,
+    Heartbeat,
 )
-from frostpost.virtual_synchrony.messages import Beat, BodyAsk, BodyPiece, NewsAsk, NewsTell
 from frostpost.virtual_synchrony.timers import due_ms, unsettled
 
 from . import core as cores
@@ -79,21 +85,21 @@
     match answer:
         case cores.Decided(number, result):
             decided(ctx, number, result)
-        case Numbered(number):
+        case OperationNumbered(number):
             if ctx.asking:
                 waiter = ctx.asking.popleft()
                 ctx.waiters[number] = waiter
-        case Overfull():
+        case WindowFull():
             if ctx.asking:
                 fire(ctx.asking.popleft(), Error(Overfilled()))
-        case Applied(entry):
+        case EntryApplied(entry):
             if entry.ordinal == 1:
                 ctx.need_config = ctx.core.ledger.config_index
             ctx.links["applied"]()
-        case Filled():
+        case SnapshotInstalled():
             ctx.need_config = ctx.core.ledger.config_index
             ctx.links["applied"]()
-        case Changed(configuration, transitional):
+        case ConfigurationChanged(configuration, transitional):
             say(
                 "configuration",
                 id=list(configuration.id.__struct_fields__ and (configuration.id.epoch, configuration.id.proposer)),
@@ -135,7 +141,7 @@
 def tell(ctx, op):
     """Hand in an operation without waiting for its result."""
     ctx.asking.append(Waiter(op, None))
-    feed(ctx, Asked(clock_ms(ctx), encode(op), isinstance(op, ENDS)))
+    feed(ctx, OperationSubmitted(clock_ms(ctx), encode(op), isinstance(op, ENDS)))
 
 
 def ask(ctx, op, wait_ms):
@@ -148,7 +154,7 @@
     waiter = Waiter(op, answer)
     waiter.timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), lambda: fire(waiter, Error(Undecided())))
     ctx.asking.append(waiter)
-    feed(ctx, Asked(clock_ms(ctx), encode(op), must))
+    feed(ctx, OperationSubmitted(clock_ms(ctx), encode(op), must))
     return answer
 
 
@@ -156,17 +162,17 @@
     """Handle a frame from a peer."""
     body, frm = frame.body, frame.place.member.name
     match body:
-        case BodyAsk() | BodyPiece() | NewsAsk() | NewsTell():
+        case ConfigBodyRequest() | ConfigBodyChunk() | ConfigVersionsRequest() | ConfigVersionsReply():
             ctx.links["news"](frm, body)
         case _:
-            feed(ctx, Received(clock_ms(ctx), frame.place, body))
-            if isinstance(body, Beat):
+            feed(ctx, MessageReceived(clock_ms(ctx), frame.place, body))
+            if isinstance(body, Heartbeat):
                 ctx.links["heard"](frm, body.news)
 
 
 def tick(ctx):
     """Feed the core the current time."""
-    feed(ctx, Tick(clock_ms(ctx)))
+    feed(ctx, TimerTick(clock_ms(ctx)))
 
 
 def beat(ctx):
--- a/frostpost/daemon/life.py
+++ b/frostpost/daemon/life.py
@@ -4,7 +4,7 @@
 
 from automat import TypeMachineBuilder
 
-from frostpost.virtual_synchrony.events import Left
+from frostpost.virtual_synchrony.events import DrainRequested
 
 from .context import clock_ms
 from .heart import feed
@@ -77,7 +77,7 @@
 def gone(life: Life, hand: Hand) -> None:
     """Leave the membership, and stop once the peers have heard it."""
     ctx = hand.ctx
-    feed(ctx, Left(clock_ms(ctx)))
+    feed(ctx, DrainRequested(clock_ms(ctx)))
     say("left", flights=ctx.flights)
     ctx.reactor.callLater(ctx.core.synchrony.bounds.beat_ms * 2 / 1000, hand.stop)
 
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -5,8 +5,8 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from frostpost.virtual_synchrony.agent_messages import RoutingTell, SiloGot, SiloPut
-from frostpost.virtual_synchrony.messages import VERSION, BodyPiece, Frame, Piece
+from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, PutBodyRequest, RoutingUpdate
+from frostpost.virtual_synchrony.messages import FRAME_VERSION, ConfigBodyChunk, Frame, SnapshotChunk
 
 from .context import count
 from .heart import received
@@ -15,7 +15,7 @@
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Frame).decode
-BULK = (Piece, BodyPiece, SiloPut, SiloGot, RoutingTell)
+BULK = (SnapshotChunk, ConfigBodyChunk, PutBodyRequest, GetBodiesReply, RoutingUpdate)
 
 
 class FrameReader(Int32StringReceiver):
@@ -32,7 +32,7 @@
             count(ctx, "unread_frames")
             self.transport.loseConnection()
             return
-        if frame.version != VERSION:
+        if frame.version != FRAME_VERSION:
             count(ctx, "other_versions")
             say("OtherVersion", frm=frame.place.member.name, version=frame.version)
             self.transport.loseConnection()
@@ -86,7 +86,7 @@
         link = self.links.get(key)
         if link is None:
             link = self.links[key] = Link(self.ctx, host, int(port))
-        link.send(encode(Frame(VERSION, self.ctx.place, name, body)))
+        link.send(encode(Frame(FRAME_VERSION, self.ctx.place, name, body)))
 
     def heard(self, place):
         """A frame came from a place: what is pending or dead on the way there is dialled anew."""
--- a/frostpost/daemon/rewriting.py
+++ b/frostpost/daemon/rewriting.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.virtual_synchrony.events import Record, Rewrite
+from frostpost.virtual_synchrony.events import Record, RewriteLog
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 # A rewrite that failed, on a full disk say, is tried again after this many times `detect_ms`.
@@ -16,14 +16,14 @@
 class Rewriting(Struct):
     """`planned`: what the new file begins with; `tail`: records since; `fresh`: the new file once it is synced."""
 
-    planned: Rewrite | None = None
+    planned: RewriteLog | None = None
     tail: list[Record] = []
     fresh: write_ahead_logs.WriteAheadLog | None = None
     preparing: bool = False
     retry_ms: int = 0
 
 
-def plan(rewriting: Rewriting, rewrite: Rewrite) -> None:
+def plan(rewriting: Rewriting, rewrite: RewriteLog) -> None:
     """Rewrite the log with these records; one that is under way is given up."""
     drop_fresh(rewriting)
     rewriting.planned, rewriting.tail, rewriting.retry_ms = rewrite, [], 0
@@ -48,7 +48,7 @@
     return rewriting.planned is not None and idle and now_ms >= rewriting.retry_ms
 
 
-def prepared(rewriting: Rewriting, rewrite: Rewrite, fresh: write_ahead_logs.WriteAheadLog) -> None:
+def prepared(rewriting: Rewriting, rewrite: RewriteLog, fresh: write_ahead_logs.WriteAheadLog) -> None:
     """The new file is synced; unless another one is planned by now it may be adopted."""
     rewriting.preparing, rewriting.fresh = False, fresh
     if rewriting.planned is not rewrite:
@@ -61,7 +61,7 @@
     rewriting.retry_ms = now_ms + RETRY_RATIO * detect_ms
 
 
-def prepare(log: write_ahead_logs.WriteAheadLog, rewrite: Rewrite) -> write_ahead_logs.WriteAheadLog:
+def prepare(log: write_ahead_logs.WriteAheadLog, rewrite: RewriteLog) -> write_ahead_logs.WriteAheadLog:
     """Write and sync the new file; runs in a thread beside appends to the log."""
     return write_ahead_logs.prepare(log, [encode(r) for r in rewrite.records])
 
--- a/frostpost/daemon/snapshot_state.py
+++ b/frostpost/daemon/snapshot_state.py
@@ -7,7 +7,7 @@
 
 from frostpost.ledger import snapshots
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.events import SnapshotAsked, SnapshotReceived
+from frostpost.virtual_synchrony.events import SnapshotReceived, SnapshotRequested
 
 DIGEST_SLICE_BYTES = 1 << 20
 DIGEST_BYTES = 16
@@ -48,7 +48,7 @@
     served: Taken | None = None
     for_log: Taken | None = None
     loading: Loading | None = None
-    askers: dict[str, SnapshotAsked] = {}
+    askers: dict[str, SnapshotRequested] = {}
     rests_until_ms: int = 0
 
     @property
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -4,18 +4,18 @@
 loaded the member holds no lease, since nothing that the snapshot brings counts before it is whole.
 """
 
-from frostpost.virtual_synchrony import settling
+from frostpost.virtual_synchrony import catch_up, delivery
 from frostpost.virtual_synchrony import state as synchronies
 from frostpost.virtual_synchrony.events import (
-    Appended,
-    Booted,
-    Installed,
-    Rewrite,
-    Snapshot,
-    SnapshotAsked,
+    ConfigurationRecord,
+    EntryRecord,
+    PromiseRecord,
+    RewriteLog,
     SnapshotReceived,
+    SnapshotRecord,
+    SnapshotRequested,
 )
-from frostpost.virtual_synchrony.messages import Piece
+from frostpost.virtual_synchrony.messages import SnapshotChunk
 
 from .snapshot_state import Loading, Snapshots, Taken, Taking, load, take
 
@@ -32,7 +32,7 @@
     elif core.snapshots.taking is not None:
         advance_taking(core, out)
         if not core.synchrony.paused:
-            settling.drain(core.synchrony, out)
+            delivery.drain(core.synchrony, out)
     elif is_idle(core):
         core.snapshots.served = None
 
@@ -42,7 +42,7 @@
     primary, held = core.synchrony.primary, core.snapshots
     if held.taking is not None and primary.settled and not primary.opened:
         held.taking, core.synchrony.paused = None, False
-        settling.drain(core.synchrony, out)
+        delivery.drain(core.synchrony, out)
 
 
 def is_idle(core):
@@ -95,8 +95,8 @@
     if asked.id != synchrony.configuration.id:
         return
     synchrony.primary.loading = False
-    if taken.index == synchrony.applied and settling.lacking(synchrony):
-        settling.refill(synchrony, out, taken.index, taken.state)
+    if taken.index == synchrony.applied and catch_up.lacking(synchrony):
+        catch_up.refill(synchrony, out, taken.index, taken.state)
 
 
 def is_usable(core):
@@ -108,7 +108,7 @@
     return served is not None and served.index >= min(synchrony.primary.base, synchrony.log.start)
 
 
-def asked(core, out, asked: SnapshotAsked) -> None:
+def asked(core, out, asked: SnapshotRequested) -> None:
     """A member asks for a piece of a snapshot: all that ask in one configuration get the same one."""
     if asked.to != core.synchrony.name and is_usable(core):
         send_piece(core, out, asked)
@@ -125,7 +125,9 @@
         return
     served.asked_ms = synchrony.now_ms
     data = served.state[asked.offset : asked.offset + synchrony.bounds.piece_bytes]
-    out.sends.append((asked.to, Piece(asked.id, served.index, asked.offset, len(served.state), served.digest, data)))
+    out.sends.append(
+        (asked.to, SnapshotChunk(asked.id, served.index, asked.offset, len(served.state), served.digest, data))
+    )
 
 
 def received(core, out, received: SnapshotReceived) -> None:
@@ -151,12 +153,12 @@
     if current:
         synchrony.primary.loading = False
     fits = received.index >= synchrony.applied and (current or received.index <= synchrony.primary.base)
-    if ledger is None or not fits or not settling.lacking(synchrony):
+    if ledger is None or not fits or not catch_up.lacking(synchrony):
         synchronies.count(synchrony, "snapshots_dropped")
         return
     core.ledger, core.snapshots = ledger, Snapshots()
     synchrony.paused = False
-    settling.refill(synchrony, out, received.index, received.state)
+    catch_up.refill(synchrony, out, received.index, received.state)
 
 
 def rewrite(core, out) -> None:
@@ -190,9 +192,9 @@
     synchrony.wrote += 1
     synchronies.count(synchrony, "rewrites")
     records = (
-        Booted(synchrony.me.boot, log.epoch),
-        Snapshot(log.start, taken.state),
-        Installed(log.primary, log.base, log.voters),
-        *(Appended(e, log.start) for e in tail),
+        PromiseRecord(synchrony.me.boot, log.epoch),
+        SnapshotRecord(log.start, taken.state),
+        ConfigurationRecord(log.primary, log.base, log.voters),
+        *(EntryRecord(e, log.start) for e in tail),
     )
-    out.writes.append(Rewrite(records))
+    out.writes.append(RewriteLog(records))
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -16,7 +16,7 @@
     Fire,
     Look,
     Op,
-    Open,
+    OpenPrimary,
     Release,
     Reserve,
     Rules,
@@ -54,7 +54,7 @@
         members = tuple(m.name for m in ledger.members)
         return program_ledgers.act(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
     match op:
-        case Open(members, cores, voters):
+        case OpenPrimary(members, cores, voters):
             stopped = bool(ledger.members) and not set(ledger.members) & set(members)
             ledger.members, ledger.cores = members, cores
             ledger.voters = ledger.voters or voters
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from frostpost.program_ledger.words import CoppiceOp
-from frostpost.virtual_synchrony.events import Open, SetVoters
+from frostpost.virtual_synchrony.events import OpenPrimary, SetVoters
 
 from .records import Line, Runner
 
@@ -140,7 +140,7 @@
 
 
 Op = (
-    Open
+    OpenPrimary
     | Tick
     | Reserve
     | Settle
--- a/frostpost/simulator/checks.py
+++ b/frostpost/simulator/checks.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.events import Changed, Delivered
+from frostpost.virtual_synchrony.events import ConfigurationChanged, EntryDelivered
 
 
 class Broken(Struct, frozen=True):
@@ -38,9 +38,9 @@
         life = found.setdefault(member, Life(member))
         if answer == "failed":
             life.failed = True
-        elif isinstance(answer, Changed):
+        elif isinstance(answer, ConfigurationChanged):
             life.stages.append(Stage(answer.configuration, answer.transitional))
-        elif isinstance(answer, Delivered):
+        elif isinstance(answer, EntryDelivered):
             life.stages[-1].delivered.append(answer.entry)
     return found
 
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -10,8 +10,8 @@
 
 from frostpost.daemon.core import Decided
 from frostpost.ledger.operations import Look
-from frostpost.virtual_synchrony.events import Asked, Changed
-from frostpost.virtual_synchrony.messages import Beat, Roster
+from frostpost.virtual_synchrony.events import ConfigurationChanged, OperationSubmitted
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate, Heartbeat
 
 from . import world as worlds
 from .storm import encode, serves
@@ -25,7 +25,7 @@
     send = worlds.send
 
     def counted(world, node, target, body):
-        quiet = isinstance(body, (Beat, Roster))
+        quiet = isinstance(body, (Heartbeat, DiscoveryUpdate))
         tally["beats" if quiet else "messages"] += 1
         send(world, node, target, body)
 
@@ -39,7 +39,7 @@
     worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
     node = random.choice([n for n in world.nodes.values() if serves(world, n)])
     asked[(node.place.member, node.core.synchrony.number + 1)] = world.now_ms
-    worlds.feed(world, node.name, Asked(worlds.clock(world, node), encode(Look())))
+    worlds.feed(world, node.name, OperationSubmitted(worlds.clock(world, node), encode(Look())))
 
 
 def measure(members, per_second, seed=1):
@@ -96,7 +96,7 @@
     done = []
 
     def heard(world, node, answer):
-        if isinstance(answer, Changed) and not answer.transitional:
+        if isinstance(answer, ConfigurationChanged) and not answer.transitional:
             done.append(world.now_ms)
 
     world.tap = heard
--- a/frostpost/simulator/explore.py
+++ b/frostpost/simulator/explore.py
@@ -1,6 +1,6 @@
 """The command that explores the ordering protocol's states: breadth-first, then at random.
 
-It takes the product's own steps of membership, ordering, recovery, settling, voters and leases, and prints one line of
+It takes the product's own steps of membership, ordering, recovery, primary, voters and leases, and prints one line of
 figures for each part. A run that breaks a rule is printed as a trace that `--replay` and the tests play again.
 """
 
--- a/frostpost/simulator/explore_checks.py
+++ b/frostpost/simulator/explore_checks.py
@@ -9,7 +9,7 @@
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony import failure_detector
 from frostpost.virtual_synchrony.durable_log import replay
-from frostpost.virtual_synchrony.events import Applied, Filled, SetVoters
+from frostpost.virtual_synchrony.events import EntryApplied, SetVoters, SnapshotInstalled
 from frostpost.virtual_synchrony.state import majority
 
 from .explore_state import Opened, first_voters
@@ -44,10 +44,10 @@
     """Check what a step told its daemon."""
     applied = False
     for answer in told:
-        if isinstance(answer, Applied):
+        if isinstance(answer, EntryApplied):
             applied = True
             committed(world, replica, answer.entry)
-        elif isinstance(answer, Filled):
+        elif isinstance(answer, SnapshotInstalled):
             applied = True
     if applied:
         same_state(world, replica)
@@ -201,14 +201,14 @@
     if kind == "Sync":
         return item.boot != synchrony.me.boot
     id = getattr(item.body, "id", None)
-    if id is None or kind == "TurnAway":
+    if id is None or kind == "ProposeRejection":
         return False
     recovering = synchrony.recovery.id if synchrony.recovery else None
     proposed = synchrony.proposal.id if synchrony.proposal else None
-    if kind == "Exchange":
+    if kind == "RecoveryExchange":
         return id != proposed
-    if kind == "Complete":
+    if kind == "RecoveryComplete":
         return id not in (proposed, synchrony.configuration.id)
-    if kind == "Propose":
+    if kind == "ProposeRequest":
         return False
     return id <= synchrony.promised and id not in (recovering, synchrony.configuration.id)
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_moves.py
@@ -5,7 +5,7 @@
 from frostpost.daemon import snapshotting
 from frostpost.ledger.operations import Look
 from frostpost.virtual_synchrony import membership, step
-from frostpost.virtual_synchrony.events import Asked, Out, Rewrite, SetVoters
+from frostpost.virtual_synchrony.events import OperationSubmitted, Output, RewriteLog, SetVoters
 
 from . import explore_checks as checks
 from .explore_hash import encode
@@ -118,7 +118,7 @@
         return
     synchrony = replica.core.synchrony
     known = {p.place.member.name: p.place.member for p in synchrony.peers.values()} | {synchrony.name: synchrony.me}
-    out = Out()
+    out = Output()
     synchrony.proposal = None
     membership.propose(synchrony, out, tuple(known[n] for n in move.members if n in known))
     step.loop(synchrony, out)
@@ -140,7 +140,7 @@
     disk = replica.disk
     synced = disk.synced
     for record in disk.pending[: move.kept]:
-        synced = tuple(record.records) if isinstance(record, Rewrite) else (*synced, record)
+        synced = tuple(record.records) if isinstance(record, RewriteLog) else (*synced, record)
     replica.disk = Disk(synced, boots=disk.boots)
     stop(world, replica)
 
@@ -166,7 +166,7 @@
 def ask(world, move):
     """See `Ask`."""
     if world.replicas[move.name].core is not None:
-        step_replica(world, move.name, Asked(world.now_ms, PAYLOAD))
+        step_replica(world, move.name, OperationSubmitted(world.now_ms, PAYLOAD))
 
 
 def revote(world, move):
@@ -177,7 +177,7 @@
     history = world.history
     world.history = structs.replace(history, requested_voters=(*history.requested_voters, move.after))
     request = SetVoters(replica.synchrony.configuration.id, replica.core.ledger.voters, move.after)
-    step_replica(world, move.name, Asked(world.now_ms, encode(request)))
+    step_replica(world, move.name, OperationSubmitted(world.now_ms, encode(request)))
 
 
 def take_snapshot(world, move):
@@ -185,7 +185,7 @@
     replica = own(world, move.name)
     if replica.core is None:
         return
-    synchrony, out = replica.core.synchrony, Out()
+    synchrony, out = replica.core.synchrony, Output()
     synchrony.bounds = structs.replace(BOUNDS, rewrite_entries=1)
     snapshotting.rewrite(replica.core, out)
     synchrony.bounds = BOUNDS
--- a/frostpost/simulator/explore_options.py
+++ b/frostpost/simulator/explore_options.py
@@ -23,7 +23,7 @@
 )
 
 LEAST_VOTERS = 3
-QUIET = ("Beat", "Roster")
+QUIET = ("Heartbeat", "DiscoveryUpdate")
 
 
 def up(world):
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -2,18 +2,26 @@
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger.results import VotersSet
-from frostpost.virtual_synchrony import failure_detector, membership, ordering, recovery, settling
-from frostpost.virtual_synchrony.messages import Safe, TurnAway
+from frostpost.virtual_synchrony import (
+    catch_up,
+    delivery,
+    failure_detector,
+    membership,
+    ordering,
+    primary_component,
+    recovery,
+)
+from frostpost.virtual_synchrony.messages import ProposeRejection, SafeUpdate
 from frostpost.virtual_synchrony.state import names
 
 from .plants import any_voter, eager_deliver, old_length
 
 ORIGINAL = {
     "settle": recovery.settle,
-    "become_ready": settling.become_ready,
-    "drain": settling.drain,
+    "become_ready": primary_component.become_ready,
+    "drain": delivery.drain,
     "beaten": failure_detector.beaten,
-    "refill": settling.refill,
+    "refill": catch_up.refill,
 }
 
 
@@ -23,14 +31,14 @@
     while order.top + 1 in order.held:
         order.top += 1
         if synchrony.storage and synchrony.primary.ready_at >= 0:
-            settling.record(synchrony, out, order.held[order.top])
+            delivery.record(synchrony, out, order.held[order.top])
     ordering.acknowledge(synchrony, out, order.top)
 
 
 def promise_anything(synchrony, out, frm, message):
     """A member forgets that it promised a higher configuration."""
     if synchrony.me not in message.members:
-        out.sends.append((frm, TurnAway(message.id, synchrony.promised)))
+        out.sends.append((frm, ProposeRejection(message.id, synchrony.promised)))
         return
     membership.promise(synchrony, out, frm, message)
 
@@ -53,7 +61,7 @@
     if message.id == synchrony.configuration.id and not synchrony.recovery and message.top > order.acks.get(frm, 0):
         order.acks[frm] = message.top
         for name in names(synchrony.configuration):
-            out.sends.append((name, Safe(synchrony.configuration.id, message.top)))
+            out.sends.append((name, SafeUpdate(synchrony.configuration.id, message.top)))
 
 
 def own_changes_only(plan, best):
@@ -73,7 +81,7 @@
         ORIGINAL["drain"](synchrony, out)
         return
     while primary.settled and not synchrony.paused and synchrony.applied + 1 in synchrony.waiting:
-        settling.apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
+        delivery.apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
 
 
 def stale_voters(synchrony, out):
@@ -138,17 +146,17 @@
 
 PLANTS = {
     "acknowledge_unsynced": [(ordering, "advance", acknowledge_unsynced), (recovery, "advance", acknowledge_unsynced)],
-    "minority_primary": [(settling, "majorities", any_voter), (recovery, "majorities", any_voter)],
-    "base_before_rebroadcast": [(settling, "length_of", old_length)],
+    "minority_primary": [(primary_component, "majorities", any_voter), (recovery, "majorities", any_voter)],
+    "base_before_rebroadcast": [(primary_component, "length_of", old_length)],
     "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
     "one_acknowledgement": [(ordering, "acked", one_acknowledgement)],
     "promise_anything": [(membership, "proposed", promise_anything)],
     "never_bound": [(membership, "bound", never_bound)],
     "confirm_unsynced": [(recovery, "settle", confirm_unsynced)],
-    "own_changes_only": [(settling, "pending_voters", own_changes_only)],
-    "no_changes": [(settling, "pending_voters", no_changes)],
-    "apply_before_ready": [(settling, "drain", apply_before_ready)],
-    "stale_voters": [(settling, "become_ready", stale_voters)],
+    "own_changes_only": [(primary_component, "pending_voters", own_changes_only)],
+    "no_changes": [(primary_component, "pending_voters", no_changes)],
+    "apply_before_ready": [(delivery, "drain", apply_before_ready)],
+    "stale_voters": [(primary_component, "become_ready", stale_voters)],
     "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
     "any_voters": [(applying, "voters_", any_voters)],
--- a/frostpost/simulator/explore_state.py
+++ b/frostpost/simulator/explore_state.py
@@ -9,7 +9,7 @@
 from msgspec import Struct, field
 
 from frostpost.daemon.core import Core
-from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Place
+from frostpost.virtual_synchrony.messages import ConfigurationId, Endpoint, Entry
 
 ATOMS = {int, str, bytes, bool, float, tuple, frozenset, type(None)}
 
@@ -72,7 +72,7 @@
 class Message(Struct):
     """A message in flight."""
 
-    sender: Place
+    sender: Endpoint
     target: str
     body: object
     digest: bytes
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -4,8 +4,8 @@
 
 from frostpost.daemon import core as cores
 from frostpost.virtual_synchrony.durable_log import replay
-from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
-from frostpost.virtual_synchrony.messages import SPEAKS, Beat, Member, Place, Roster
+from frostpost.virtual_synchrony.events import LogSynced, MessageReceived, RewriteLog, TimerTick
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Heartbeat, Member
 from frostpost.virtual_synchrony.state import Bounds, names
 
 from . import explore_checks as checks
@@ -41,7 +41,7 @@
     if other is None or other.core is None or (replica.name, target) in world.cuts:
         return
     place = replica.core.synchrony.place
-    if isinstance(body, (Beat, Roster)) and not (world.scenario.slow_heartbeats or other.frozen):
+    if isinstance(body, (Heartbeat, DiscoveryUpdate)) and not (world.scenario.slow_heartbeats or other.frozen):
         world.heartbeats.append((place, target, body))
         return
     digest = short_hash(encode([place.member, target, type(body).__name__, body]))
@@ -67,11 +67,11 @@
     disk = replica.disk
     synced = disk.synced
     for record in disk.pending[: disk.syncing]:
-        synced = tuple(record.records) if isinstance(record, Rewrite) else (*synced, record)
+        synced = tuple(record.records) if isinstance(record, RewriteLog) else (*synced, record)
     done = disk.done + disk.syncing
     replica.disk = Disk(synced, disk.pending[disk.syncing :], 0, done, disk.boots)
     start_sync(world, replica)
-    step_replica(world, name, Synced(world.now_ms, done))
+    step_replica(world, name, LogSynced(world.now_ms, done))
 
 
 def handle(world, item):
@@ -79,17 +79,17 @@
     if isinstance(item, SyncDone):
         finish_sync(world, item.target)
     else:
-        step_replica(world, item.target, Received(world.now_ms, item.sender, item.body))
+        step_replica(world, item.target, MessageReceived(world.now_ms, item.sender, item.body))
 
 
 def tick(world, name):
     """A replica's timers: as its clock says, or all at once where there is none."""
     if not world.scenario.timed:
         rewind(own(world, name).core.synchrony)
-    step_replica(world, name, Tick(world.now_ms))
+    step_replica(world, name, TimerTick(world.now_ms))
     while world.heartbeats:
         place, target, body = world.heartbeats.pop(0)
-        step_replica(world, target, Received(world.now_ms, place, body))
+        step_replica(world, target, MessageReceived(world.now_ms, place, body))
 
 
 def rewind(synchrony):
@@ -115,7 +115,7 @@
 def start(world, replica):
     """A process begins on what its disk holds."""
     scenario, boots = world.scenario, replica.disk.boots + 1
-    place = Place(Member(replica.name, boots), "storage", "zone", replica.name, 1, 0, SPEAKS)
+    place = Endpoint(Member(replica.name, boots), "storage", "zone", replica.name, 1, 0, PROTOCOL_REVISION)
     seeds = tuple(f"@{name}:1" for name in world.replicas)
     replica.disk = Disk(replica.disk.synced, boots=boots)
     log = replay(replica.disk.synced)
@@ -133,8 +133,8 @@
     for other in others:
         if (name, other) in world.cuts or (other, name) in world.cuts:
             continue
-        step_replica(world, other, Received(world.now_ms, place, Roster((), False)))
+        step_replica(world, other, MessageReceived(world.now_ms, place, DiscoveryUpdate((), False)))
         there = world.replicas[other].core.synchrony.place
-        step_replica(world, name, Received(world.now_ms, there, Roster((), False)))
+        step_replica(world, name, MessageReceived(world.now_ms, there, DiscoveryUpdate((), False)))
     for one in (name, *others):
         tick(world, one)
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -4,10 +4,10 @@
 
 from frostpost.daemon.core import Decided
 from frostpost.ledger.apply import apply, decode_op, encode
-from frostpost.ledger.operations import ClaimKey, Open, SetConfig, Settle, Unclaim
+from frostpost.ledger.operations import ClaimKey, OpenPrimary, SetConfig, Settle, Unclaim
 from frostpost.ledger.results import ConfigSet, Done, Reserved, Won
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.events import Applied
+from frostpost.virtual_synchrony.events import EntryApplied
 from frostpost.virtual_synchrony.state import majority
 
 from .checks import Broken
@@ -17,7 +17,7 @@
     """Return (entries by index, violations): all members applied the same entries."""
     order = {}
     for _, member, answer in history:
-        if isinstance(answer, Applied):
+        if isinstance(answer, EntryApplied):
             entry = answer.entry
             if order.setdefault(entry.index, entry) != entry:
                 return order, [Broken("ledger.order", f"index {entry.index} differs at {member}")]
@@ -50,7 +50,7 @@
     last = None
     for index in sorted(order):
         op = decode_op(order[index].payload)
-        if not isinstance(op, Open):
+        if not isinstance(op, OpenPrimary):
             continue
         id = order[index].configuration
         if not majority(op.voters, {m.name for m in op.members}):
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -6,8 +6,16 @@
 from frostpost.ledger import keys, programs
 from frostpost.ledger.records import Mark
 from frostpost.ledger.results import ConfigSet, Won
-from frostpost.virtual_synchrony import failure_detector, membership, ordering, recovery, settling
-from frostpost.virtual_synchrony.events import Delivered
+from frostpost.virtual_synchrony import (
+    catch_up,
+    delivery,
+    failure_detector,
+    membership,
+    ordering,
+    primary_component,
+    recovery,
+)
+from frostpost.virtual_synchrony.events import EntryDelivered
 
 
 def ack_unsynced(synchrony, out):
@@ -16,7 +24,7 @@
     while order.top + 1 in order.held:
         order.top += 1
         if synchrony.storage and synchrony.primary.ready_at >= 0:
-            settling.record(synchrony, out, order.held[order.top])
+            delivery.record(synchrony, out, order.held[order.top])
     if not synchrony.recovery:
         ordering.acknowledge(synchrony, out, order.top)
 
@@ -38,9 +46,9 @@
     while order.delivered < order.safe and order.delivered < order.top:
         order.delivered += 1
         entry = order.held[order.delivered]
-        out.answers.append(Delivered(entry, False, synchrony.primary.able))
+        out.answers.append(EntryDelivered(entry, False, synchrony.primary.able))
         if synchrony.primary.able:
-            settling.act(synchrony, out, entry)
+            delivery.act(synchrony, out, entry)
 
 
 def ever_leased(synchrony, now_ms):
@@ -99,22 +107,22 @@
 
 KEPT = {
     "reserve": programs.reserve,
-    "drain": settling.drain,
-    "refill": settling.refill,
+    "drain": delivery.drain,
+    "refill": catch_up.refill,
 }
 PLANTS = {
     "ack_unsynced": [(ordering, "advance", ack_unsynced), (recovery, "advance", ack_unsynced)],
-    "minority_primary": [(settling, "majorities", any_voter), (recovery, "majorities", any_voter)],
-    "base_before_rebroadcast": [(settling, "length_of", old_length)],
+    "minority_primary": [(primary_component, "majorities", any_voter), (recovery, "majorities", any_voter)],
+    "base_before_rebroadcast": [(primary_component, "length_of", old_length)],
     "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
     "no_lease": [(failure_detector, "lease_ok", ever_leased)],
     "free_claim": [(keys, "claim", free_claim)],
     "no_compare": [(applying, "config", no_compare)],
     "budget_forgotten": [(programs, "reserve", loose_reserve)],
     "no_rebroadcast": [(recovery, "rebroadcast", no_union)],
-    "apply_before_open": [(settling, "drain", eager_drain)],
+    "apply_before_open": [(delivery, "drain", eager_drain)],
     "forget_promise": [(membership, "write", forget)],
-    "wait_for_open": [(settling, "refill", no_unlatch)],
+    "wait_for_open": [(catch_up, "refill", no_unlatch)],
     "drop_own": [(ordering, "take", late_self)],
 }
 
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -22,7 +22,7 @@
 from frostpost.ledger.programs import line
 from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Won
-from frostpost.virtual_synchrony.events import Asked, SetVoters
+from frostpost.virtual_synchrony.events import OperationSubmitted, SetVoters
 from frostpost.virtual_synchrony.state import majority
 
 from . import world as worlds
@@ -51,7 +51,7 @@
     node = world.nodes[name]
     if node.core is not None:
         world.ops[(node.place.member, node.core.synchrony.number + 1)] = op
-    worlds.feed(world, name, Asked(worlds.clock(world, node), encode(op)))
+    worlds.feed(world, name, OperationSubmitted(worlds.clock(world, node), encode(op)))
 
 
 def serves(world, node):
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -5,18 +5,18 @@
 from msgspec import Struct, field, msgpack
 
 from frostpost.daemon import core as cores
-from frostpost.virtual_synchrony.durable_log import Log, replay, replay_one
+from frostpost.virtual_synchrony.durable_log import DurableLog, replay, replay_one
 from frostpost.virtual_synchrony.events import (
-    Applied,
-    Changed,
-    Delivered,
-    Filled,
+    ConfigurationChanged,
+    EntryApplied,
+    EntryDelivered,
     Input,
+    LogSynced,
     Record,
-    Rewrite,
-    Synced,
+    RewriteLog,
+    SnapshotInstalled,
 )
-from frostpost.virtual_synchrony.messages import Ack, Complete, Place
+from frostpost.virtual_synchrony.messages import BatchAck, Endpoint, RecoveryComplete
 from frostpost.virtual_synchrony.state import Bounds
 
 from . import world as worlds
@@ -27,7 +27,7 @@
     """A recorded life: how the node started and all its inputs."""
 
     note: str
-    place: Place
+    place: Endpoint
     bounds: Bounds
     seeds: tuple[str, ...]
     voters: tuple[str, ...]
@@ -39,7 +39,7 @@
 class Life(Struct):
     """What a played node has synced, applied and acknowledged."""
 
-    log: Log = field(default_factory=Log)
+    log: DurableLog = field(default_factory=DurableLog)
     unsynced: list = []
     applied: int = 0
     opened: bool = False
@@ -81,7 +81,7 @@
 
 def last(life, record):
     """Apply a record to the log that is on disk."""
-    if isinstance(record, Rewrite):
+    if isinstance(record, RewriteLog):
         life.log = replay(record.records)
     else:
         replay_one(life.log, record)
@@ -94,9 +94,9 @@
     life.applied = core.synchrony.applied
     for input in (None, *trace.inputs):
         if input is not None:
-            if isinstance(input, Synced) and input.up_to > wrote:
-                input = Synced(input.now_ms, wrote)
-            if isinstance(input, Synced):
+            if isinstance(input, LogSynced) and input.up_to > wrote:
+                input = LogSynced(input.now_ms, wrote)
+            if isinstance(input, LogSynced):
                 done = [w for n, w in life.unsynced if n <= input.up_to]
                 life.unsynced = [(n, w) for n, w in life.unsynced if n > input.up_to]
                 for record in done:
@@ -112,9 +112,9 @@
     """Yield the violations that one output shows."""
     storage = core.synchrony.storage
     for _, body in out.sends:
-        if isinstance(body, Complete) and storage and life.log.epoch < body.id.epoch:
+        if isinstance(body, RecoveryComplete) and storage and life.log.epoch < body.id.epoch:
             yield Broken("promise", f"{body.id} was completed before its promise was synced")
-        if isinstance(body, Ack) and storage and core.synchrony.primary.ready_at >= 0:
+        if isinstance(body, BatchAck) and storage and core.synchrony.primary.ready_at >= 0:
             if life.log.primary == body.id and life.log.length < life.log.base + body.top:
                 yield Broken("ack", f"{body.top} of {body.id} was acknowledged and not synced")
             life.acked = (body.id, body.top)
@@ -124,13 +124,13 @@
             yield Broken("cut", f"{top} of {id} was acknowledged and cut off")
     for answer in out.answers:
         match answer:
-            case Changed(_, False):
+            case ConfigurationChanged(_, False):
                 life.opened = False
-            case Delivered(entry, _, True) if entry.ordinal == 1:
+            case EntryDelivered(entry, _, True) if entry.ordinal == 1:
                 life.opened = True
-            case Filled(index, _):
+            case SnapshotInstalled(index, _):
                 life.applied, life.opened = index, core.synchrony.primary.settled
-            case Applied(entry):
+            case EntryApplied(entry):
                 if not life.opened:
                     yield Broken("open", f"{entry.index} was applied before its Open")
                 if entry.index != life.applied + 1:
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -8,8 +8,8 @@
 from frostpost.daemon import core as cores
 from frostpost.virtual_synchrony import events
 from frostpost.virtual_synchrony.durable_log import replay
-from frostpost.virtual_synchrony.events import Received, Rewrite, Synced, Tick
-from frostpost.virtual_synchrony.messages import SPEAKS, Batch, Member, Place
+from frostpost.virtual_synchrony.events import LogSynced, MessageReceived, RewriteLog, TimerTick
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, Endpoint, EntryBatch, Member
 from frostpost.virtual_synchrony.state import Bounds
 
 
@@ -31,7 +31,7 @@
     name: str
     role: str
     zone: str
-    place: Place | None = None
+    place: Endpoint | None = None
     core: cores.Core | None = None
     disk: Disk = field(default_factory=Disk)
     life: int = 0
@@ -87,13 +87,13 @@
     node.disk.boots += 1
     boot = node.disk.boots if node.role == "storage" else world.random.randrange(1 << 40)
     member = Member(name, boot)
-    node.place = Place(member, node.role, node.zone, name, 1, 0, SPEAKS)
+    node.place = Endpoint(member, node.role, node.zone, name, 1, 0, PROTOCOL_REVISION)
     seeds = [f"@{n}:1" for n in list(world.nodes)[:3]]
     log = replay(node.disk.lasting)
     node.frozen, node.queue, node.disk.syncing = False, [], 0
     node.disk.written, node.disk.wrote = [], 0
     node.core, out = cores.begin(node.place, world.bounds, seeds, world.voters, log, int(world.now_ms) + node.skew_ms)
-    note(world, name, events.Changed(node.core.synchrony.configuration, False))
+    note(world, name, events.ConfigurationChanged(node.core.synchrony.configuration, False))
     perform(world, node, out)
     at(world, world.random.random() * 20, "tick", name, node.life)
 
@@ -115,7 +115,7 @@
 
 def last(disk, record):
     """Apply a synced record to a disk."""
-    if isinstance(record, Rewrite):
+    if isinstance(record, RewriteLog):
         disk.lasting = list(record.records)
     else:
         disk.lasting.append(record)
@@ -172,7 +172,7 @@
 def send(world, node, target, body):
     """Send a message, unless the link is cut or the message is lost."""
     world.sent += 1
-    if isinstance(body, Batch) and body.entries:
+    if isinstance(body, EntryBatch) and body.entries:
         key = (node.place.member, body.id)
         world.ordered[key] = max(world.ordered.get(key, 0), body.entries[-1].ordinal)
     other = world.nodes.get(target)
@@ -204,12 +204,12 @@
             if node.frozen:
                 node.queue.append((rest[1], rest[2]))
             else:
-                feed(world, node.name, Received(clock(world, node), rest[1], rest[2]))
+                feed(world, node.name, MessageReceived(clock(world, node), rest[1], rest[2]))
     elif rest[1] != node.life:
         return
     elif kind == "tick":
         if not node.frozen:
-            feed(world, node.name, Tick(clock(world, node)))
+            feed(world, node.name, TimerTick(clock(world, node)))
         at(world, 20, "tick", node.name, node.life)
     elif kind == "synced":
         done, node.disk.syncing = node.disk.syncing, 0
@@ -217,7 +217,7 @@
             last(node.disk, record)
         node.disk.written = node.disk.written[done:]
         if not node.frozen:
-            feed(world, node.name, Synced(clock(world, node), rest[2]))
+            feed(world, node.name, LogSynced(clock(world, node), rest[2]))
         else:
             node.queue.append(rest[2])
         sync(world, node)
@@ -236,9 +236,9 @@
     node.frozen, queue, node.queue = False, node.queue, []
     for item in queue:
         if isinstance(item, int):
-            feed(world, name, Synced(clock(world, node), item))
+            feed(world, name, LogSynced(clock(world, node), item))
         else:
-            feed(world, name, Received(clock(world, node), item[0], item[1]))
+            feed(world, name, MessageReceived(clock(world, node), item[0], item[1]))
 
 
 def cut(world, left, right, one_way=False):
--- a/frostpost/tenant_config/shelf.py
+++ b/frostpost/tenant_config/shelf.py
@@ -4,7 +4,12 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.messages import BodyAsk, BodyPiece, NewsAsk, NewsTell
+from frostpost.virtual_synchrony.messages import (
+    ConfigBodyChunk,
+    ConfigBodyRequest,
+    ConfigVersionsReply,
+    ConfigVersionsRequest,
+)
 
 
 class Item(Struct, frozen=True, array_like=True):
@@ -75,7 +80,7 @@
 def heard(shelf, frm, vector):
     """Ask a peer for items if its version vector is ahead."""
     newer = any(n > shelf.vector.get(s, 0) for s, n in vector.items() if not s.startswith("~"))
-    return [(frm, NewsAsk(dict(shelf.vector)))] if newer else []
+    return [(frm, ConfigVersionsRequest(dict(shelf.vector)))] if newer else []
 
 
 def asked(shelf, frm, message):
@@ -88,7 +93,7 @@
             for n, i in sorted(held.items())
             if n > known and (not i.digest or i.digest in shelf.bodies)
         ]
-    return [(frm, NewsTell(tuple(found)))] if found else []
+    return [(frm, ConfigVersionsReply(tuple(found)))] if found else []
 
 
 def told(shelf, frm, message, now_ms):
@@ -104,10 +109,10 @@
         pull = shelf.pulls.get(digest)
         if pull is None:
             shelf.pulls[digest] = Pull(item, frm, now_ms, bytearray())
-            sends.append((frm, BodyAsk(digest, 0)))
+            sends.append((frm, ConfigBodyRequest(digest, 0)))
         elif now_ms - pull.asked_ms > shelf.resend_ms:
             pull.frm, pull.asked_ms = frm, now_ms
-            sends.append((frm, BodyAsk(digest, len(pull.data))))
+            sends.append((frm, ConfigBodyRequest(digest, len(pull.data))))
     return shelf, sends, stores
 
 
@@ -117,7 +122,7 @@
     if body is None:
         return []
     data = body[message.offset : message.offset + shelf.chunk]
-    return [(frm, BodyPiece(message.digest, message.offset, len(body), data))]
+    return [(frm, ConfigBodyChunk(message.digest, message.offset, len(body), data))]
 
 
 def body_pieced(shelf, frm, message, now_ms):
@@ -128,7 +133,7 @@
     pull.data += message.data
     pull.asked_ms = now_ms
     if len(pull.data) < message.total:
-        return shelf, [(frm, BodyAsk(message.digest, len(pull.data)))], []
+        return shelf, [(frm, ConfigBodyRequest(message.digest, len(pull.data)))], []
     del shelf.pulls[message.digest]
     body = bytes(pull.data)
     if digest_of(body) != message.digest:
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -6,7 +6,7 @@
 
 from frostpost.cluster import lease
 from frostpost.proxy.failures import Unavailable
-from frostpost.virtual_synchrony.agent_messages import SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, GetBodiesRequest, PutBodyReply, PutBodyRequest
 
 from .cache import cache_of, cached, remember
 from .repair import cut_short
@@ -85,7 +85,7 @@
 def send_puts(leaf, job):
     """Send a body to every replica that has not confirmed it, and again after a while."""
     later(leaf, job, "resend", RESEND_MS, lambda: send_puts(leaf, job))
-    message = SiloPut(leaf.place.member.boot, job.number, job.turn, job.data)
+    message = PutBodyRequest(leaf.place.member.boot, job.number, job.turn, job.data)
     for name, address in lease.ring_addresses(leaf).items():
         if name not in job.synced:
             leaf.links["send"](address, message)
@@ -131,7 +131,7 @@
     job.asked.append(name)
     address = lease.ring_addresses(leaf).get(name)
     if address is not None:
-        leaf.links["send"](address, SiloGet(leaf.place.member.boot, job.number, tuple(job.wanted)))
+        leaf.links["send"](address, GetBodiesRequest(leaf.place.member.boot, job.number, tuple(job.wanted)))
 
 
 def out_of_reach(leaf, job):
@@ -140,14 +140,14 @@
 
 
 def received(leaf, name, body):
-    """Takes SiloDone and SiloGot from the ring daemon of that name; -> whether it was one of them."""
-    if not isinstance(body, (SiloDone, SiloGot)):
+    """Takes PutBodyReply and GetBodiesReply from the ring daemon of that name; -> whether it was one of them."""
+    if not isinstance(body, (PutBodyReply, GetBodiesReply)):
         return False
     state = putting(leaf)
     if body.boot == leaf.place.member.boot:
-        if isinstance(body, SiloDone) and body.number in state.puts:
+        if isinstance(body, PutBodyReply) and body.number in state.puts:
             done(leaf, state.puts[body.number], name, body.synced)
-        elif isinstance(body, SiloGot) and body.number in state.fetches:
+        elif isinstance(body, GetBodiesReply) and body.number in state.fetches:
             got(leaf, state.fetches[body.number], name, body.items)
     return True
 
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.agent_messages import SiloGet
+from frostpost.virtual_synchrony.agent_messages import GetBodiesRequest
 
 from . import store
 
@@ -168,7 +168,7 @@
         tried = state.tried.setdefault(turn, Tried())
         tried.asked.append(peer)
         tried.again_ms = now + CYCLE_MS
-    replica.send(peer, SiloGet(state.boot, state.number, turns))
+    replica.send(peer, GetBodiesRequest(state.boot, state.number, turns))
 
 
 def got(replica, peer, body):
--- a/frostpost/turn_store/serving.py
+++ b/frostpost/turn_store/serving.py
@@ -1,6 +1,6 @@
 """A storage daemon's side: bodies put and got by others; answers to its own requests go to the repair."""
 
-from frostpost.virtual_synchrony.agent_messages import SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, GetBodiesRequest, PutBodyReply, PutBodyRequest
 
 from . import store
 from .repair import MESSAGE_BYTES, cut_short, got, lacking, repair
@@ -9,14 +9,14 @@
 
 
 def received(replica, frm_address, body):
-    """Takes SiloPut, SiloGet and SiloGot; -> whether it was one of them."""
-    if isinstance(body, SiloPut):
+    """Takes PutBodyRequest, GetBodiesRequest and GetBodiesReply; -> whether it was one of them."""
+    if isinstance(body, PutBodyRequest):
         store.put(replica.turn_store, body.turn, body.data).addCallback(
-            lambda synced: replica.send(frm_address, SiloDone(body.boot, body.number, synced))
+            lambda synced: replica.send(frm_address, PutBodyReply(body.boot, body.number, synced))
         )
-    elif isinstance(body, SiloGet):
-        replica.send(frm_address, SiloGot(body.boot, body.number, found(replica.turn_store, body.turns)))
-    elif isinstance(body, SiloGot):
+    elif isinstance(body, GetBodiesRequest):
+        replica.send(frm_address, GetBodiesReply(body.boot, body.number, found(replica.turn_store, body.turns)))
+    elif isinstance(body, GetBodiesReply):
         got(replica, frm_address, body)
     else:
         return False
--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -2,21 +2,21 @@
 
 from msgspec import Struct
 
-from .endpoints import Place
+from .endpoints import Endpoint
 
 
-class Hello(Struct, frozen=True, array_like=True, tag=22):
+class DirectoryRequest(Struct, frozen=True, array_like=True, tag=22):
     pass
 
 
-class Directory(Struct, frozen=True, array_like=True, tag=23):
+class DirectoryReply(Struct, frozen=True, array_like=True, tag=23):
     """places: the ring's daemons that the teller knows; charter: the founding voters, if it knows them."""
 
-    places: tuple[Place, ...]
+    places: tuple[Endpoint, ...]
     charter: tuple[str, ...] = ()
 
 
-class Renew(Struct, frozen=True, array_like=True, tag=24):
+class LeaseRequest(Struct, frozen=True, array_like=True, tag=24):
     """A leaf asks for its lease and tells which routing it honours; sent_ms is on its own clock.
     epoch: the ring's configuration whose places it knows. draining: runners that its own list shows as leaving."""
 
@@ -26,7 +26,7 @@
     draining: tuple[str, ...] = ()
 
 
-class Grant(Struct, frozen=True, array_like=True, tag=25):
+class LeaseReply(Struct, frozen=True, array_like=True, tag=25):
     """lease_ms from sent_ms on the leaf's clock, 0 if the teller may grant none; sequencer: whom to ask."""
 
     sent_ms: int
@@ -36,18 +36,18 @@
     version: int = 0
     honoured: int = 0
     epoch: int = 0
-    places: tuple[Place, ...] = ()
+    places: tuple[Endpoint, ...] = ()
     leaves: int = 0
     draining: tuple[str, ...] = ()
 
 
-class AskRing(Struct, frozen=True, array_like=True, tag=26):
+class OperationRequest(Struct, frozen=True, array_like=True, tag=26):
     boot: int
     number: int
     payload: bytes
 
 
-class Told(Struct, frozen=True, array_like=True, tag=27):
+class OperationReply(Struct, frozen=True, array_like=True, tag=27):
     """fault is empty where the verdict stands."""
 
     boot: int
@@ -56,77 +56,77 @@
     fault: str = ""
 
 
-class RoutingAsk(Struct, frozen=True, array_like=True, tag=28):
+class RoutingRequest(Struct, frozen=True, array_like=True, tag=28):
     version: int
 
 
-class RoutingTell(Struct, frozen=True, array_like=True, tag=29):
+class RoutingUpdate(Struct, frozen=True, array_like=True, tag=29):
     version: int
     body: bytes
 
 
-class SiloPut(Struct, frozen=True, array_like=True, tag=30):
+class PutBodyRequest(Struct, frozen=True, array_like=True, tag=30):
     boot: int
     number: int
     turn: str
     data: bytes
 
 
-class SiloDone(Struct, frozen=True, array_like=True, tag=31):
+class PutBodyReply(Struct, frozen=True, array_like=True, tag=31):
     boot: int
     number: int
     synced: bool
 
 
-class SiloGet(Struct, frozen=True, array_like=True, tag=32):
+class GetBodiesRequest(Struct, frozen=True, array_like=True, tag=32):
     boot: int
     number: int
     turns: tuple[str, ...]
 
 
-class SiloGot(Struct, frozen=True, array_like=True, tag=33):
+class GetBodiesReply(Struct, frozen=True, array_like=True, tag=33):
     boot: int
     number: int
     items: tuple[tuple[str, bytes], ...]
 
 
-class StatusAsk(Struct, frozen=True, array_like=True, tag=34):
+class StatusRequest(Struct, frozen=True, array_like=True, tag=34):
     pass
 
 
-class StatusTell(Struct, frozen=True, array_like=True, tag=35):
+class StatusReply(Struct, frozen=True, array_like=True, tag=35):
     """facts: a JSON object."""
 
     facts: bytes
 
 
-class CharterAsk(Struct, frozen=True, array_like=True, tag=40):
+class BootstrapRequest(Struct, frozen=True, array_like=True, tag=40):
     """A founder asks another seed which charter it keeps, or to keep this one if `names` isn't empty."""
 
     names: tuple[str, ...] = ()
 
 
-class CharterHeld(Struct, frozen=True, array_like=True, tag=41):
+class BootstrapReply(Struct, frozen=True, array_like=True, tag=41):
     """The charter that a seed keeps on its disk; empty if it keeps none."""
 
     names: tuple[str, ...] = ()
 
 
-OUTER = (
-    CharterAsk,
-    CharterHeld,
-    Hello,
-    Directory,
-    Renew,
-    Grant,
-    AskRing,
-    Told,
-    RoutingAsk,
-    RoutingTell,
-    SiloPut,
-    SiloDone,
-    SiloGet,
-    SiloGot,
-    StatusAsk,
-    StatusTell,
+AGENT_MESSAGES = (
+    BootstrapRequest,
+    BootstrapReply,
+    DirectoryRequest,
+    DirectoryReply,
+    LeaseRequest,
+    LeaseReply,
+    OperationRequest,
+    OperationReply,
+    RoutingRequest,
+    RoutingUpdate,
+    PutBodyRequest,
+    PutBodyReply,
+    GetBodiesRequest,
+    GetBodiesReply,
+    StatusRequest,
+    StatusReply,
 )
--- /dev/null
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -0,0 +1,118 @@
+"""A replica that lacks entries of a primary: it fetches them, or a snapshot, from a member that has them."""
+
+from . import delivery, primary_component
+from .events import SnapshotInstalled, SnapshotReceived, SnapshotRecord, SnapshotRequested
+from .messages import EntriesReply, EntriesRequest
+from .state import count, names, write
+
+
+def lacking(synchrony):
+    primary = synchrony.primary
+    if not primary.able:
+        return 0
+    if synchrony.storage:
+        if primary.ready_at >= 0:
+            return 0
+        return synchrony.log.length + 1 if primary.same else synchrony.log.settled + 1
+    return synchrony.applied + 1 if synchrony.applied < primary.base else 0
+
+
+def fetch(synchrony, out):
+    first = lacking(synchrony)
+    if not first or synchrony.recovery or synchrony.primary.loading or synchrony.primary.donor == synchrony.name:
+        return
+    if synchrony.now_ms - synchrony.primary.fetch_ms < synchrony.bounds.resend_ms:
+        return
+    synchrony.primary.fetch_ms = synchrony.now_ms
+    if synchrony.storage and synchrony.applied > synchrony.primary.base:
+        ask_own_snapshot(synchrony, out)
+        return
+    ready = sorted(
+        n
+        for n in names(synchrony.configuration)
+        if n in synchrony.peers
+        and synchrony.peers[n].ready
+        and synchrony.peers[n].configuration == synchrony.configuration.id
+    )
+    if synchrony.primary.source not in ready:
+        spot = sum(synchrony.name.encode()) % len(ready) if ready else 0
+        synchrony.primary.source = ready[spot] if ready else synchrony.primary.donor
+        synchrony.primary.piece = bytearray()
+    out.sends.append(
+        (synchrony.primary.source, EntriesRequest(synchrony.configuration.id, first, len(synchrony.primary.piece)))
+    )
+
+
+def ask_own_snapshot(synchrony, out):
+    """All that this member's log lacks is in its state: a snapshot of another would be behind it under traffic."""
+    synchrony.primary.loading = True
+    out.answers.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
+
+
+def fetched(synchrony, out, frm, message):
+    log, primary = synchrony.log, synchrony.primary
+    if message.id != synchrony.configuration.id or primary.ready_at < 0:
+        return
+    if message.first <= log.start or message.offset:
+        out.answers.append(SnapshotRequested(frm, message.id, message.offset))
+        return
+    entries = log.entries[message.first - log.start - 1 : primary.base - log.start]
+    out.sends.append((frm, EntriesReply(message.id, tuple(entries[: synchrony.bounds.batch]))))
+
+
+def filled(synchrony, out, frm, message):
+    primary, log = synchrony.primary, synchrony.log
+    if message.id != synchrony.configuration.id or not lacking(synchrony):
+        return
+    count(synchrony, "filled", len(message.entries))
+    if synchrony.storage:
+        delivery.relog(synchrony, out, message.entries)
+        if not primary.same:
+            last = message.entries[-1].index if message.entries else primary.base
+            del log.entries[max(0, last - log.start) :]
+            primary.same = True
+        if log.length >= primary.base:
+            primary_component.become_ready(synchrony, out)
+    else:
+        for entry in message.entries:
+            if entry.index > synchrony.applied:
+                synchrony.waiting[entry.index] = entry
+        delivery.drain(synchrony, out)
+    primary.fetch_ms = -(1 << 40)
+    fetch(synchrony, out)
+
+
+def pieced(synchrony, out, frm, message):
+    primary = synchrony.primary
+    if message.id != synchrony.configuration.id or primary.loading or not lacking(synchrony):
+        return
+    if message.index != primary.piece_index or message.offset == 0:
+        primary.piece, primary.piece_index = bytearray(), message.index
+    if message.offset != len(primary.piece):
+        return
+    primary.piece += message.data
+    wait_ms = synchrony.bounds.piece_bytes * 1000 // synchrony.bounds.refill_bytes_s
+    primary.fetch_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
+    if len(primary.piece) >= message.total:
+        state, primary.piece = bytes(primary.piece), bytearray()
+        primary.loading = True
+        out.answers.append(SnapshotReceived(message.id, message.index, state, message.digest))
+    fetch(synchrony, out)
+
+
+def refill(synchrony, out, index, state):
+    log, primary = synchrony.log, synchrony.primary
+    if index < synchrony.applied:
+        return
+    count(synchrony, "refilled")
+    synchrony.applied = log.settled = index
+    out.answers.append(SnapshotInstalled(index, state))
+    if index > primary.base and not primary.opened:
+        delivery.unlatch(synchrony)
+    synchrony.waiting = {i: e for i, e in synchrony.waiting.items() if i > index}
+    if synchrony.storage:
+        log.start, log.entries, primary.same = index, [], True
+        write(synchrony, out, SnapshotRecord(index, state))
+        if index >= primary.base:
+            primary_component.become_ready(synchrony, out)
+    delivery.drain(synchrony, out)
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -9,7 +9,7 @@
 sequencer always.
 """
 
-from .messages import Roster
+from .messages import DiscoveryUpdate
 from .state import Peer, sequencer
 
 REPEATS = 4
@@ -26,10 +26,10 @@
     fresh = not settled(synchrony) or synchrony.roster_periods <= REPEATS
     again = synchrony.roster_periods % REMIND_PERIODS == 0
     if fresh or again or sequencer(synchrony) == synchrony.name:
-        report = Roster(() if settled(synchrony) else (synchrony.place,), synchrony.leaving)
+        report = DiscoveryUpdate(() if settled(synchrony) else (synchrony.place,), synchrony.leaving)
         out.sends += [(seed, report) for seed in distant_seeds(synchrony)]
     if fresh or again:
-        whole = Roster(places, synchrony.leaving)
+        whole = DiscoveryUpdate(places, synchrony.leaving)
         out.sends += [(name, whole) for name in synchrony.peers]
 
 
--- a/frostpost/virtual_synchrony/durable_log.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -1,14 +1,14 @@
 from msgspec import Struct, msgpack
 
-from .events import Appended, Booted, Installed, SetVoters, Snapshot
-from .messages import ConfigurationId, Entry, Memory
+from .events import ConfigurationRecord, EntryRecord, PromiseRecord, SetVoters, SnapshotRecord
+from .messages import ConfigurationId, DurableState, Entry
 
 NOWHERE = ConfigurationId(0, "", 0)
 decode_voters = msgpack.Decoder(SetVoters).decode
 VOTERS_HEAD = msgpack.encode(SetVoters(ConfigurationId(0, "", 0), (), ()))[:8]
 
 
-class Log(Struct):
+class DurableLog(Struct):
     primary: ConfigurationId = NOWHERE
     base: int = 0
     start: int = 0
@@ -25,7 +25,7 @@
 
 
 def replay(records):
-    log = Log()
+    log = DurableLog()
     for record in records:
         replay_one(log, record)
     return log
@@ -33,16 +33,16 @@
 
 def replay_one(log, record):
     match record:
-        case Booted(boot, epoch):
+        case PromiseRecord(boot, epoch):
             log.boot, log.epoch = max(log.boot, boot), max(log.epoch, epoch)
-        case Snapshot(index, state):
+        case SnapshotRecord(index, state):
             log.start, log.entries, log.snapshot = index, [], state
             log.settled = max(log.settled, index)
-        case Installed(id, base, voters):
+        case ConfigurationRecord(id, base, voters):
             log.primary, log.base, log.voters = id, base, voters
             log.epoch = max(log.epoch, id.epoch)
             del log.entries[max(0, base - log.start) :]
-        case Appended(entry, settled):
+        case EntryRecord(entry, settled):
             del log.entries[max(0, entry.index - log.start - 1) :]
             if entry.index == log.length + 1:
                 log.entries.append(entry)
@@ -52,7 +52,7 @@
 def memory(log):
     if log.primary == NOWHERE:
         return None
-    return Memory(log.primary, log.length, log.voters, coming(log))
+    return DurableState(log.primary, log.length, log.voters, coming(log))
 
 
 def coming(log):
--- a/frostpost/virtual_synchrony/endpoints.py
+++ b/frostpost/virtual_synchrony/endpoints.py
@@ -6,7 +6,7 @@
     boot: int
 
 
-class Place(Struct, frozen=True, array_like=True):
+class Endpoint(Struct, frozen=True, array_like=True):
     member: Member
     role: str
     zone: str
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -1,6 +1,6 @@
 from msgspec import Struct
 
-from .messages import Configuration, ConfigurationId, Entry, Member, Message, Place
+from .messages import Configuration, ConfigurationId, Endpoint, Entry, Member, Message
 
 
 class SetVoters(Struct, frozen=True, array_like=True, tag="voters"):
@@ -9,99 +9,99 @@
     after: tuple[str, ...]
 
 
-class Installed(Struct, frozen=True, array_like=True, tag=1):
+class ConfigurationRecord(Struct, frozen=True, array_like=True, tag=1):
     id: ConfigurationId
     base: int
     voters: tuple[str, ...]
 
 
-class Appended(Struct, frozen=True, array_like=True, tag=2):
+class EntryRecord(Struct, frozen=True, array_like=True, tag=2):
     entry: Entry
     settled: int
 
 
-class Snapshot(Struct, frozen=True, array_like=True, tag=3):
+class SnapshotRecord(Struct, frozen=True, array_like=True, tag=3):
     index: int
     state: bytes
 
 
-class Open(Struct, frozen=True, array_like=True, tag="open"):
+class OpenPrimary(Struct, frozen=True, array_like=True, tag="open"):
     members: tuple[Member, ...]
     cores: tuple[str, ...]
     voters: tuple[str, ...]
 
 
-class Booted(Struct, frozen=True, array_like=True, tag=4):
+class PromiseRecord(Struct, frozen=True, array_like=True, tag=4):
     boot: int
     epoch: int
 
 
-class Probe(Struct, frozen=True, array_like=True, tag=5):
+class ProbeRecord(Struct, frozen=True, array_like=True, tag=5):
     number: int
 
 
-class Rewrite(Struct, frozen=True, array_like=True, tag=6):
+class RewriteLog(Struct, frozen=True, array_like=True, tag=6):
     records: tuple["Record", ...]
 
 
-Record = Installed | Appended | Snapshot | Booted | Probe
-Write = Record | Rewrite
+Record = ConfigurationRecord | EntryRecord | SnapshotRecord | PromiseRecord | ProbeRecord
+Write = Record | RewriteLog
 
 
-class Tick(Struct, frozen=True, array_like=True, tag=1):
+class TimerTick(Struct, frozen=True, array_like=True, tag=1):
     now_ms: int
 
 
-class Received(Struct, frozen=True, array_like=True, tag=2):
+class MessageReceived(Struct, frozen=True, array_like=True, tag=2):
     now_ms: int
-    place: Place
+    place: Endpoint
     body: Message
 
 
-class Asked(Struct, frozen=True, array_like=True, tag=3):
+class OperationSubmitted(Struct, frozen=True, array_like=True, tag=3):
     now_ms: int
     payload: bytes
     end: bool = False
 
 
-class Synced(Struct, frozen=True, array_like=True, tag=4):
+class LogSynced(Struct, frozen=True, array_like=True, tag=4):
     now_ms: int
     up_to: int
 
 
-class Stalled(Struct, frozen=True, array_like=True, tag=5):
+class DiskHealthChanged(Struct, frozen=True, array_like=True, tag=5):
     now_ms: int
     unwell: bool
 
 
-class Left(Struct, frozen=True, array_like=True, tag=6):
+class DrainRequested(Struct, frozen=True, array_like=True, tag=6):
     now_ms: int
 
 
-Input = Tick | Received | Asked | Synced | Stalled | Left
+Input = TimerTick | MessageReceived | OperationSubmitted | LogSynced | DiskHealthChanged | DrainRequested
 
 
-class Changed(Struct, frozen=True, tag=1):
+class ConfigurationChanged(Struct, frozen=True, tag=1):
     configuration: Configuration
     transitional: bool
 
 
-class Delivered(Struct, frozen=True, tag=2):
+class EntryDelivered(Struct, frozen=True, tag=2):
     entry: Entry
     transitional: bool
     acted: bool
 
 
-class Applied(Struct, frozen=True, tag=3):
+class EntryApplied(Struct, frozen=True, tag=3):
     entry: Entry
 
 
-class Filled(Struct, frozen=True, tag=4):
+class SnapshotInstalled(Struct, frozen=True, tag=4):
     index: int
     state: bytes
 
 
-class SnapshotAsked(Struct, frozen=True, tag=5):
+class SnapshotRequested(Struct, frozen=True, tag=5):
     to: str
     id: ConfigurationId
     offset: int
@@ -116,18 +116,27 @@
     digest: str
 
 
-class Overfull(Struct, frozen=True, tag=6):
+class WindowFull(Struct, frozen=True, tag=6):
     held: int
 
 
-class Numbered(Struct, frozen=True, tag=7):
+class OperationNumbered(Struct, frozen=True, tag=7):
     number: int
 
 
-Answer = Changed | Delivered | Applied | Filled | SnapshotAsked | SnapshotReceived | Overfull | Numbered
+Answer = (
+    ConfigurationChanged
+    | EntryDelivered
+    | EntryApplied
+    | SnapshotInstalled
+    | SnapshotRequested
+    | SnapshotReceived
+    | WindowFull
+    | OperationNumbered
+)
 
 
-class Out(Struct):
+class Output(Struct):
     sends: list[tuple[str, Message]] = []
     writes: list[Write] = []
     answers: list[Answer] = []
--- a/frostpost/virtual_synchrony/failure_detector.py
+++ b/frostpost/virtual_synchrony/failure_detector.py
@@ -1,5 +1,5 @@
 from .durable_log import NOWHERE
-from .messages import Beat, Install
+from .messages import Heartbeat, InstallRequest
 from .state import RANK, role
 
 
@@ -75,7 +75,7 @@
         out.sends.append(
             (
                 name,
-                Beat(
+                Heartbeat(
                     synchrony.configuration.id,
                     synchrony.promised,
                     hears,
@@ -108,7 +108,7 @@
     mine = synchrony.configuration.id
     proposed_here = mine.proposer == synchrony.name and mine.boot == synchrony.me.boot
     if proposed_here and message.promised == mine and message.configuration != mine:
-        out.sends.append((frm, Install(mine)))
+        out.sends.append((frm, InstallRequest(mine)))
 
 
 def lease_ok(synchrony, now_ms):
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,7 +1,15 @@
 from .durable_log import memory, voters_in
-from .events import Booted
+from .events import PromiseRecord
 from .failure_detector import desire, serving
-from .messages import ConfigurationId, Exchange, Install, Member, Plan, Propose, TurnAway
+from .messages import (
+    ConfigurationId,
+    InstallRequest,
+    Member,
+    ProposeRejection,
+    ProposeRequest,
+    RecoveryExchange,
+    RecoveryPlan,
+)
 from .state import Proposal, Recovery, count, elect, write
 
 # A heartbeat last sent then is due: whom this daemon hears is told before it proposes.
@@ -61,7 +69,7 @@
     proposal = Proposal(id, tuple(members), elect(synchrony, members), synchrony.now_ms, synchrony.now_ms)
     synchrony.proposal = proposal
     for member in members:
-        out.sends.append((member.name, Propose(id, proposal.members, proposal.sequencer)))
+        out.sends.append((member.name, ProposeRequest(id, proposal.members, proposal.sequencer)))
 
 
 def proposed(synchrony, out, frm, message):
@@ -70,7 +78,7 @@
         return say_exchange(synchrony, out)
     refused = message.id <= synchrony.promised or synchrony.me not in message.members
     if refused or bound(synchrony, message.id) or breaks_up(synchrony, message):
-        out.sends.append((frm, TurnAway(message.id, synchrony.promised)))
+        out.sends.append((frm, ProposeRejection(message.id, synchrony.promised)))
         return
     if synchrony.proposal and synchrony.proposal.id < message.id:
         synchrony.proposal = None
@@ -105,14 +113,14 @@
         message.id, frm, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
     )
     synchrony.order.early = []
-    write(synchrony, out, Booted(synchrony.me.boot, message.id.epoch))
+    write(synchrony, out, PromiseRecord(synchrony.me.boot, message.id.epoch))
     say_exchange(synchrony, out)
 
 
 def say_exchange(synchrony, out):
     order, id = synchrony.order, synchrony.recovery.id
     extra = tuple(sorted(o for o in order.held if o > order.top))
-    said = Exchange(
+    said = RecoveryExchange(
         id,
         synchrony.configuration.id,
         order.top,
@@ -139,7 +147,7 @@
 
 def say_plan(synchrony, out):
     proposal = synchrony.proposal
-    plan = Plan(proposal.id, dict(proposal.exchanges))
+    plan = RecoveryPlan(proposal.id, dict(proposal.exchanges))
     for member in proposal.members:
         if member.name not in proposal.completes:
             out.sends.append((member.name, plan))
@@ -149,7 +157,7 @@
     proposal = synchrony.proposal
     if proposal is None:
         if message.id == synchrony.configuration.id:
-            out.sends.append((frm, Install(message.id)))
+            out.sends.append((frm, InstallRequest(message.id)))
         return
     if proposal.id != message.id:
         return
@@ -157,7 +165,7 @@
     if len(proposal.completes) == len(proposal.members):
         synchrony.proposal = None
         for member in proposal.members:
-            out.sends.append((member.name, Install(proposal.id)))
+            out.sends.append((member.name, InstallRequest(proposal.id)))
 
 
 def turned_away(synchrony, out, frm, message):
@@ -192,7 +200,7 @@
         else:
             for member in proposal.members:
                 if member.name not in proposal.exchanges:
-                    out.sends.append((member.name, Propose(proposal.id, proposal.members, proposal.sequencer)))
+                    out.sends.append((member.name, ProposeRequest(proposal.id, proposal.members, proposal.sequencer)))
 
 
 def shun(synchrony, member):
--- a/frostpost/virtual_synchrony/messages.py
+++ b/frostpost/virtual_synchrony/messages.py
@@ -1,27 +1,27 @@
 from msgspec import Struct
 
 from .agent_messages import (
-    AskRing,
-    CharterAsk,
-    CharterHeld,
-    Directory,
-    Grant,
-    Hello,
-    Renew,
-    RoutingAsk,
-    RoutingTell,
-    SiloDone,
-    SiloGet,
-    SiloGot,
-    SiloPut,
-    StatusAsk,
-    StatusTell,
-    Told,
+    BootstrapReply,
+    BootstrapRequest,
+    DirectoryReply,
+    DirectoryRequest,
+    GetBodiesReply,
+    GetBodiesRequest,
+    LeaseReply,
+    LeaseRequest,
+    OperationReply,
+    OperationRequest,
+    PutBodyReply,
+    PutBodyRequest,
+    RoutingRequest,
+    RoutingUpdate,
+    StatusReply,
+    StatusRequest,
 )
-from .endpoints import Member, Place
+from .endpoints import Endpoint, Member
 
-VERSION = 1
-SPEAKS = 3
+FRAME_VERSION = 1
+PROTOCOL_REVISION = 3
 
 
 class ConfigurationId(Struct, frozen=True, array_like=True, order=True):
@@ -45,14 +45,14 @@
     payload: bytes
 
 
-class Memory(Struct, frozen=True, array_like=True):
+class DurableState(Struct, frozen=True, array_like=True):
     primary: ConfigurationId
     length: int
     voters: tuple[str, ...]
     coming: tuple[tuple[str, ...], ...]
 
 
-class Beat(Struct, frozen=True, array_like=True, tag=1):
+class Heartbeat(Struct, frozen=True, array_like=True, tag=1):
     configuration: ConfigurationId
     promised: ConfigurationId
     hears: tuple[Member, ...]
@@ -66,23 +66,23 @@
     last_primary: ConfigurationId = ConfigurationId(0, "", 0)
 
 
-class Roster(Struct, frozen=True, array_like=True, tag=2):
-    places: tuple[Place, ...]
+class DiscoveryUpdate(Struct, frozen=True, array_like=True, tag=2):
+    places: tuple[Endpoint, ...]
     leaving: bool
 
 
-class Propose(Struct, frozen=True, array_like=True, tag=3):
+class ProposeRequest(Struct, frozen=True, array_like=True, tag=3):
     id: ConfigurationId
     members: tuple[Member, ...]
     sequencer: str
 
 
-class TurnAway(Struct, frozen=True, array_like=True, tag=4):
+class ProposeRejection(Struct, frozen=True, array_like=True, tag=4):
     id: ConfigurationId
     promised: ConfigurationId
 
 
-class Exchange(Struct, frozen=True, array_like=True, tag=5):
+class RecoveryExchange(Struct, frozen=True, array_like=True, tag=5):
     """What a member holds at the start of a recovery. coming: voters asked for by entries that it has not delivered."""
 
     id: ConfigurationId
@@ -91,15 +91,15 @@
     extra: tuple[int, ...]
     safe: int
     obligations: tuple[Member, ...]
-    memory: Memory | None
+    memory: DurableState | None
     applied: int
     voters: tuple[str, ...]
     coming: tuple[tuple[str, ...], ...] = ()
 
 
-class Plan(Struct, frozen=True, array_like=True, tag=6):
+class RecoveryPlan(Struct, frozen=True, array_like=True, tag=6):
     id: ConfigurationId
-    exchanges: dict[str, Exchange]
+    exchanges: dict[str, RecoveryExchange]
 
 
 class Rebroadcast(Struct, frozen=True, array_like=True, tag=7):
@@ -107,53 +107,53 @@
     entries: tuple[Entry, ...]
 
 
-class Complete(Struct, frozen=True, array_like=True, tag=8):
+class RecoveryComplete(Struct, frozen=True, array_like=True, tag=8):
     id: ConfigurationId
 
 
-class Install(Struct, frozen=True, array_like=True, tag=9):
+class InstallRequest(Struct, frozen=True, array_like=True, tag=9):
     id: ConfigurationId
 
 
-class Submit(Struct, frozen=True, array_like=True, tag=10):
+class SubmitRequest(Struct, frozen=True, array_like=True, tag=10):
     id: ConfigurationId
     floor: int
     first: int
     payloads: tuple[bytes, ...]
 
 
-class Batch(Struct, frozen=True, array_like=True, tag=11):
+class EntryBatch(Struct, frozen=True, array_like=True, tag=11):
     id: ConfigurationId
     entries: tuple[Entry, ...]
     safe: int
 
 
-class Ack(Struct, frozen=True, array_like=True, tag=12):
+class BatchAck(Struct, frozen=True, array_like=True, tag=12):
     id: ConfigurationId
     top: int
 
 
-class Safe(Struct, frozen=True, array_like=True, tag=13):
+class SafeUpdate(Struct, frozen=True, array_like=True, tag=13):
     id: ConfigurationId
     mark: int
 
 
-class Ready(Struct, frozen=True, array_like=True, tag=14):
+class ReadyUpdate(Struct, frozen=True, array_like=True, tag=14):
     id: ConfigurationId
 
 
-class Fetch(Struct, frozen=True, array_like=True, tag=15):
+class EntriesRequest(Struct, frozen=True, array_like=True, tag=15):
     id: ConfigurationId
     first: int
     offset: int
 
 
-class Fill(Struct, frozen=True, array_like=True, tag=16):
+class EntriesReply(Struct, frozen=True, array_like=True, tag=16):
     id: ConfigurationId
     entries: tuple[Entry, ...]
 
 
-class Piece(Struct, frozen=True, array_like=True, tag=17):
+class SnapshotChunk(Struct, frozen=True, array_like=True, tag=17):
     id: ConfigurationId
     index: int
     offset: int
@@ -162,69 +162,69 @@
     data: bytes
 
 
-class BodyAsk(Struct, frozen=True, array_like=True, tag=18):
+class ConfigBodyRequest(Struct, frozen=True, array_like=True, tag=18):
     digest: str
     offset: int
 
 
-class BodyPiece(Struct, frozen=True, array_like=True, tag=19):
+class ConfigBodyChunk(Struct, frozen=True, array_like=True, tag=19):
     digest: str
     offset: int
     total: int
     data: bytes
 
 
-class NewsAsk(Struct, frozen=True, array_like=True, tag=20):
+class ConfigVersionsRequest(Struct, frozen=True, array_like=True, tag=20):
     vector: dict[str, int]
 
 
-class NewsTell(Struct, frozen=True, array_like=True, tag=21):
+class ConfigVersionsReply(Struct, frozen=True, array_like=True, tag=21):
     items: tuple[tuple[str, int, str, int], ...]
 
 
 Message = (
-    Beat
-    | Roster
-    | Propose
-    | TurnAway
-    | Exchange
-    | Plan
+    Heartbeat
+    | DiscoveryUpdate
+    | ProposeRequest
+    | ProposeRejection
+    | RecoveryExchange
+    | RecoveryPlan
     | Rebroadcast
-    | Complete
-    | Install
-    | Submit
-    | Batch
-    | Ack
-    | Safe
-    | Ready
-    | Fetch
-    | Fill
-    | Piece
-    | BodyAsk
-    | BodyPiece
-    | NewsAsk
-    | NewsTell
-    | Hello
-    | Directory
-    | Renew
-    | Grant
-    | AskRing
-    | Told
-    | RoutingAsk
-    | RoutingTell
-    | SiloPut
-    | SiloDone
-    | SiloGet
-    | SiloGot
-    | StatusAsk
-    | StatusTell
-    | CharterAsk
-    | CharterHeld
+    | RecoveryComplete
+    | InstallRequest
+    | SubmitRequest
+    | EntryBatch
+    | BatchAck
+    | SafeUpdate
+    | ReadyUpdate
+    | EntriesRequest
+    | EntriesReply
+    | SnapshotChunk
+    | ConfigBodyRequest
+    | ConfigBodyChunk
+    | ConfigVersionsRequest
+    | ConfigVersionsReply
+    | DirectoryRequest
+    | DirectoryReply
+    | LeaseRequest
+    | LeaseReply
+    | OperationRequest
+    | OperationReply
+    | RoutingRequest
+    | RoutingUpdate
+    | PutBodyRequest
+    | PutBodyReply
+    | GetBodiesRequest
+    | GetBodiesReply
+    | StatusRequest
+    | StatusReply
+    | BootstrapRequest
+    | BootstrapReply
 )
 
 
 class Frame(Struct, frozen=True, array_like=True):
     version: int
-    place: Place
+    place: Endpoint
     to: str
     body: Message
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -1,17 +1,18 @@
-from .events import Delivered, Numbered, Overfull
-from .messages import Ack, Batch, Entry, Safe, Submit
-from .settling import act, record, say_ready
+from .delivery import act, record
+from .events import EntryDelivered, OperationNumbered, WindowFull
+from .messages import BatchAck, Entry, EntryBatch, SafeUpdate, SubmitRequest
+from .primary_component import say_ready
 from .state import count, names, sequencer
 
 
 def asked(synchrony, out, payload, end=False):
     if not end and len(synchrony.outbox) >= synchrony.bounds.window:
         count(synchrony, "overfull")
-        out.answers.append(Overfull(len(synchrony.outbox)))
+        out.answers.append(WindowFull(len(synchrony.outbox)))
         return
     synchrony.number += 1
     synchrony.outbox[synchrony.number] = payload
-    out.answers.append(Numbered(synchrony.number))
+    out.answers.append(OperationNumbered(synchrony.number))
     push(synchrony, out)
 
 
@@ -25,7 +26,7 @@
         if synchrony.submitted < floor:
             synchrony.outbox_ms = synchrony.now_ms
         synchrony.submitted = synchrony.number
-        out.sends.append((sequencer(synchrony), Submit(synchrony.configuration.id, floor, first, payloads)))
+        out.sends.append((sequencer(synchrony), SubmitRequest(synchrony.configuration.id, floor, first, payloads)))
 
 
 def first_open(synchrony):
@@ -70,7 +71,7 @@
     for name in names(synchrony.configuration):
         order.sent_ms[name] = synchrony.now_ms
         if name != synchrony.name:
-            out.sends.append((name, Batch(synchrony.configuration.id, entries, order.safe)))
+            out.sends.append((name, EntryBatch(synchrony.configuration.id, entries, order.safe)))
     take(synchrony, out, entries)
 
 
@@ -108,7 +109,7 @@
 
 def acknowledge(synchrony, out, top):
     if top and not synchrony.recovery:
-        out.sends.append((sequencer(synchrony), Ack(synchrony.configuration.id, top)))
+        out.sends.append((sequencer(synchrony), BatchAck(synchrony.configuration.id, top)))
 
 
 def acked(synchrony, out, frm, message):
@@ -124,7 +125,7 @@
         return
     mark = min(order.acks[name] for name in members)
     for name in members:
-        out.sends.append((name, Safe(synchrony.configuration.id, mark)))
+        out.sends.append((name, SafeUpdate(synchrony.configuration.id, mark)))
 
 
 def safened(synchrony, out, message):
@@ -139,7 +140,7 @@
     while order.delivered < order.safe and order.delivered < order.top:
         order.delivered += 1
         entry = order.held.pop(order.delivered)
-        out.answers.append(Delivered(entry, False, synchrony.primary.able))
+        out.answers.append(EntryDelivered(entry, False, synchrony.primary.able))
         if synchrony.primary.able:
             act(synchrony, out, entry)
 
@@ -176,5 +177,5 @@
             entries = [order.held[o] for o in range(top + 1, order.fanned + 1) if o in order.held]
             count(synchrony, "resent", len(entries[: synchrony.bounds.batch]))
             out.sends.append(
-                (name, Batch(synchrony.configuration.id, tuple(entries[: synchrony.bounds.batch]), order.safe))
+                (name, EntryBatch(synchrony.configuration.id, tuple(entries[: synchrony.bounds.batch]), order.safe))
             )
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -1,9 +1,9 @@
 from .durable_log import voters_in
-from .events import Changed, Delivered
-from .messages import Complete, Configuration, Rebroadcast
+from .events import ConfigurationChanged, EntryDelivered
+from .messages import Configuration, Rebroadcast, RecoveryComplete
 from .ordering import act, advance
-from .settling import judge, prepare
-from .state import Order, count, majorities, majority, sequencer
+from .primary_component import judge, prepare
+from .state import OrderState, count, majorities, majority, sequencer
 
 
 def holds(exchange, ordinal):
@@ -86,7 +86,7 @@
 
 
 def say_complete(synchrony, out):
-    out.sends.append((synchrony.recovery.proposer, Complete(synchrony.recovery.id)))
+    out.sends.append((synchrony.recovery.proposer, RecoveryComplete(synchrony.recovery.id)))
 
 
 def installed(synchrony, out, message):
@@ -103,11 +103,13 @@
     while order.delivered < safe and order.delivered + 1 in order.held:
         order.delivered += 1
         entry = order.held[order.delivered]
-        out.answers.append(Delivered(entry, False, acting))
+        out.answers.append(EntryDelivered(entry, False, acting))
         changes += voters_in([entry])
         if acting:
             act(synchrony, out, entry)
-    out.answers.append(Changed(Configuration(synchrony.configuration.id, recovery.group, sequencer(synchrony)), True))
+    out.answers.append(
+        ConfigurationChanged(Configuration(synchrony.configuration.id, recovery.group, sequencer(synchrony)), True)
+    )
     full = full_voters(synchrony, group)
     keeping = acting and majorities(synchrony.primary, full) and all(majority(v, full) for v in changes)
     gap = False
@@ -119,7 +121,7 @@
             continue
         order.delivered = ordinal
         entry = order.held[ordinal]
-        out.answers.append(Delivered(entry, True, keeping and not gap))
+        out.answers.append(EntryDelivered(entry, True, keeping and not gap))
         if keeping and not gap:
             act(synchrony, out, entry)
             keeping = all(majority(voters, full) for voters in voters_in([entry]))
@@ -148,12 +150,12 @@
     synchrony.log.epoch = max(synchrony.log.epoch, recovery.id.epoch)
     synchrony.recovery = None
     synchrony.obligations = frozenset()
-    synchrony.replays, synchrony.order = synchrony.order.early, Order()
+    synchrony.replays, synchrony.order = synchrony.order.early, OrderState()
     synchrony.acks_at = []
     count(synchrony, "installs")
     synchrony.waiting = {}
     synchrony.primary = judge(recovery.plan)
-    out.answers.append(Changed(synchrony.configuration, False))
+    out.answers.append(ConfigurationChanged(synchrony.configuration, False))
     prepare(synchrony, out, recovery.plan)
 
 
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -1,8 +1,8 @@
 from msgspec import Struct, field
 
-from .durable_log import NOWHERE, Log
-from .events import Booted, Out
-from .messages import Configuration, ConfigurationId, Entry, Exchange, Member, Place
+from .durable_log import NOWHERE, DurableLog
+from .events import Output, PromiseRecord
+from .messages import Configuration, ConfigurationId, Endpoint, Entry, Member, RecoveryExchange
 
 RANK = {"storage": 0, "core": 1, "edge": 2}
 
@@ -33,7 +33,7 @@
 
 
 class Peer(Struct):
-    place: Place
+    place: Endpoint
     heard_ms: int = -(1 << 40)
     hears: frozenset[Member] = frozenset()
     configuration: ConfigurationId = NOWHERE
@@ -58,7 +58,7 @@
     sequencer: str
     started_ms: int
     sent_ms: int
-    exchanges: dict[str, Exchange] = {}
+    exchanges: dict[str, RecoveryExchange] = {}
     completes: set[str] = set()
     planned: bool = False
 
@@ -70,7 +70,7 @@
     sequencer: str
     started_ms: int
     sent_ms: int
-    plan: dict[str, Exchange] | None = None
+    plan: dict[str, RecoveryExchange] | None = None
     group: tuple[Member, ...] = ()
     wanted: frozenset[int] = frozenset()
     owed: dict[str, tuple[int, ...]] = {}
@@ -78,7 +78,7 @@
     sync_at: int = -1
 
 
-class Order(Struct):
+class OrderState(Struct):
     held: dict[int, Entry] = {}
     top: int = 0
     acked: int = 0
@@ -96,7 +96,7 @@
     early: list[tuple[str, object]] = []
 
 
-class Primary(Struct):
+class PrimaryState(Struct):
     able: bool = False
     donor: str = ""
     base: int = 0
@@ -117,12 +117,12 @@
 
 
 class Synchrony(Struct):
-    place: Place
+    place: Endpoint
     bounds: Bounds
     seeds: tuple[str, ...]
     voters0: tuple[str, ...]
     storage: bool
-    log: Log
+    log: DurableLog
     configuration: Configuration
     promised: ConfigurationId
     voters: tuple[str, ...] = ()
@@ -131,15 +131,15 @@
     now_ms: int = 0
     beat_ms: int = -(1 << 40)
     roster_ms: int = -(1 << 40)
-    roster_places: tuple[Place, ...] = ()
+    roster_places: tuple[Endpoint, ...] = ()
     roster_periods: int = 0
     desired: tuple[Member, ...] = ()
     desired_ms: int = 0
     obligations: frozenset[Member] = frozenset()
     proposal: Proposal | None = None
     recovery: Recovery | None = None
-    order: Order = field(default_factory=Order)
-    primary: Primary = field(default_factory=Primary)
+    order: OrderState = field(default_factory=OrderState)
+    primary: PrimaryState = field(default_factory=PrimaryState)
     applied: int = 0
     waiting: dict[int, Entry] = {}
     outbox: dict[int, bytes] = {}
@@ -223,6 +223,6 @@
         installed_ms=now_ms,
         applied=log.settled,
     )
-    out = Out()
-    write(synchrony, out, Booted(place.member.boot, single.epoch))
+    out = Output()
+    write(synchrony, out, PromiseRecord(place.member.boot, single.epoch))
     return synchrony, out
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -1,46 +1,46 @@
-from . import discovery, failure_detector, membership, ordering, recovery, settling
-from .events import Asked, Left, Out, Received, Stalled, Synced, Tick
+from . import catch_up, discovery, failure_detector, membership, ordering, primary_component, recovery
+from .events import DiskHealthChanged, DrainRequested, LogSynced, MessageReceived, OperationSubmitted, Output, TimerTick
 from .messages import (
-    Ack,
-    Batch,
-    Beat,
-    Complete,
-    Exchange,
-    Fetch,
-    Fill,
-    Install,
-    Piece,
-    Plan,
-    Propose,
-    Ready,
+    BatchAck,
+    DiscoveryUpdate,
+    EntriesReply,
+    EntriesRequest,
+    EntryBatch,
+    Heartbeat,
+    InstallRequest,
+    ProposeRejection,
+    ProposeRequest,
+    ReadyUpdate,
     Rebroadcast,
-    Roster,
-    Safe,
-    Submit,
-    TurnAway,
+    RecoveryComplete,
+    RecoveryExchange,
+    RecoveryPlan,
+    SafeUpdate,
+    SnapshotChunk,
+    SubmitRequest,
 )
 from .state import Peer, count
 
-EARLY = (Batch, Safe, Submit, Ready, Ack, Fetch)
+EARLY = (EntryBatch, SafeUpdate, SubmitRequest, ReadyUpdate, BatchAck, EntriesRequest)
 
 
 def step(synchrony, input):
-    out = Out()
+    out = Output()
     overslept(synchrony, input.now_ms)
     match input:
-        case Tick():
+        case TimerTick():
             ticked(synchrony, out)
-        case Received(_, place, body):
+        case MessageReceived(_, place, body):
             if meet(synchrony, place):
                 received(synchrony, out, place.member.name, body)
-        case Asked(_, payload, end):
+        case OperationSubmitted(_, payload, end):
             ordering.asked(synchrony, out, payload, end)
-        case Synced(_, up_to):
+        case LogSynced(_, up_to):
             ordering.synced(synchrony, out, up_to)
             recovery.settle(synchrony, out)
-        case Stalled(_, unwell):
+        case DiskHealthChanged(_, unwell):
             synchrony.unwell, synchrony.changed = unwell, True
-        case Left():
+        case DrainRequested():
             synchrony.leaving = True
             failure_detector.beat(synchrony, out)
             discovery.tell(synchrony, out)
@@ -78,10 +78,10 @@
 
 def without_superseded(sends):
     """The sends without each Safe after which the same receiver gets a Batch of as high a mark."""
-    batches = {(to, body.id): body.safe for to, body in sends if isinstance(body, Batch)}
+    batches = {(to, body.id): body.safe for to, body in sends if isinstance(body, EntryBatch)}
     if not batches:
         return sends
-    return [(to, body) for to, body in sends if not (isinstance(body, Safe) and superseded(batches, to, body))]
+    return [(to, body) for to, body in sends if not (isinstance(body, SafeUpdate) and superseded(batches, to, body))]
 
 
 def superseded(batches, to, message):
@@ -117,7 +117,7 @@
     recovery.remind(synchrony, out)
     ordering.remind(synchrony, out)
     ordering.flush(synchrony, out, force=True)
-    settling.fetch(synchrony, out)
+    catch_up.fetch(synchrony, out)
     synchrony.changed, synchrony.ticked_ms = False, synchrony.now_ms
     synchrony.apart = set(synchrony.desired) != set(synchrony.configuration.members)
 
@@ -129,38 +129,38 @@
             synchrony.order.early.append((frm, body))
         return
     match body:
-        case Beat():
+        case Heartbeat():
             failure_detector.beaten(synchrony, out, frm, body)
-        case Roster():
+        case DiscoveryUpdate():
             discovery.told(synchrony, frm, body)
-        case Propose():
+        case ProposeRequest():
             membership.proposed(synchrony, out, frm, body)
-        case TurnAway():
+        case ProposeRejection():
             membership.turned_away(synchrony, out, frm, body)
-        case Exchange():
+        case RecoveryExchange():
             membership.exchanged(synchrony, out, frm, body)
-        case Plan():
+        case RecoveryPlan():
             recovery.planned(synchrony, out, body)
         case Rebroadcast():
             recovery.rebroadcasted(synchrony, out, body)
-        case Complete():
+        case RecoveryComplete():
             membership.completed(synchrony, out, frm, body)
-        case Install():
+        case InstallRequest():
             recovery.installed(synchrony, out, body)
-        case Submit():
+        case SubmitRequest():
             sender = synchrony.me if frm == synchrony.name else synchrony.peers[frm].place.member
             ordering.submitted(synchrony, out, frm, sender, body)
-        case Batch():
+        case EntryBatch():
             ordering.batched(synchrony, out, frm, body)
-        case Ack():
+        case BatchAck():
             ordering.acked(synchrony, out, frm, body)
-        case Safe():
+        case SafeUpdate():
             ordering.safened(synchrony, out, body)
-        case Ready():
-            settling.readied(synchrony, out, frm, body)
-        case Fetch():
-            settling.fetched(synchrony, out, frm, body)
-        case Fill():
-            settling.filled(synchrony, out, frm, body)
-        case Piece():
-            settling.pieced(synchrony, out, frm, body)
+        case ReadyUpdate():
+            primary_component.readied(synchrony, out, frm, body)
+        case EntriesRequest():
+            catch_up.fetched(synchrony, out, frm, body)
+        case EntriesReply():
+            catch_up.filled(synchrony, out, frm, body)
+        case SnapshotChunk():
+            catch_up.pieced(synchrony, out, frm, body)
--- a/frostpost/virtual_synchrony/timers.py
+++ b/frostpost/virtual_synchrony/timers.py
@@ -1,6 +1,6 @@
 """When a replica's next Tick has something to do; a Tick before that time changes nothing and may be left out."""
 
-from .settling import lacking
+from .catch_up import lacking
 
 
 def unsettled(synchrony):
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -15,8 +15,8 @@
 from frostpost.proxy.outcomes import Broken
 from frostpost.simulator.plants import changed
 from frostpost.turn_store import repair
-from frostpost.virtual_synchrony import recovery, settling
-from frostpost.virtual_synchrony.agent_messages import Told
+from frostpost.virtual_synchrony import catch_up, primary_component, recovery
+from frostpost.virtual_synchrony.agent_messages import OperationReply
 
 
 def end_unawaited():
@@ -111,7 +111,7 @@
     def majorities(primary, present):
         return all(v in present for v in primary.voters)
 
-    return [(module, "majorities", majorities) for module in (settling, recovery)]
+    return [(module, "majorities", majorities) for module in (primary_component, recovery)]
 
 
 def unordered_ack():
@@ -200,7 +200,7 @@
         if not isinstance(op, LookRouting):
             return kept(ctx, sessions, address, message)
         verdict = settings.look_routing(ctx.core.ledger.program_ledger, 0, op)
-        return ctx.links["send"](address, Told(message.boot, message.number, serving.encode(verdict)))
+        return ctx.links["send"](address, OperationReply(message.boot, message.number, serving.encode(verdict)))
 
     return [(serving, "asked", asked)]
 
@@ -229,7 +229,7 @@
 
 def never_refilled():
     """A replica that comes back empty never gets the ledger, and acknowledges from memory for ever."""
-    return [(settling, "fetch", lambda synchrony, out: None)]
+    return [(catch_up, "fetch", lambda synchrony, out: None)]
 
 
 COPY_PLANTS = {
--- a/tests/test_cluster_asking.py
+++ b/tests/test_cluster_asking.py
@@ -8,7 +8,7 @@
 from frostpost.ledger.apply import decode_op
 from frostpost.program_ledger.words import Abort, Begin, End, Ended, LookRouting
 from frostpost.proxy.failures import Unavailable
-from frostpost.virtual_synchrony.agent_messages import AskRing, Grant, Told
+from frostpost.virtual_synchrony.agent_messages import LeaseReply, OperationReply, OperationRequest
 from frostpost.virtual_synchrony.messages import Frame
 
 PLACES = (place_of("s1", port=7), place_of("s2", port=8))
@@ -18,7 +18,7 @@
 
 def granted(leaf, name="s1", lease_ms=1200, epoch=1):
     at = next(p for p in PLACES if p.member.name == name)
-    grant = Grant(int(leaf.reactor.seconds() * 1000), lease_ms, name, epoch=epoch, places=PLACES)
+    grant = LeaseReply(int(leaf.reactor.seconds() * 1000), lease_ms, name, epoch=epoch, places=PLACES)
     assembly.received(leaf, Frame(1, at, "", grant))
 
 
@@ -37,11 +37,13 @@
 
 
 def told(leaf, number, verdict=ENDED, boot=None, fault=""):
-    asking.told(leaf, Told(leaf.place.member.boot if boot is None else boot, number, msgpack.encode(verdict), fault))
+    asking.told(
+        leaf, OperationReply(leaf.place.member.boot if boot is None else boot, number, msgpack.encode(verdict), fault)
+    )
 
 
 def asked(leaf):
-    return [(to, body.number, decode_op(body.payload)) for to, body in sent(leaf) if isinstance(body, AskRing)]
+    return [(to, body.number, decode_op(body.payload)) for to, body in sent(leaf) if isinstance(body, OperationRequest)]
 
 
 def test_without_a_lease_nothing_is_handed_in():
--- a/tests/test_cluster_founding.py
+++ b/tests/test_cluster_founding.py
@@ -11,8 +11,13 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
-from frostpost.virtual_synchrony.agent_messages import CharterAsk, CharterHeld, Directory, Hello
-from frostpost.virtual_synchrony.messages import Frame, Member, Place, Roster
+from frostpost.virtual_synchrony.agent_messages import (
+    BootstrapReply,
+    BootstrapRequest,
+    DirectoryReply,
+    DirectoryRequest,
+)
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate, Endpoint, Frame, Member
 
 NAMES = ("s1", "s2", "s3")
 SEEDS = ("10.0.0.10:70", "10.0.0.9:70", "10.0.0.9:8")
@@ -39,17 +44,17 @@
     def send(self, to, body):
         """Other seeds keep what they are asked to, and answer."""
         seed = to.removeprefix("@")
-        if not isinstance(body, CharterAsk):
+        if not isinstance(body, BootstrapRequest):
             self.out.append(body)
         elif seed in self.kept and seed not in self.silent:
             self.kept[seed] = body.names or self.kept[seed]
             host, port = seed.split(":")
-            place = Place(Member(seed, 1), "core", "z", host, int(port), 0)
-            assembly.received(self.leaf, Frame(1, place, "", CharterHeld(self.kept[seed])))
+            place = Endpoint(Member(seed, 1), "core", "z", host, int(port), 0)
+            assembly.received(self.leaf, Frame(1, place, "", BootstrapReply(self.kept[seed])))
 
     def hello(self, *names, role="storage"):
         for name in names:
-            assembly.received(self.leaf, Frame(1, place_of(name, role), "", Hello()))
+            assembly.received(self.leaf, Frame(1, place_of(name, role), "", DirectoryRequest()))
 
     def after(self, wait_s):
         self.clock.advance(wait_s)
@@ -83,7 +88,7 @@
 def test_only_storage_daemons_that_ask_are_counted():
     core = Core()
     core.hello("e1", "e2", "c2", role="edge")
-    assembly.received(core.leaf, Frame(1, place_of("s1"), "", Roster((), False)))
+    assembly.received(core.leaf, Frame(1, place_of("s1"), "", DiscoveryUpdate((), False)))
     assert core.after(FEW_S) == ()
 
 
@@ -112,10 +117,10 @@
     core.hello("s1", "s2", "s3")
     assert core.after(STILL_S) == () and core.after(1) == ()
     core.hello("s4")
-    assert core.after(1) == () and core.out[-1] == Directory((), ()) and len(core.threads.jobs) == 1
+    assert core.after(1) == () and core.out[-1] == DirectoryReply((), ()) and len(core.threads.jobs) == 1
     core.threads.finish()
     core.hello("s4")
-    assert core.out[-1] == Directory((), ("s1", "s2", "s3"))
+    assert core.out[-1] == DirectoryReply((), ("s1", "s2", "s3"))
 
 
 def test_charter_is_made_once_for_a_disk():
@@ -165,11 +170,11 @@
     core.hello("s1", "s2", "s3")
     sent = core.send
     core.leaf.links["send"] = lambda to, body: (
-        None if to == f"@{late}" and body == CharterAsk(NAMES) else sent(to, body)
+        None if to == f"@{late}" and body == BootstrapRequest(NAMES) else sent(to, body)
     )
     assert core.after(STILL_S) == core.after(FEW_S) == ()
     core.hello("s4")
-    assert core.out[-1] == Directory((), ())
+    assert core.out[-1] == DirectoryReply((), ())
     core.leaf.links["send"] = sent
     assert core.after(STILL_S) == NAMES == core.kept[late]
 
@@ -187,12 +192,12 @@
 
 def test_a_seed_keeps_a_charter_over_a_loss_of_power_but_does_not_hand_it_out():
     core = Core(SECOND)
-    asker = Place(Member("c1", 1), "core", "z", *FIRST, 0)
-    assembly.received(core.leaf, Frame(1, asker, "", CharterAsk()))
-    assembly.received(core.leaf, Frame(1, asker, "", CharterAsk(NAMES)))
-    assert core.out == [CharterHeld(()), CharterHeld(NAMES)]
+    asker = Endpoint(Member("c1", 1), "core", "z", *FIRST, 0)
+    assembly.received(core.leaf, Frame(1, asker, "", BootstrapRequest()))
+    assembly.received(core.leaf, Frame(1, asker, "", BootstrapRequest(NAMES)))
+    assert core.out == [BootstrapReply(()), BootstrapReply(NAMES)]
     lose_unsynced(core.drive)
     again = Core(SECOND, drive=core.drive)
-    assembly.received(again.leaf, Frame(1, asker, "", CharterAsk()))
+    assembly.received(again.leaf, Frame(1, asker, "", BootstrapRequest()))
     again.hello("s1")
-    assert again.out == [CharterHeld(NAMES), Directory((), ())]
+    assert again.out == [BootstrapReply(NAMES), DirectoryReply((), ())]
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -8,8 +8,15 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.agent_messages import Directory, Grant, Hello, Renew, RoutingAsk, RoutingTell
-from frostpost.virtual_synchrony.messages import Configuration, ConfigurationId, Frame, Member, Place
+from frostpost.virtual_synchrony.agent_messages import (
+    DirectoryReply,
+    DirectoryRequest,
+    LeaseReply,
+    LeaseRequest,
+    RoutingRequest,
+    RoutingUpdate,
+)
+from frostpost.virtual_synchrony.messages import Configuration, ConfigurationId, Endpoint, Frame, Member
 from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
 
 LEASE_MS = 1200
@@ -17,7 +24,7 @@
 
 
 def place_of(name, role="storage", port=1, boot=1):
-    return Place(Member(name, boot), role, "z", "h", port, 0)
+    return Endpoint(Member(name, boot), role, "z", "h", port, 0)
 
 
 def new_leaf(clock, name="e1", seeds=("h:9",)):
@@ -67,33 +74,33 @@
 
 
 def renewed(ctx, sessions, version, sent_ms=0, name="e1", boot=1):
-    return serving.renewed(ctx, sessions, place_of(name, "edge", 2, boot), Renew(sent_ms, version))
+    return serving.renewed(ctx, sessions, place_of(name, "edge", 2, boot), LeaseRequest(sent_ms, version))
 
 
 def test_lease_counts_from_the_leafs_send_time_and_ends_with_the_grant():
     clock = Clock()
     leaf = new_leaf(clock)
     clock.advance(0.9)
-    assert lease.granted(leaf, place_of("s1"), Grant(100, 1000, "s1"))
+    assert lease.granted(leaf, place_of("s1"), LeaseReply(100, 1000, "s1"))
     clock.advance(0.19)
     assert lease.lease_ok(leaf)
     clock.advance(0.02)
     assert not lease.lease_ok(leaf)
-    lease.granted(leaf, place_of("s1"), Grant(50, 1000, "s1"))
+    lease.granted(leaf, place_of("s1"), LeaseReply(50, 1000, "s1"))
     assert not lease.lease_ok(leaf)
 
 
 def test_leaf_without_a_grant_or_with_an_empty_one_is_not_ok():
     leaf = new_leaf(Clock())
     assert not lease.lease_ok(leaf)
-    assert lease.granted(leaf, place_of("s2"), Grant(0, 0, "s1")) and leaf.session.sequencer == "s1"
+    assert lease.granted(leaf, place_of("s2"), LeaseReply(0, 0, "s1")) and leaf.session.sequencer == "s1"
     assert not lease.lease_ok(leaf)
 
 
 def test_empty_grant_takes_no_running_lease_away_and_changes_no_sequencer():
     leaf = new_leaf(Clock())
-    lease.granted(leaf, place_of("s1"), Grant(0, 1000, "s1"))
-    assert not lease.granted(leaf, place_of("s2"), Grant(0, 0, "s2"))
+    lease.granted(leaf, place_of("s1"), LeaseReply(0, 1000, "s1"))
+    assert not lease.granted(leaf, place_of("s2"), LeaseReply(0, 0, "s2"))
     assert lease.lease_ok(leaf) and leaf.session.sequencer == "s1"
 
 
@@ -112,7 +119,7 @@
     ctx, sessions = new_ring(clock)
     ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
     granted = renewed(ctx, sessions, 0)
-    assert granted == Grant(0, 0, "s2", places=granted.places)
+    assert granted == LeaseReply(0, 0, "s2", places=granted.places)
     assert [(seen.address, seen.until_ms < 0) for seen in sessions.leaves.values()] == [("@h:2", True)]
     ctx, sessions = new_ring(clock, granted_ms=-LEASE_MS)
     assert renewed(ctx, sessions, 0).lease_ms == 0
@@ -124,7 +131,7 @@
     ctx, sessions = new_ring(clock, 10000)
     renewed(ctx, sessions, 0)
     route(ctx, sessions, 1)
-    assert ctx.out == [("@h:2", RoutingTell(1, b"v1"))]
+    assert ctx.out == [("@h:2", RoutingUpdate(1, b"v1"))]
     clock.advance(LEASE_MS / 2000 + 0.001)
     fresh(ctx, clock)
     leaf = new_leaf(clock)
@@ -186,32 +193,36 @@
 def test_leaf_takes_a_newer_routing_once_and_tells_the_sequencer_at_once():
     clock = Clock()
     leaf = new_leaf(clock)
-    lease.granted(leaf, place_of("s1", port=7), Grant(0, 900, "s1", version=2, places=(place_of("s1", port=7),)))
-    assert sent(leaf) == [("@h:7", RoutingAsk(0))]
+    lease.granted(leaf, place_of("s1", port=7), LeaseReply(0, 900, "s1", version=2, places=(place_of("s1", port=7),)))
+    assert sent(leaf) == [("@h:7", RoutingRequest(0))]
     for version in (2, 2, 1):
-        lease.routed(leaf, RoutingTell(version, b"v%d" % version))
-    assert sent(leaf) == [("@h:7", Renew(0, 2, 0))] and leaf.routing == "v2" and leaf.counts["routings"] == 1
+        lease.routed(leaf, RoutingUpdate(version, b"v%d" % version))
+    assert sent(leaf) == [("@h:7", LeaseRequest(0, 2, 0))] and leaf.routing == "v2" and leaf.counts["routings"] == 1
 
 
 def test_leaf_that_hears_nothing_asks_every_daemon_and_the_seeds():
     clock = Clock()
     leaf = new_leaf(clock)
     lease.directed(leaf, [place_of("s1", port=7), place_of("s2", port=8), place_of("e9", "edge")])
-    lease.granted(leaf, place_of("s1", port=7), Grant(0, 900, "s1"))
+    lease.granted(leaf, place_of("s1", port=7), LeaseReply(0, 900, "s1"))
     sent(leaf)
     clock.advance(0.24)
     lease.tend(leaf)
     assert [to for to, _ in sent(leaf)] == ["@h:7"]
     clock.advance(0.9)
     assembly.tend(leaf)
-    assert [(to, type(body)) for to, body in sent(leaf)] == [("@h:7", Renew), ("@h:8", Renew), ("@h:9", Hello)]
+    assert [(to, type(body)) for to, body in sent(leaf)] == [
+        ("@h:7", LeaseRequest),
+        ("@h:8", LeaseRequest),
+        ("@h:9", DirectoryRequest),
+    ]
 
 
 def known(clock, *names):
     """An agent that holds a lease of s1 and knows the other replicas."""
     agent = new_leaf(clock)
     places = tuple(place_of(name, port=number) for number, name in enumerate(names, 7))
-    lease.granted(agent, places[0], Grant(int(clock.seconds() * 1000), 1000, "s1", epoch=4, places=places))
+    lease.granted(agent, places[0], LeaseReply(int(clock.seconds() * 1000), 1000, "s1", epoch=4, places=places))
     sent(agent)
     return agent, places
 
@@ -221,8 +232,12 @@
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
     clock.advance(LEASE_MS / 5000)
-    lease.granted(agent, places[0], Grant(1000, 0, "s1", epoch=4))
-    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:7", Renew), ("@h:8", Renew), ("@h:9", Renew)]
+    lease.granted(agent, places[0], LeaseReply(1000, 0, "s1", epoch=4))
+    assert [(to, type(body)) for to, body in sent(agent)] == [
+        ("@h:7", LeaseRequest),
+        ("@h:8", LeaseRequest),
+        ("@h:9", LeaseRequest),
+    ]
     assert lease.lease_ok(agent)
 
 
@@ -232,9 +247,9 @@
     agent, places = known(clock, "s1", "s2")
     for _ in range(24):
         clock.advance(0.02)
-        lease.granted(agent, places[0], Grant(1000, 0, "s1", epoch=4))
+        lease.granted(agent, places[0], LeaseReply(1000, 0, "s1", epoch=4))
         assembly.tend(agent)
-    asked = [to for to, body in sent(agent) if isinstance(body, Renew)]
+    asked = [to for to, body in sent(agent) if isinstance(body, LeaseRequest)]
     assert LEASE_MS * 0.4 / (LEASE_MS / lease.SEEKS) - 2 <= asked.count("@h:8") <= 9
 
 
@@ -243,17 +258,17 @@
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
     clock.advance(LEASE_MS / 5000)
-    lease.granted(agent, places[0], Grant(1240, 0, "s1", version=3, epoch=4))
-    assert sent(agent) == [("@h:7", RoutingAsk(0))]
+    lease.granted(agent, places[0], LeaseReply(1240, 0, "s1", version=3, epoch=4))
+    assert sent(agent) == [("@h:7", RoutingRequest(0))]
 
 
 def test_a_replica_that_greets_is_asked_though_the_lease_still_runs():
     clock = Clock()
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
-    assembly.received(agent, Frame(1, places[1], "", Directory(places)))
-    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", Renew)]
-    assembly.received(agent, Frame(1, places[0], "", Directory(places)))
+    assembly.received(agent, Frame(1, places[1], "", DirectoryReply(places)))
+    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", LeaseRequest)]
+    assembly.received(agent, Frame(1, places[0], "", DirectoryReply(places)))
     assert sent(agent) == []
 
 
@@ -261,8 +276,8 @@
     clock = Clock()
     clock.advance(1)
     agent, places = known(clock, "s1", "s2")
-    assert lease.granted(agent, places[1], Grant(1000, 600, "s2", epoch=5, places=places))
-    assert not lease.granted(agent, places[0], Grant(1000, 1200, "s1", epoch=4))
+    assert lease.granted(agent, places[1], LeaseReply(1000, 600, "s2", epoch=5, places=places))
+    assert not lease.granted(agent, places[0], LeaseReply(1000, 1200, "s1", epoch=4))
     assert agent.session.sequencer == "s2" and agent.session.until_ms == 2000
 
 
@@ -270,10 +285,10 @@
     clock = Clock()
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
-    assert lease.granted(agent, places[0], Grant(1000, 0, "s2"))
+    assert lease.granted(agent, places[0], LeaseReply(1000, 0, "s2"))
     assert agent.session.sequencer == "s2" and lease.lease_ok(agent)
     clock.advance(LEASE_MS / 5000)
-    assert not lease.granted(agent, places[1], Grant(1000, 0, ""))
+    assert not lease.granted(agent, places[1], LeaseReply(1000, 0, ""))
     assert [to for to, _ in sent(agent)] == ["@h:7", "@h:8", "@h:9"]
 
 
@@ -281,7 +296,7 @@
     clock = Clock()
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
-    assert not lease.granted(agent, places[1], Grant(1000, 0, "s3"))
+    assert not lease.granted(agent, places[1], LeaseReply(1000, 0, "s3"))
     assert agent.session.sequencer == "s1" and sent(agent) == []
 
 
@@ -290,8 +305,8 @@
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
     anew = (places[0], place_of("s2", port=8, boot=2), places[2])
-    lease.granted(agent, places[0], Grant(1000, 1000, "s1", epoch=5, places=anew))
-    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", Renew)]
+    lease.granted(agent, places[0], LeaseReply(1000, 1000, "s1", epoch=5, places=anew))
+    assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", LeaseRequest)]
 
 
 def test_one_renewal_in_many_goes_to_all_replicas():
@@ -299,7 +314,7 @@
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
     for _ in range(2 * lease.INTRODUCE_EVERY):
-        lease.granted(agent, places[0], Grant(int(clock.seconds() * 1000), 1000, "s1", epoch=4))
+        lease.granted(agent, places[0], LeaseReply(int(clock.seconds() * 1000), 1000, "s1", epoch=4))
         lease.renew(agent)
     assert [to for to, _ in sent(agent)].count("@h:8") == 2
 
@@ -319,7 +334,7 @@
     agent, places = known(clock, "s1", "s2")
     clock.advance(2 * LEASE_MS / 1000)
     new = place_of("s3", port=9)
-    assert lease.granted(agent, places[1], Grant(1000, 0, "s3", places=(places[1], new)))
+    assert lease.granted(agent, places[1], LeaseReply(1000, 0, "s3", places=(places[1], new)))
     sent(agent)
     clock.advance(1)
     lease.renew(agent)
--- a/tests/test_cluster_ring.py
+++ b/tests/test_cluster_ring.py
@@ -11,13 +11,13 @@
 from frostpost.daemon import disk as disks
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
-from frostpost.virtual_synchrony.agent_messages import Directory, Hello, Renew
-from frostpost.virtual_synchrony.events import Booted, Installed
-from frostpost.virtual_synchrony.messages import ConfigurationId, Frame, Roster
+from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, LeaseRequest
+from frostpost.virtual_synchrony.events import ConfigurationRecord, PromiseRecord
+from frostpost.virtual_synchrony.messages import ConfigurationId, DiscoveryUpdate, Frame
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 CHARTER = ("s1", "s2", "s3")
-MEMORY = Installed(ConfigurationId(4, "s2", 1), 0, CHARTER)
+MEMORY = ConfigurationRecord(ConfigurationId(4, "s2", 1), 0, CHARTER)
 
 
 def new_house(monkeypatch, records=(), first_start=True):
@@ -45,7 +45,7 @@
 
 
 def hellos(out):
-    return [to for to, body in out if isinstance(body, Hello)]
+    return [to for to, body in out if isinstance(body, DirectoryRequest)]
 
 
 @pytest.mark.parametrize("records, first_start", [((MEMORY,), True), ((MEMORY,), False), ((), False)])
@@ -58,18 +58,18 @@
     assert hellos(out) == []
 
 
-@pytest.mark.parametrize("records", [(), (Booted(5, 1),)])
+@pytest.mark.parametrize("records", [(), (PromiseRecord(5, 1),)])
 def test_waits_for_the_charter_at_a_first_start_without_a_memory(monkeypatch, records):
     replica, out, stopped = new_house(monkeypatch, records)
     ring.start(replica)
     assert replica.waiting and replica.ctx.core is None
     replica.reactor.advance(0.1)
     assert hellos(out) == ["@h:7", "@h:8"]
-    hear(replica, Directory((place_of("s2"),), ()))
-    hear(replica, Roster((), False), "s2", "storage")
-    hear(replica, Renew(0, 0), "e1", "edge")
+    hear(replica, DirectoryReply((place_of("s2"),), ()))
+    hear(replica, DiscoveryUpdate((), False), "s2", "storage")
+    hear(replica, LeaseRequest(0, 0), "e1", "edge")
     assert replica.waiting and replica.ctx.core is None and stopped == []
-    hear(replica, Directory((), CHARTER))
+    hear(replica, DirectoryReply((), CHARTER))
     assert not replica.waiting and replica.ctx.core.synchrony.voters0 == CHARTER and replica.charter == CHARTER
     out.clear()
     replica.reactor.advance(0.1)
@@ -80,17 +80,17 @@
     replica, _, _ = new_house(monkeypatch, first_start=False)
     ring.start(replica)
     core = replica.ctx.core
-    hear(replica, Directory((), CHARTER))
+    hear(replica, DirectoryReply((), CHARTER))
     assert replica.charter == () and core.synchrony.voters0 == () and replica.ctx.core.synchrony is core.synchrony
 
 
 def test_ring_runs_on_for_a_while_without_a_peer_and_grants_nothing(monkeypatch):
     replica, out, stopped = new_house(monkeypatch)
     ring.start(replica)
-    hear(replica, Directory((place_of("s2", port=9),), CHARTER))
+    hear(replica, DirectoryReply((place_of("s2", port=9),), CHARTER))
     for _ in range(100):
         replica.reactor.advance(0.05)
-    hear(replica, Renew(77, 0), "e1", "edge")
+    hear(replica, LeaseRequest(77, 0), "e1", "edge")
     assert stopped == [] and (out[-1][1].sent_ms, out[-1][1].lease_ms) == (77, 0)
 
 
@@ -100,11 +100,11 @@
     replica.leaves.addresses = ("h:21",)
     replica.sessions.leaves["e2"] = serving.LeafSeen("@h:22", 1, 0, 0)
     replica.reactor.advance(0.1)
-    assert [to for to, body in out if isinstance(body, Directory)] == []
+    assert [to for to, body in out if isinstance(body, DirectoryReply)] == []
     monkeypatch.setattr(serving, "sequencing", lambda ctx: True)
     for _ in range(5):
         replica.reactor.advance(0.03)
-    greeted = [(to, [p.member.name for p in body.places]) for to, body in out if isinstance(body, Directory)]
+    greeted = [(to, [p.member.name for p in body.places]) for to, body in out if isinstance(body, DirectoryReply)]
     assert greeted == [("@h:21", ["s1"]), ("@h:22", ["s1"])]
 
 
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -14,7 +14,7 @@
 from frostpost.daemon import rewriting as rewritings
 from frostpost.daemon.context import Hooks
 from frostpost.turn_store import segments
-from frostpost.virtual_synchrony.events import Booted, Probe, Rewrite, Snapshot
+from frostpost.virtual_synchrony.events import ProbeRecord, PromiseRecord, RewriteLog, SnapshotRecord
 from frostpost.write_ahead_log import disk as logs
 
 STATES = int(os.environ.get("DISK_STATES", "150")) // 3
@@ -185,7 +185,7 @@
 
 
 def rewritten(index, records):
-    return Rewrite((Booted(1, 1), Snapshot(index, b"s" * 40), *records))
+    return RewriteLog((PromiseRecord(1, 1), SnapshotRecord(index, b"s" * 40), *records))
 
 
 def keep(disk, notes):
@@ -195,7 +195,7 @@
     def write(*writes):
         for record in writes:
             held = notes.tried["all"]
-            if isinstance(record, Rewrite):
+            if isinstance(record, RewriteLog):
                 held.append(list(record.records))
             else:
                 held.append([*(held[-1] if held else []), record])
@@ -206,19 +206,19 @@
         numbers.append(house.synced)
         notes.lasting["synced"] = house.synced
 
-    write(Booted(1, 1), Probe(1))
+    write(PromiseRecord(1, 1), ProbeRecord(1))
     finish()
-    write(Probe(2))
-    write(rewritten(2, [Probe(12)]), Probe(3))
+    write(ProbeRecord(2))
+    write(rewritten(2, [ProbeRecord(12)]), ProbeRecord(3))
     finish()
-    write(Probe(4))
+    write(ProbeRecord(4))
     while house.threads.jobs:
         finish(len(house.threads.jobs) - 1)
-    write(rewritten(5, []), Probe(5))
-    write(rewritten(6, [Probe(16)]), Probe(6))
+    write(rewritten(5, []), ProbeRecord(5))
+    write(rewritten(6, [ProbeRecord(16)]), ProbeRecord(6))
     while house.threads.jobs:
         finish()
-    write(Probe(7))
+    write(ProbeRecord(7))
     finish()
     assert house.synced == len(notes.tried["all"]) and not house.stalled and not house.crashed
 
@@ -233,8 +233,8 @@
 
 def meaning(records):
     """A rewritten log stands for the one that it replaced: both end with the same probe or snapshot."""
-    numbers = [r.number % 10 for r in records if isinstance(r, Probe)]
-    snapshots = [r.index for r in records if isinstance(r, Snapshot)]
+    numbers = [r.number % 10 for r in records if isinstance(r, ProbeRecord)]
+    snapshots = [r.index for r in records if isinstance(r, SnapshotRecord)]
     return max([0, *numbers, *snapshots])
 
 
@@ -244,7 +244,7 @@
 
 def told(disk, **failing):
     house = House(disk)
-    house.keeper.write([Booted(1, 1)])
+    house.keeper.write([PromiseRecord(1, 1)])
     house.threads.finish()
     disk.failing.update(failing)
     return house
@@ -254,7 +254,7 @@
     disk = model.Disk()
     house = told(disk)
     disk.room_bytes = 0
-    house.keeper.write([Probe(1), Probe(2)])
+    house.keeper.write([ProbeRecord(1), ProbeRecord(2)])
     house.threads.finish()
     assert house.stalled == [True] and house.synced == 1 and not house.crashed
     assert house.ctx.counts["disk_faults"] == 1
@@ -270,7 +270,7 @@
 def test_a_disk_that_stalls_is_told_while_it_stalls_and_well_again_after_good_syncs():
     disk = model.Disk()
     house = told(disk)
-    house.keeper.write([Probe(1)])
+    house.keeper.write([ProbeRecord(1)])
     house.now_s = 0.51
     house.keeper.watch()
     assert house.stalled == [True] and house.synced == 1
@@ -285,7 +285,7 @@
 def test_a_sync_that_fails_ends_the_process_and_nothing_is_told_as_synced():
     disk = model.Disk()
     house = told(disk, sync=1)
-    house.keeper.write([Probe(1)])
+    house.keeper.write([ProbeRecord(1)])
     house.threads.finish()
     assert house.crashed and house.synced == 1
 
@@ -296,7 +296,7 @@
     house.keeper.write([rewritten(1, [])])
     disk.failing["open"] = 1
     house.threads.finish()
-    house.keeper.write([Probe(2)])
+    house.keeper.write([ProbeRecord(2)])
     house.threads.finish()
     assert not house.stalled and house.synced == 3
     house.now_s = rewritings.RETRY_RATIO * 0.5
@@ -304,14 +304,14 @@
     while house.threads.jobs:
         house.threads.finish()
     model.kill(disk)
-    assert [type(r) for r in House(disk).records] == [Booted, Snapshot, Probe]
+    assert [type(r) for r in House(disk).records] == [PromiseRecord, SnapshotRecord, ProbeRecord]
 
 
 def test_appends_are_synced_while_a_rewritten_log_is_being_written():
     house = told(model.Disk())
     house.keeper.write([rewritten(1, [])])
     assert len(house.threads.jobs) == 1
-    house.keeper.write([Probe(2)])
+    house.keeper.write([ProbeRecord(2)])
     house.threads.finish(1)
     assert house.synced == 3 and len(house.threads.jobs) == 1
 
@@ -319,23 +319,23 @@
 def test_a_file_that_can_not_take_the_place_of_the_log_makes_no_disk_unwell():
     disk = model.Disk()
     house = told(disk)
-    house.keeper.write([rewritten(1, []), Probe(2)])
+    house.keeper.write([rewritten(1, []), ProbeRecord(2)])
     house.threads.finish(1)
     house.threads.finish()
-    house.keeper.write([Probe(3)])
+    house.keeper.write([ProbeRecord(3)])
     disk.failing["write"] = 1
     while house.threads.jobs:
         house.threads.finish()
     assert house.synced == 4 and not house.stalled
     model.kill(disk)
-    assert [r.number for r in House(disk).records if isinstance(r, Probe)] == [2, 3]
+    assert [r.number for r in House(disk).records if isinstance(r, ProbeRecord)] == [2, 3]
 
 
 def test_a_disk_that_relapses_has_to_be_good_for_longer():
     disk = model.Disk()
     house, needed = told(disk), []
     for _ in range(4):
-        house.keeper.write([Probe(1)])
+        house.keeper.write([ProbeRecord(1)])
         house.now_s += 0.6
         house.keeper.watch()
         house.threads.finish()
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -9,7 +9,7 @@
 from frostpost.simulator import play as plays
 from frostpost.simulator import world as worlds
 from frostpost.virtual_synchrony import failure_detector, timers
-from frostpost.virtual_synchrony.events import Tick
+from frostpost.virtual_synchrony.events import TimerTick
 
 NEVER_MS = 10_000_000
 MOVING = ("now_ms", "ticked_ms", "desired_ms")
@@ -99,7 +99,7 @@
 
     def watched(self, world, name, input):
         node = world.nodes[name]
-        if not isinstance(input, Tick) or node.core is None or node.frozen:
+        if not isinstance(input, TimerTick) or node.core is None or node.frozen:
             return self.feed(world, name, input)
         self.ticks += 1
         synchrony = node.core.synchrony
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -18,11 +18,17 @@
 from frostpost.cluster import leaf as assembly
 from frostpost.command import main
 from frostpost.program_ledger.words import End
-from frostpost.virtual_synchrony.agent_messages import Directory, Hello, Renew, StatusAsk, StatusTell
-from frostpost.virtual_synchrony.messages import VERSION, Frame, Member, Place, Roster
+from frostpost.virtual_synchrony.agent_messages import (
+    DirectoryReply,
+    DirectoryRequest,
+    LeaseRequest,
+    StatusReply,
+    StatusRequest,
+)
+from frostpost.virtual_synchrony.messages import FRAME_VERSION, DiscoveryUpdate, Endpoint, Frame, Member
 
-OPERATOR = Place(Member("operator", 1), "operator", "", "o", 9, 0)
-ASK = Frame(VERSION, OPERATOR, "", StatusAsk())
+OPERATOR = Endpoint(Member("operator", 1), "operator", "", "o", 9, 0)
+ASK = Frame(FRAME_VERSION, OPERATOR, "", StatusRequest())
 
 
 @pytest.fixture
@@ -40,8 +46,8 @@
 
 
 def test_messages_survive_the_wire():
-    for body in (StatusAsk(), StatusTell(b"{}")):
-        assert inner.decode(inner.encode(Frame(VERSION, OPERATOR, "", body))).body == body
+    for body in (StatusRequest(), StatusReply(b"{}")):
+        assert inner.decode(inner.encode(Frame(FRAME_VERSION, OPERATOR, "", body))).body == body
 
 
 def test_leaf_tells_its_facts(replies):
@@ -49,7 +55,7 @@
     leaf = new_leaf(clock)
     status.begin(leaf)
     clock.advance(2)
-    assembly.received(leaf, Frame(VERSION, place_of("s1"), "", Roster((), False)))
+    assembly.received(leaf, Frame(FRAME_VERSION, place_of("s1"), "", DiscoveryUpdate((), False)))
     asking.tell(leaf, End("a", 3))
     leaf.runners = {"r": SimpleNamespace(draining=True)}
     leaf.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
@@ -62,15 +68,15 @@
 
 def test_a_leaf_keeps_nothing_of_an_operator(replies):
     leaf = new_leaf(Clock())
-    for body in (Hello(), Roster((place_of("s9"),), False), Renew(0, 0)):
-        assembly.received(leaf, Frame(VERSION, OPERATOR, "", body))
-    assert replies == [("@o:9", Directory((), ()))] and sent(leaf) == []
+    for body in (DirectoryRequest(), DiscoveryUpdate((place_of("s9"),), False), LeaseRequest(0, 0)):
+        assembly.received(leaf, Frame(FRAME_VERSION, OPERATOR, "", body))
+    assert replies == [("@o:9", DirectoryReply((), ()))] and sent(leaf) == []
     assert leaf.extras.get("askers") is None and not leaf.directory
 
 
 def test_a_leaf_still_notes_a_leaf_that_asks():
     leaf = new_leaf(Clock())
-    assembly.received(leaf, Frame(VERSION, place_of("e2", "edge"), "", Hello()))
+    assembly.received(leaf, Frame(FRAME_VERSION, place_of("e2", "edge"), "", DirectoryRequest()))
     assert set(leaf.extras["askers"]) == {"e2"}
 
 
@@ -80,14 +86,14 @@
     ring.received(replica, ASK)
     facts = facts_of(replies)
     assert facts["charter_waiting"] and facts["tolerated"] == 1 and "configuration" not in facts
-    ring.received(replica, Frame(VERSION, place_of("c1", "core"), "", Directory((), ("s1", "s2", "s3"))))
+    ring.received(replica, Frame(FRAME_VERSION, place_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3"))))
     ring.received(replica, ASK)
     facts = facts_of(replies)
     assert facts["members"] == ["s1"] and not facts["primary_opened"] and facts["voters"] == ["s1", "s2", "s3"]
     out.clear()
-    ring.received(replica, Frame(VERSION, OPERATOR, "", Hello()))
-    ring.received(replica, Frame(VERSION, OPERATOR, "", Renew(0, 0)))
-    assert replies == [("@o:9", Directory((replica.ctx.place,)))]
+    ring.received(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
+    ring.received(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
+    assert replies == [("@o:9", DirectoryReply((replica.ctx.place,)))]
     assert not replica.sessions.leaves and "operator" not in replica.ctx.core.synchrony.peers and hellos(out) == []
 
 
@@ -104,7 +110,7 @@
             ):
                 continue
             receive = ring.received if daemon.role == "storage" else assembly.received
-            receive(daemon.owner, Frame(VERSION, OPERATOR, "", body))
+            receive(daemon.owner, Frame(FRAME_VERSION, OPERATOR, "", body))
             place = daemon.owner.ctx.place if daemon.role == "storage" else daemon.owner.place
             answers |= {
                 f"{daemon.host.address}:{worlds.INNER}": (place, told) for _, told in replies if isinstance(told, kind)
@@ -247,14 +253,14 @@
         connection, _ = daemon.accept()
         with connection, connection.makefile("rb") as file:
             frame = inner.decode(file.read(struct.unpack("!I", file.read(4))[0]))
-        place = Place(Member("c1", 1), "core", "z", "127.0.0.1", port, 0)
-        data = inner.encode(Frame(VERSION, place, "", StatusTell(b"{}")))
+        place = Endpoint(Member("c1", 1), "core", "z", "127.0.0.1", port, 0)
+        data = inner.encode(Frame(FRAME_VERSION, place, "", StatusReply(b"{}")))
         with socket.create_connection((frame.place.host, frame.place.port), 2) as back:
             back.sendall(struct.pack("!I", len(data)) + data)
 
     thread = Thread(target=serve, daemon=True)
     thread.start()
-    answers = inner.ask({f"127.0.0.1:{port}", "127.0.0.1:1"}, StatusAsk(), StatusTell)
+    answers = inner.ask({f"127.0.0.1:{port}", "127.0.0.1:1"}, StatusRequest(), StatusReply)
     thread.join(2)
     daemon.close()
     assert {address: told.facts for address, (_, told) in answers.items()} == {f"127.0.0.1:{port}": b"{}"}
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -13,8 +13,8 @@
 from frostpost.simulator.checks import evs
 from frostpost.simulator.ledger import ledger as ledger_faults
 from frostpost.simulator.storm import Work, ask, serves, watch
+from frostpost.virtual_synchrony import catch_up
 from frostpost.virtual_synchrony import failure_detector as watching
-from frostpost.virtual_synchrony import settling
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.state import Bounds, majority
 
@@ -179,10 +179,10 @@
     refill(synchrony, out, index + 1, state)
 
 
-refill = settling.refill
+refill = catch_up.refill
 PLANTS = {
     "a member serves before it is whole": (watching, "lease_ok", before_whole),
-    "a snapshot is taken for a newer one": (settling, "refill", stale_state),
+    "a snapshot is taken for a newer one": (catch_up, "refill", stale_state),
 }
 
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -6,7 +6,7 @@
 from frostpost.ledger.records import Duty, Runner
 from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.events import Open
+from frostpost.virtual_synchrony.events import OpenPrimary
 from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 ID, ME = ConfigurationId(1, "s1", 1), Member("e1", 1)
@@ -16,13 +16,13 @@
 class Book:
     def __init__(self, rules=2):
         self.ledger, self.number = Ledger(runners={"r1": RUNNER}), 0
-        self.tell(Open((ME,), (), ("s1",)))
+        self.tell(OpenPrimary((ME,), (), ("s1",)))
         self.ledger.duties["ticks"] = Duty(ME, 5)
         self.tell(Rules(rules))
 
     def tell(self, op):
         self.number += 1
-        number = 0 if isinstance(op, Open) else self.number
+        number = 0 if isinstance(op, OpenPrimary) else self.number
         self.ledger = decode_state(encode(self.ledger))
         index = self.ledger.index + 1
         self.ledger, said = apply(self.ledger, Entry(ID, index, index, ME, number, msgpack.encode(op)))
@@ -76,7 +76,7 @@
     book.turn("long", retention_ms=60000)
     book.turn("short", retention_ms=1000)
     book.wait(59000)
-    book.tell(Open((Member("e9", 9),), (), ("s1",)))
+    book.tell(OpenPrimary((Member("e9", 9),), (), ("s1",)))
     book.ledger.duties["ticks"] = Duty(ME, 5)
     book.wait(900)
     assert book.lines() == ["long", "short"]
@@ -111,9 +111,9 @@
 def test_the_version_before_reads_what_this_one_says():
     raw = msgpack.encode(Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 9))
     assert msgpack.decode(raw, type=OldReserve) == OldReserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),))
-    from frostpost.virtual_synchrony.messages import SPEAKS, Place
+    from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, Endpoint
 
-    raw = msgpack.encode(Place(ME, "edge", "a", "h", 1, 2, SPEAKS))
+    raw = msgpack.encode(Endpoint(ME, "edge", "a", "h", 1, 2, PROTOCOL_REVISION))
     assert msgpack.decode(raw, type=OldPlace) == OldPlace(ME, "edge", "a", "h", 1, 2)
 
 
@@ -121,7 +121,7 @@
     from pathlib import Path
 
     from frostpost.ledger.operations import Op
-    from frostpost.virtual_synchrony.messages import Beat, Frame
+    from frostpost.virtual_synchrony.messages import Frame, Heartbeat
 
     types = {"frame": Frame, "op": Op, "state": Ledger}
     rows = (Path(__file__).parent / "traces" / "wire1.frames").read_text().split("\n")
@@ -129,7 +129,7 @@
         (kind, msgpack.decode(bytes.fromhex(raw), type=types[kind]))
         for kind, raw in (row.split(" ") for row in rows if row)
     ]
-    assert len(said) == 12 and isinstance(said[0][1].body, Beat)
+    assert len(said) == 12 and isinstance(said[0][1].body, Heartbeat)
     assert {f.place.speaks for kind, f in said if kind == "frame"} == {1}
     reserve = next(o for kind, o in said if kind == "op")
     assert reserve == Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 0)
@@ -146,7 +146,7 @@
 
 def test_the_doctor_tells_of_daemons_that_hold_the_rules_back():
     from frostpost.admin.doctor import of_daemon
-    from frostpost.virtual_synchrony.messages import SPEAKS
+    from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION
 
     said = {
         "primary": True,
@@ -160,5 +160,5 @@
         "counts": {},
     }
     assert [f.problem for f in of_daemon("e1", said)] == ["OlderRules"]
-    assert [f.problem for f in of_daemon("e1", {**said, "rules": SPEAKS - 1})] == ["OlderRules"]
-    assert list(of_daemon("e1", {**said, "rules": SPEAKS})) == []
+    assert [f.problem for f in of_daemon("e1", {**said, "rules": PROTOCOL_REVISION - 1})] == ["OlderRules"]
+    assert list(of_daemon("e1", {**said, "rules": PROTOCOL_REVISION})) == []
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -9,7 +9,7 @@
 from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony.events import Open
+from frostpost.virtual_synchrony.events import OpenPrimary
 from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 scenarios("features/ledger.feature")
@@ -23,7 +23,7 @@
 
     def deliver(self, sender, op, quiet=False):
         self.number[sender] = self.number.get(sender, 0) + 1
-        number = 0 if isinstance(op, Open) else self.number[sender]
+        number = 0 if isinstance(op, OpenPrimary) else self.number[sender]
         entry = Entry(
             ID, self.ledger.index + 1, self.ledger.index + 1, Member(sender, self.boot), number, msgpack.encode(op)
         )
@@ -38,7 +38,7 @@
 
     def open(self, names, quiet):
         members = tuple(Member(n, self.boot) for n in names)
-        self.deliver("c1", Open(members, tuple(n for n in names if n[0] == "c"), ("s1",)), quiet)
+        self.deliver("c1", OpenPrimary(members, tuple(n for n in names if n[0] == "c"), ("s1",)), quiet)
 
 
 @fixture
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,22 +10,22 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.context import Hooks
 from frostpost.daemon.links import Links
-from frostpost.virtual_synchrony.agent_messages import Hello
-from frostpost.virtual_synchrony.messages import Member, Place
+from frostpost.virtual_synchrony.agent_messages import DirectoryRequest
+from frostpost.virtual_synchrony.messages import Endpoint, Member
 
 ADDRESS = ("10.0.0.2", 7380)
 TO = "@10.0.0.2:7380"
 
 
 def place_of(boot=1):
-    return Place(Member("s2", boot), "storage", "z", *ADDRESS, 0)
+    return Endpoint(Member("s2", boot), "storage", "z", *ADDRESS, 0)
 
 
 @pytest.fixture
 def links():
     reactor = MemoryReactorClock()
     settings = DaemonSettings("s1", "storage", "z", "10.0.0.1", 7380, detect_ms=500)
-    place = Place(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
+    place = Endpoint(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
     return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hooks=Hooks()))
 
 
@@ -53,7 +53,7 @@
 
 
 def test_a_pending_attempt_is_begun_anew_once_the_other_end_is_heard(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     links.ctx.reactor.advance(0.3)
     links.heard(place_of())
     links.ctx.reactor.advance(0.001)
@@ -62,7 +62,7 @@
 
 
 def test_an_attempt_just_begun_is_left_a_heartbeat(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     links.ctx.reactor.advance(0.02)
     for _ in range(5):
         links.heard(place_of())
@@ -73,7 +73,7 @@
 
 
 def test_hearing_again_and_again_over_a_one_way_cut_dials_no_more_often_than_heartbeats(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     for _ in range(100):
         links.ctx.reactor.advance(0.01)
         links.heard(place_of())
@@ -81,7 +81,7 @@
 
 
 def test_an_attempt_that_is_answered_in_time_is_kept(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     links.heard(place_of())
     accept(links)
     links.ctx.reactor.advance(1)
@@ -89,9 +89,9 @@
 
 
 def test_the_rest_after_a_refusal_ends_when_the_other_end_is_heard(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     refuse(links)
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     assert len(dials(links)) == 1
     links.ctx.reactor.advance(0.04)
     links.heard(place_of())
@@ -100,15 +100,15 @@
 
 
 def test_a_refused_link_is_tried_again_soon(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     refuse(links)
     links.ctx.reactor.advance(0.051)
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     assert len(dials(links)) == 2
 
 
 def test_a_connection_to_a_process_that_is_gone_is_dropped_when_its_successor_is_heard(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     accept(links)
     links.ctx.reactor.advance(0.1)
     links.heard(place_of(boot=1))
@@ -119,7 +119,7 @@
 
 
 def test_a_connection_that_may_be_to_the_successor_is_kept(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     links.heard(place_of(boot=1))
     links.ctx.reactor.advance(0.05)
     accept(links)
@@ -159,19 +159,19 @@
 
 
 def test_frames_are_handed_to_the_kernel_at_once_and_together(links):
-    links(TO, Hello())
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
+    links(TO, DirectoryRequest())
     transport = accept_descriptor(links)
     assert transport.calls == 1 and transport.handed == transport.value() != b""
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     assert transport.calls == 2 and transport.handed == transport.value()
 
 
 def test_paused_transport_is_left_alone_until_it_goes_on(links):
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     transport = accept_descriptor(links)
     transport.producer.pauseProducing()
-    links(TO, Hello())
+    links(TO, DirectoryRequest())
     assert transport.calls == 1
     transport.producer.resumeProducing()
     assert transport.calls == 2 and transport.handed == transport.value()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,9 +3,17 @@
 import pytest
 
 from frostpost.virtual_synchrony import failure_detector, membership
-from frostpost.virtual_synchrony.durable_log import Log
-from frostpost.virtual_synchrony.events import Out, Received, Tick
-from frostpost.virtual_synchrony.messages import Beat, Configuration, ConfigurationId, Member, Place, Propose, TurnAway
+from frostpost.virtual_synchrony.durable_log import DurableLog
+from frostpost.virtual_synchrony.events import MessageReceived, Output, TimerTick
+from frostpost.virtual_synchrony.messages import (
+    Configuration,
+    ConfigurationId,
+    Endpoint,
+    Heartbeat,
+    Member,
+    ProposeRejection,
+    ProposeRequest,
+)
 from frostpost.virtual_synchrony.state import Bounds, Peer, begin
 from frostpost.virtual_synchrony.step import step
 
@@ -13,7 +21,7 @@
 
 
 def place_of(name, boot=1):
-    return Place(Member(name, boot), "storage", "z", name, 1, 0)
+    return Endpoint(Member(name, boot), "storage", "z", name, 1, 0)
 
 
 def member(name, boot=1):
@@ -22,7 +30,7 @@
 
 def replica(name, members, others, serving=True):
     """A replica that hears `others`, all of which hear one another, in a primary of `members`."""
-    synchrony, _ = begin(place_of(name), Bounds(), (), (), Log(), 10_000)
+    synchrony, _ = begin(place_of(name), Bounds(), (), (), DurableLog(), 10_000)
     everyone = frozenset(member(n) for n in (name, *others))
     for other in others:
         inside = other in members
@@ -56,8 +64,8 @@
 
 def propose(synchrony, proposer, members, epoch=9, boot=1):
     """-> the messages that the replica answers a proposal with."""
-    out = Out()
-    message = Propose(ConfigurationId(epoch, proposer, boot), tuple(member(n) for n in members), members[0])
+    out = Output()
+    message = ProposeRequest(ConfigurationId(epoch, proposer, boot), tuple(member(n) for n in members), members[0])
     membership.proposed(synchrony, out, proposer, message)
     return [type(body) for _, body in out.sends]
 
@@ -73,7 +81,7 @@
     deaf(newcomer, "s1", "s4")
     assert sorted(wanted(newcomer)) == ["s1", "s2", "s3"]
     for name, others in (("s2", ("s1", "s3", "s4")), ("s3", ("s1", "s2", "s4"))):
-        assert propose(replica(name, ("s2", "s3", "s4"), others), "s1", ("s1", "s2", "s3")) == [TurnAway]
+        assert propose(replica(name, ("s2", "s3", "s4"), others), "s1", ("s1", "s2", "s3")) == [ProposeRejection]
 
 
 def test_a_newcomer_that_all_hear_is_wanted_as_well():
@@ -95,13 +103,13 @@
 
 def test_an_outsiders_proposal_that_leaves_out_a_member_that_is_heard_is_refused():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
-    assert propose(synchrony, "s1", ("s1", "s2", "s3")) == [TurnAway]
+    assert propose(synchrony, "s1", ("s1", "s2", "s3")) == [ProposeRejection]
     assert synchrony.recovery is None and failure_detector.serving(synchrony)
 
 
 def test_an_outsiders_proposal_that_holds_all_members_is_taken():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
-    assert TurnAway not in propose(synchrony, "s1", ("s1", "s2", "s3", "s4"))
+    assert ProposeRejection not in propose(synchrony, "s1", ("s1", "s2", "s3", "s4"))
     assert synchrony.recovery is not None
 
 
@@ -116,26 +124,26 @@
         deaf(synchrony, "s3", "s4")
     else:
         setattr(lost, why, True)
-    assert TurnAway not in propose(synchrony, "s1", ("s1", "s2", "s3"))
+    assert ProposeRejection not in propose(synchrony, "s1", ("s1", "s2", "s3"))
 
 
 def test_a_members_own_proposal_is_not_refused_since_the_primary_is_broken_already():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
-    assert TurnAway not in propose(synchrony, "s3", ("s2", "s3"))
+    assert ProposeRejection not in propose(synchrony, "s3", ("s2", "s3"))
 
 
 def test_a_member_that_runs_anew_is_an_outsider():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
-    assert propose(synchrony, "s3", ("s2", "s3"), boot=2) == [TurnAway]
+    assert propose(synchrony, "s3", ("s2", "s3"), boot=2) == [ProposeRejection]
 
 
 def test_a_replica_without_a_serving_primary_refuses_no_higher_proposal():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"), serving=False)
-    assert TurnAway not in propose(synchrony, "s1", ("s1", "s2", "s3"))
+    assert ProposeRejection not in propose(synchrony, "s1", ("s1", "s2", "s3"))
 
 
 def beat_of(synchrony):
-    out = Out()
+    out = Output()
     failure_detector.beat(synchrony, out)
     return next(body for _, body in out.sends)
 
@@ -158,23 +166,23 @@
     synchrony.peers["s4"].heard_ms = synchrony.now_ms - synchrony.bounds.detect_ms + 20
     sent = []
     for now_ms in range(10_020, 10_070, 20):
-        synchrony, out = step(synchrony, Tick(now_ms))
+        synchrony, out = step(synchrony, TimerTick(now_ms))
         sent += [(now_ms, type(body), body) for to, body in out.sends if to == "s3"]
-    beats = [body for _, kind, body in sent if kind is Beat]
+    beats = [body for _, kind, body in sent if kind is Heartbeat]
     assert beats and member("s4") not in beats[0].hears
-    assert not any(kind is Propose for _, kind, _ in sent)
+    assert not any(kind is ProposeRequest for _, kind, _ in sent)
 
 
 def test_heartbeats_of_the_version_before_are_read():
     from msgspec import msgpack
 
     old = msgpack.encode([1, [7, "s2", 1], [7, "s2", 1], [], 5, 4, False, True, 3, {}])
-    beat = msgpack.decode(old, type=Beat)
+    beat = msgpack.decode(old, type=Heartbeat)
     assert (beat.serving, beat.last_primary) == (False, ConfigurationId(0, "", 0))
 
 
 def test_heard_heartbeats_are_kept_of_a_peer():
     synchrony = replica("s2", ("s2", "s3"), ("s1", "s3"))
-    beat = Beat(PRIMARY, PRIMARY, (), 1, 1, False, True, 3, {}, True, PRIMARY)
-    step(synchrony, Received(10_010, place_of("s1"), beat))
+    beat = Heartbeat(PRIMARY, PRIMARY, (), 1, 1, False, True, 3, {}, True, PRIMARY)
+    step(synchrony, MessageReceived(10_010, place_of("s1"), beat))
     assert (synchrony.peers["s1"].serving, synchrony.peers["s1"].last_primary) == (True, PRIMARY)
--- a/tests/test_proxy_roster.py
+++ b/tests/test_proxy_roster.py
@@ -12,7 +12,7 @@
 from frostpost.daemon.machine import Machine
 from frostpost.proxy import roster
 from frostpost.proxy.words import Runner
-from frostpost.virtual_synchrony.endpoints import Member, Place
+from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
 
 def a_runner(name, **more):
@@ -24,12 +24,12 @@
     settings = SimpleNamespace(
         **dict(dict(list_ms=1200, drain_ms=3000, list_rate_per_s=44.0, lease_ms=1200, idle_ms=1000), **more)
     )
-    place = Place(Member("e1", 1), "edge", "z", "h", 1, 0)
+    place = Endpoint(Member("e1", 1), "edge", "z", "h", 1, 0)
     leaf = Leaf(settings, clock, place, Machine(seconds=clock.seconds, token=lambda _: "ffff"))
     leaf.links["send"] = lambda to, body: leaf.extras.setdefault("sent", []).append(body)
     leaf.directory, leaf.extras["reads"] = {}, []
     session(leaf).sequencer = "s1"
-    leaf.directory = {"s1": Place(Member("s1", 1), "storage", "z", "h", 2, 0)}
+    leaf.directory = {"s1": Endpoint(Member("s1", 1), "storage", "z", "h", 2, 0)}
 
     def fetch():
         leaf.extras["reads"].append(clock.seconds())
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -11,8 +11,8 @@
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import world as worlds
 from frostpost.virtual_synchrony import discovery
-from frostpost.virtual_synchrony.agent_messages import Directory
-from frostpost.virtual_synchrony.messages import SPEAKS, Frame, Member, Place, Roster
+from frostpost.virtual_synchrony.agent_messages import DirectoryReply
+from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Frame, Member
 
 SEED = "@seed:1"
 MINUTE_MS = 60_000
@@ -29,7 +29,7 @@
         perform = worlds.perform
 
         def watched(world, node, out):
-            self.rosters += [(world.now_ms, node.name, to, b) for to, b in out.sends if isinstance(b, Roster)]
+            self.rosters += [(world.now_ms, node.name, to, b) for to, b in out.sends if isinstance(b, DiscoveryUpdate)]
             perform(world, node, out)
 
         monkeypatch.setattr(worlds, "perform", watched)
@@ -85,7 +85,7 @@
 
 
 def place_of(name, boot=1):
-    return Place(Member(name, boot), "storage", "z", name, 7, 0, SPEAKS)
+    return Endpoint(Member(name, boot), "storage", "z", name, 7, 0, PROTOCOL_REVISION)
 
 
 class Seed:
@@ -103,8 +103,8 @@
         """-> how many places the sender is told, None if it gets no answer."""
         self.out.clear()
         place = place_of(name, boot)
-        agents.received(self.leaf, Frame(1, place, "", Roster(tuple(place_of(p) for p in places), False)))
-        told = [body for to, body in self.out if isinstance(body, Directory) and to == f"@{name}:7"]
+        agents.received(self.leaf, Frame(1, place, "", DiscoveryUpdate(tuple(place_of(p) for p in places), False)))
+        told = [body for to, body in self.out if isinstance(body, DirectoryReply) and to == f"@{name}:7"]
         return len(told[-1].places) if told else None
 
 
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -1,7 +1,7 @@
 from frostpost.simulator import world as worlds
 from frostpost.simulator.play import back
-from frostpost.virtual_synchrony.events import Out
-from frostpost.virtual_synchrony.messages import Submit
+from frostpost.virtual_synchrony.events import Output
+from frostpost.virtual_synchrony.messages import SubmitRequest
 from frostpost.virtual_synchrony.ordering import submitted
 from frostpost.virtual_synchrony.state import sequencer
 
@@ -36,5 +36,5 @@
     synchrony = world.nodes["c1"].core.synchrony
     sender = world.nodes["e1"].place.member
     for floor, first in ((1, 2), (2, 2)):
-        submitted(synchrony, Out(), "e1", sender, Submit(synchrony.configuration.id, floor, first, (b"b",)))
+        submitted(synchrony, Output(), "e1", sender, SubmitRequest(synchrony.configuration.id, floor, first, (b"b",)))
     assert [e.number for e in synchrony.order.unsent] == [2]
--- a/tests/test_snapshot_days.py
+++ b/tests/test_snapshot_days.py
@@ -6,7 +6,7 @@
 from frostpost.cluster import replica
 from frostpost.daemon import snapshotting
 from frostpost.simulator import play as storms
-from frostpost.virtual_synchrony.events import Appended, Rewrite
+from frostpost.virtual_synchrony.events import EntryRecord, RewriteLog
 from frostpost.virtual_synchrony.state import Bounds
 
 LOG_ENTRIES = 12
@@ -46,7 +46,7 @@
 def without_tail(synchrony, out, taken):
     """A rewritten log loses the entries after the snapshot."""
     write_snapshot(synchrony, out, taken)
-    out.writes[-1] = Rewrite(tuple(r for r in out.writes[-1].records if not isinstance(r, Appended)))
+    out.writes[-1] = RewriteLog(tuple(r for r in out.writes[-1].records if not isinstance(r, EntryRecord)))
 
 
 write_snapshot = snapshotting.write_snapshot
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -5,7 +5,7 @@
 from fleet_simulator import cuts, stage
 from msgspec import msgpack, structs
 
-from frostpost.virtual_synchrony.events import Appended, Record, Snapshot
+from frostpost.virtual_synchrony.events import EntryRecord, Record, SnapshotRecord
 from frostpost.write_ahead_log import records
 
 STARTED_MS, SERVING_MS = 350, 6000
@@ -20,7 +20,7 @@
     files = stored.files["storage-z0-1"]
     decode = msgpack.Decoder(Record).decode
     kinds = [type(decode(r.payload)) for r in records.scan(files["/storage-z0-1/log"]).records]
-    assert Snapshot in kinds and Appended in kinds
+    assert SnapshotRecord in kinds and EntryRecord in kinds
     assert records.scan(files["/storage-z0-1/silo/00000001"]).records
     assert records.scan(stored.files["core-z0-1"]["/core-z0-1/charter"]).records
     assert len(stored.summary.turns) > 100 and len(stored.summary.keys) > 10
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -144,7 +144,9 @@
     fleet = raised(bounds={"window": 1})
     ctx = fleet.daemons["e1"].ctx
     hold, send = {"hold": False}, ctx.links["send"]
-    ctx.links["send"] = lambda to, body: None if hold["hold"] and type(body).__name__ == "Submit" else send(to, body)
+    ctx.links["send"] = lambda to, body: (
+        None if hold["hold"] and type(body).__name__ == "SubmitRequest" else send(to, body)
+    )
     path, ledger = "/v1/tenants/hlidar/routes/check/turns", fleet.daemons["s1"].ctx.core
     boxes = [fleet_calls.call(fleet, "e1", path, "POST", {"program": "p1", "input": "x"})]
     while not ledger.ledger.reservations:
--- a/tests/test_tenant_config.py
+++ b/tests/test_tenant_config.py
@@ -79,12 +79,12 @@
     while wire:
         hops += 1
         to, body = wire.pop(0)
-        if isinstance(body, shelves.NewsAsk):
+        if isinstance(body, shelves.ConfigVersionsRequest):
             wire += [("b.2", b) for _, b in shelves.asked(told, "b.2", body)]
-        elif isinstance(body, shelves.NewsTell):
+        elif isinstance(body, shelves.ConfigVersionsReply):
             asker, sends, _ = shelves.told(asker, "a.1", body, 0)
             wire += [("a.1", b) for _, b in sends]
-        elif isinstance(body, shelves.BodyAsk):
+        elif isinstance(body, shelves.ConfigBodyRequest):
             wire += [("b.2", b) for _, b in shelves.body_asked(told, "b.2", body)]
         else:
             asker, sends, stores = shelves.body_pieced(asker, "a.1", body, 0)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -6,8 +6,8 @@
 from frostpost.simulator.plants import planted
 from frostpost.simulator.traces import load, play
 from frostpost.simulator.world import make
-from frostpost.virtual_synchrony import settling
-from frostpost.virtual_synchrony.state import Primary
+from frostpost.virtual_synchrony import catch_up
+from frostpost.virtual_synchrony.state import PrimaryState
 
 TRACES = sorted(glob(join(dirname(__file__), "traces", "*.trace")))
 
@@ -26,8 +26,8 @@
 
 def test_a_ready_voter_that_has_not_applied_its_base_fetches_nothing():
     core = next(iter(make(1).nodes.values())).core
-    core.synchrony.primary = Primary(able=True, base=10, ready_at=5)
+    core.synchrony.primary = PrimaryState(able=True, base=10, ready_at=5)
     assert core.synchrony.storage and core.synchrony.applied < 10
-    assert settling.lacking(core.synchrony) == 0
+    assert catch_up.lacking(core.synchrony) == 0
     core.synchrony.primary.ready_at = -1
-    assert settling.lacking(core.synchrony) == 1
+    assert catch_up.lacking(core.synchrony) == 1
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -8,7 +8,13 @@
 from frostpost.cluster.context import Leaf
 from frostpost.proxy.failures import Unavailable
 from frostpost.turn_store import cache, client
-from frostpost.virtual_synchrony.agent_messages import Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import (
+    DirectoryRequest,
+    GetBodiesReply,
+    GetBodiesRequest,
+    PutBodyReply,
+    PutBodyRequest,
+)
 from frostpost.virtual_synchrony.endpoints import Member
 
 RING = {f"s{n}": f"@s{n}:1" for n in range(3)}
@@ -33,23 +39,23 @@
 
 def asked(leaf):
     ((to, body),) = taken(leaf)
-    assert isinstance(body, SiloGet)
+    assert isinstance(body, GetBodiesRequest)
     return to[1:-2], body
 
 
 def answer(leaf, name, body, items):
-    client.received(leaf, name, SiloGot(9, body.number, tuple(items)))
+    client.received(leaf, name, GetBodiesReply(9, body.number, tuple(items)))
 
 
 def test_put_is_ok_once_a_majority_of_the_voters_has_synced(leaf):
     seen = outcome(client.put(leaf, "t", b"body", 2000))
-    assert [(to, type(b)) for to, b in taken(leaf)] == [(to, SiloPut) for to in RING.values()]
+    assert [(to, type(b)) for to, b in taken(leaf)] == [(to, PutBodyRequest) for to in RING.values()]
     leaf.extras["ring"]["other"] = "@other:1"
     for name, boot, synced in (("s0", 9, True), ("s0", 9, True), ("other", 9, True), ("s1", 8, True), ("s1", 9, False)):
-        assert client.received(leaf, name, SiloDone(boot, 1, synced))
+        assert client.received(leaf, name, PutBodyReply(boot, 1, synced))
         assert seen == []
     assert cache.cached(client.cache_of(leaf), "t") is None
-    client.received(leaf, "s2", SiloDone(9, 1, True))
+    client.received(leaf, "s2", PutBodyReply(9, 1, True))
     assert seen == [Ok(client.Synced(frozenset({"s0", "s2", "other"})))] and cache.cached(leaf.cache, "t") == b"body"
     assert leaf.reactor.getDelayedCalls() == []
 
@@ -58,7 +64,7 @@
     seen = outcome(client.put(leaf, "t", b"body", 2000))
     leaf.extras["lease"] = False
     for name in ("s0", "s1"):
-        client.received(leaf, name, SiloDone(9, 1, True))
+        client.received(leaf, name, PutBodyReply(9, 1, True))
     client.granted(leaf)
     assert seen == []
     leaf.extras.update(lease=True, voters=("s1", "s2", "s3"))
@@ -75,7 +81,7 @@
 def test_put_is_sent_again_to_those_that_have_not_synced_and_ends_in_time(leaf):
     seen = outcome(client.put(leaf, "t", b"body", 1000))
     taken(leaf)
-    client.received(leaf, "s1", SiloDone(9, 1, True))
+    client.received(leaf, "s1", PutBodyReply(9, 1, True))
     leaf.reactor.advance(0.3)
     assert [to for to, _ in taken(leaf)] == ["@s0:1", "@s2:1"]
     leaf.reactor.advance(0.7)
@@ -86,7 +92,7 @@
 def test_without_voters_no_put_is_ok(leaf):
     leaf.extras["voters"] = ()
     seen = outcome(client.put(leaf, "t", b"body", 1000))
-    client.received(leaf, "s0", SiloDone(9, 1, True))
+    client.received(leaf, "s0", PutBodyReply(9, 1, True))
     assert seen == []
 
 
@@ -147,7 +153,7 @@
     for waiting in (client.fetch(leaf, ("a",), 1000), client.put(leaf, "t", b"body", 1000)):
         waiting.addErrback(lambda _: None)
         waiting.cancel()
-    assert leaf.reactor.getDelayedCalls() == [] and not client.received(leaf, "s0", Hello())
+    assert leaf.reactor.getDelayedCalls() == [] and not client.received(leaf, "s0", DirectoryRequest())
 
 
 def test_cache_is_bounded_by_bytes_and_drops_the_least_recently_used(leaf):
--- a/tests/test_turn_store_repair.py
+++ b/tests/test_turn_store_repair.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 
 from frostpost.turn_store import repair, store
-from frostpost.virtual_synchrony.agent_messages import SiloGet, SiloGot
+from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, GetBodiesRequest
 
 ROUND_MS = 200
 LINK_MS, SYNC_MS, LINK_BYTES_MS = 2.0, 4.0, 75_000
@@ -43,14 +43,14 @@
             replica.turn_store.machine = replica.machine
 
     def deliver(self, frm, to, body):
-        size = sum(len(data) for _, data in body.items) if isinstance(body, SiloGot) else 0
-        if isinstance(body, SiloGet):
+        size = sum(len(data) for _, data in body.items) if isinstance(body, GetBodiesReply) else 0
+        if isinstance(body, GetBodiesRequest):
             self.in_flight[to] = len(body.turns) * len(BODY)
         wait_ms = LINK_MS + size / LINK_BYTES_MS
         self.clock.callLater(wait_ms / 1000, self.arrive, frm, to, body)
 
     def arrive(self, frm, to, body):
-        if isinstance(body, SiloGot):
+        if isinstance(body, GetBodiesReply):
             self.in_flight[frm] = 0
         super().deliver(frm, to, body)
 
@@ -161,4 +161,4 @@
     repair.repair(net.replicas["@s0:1"], dict.fromkeys(turns), ["@s1:1"], 1)
     for _ in range(ROUND_MS):
         net.clock.advance(0.001)
-    assert sum(isinstance(body, SiloGet) for _, _, body in net.sent) > 10
+    assert sum(isinstance(body, GetBodiesRequest) for _, _, body in net.sent) > 10
--- a/tests/test_turn_store_serving.py
+++ b/tests/test_turn_store_serving.py
@@ -4,7 +4,13 @@
 from twisted.internet.task import Clock
 
 from frostpost.turn_store import serving, store
-from frostpost.virtual_synchrony.agent_messages import Hello, SiloDone, SiloGet, SiloGot, SiloPut
+from frostpost.virtual_synchrony.agent_messages import (
+    DirectoryRequest,
+    GetBodiesReply,
+    GetBodiesRequest,
+    PutBodyReply,
+    PutBodyRequest,
+)
 
 
 class Net:
@@ -41,13 +47,13 @@
 def test_put_and_get_are_answered_to_the_sender():
     net = Net(1)
     replica = net.replicas["@s0:1"]
-    assert serving.received(replica, "@e:1", SiloPut(5, 1, "t", b"body"))
-    assert serving.received(replica, "@e:1", SiloGet(5, 2, ("t", "none")))
+    assert serving.received(replica, "@e:1", PutBodyRequest(5, 1, "t", b"body"))
+    assert serving.received(replica, "@e:1", GetBodiesRequest(5, 2, ("t", "none")))
     assert [(to, body) for _, to, body in net.sent] == [
-        ("@e:1", SiloDone(5, 1, True)),
-        ("@e:1", SiloGot(5, 2, (("t", b"body"),))),
+        ("@e:1", PutBodyReply(5, 1, True)),
+        ("@e:1", GetBodiesReply(5, 2, (("t", b"body"),))),
     ]
-    assert not serving.received(replica, "@e:1", Hello())
+    assert not serving.received(replica, "@e:1", DirectoryRequest())
 
 
 def test_answer_is_bounded():
@@ -66,7 +72,7 @@
     net.repair("@s0:1", live)
     turn_store = net.replicas["@s0:1"].turn_store
     assert turn_store.missing == 300
-    assert all(len(body.turns) <= 64 for _, _, body in net.sent if isinstance(body, SiloGet))
+    assert all(len(body.turns) <= 64 for _, _, body in net.sent if isinstance(body, GetBodiesRequest))
     net.repair("@s0:1", live, 12)
     assert turn_store.missing == 0 and serving.lacking(turn_store, live) == []
     assert store.get(turn_store, "t150") == b"body"
@@ -78,7 +84,7 @@
     hold(net, "@s2:1", "abcdefgh")
     net.down.add("@s1:1")
     net.repair("@s0:1", dict.fromkeys("abcdefgh"))
-    asked = {to for _, to, body in net.sent if isinstance(body, SiloGet)}
+    asked = {to for _, to, body in net.sent if isinstance(body, GetBodiesRequest)}
     assert "@s1:1" in asked
     net.repair("@s0:1", dict.fromkeys("abcdefgh"), 4)
     assert net.replicas["@s0:1"].turn_store.missing == 0
@@ -94,12 +100,12 @@
 def test_answers_not_asked_for_are_not_kept():
     net = Net(2)
     replica = net.replicas["@s0:1"]
-    serving.received(replica, "@s1:1", SiloGot(1, 1, (("t", b"other"),)))
+    serving.received(replica, "@s1:1", GetBodiesReply(1, 1, (("t", b"other"),)))
     net.down.add("@s1:1")
     net.repair("@s0:1", {"t": None})
     state = replica.turn_store.repairing
-    serving.received(replica, "@s1:1", SiloGot(state.boot + 1, state.number, (("t", b"other"),)))
-    serving.received(replica, "@s1:1", SiloGot(state.boot, state.number, (("u", b"other"),)))
+    serving.received(replica, "@s1:1", GetBodiesReply(state.boot + 1, state.number, (("t", b"other"),)))
+    serving.received(replica, "@s1:1", GetBodiesReply(state.boot, state.number, (("u", b"other"),)))
     assert not store.held(replica.turn_store, "t") and not store.held(replica.turn_store, "u")
 
 
