--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -102,7 +102,7 @@
     ctx.agent = agent(ctx)[1]
     seeds = [f"@{s}" for s in settings.seeds]
     ctx.core, out = begin(place, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
-    ctx.core.synchrony.news = shelves.news(ctx)
+    ctx.core.synchrony.status = shelves.news(ctx)
     ctx.disk.write(out.writes)
     return ctx, build(ctx)
 
--- a/frostpost/background/meters.py
+++ b/frostpost/background/meters.py
@@ -26,7 +26,7 @@
             "members": len(synchrony.configuration.members),
             "programs": len(ctx.core.ledger.programs),
             "keys": len(ctx.core.ledger.keys),
-            "waiting": len(synchrony.waiting),
+            "waiting": len(synchrony.pending_entries),
             "outbox": len(synchrony.outbox),
             "disk_unwell": int(ctx.disk.unwell),
         }
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -55,8 +55,8 @@
 
 def publish(ctx):
     """Tell the peers this daemon's news with the next heartbeat."""
-    ctx.core.synchrony.news = news(ctx)
-    ctx.core.synchrony.beat_ms = -(1 << 40)
+    ctx.core.synchrony.status = news(ctx)
+    ctx.core.synchrony.heartbeat_ms = -(1 << 40)
     ctx.reactor.callLater(0, tick, ctx)
 
 
@@ -126,7 +126,7 @@
     """Deferred of whether a majority of the voters holds an item in time."""
 
     def held():
-        holders = {n for n, p in ctx.core.synchrony.peers.items() if p.news.get(item.source, 0) >= item.number}
+        holders = {n for n, p in ctx.core.synchrony.peers.items() if p.status.get(item.source, 0) >= item.number}
         if ctx.shelf.vector.get(item.source, 0) >= item.number:
             holders.add(ctx.place.member.name)
         return majority(ctx.core.ledger.voters, holders)
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -157,7 +157,7 @@
         if p.place.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
     turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
-    ctx.core.synchrony.news = tenders.report(replica.turn_store, replica.leaving)
+    ctx.core.synchrony.status = tenders.report(replica.turn_store, replica.leaving)
 
 
 def keep_addresses(replica):
@@ -215,7 +215,7 @@
     if replica.waiting:
         replica.reactor.callLater(LEAVE_S, replica.stop, 0)
         return
-    replica.ctx.core.synchrony.news = tenders.report(replica.turn_store, True)
+    replica.ctx.core.synchrony.status = tenders.report(replica.turn_store, True)
     until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // HANDOVER_SHARE
     leave_without_vote(replica, until_ms)
 
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -63,7 +63,7 @@
 
 def voters_of(ctx):
     synchrony = ctx.core.synchrony
-    return ctx.core.ledger.voters or synchrony.voters or synchrony.voters0
+    return ctx.core.ledger.voters or synchrony.voters or synchrony.bootstrap_voters
 
 
 def meet(sessions, place, version, now):
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -125,7 +125,7 @@
         "voters": list(serving.voters_of(ctx)),
         "applied": synchrony.applied,
         "log_length": synchrony.log.length,
-        "disk_unwell": bool(ctx.disk.unwell or synchrony.unwell),
+        "disk_unwell": bool(ctx.disk.unwell or synchrony.unhealthy),
         "ledger": {
             "turns": len(program_ledger.turns),
             "attempts": len(program_ledger.attempts),
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -45,11 +45,11 @@
     """What a member of this configuration told last of its copies; empty if it holds no full ledger in it."""
     synchrony = ctx.core.synchrony
     if name == synchrony.name:
-        return synchrony.news if synchrony.primary.ready else {}
+        return synchrony.status if synchrony.primary.ready else {}
     peer = synchrony.peers.get(name)
     if peer is None or peer.configuration != synchrony.configuration.id or not peer.ready:
         return {}
-    return peer.news
+    return peer.status
 
 
 def whole(ctx, name, since=0):
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -54,7 +54,7 @@
     """Return (core, output) of a daemon that starts with the log read from its disk."""
     synchrony, out = synchronies.begin(place, bounds, seeds, voters, log, now_ms)
     ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
-    for entry in log.entries[: max(0, log.settled - log.start)]:
+    for entry in log.entries[: max(0, log.commit_index - log.snapshot_index)]:
         ledger, _ = apply(ledger, entry)
     log.snapshot = b""
     log.voters = ledger.voters or log.voters
@@ -107,9 +107,9 @@
     if voters and voters != synchrony.voters:
         synchrony.voters = synchrony.log.voters = voters
     if synchrony.primary.opened and synchrony.primary.voters != voters:
-        synchrony.primary.voters, synchrony.primary.coming = voters, ()
-    elif synchrony.primary.opened and synchrony.primary.coming:
-        synchrony.primary.coming = ()
+        synchrony.primary.voters, synchrony.primary.pending_voters = voters, ()
+    elif synchrony.primary.opened and synchrony.primary.pending_voters:
+        synchrony.primary.pending_voters = ()
 
 
 def forgotten(core):
@@ -126,7 +126,7 @@
 def ballots(core):
     """Return the encoded votes that this daemon has yet to cast."""
     synchrony, ledger = core.synchrony, core.ledger
-    if not synchrony.primary.opened or synchrony.recovery or synchrony.leaving:
+    if not synchrony.primary.opened or synchrony.recovery or synchrony.draining:
         return []
     asks = []
     for duty, round, candidate in duties.owed(ledger, synchrony.me):
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -167,7 +167,7 @@
         case _:
             feed(ctx, MessageReceived(clock_ms(ctx), frame.place, body))
             if isinstance(body, Heartbeat):
-                ctx.links["heard"](frm, body.news)
+                ctx.links["heard"](frm, body.status)
 
 
 def tick(ctx):
--- a/frostpost/daemon/life.py
+++ b/frostpost/daemon/life.py
@@ -79,7 +79,7 @@
     ctx = hand.ctx
     feed(ctx, DrainRequested(clock_ms(ctx)))
     say("left", flights=ctx.flights)
-    ctx.reactor.callLater(ctx.core.synchrony.bounds.beat_ms * 2 / 1000, hand.stop)
+    ctx.reactor.callLater(ctx.core.synchrony.bounds.heartbeat_ms * 2 / 1000, hand.stop)
 
 
 @starting.upon(Life.leave).to(left)
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -31,7 +31,7 @@
         advance_loading(core, out)
     elif core.snapshots.taking is not None:
         advance_taking(core, out)
-        if not core.synchrony.paused:
+        if not core.synchrony.apply_paused:
             delivery.drain(core.synchrony, out)
     elif is_idle(core):
         core.snapshots.served = None
@@ -40,8 +40,8 @@
 def give_way(core, out) -> None:
     """A configuration that only waits to be opened is opened first; the snapshot is begun anew after that."""
     primary, held = core.synchrony.primary, core.snapshots
-    if held.taking is not None and primary.settled and not primary.opened:
-        held.taking, core.synchrony.paused = None, False
+    if held.taking is not None and primary.open_committed and not primary.opened:
+        held.taking, core.synchrony.apply_paused = None, False
         delivery.drain(core.synchrony, out)
 
 
@@ -57,7 +57,7 @@
     synchrony = core.synchrony
     work = take(core.ledger, synchrony.bounds.slice_records)
     core.snapshots.taking = Taking(synchrony.applied, work, for_log, synchrony.now_ms)
-    synchrony.paused = True
+    synchrony.apply_paused = True
     advance_taking(core, out)
 
 
@@ -67,7 +67,7 @@
     try:
         next(taking.work)
     except StopIteration as done:
-        core.synchrony.paused, core.snapshots.taking = False, None
+        core.synchrony.apply_paused, core.snapshots.taking = False, None
         now_ms = core.synchrony.now_ms
         core.snapshots.rests_until_ms = now_ms + REST_RATIO * (now_ms - taking.began_ms)
         state, digest = done.value
@@ -94,7 +94,7 @@
     synchrony = core.synchrony
     if asked.id != synchrony.configuration.id:
         return
-    synchrony.primary.loading = False
+    synchrony.primary.loading_snapshot = False
     if taken.index == synchrony.applied and catch_up.lacking(synchrony):
         catch_up.refill(synchrony, out, taken.index, taken.state)
 
@@ -105,7 +105,7 @@
     It has those of this configuration by itself, and those before it from the log.
     """
     served, synchrony = core.snapshots.served, core.synchrony
-    return served is not None and served.index >= min(synchrony.primary.base, synchrony.log.start)
+    return served is not None and served.index >= min(synchrony.primary.base, synchrony.log.snapshot_index)
 
 
 def asked(core, out, asked: SnapshotRequested) -> None:
@@ -151,13 +151,13 @@
     synchrony = core.synchrony
     current = received.id == synchrony.configuration.id
     if current:
-        synchrony.primary.loading = False
+        synchrony.primary.loading_snapshot = False
     fits = received.index >= synchrony.applied and (current or received.index <= synchrony.primary.base)
     if ledger is None or not fits or not catch_up.lacking(synchrony):
         synchronies.count(synchrony, "snapshots_dropped")
         return
     core.ledger, core.snapshots = ledger, Snapshots()
-    synchrony.paused = False
+    synchrony.apply_paused = False
     catch_up.refill(synchrony, out, received.index, received.state)
 
 
@@ -172,14 +172,14 @@
     if held.for_log is None or synchrony.recovery is not None:
         return
     taken, held.for_log = held.for_log, None
-    if synchrony.log.start < taken.index <= synchrony.log.length:
+    if synchrony.log.snapshot_index < taken.index <= synchrony.log.length:
         write_snapshot(synchrony, out, taken)
 
 
 def is_due(synchrony):
     """Tell whether enough entries were applied for the log to be rewritten."""
-    settled = synchrony.applied - synchrony.log.start
-    if not synchrony.storage or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
+    settled = synchrony.applied - synchrony.log.snapshot_index
+    if not synchrony.has_log or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
         return False
     return synchrony.primary.opened and synchrony.recovery is None and synchrony.applied <= synchrony.log.length
 
@@ -187,14 +187,14 @@
 def write_snapshot(synchrony, out, taken):
     """Replace the log by a snapshot and the entries after it."""
     log = synchrony.log
-    tail = log.entries[taken.index - log.start :]
-    log.start, log.entries, log.settled = taken.index, tail, max(log.settled, taken.index)
-    synchrony.wrote += 1
+    tail = log.entries[taken.index - log.snapshot_index :]
+    log.snapshot_index, log.entries, log.commit_index = taken.index, tail, max(log.commit_index, taken.index)
+    synchrony.written_count += 1
     synchronies.count(synchrony, "rewrites")
     records = (
         PromiseRecord(synchrony.me.boot, log.epoch),
-        SnapshotRecord(log.start, taken.state),
+        SnapshotRecord(log.snapshot_index, taken.state),
         ConfigurationRecord(log.primary, log.base, log.voters),
-        *(EntryRecord(e, log.start) for e in tail),
+        *(EntryRecord(e, log.snapshot_index) for e in tail),
     )
     out.writes.append(RewriteLog(records))
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -154,7 +154,7 @@
             peer = synchrony.peers.get(member.name)
             if peer is None or peer.place.member != member:
                 return False
-            reached = peer.news.get(what, 0) if what == "~honoured" else peer.applied
+            reached = peer.status.get(what, 0) if what == "~honoured" else peer.applied
         if reached < index:
             return False
     return True
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -57,8 +57,8 @@
                 "heard_ms": min(synchrony.now_ms - p.heard_ms, 1 << 31),
                 "applied": p.applied,
                 "ready": p.ready,
-                "unwell": p.unwell,
-                "honoured": p.news.get("~honoured", 0),
+                "unwell": p.unhealthy,
+                "honoured": p.status.get("~honoured", 0),
             }
             for n, p in synchrony.peers.items()
         },
--- a/frostpost/simulator/explore_checks.py
+++ b/frostpost/simulator/explore_checks.py
@@ -106,9 +106,9 @@
 def on_disk(replica, entry):
     """Whether an entry outlasts a loss of power there."""
     log = replay(replica.disk.synced)
-    if log.start >= entry.index:
+    if log.snapshot_index >= entry.index:
         return True
-    return log.length >= entry.index and log.entries[entry.index - log.start - 1] == entry
+    return log.length >= entry.index and log.entries[entry.index - log.snapshot_index - 1] == entry
 
 
 def opened(world, replica, entry, voters):
--- a/frostpost/simulator/explore_hash.py
+++ b/frostpost/simulator/explore_hash.py
@@ -14,12 +14,12 @@
     "counts",
     "bounds",
     "place",
-    "wrote",
-    "synced",
-    "acks_at",
-    "ready_at",
-    "sync_at",
-    "roster_periods",
+    "written_count",
+    "synced_count",
+    "pending_acks",
+    "ready_record_number",
+    "sync_target",
+    "announced_periods",
     "work",
     "state",
 }
@@ -57,15 +57,15 @@
         return name == "heard_ms" and value >= 0
     if isinstance(value, dict):
         return {k: aged(name, v, now_ms) for k, v in value.items()}
-    return max(value - now_ms, -(OLD_SHUN_MS if name == "shunned_ms" else OLD_MS))
+    return max(value - now_ms, -(OLD_SHUN_MS if name == "excluded_until_ms" else OLD_MS))
 
 
 def unsynced(synchrony):
     """How far the protocol's waits for the disk are from being met."""
     recovery = synchrony.recovery
-    marks = [synchrony.wrote, synchrony.primary.ready_at, recovery.sync_at if recovery else -1]
-    waits = [(at - synchrony.synced, top) for at, top in synchrony.acks_at if at > synchrony.synced]
-    return [mark if mark < 0 else max(0, mark - synchrony.synced) for mark in marks] + waits
+    marks = [synchrony.written_count, synchrony.primary.ready_record_number, recovery.sync_target if recovery else -1]
+    waits = [(at - synchrony.synced_count, top) for at, top in synchrony.pending_acks if at > synchrony.synced_count]
+    return [mark if mark < 0 else max(0, mark - synchrony.synced_count) for mark in marks] + waits
 
 
 def replica_digest(replica, now_ms):
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_moves.py
@@ -30,7 +30,7 @@
 from .explore_state import Disk, copy_world, own
 from .explore_steps import BOUNDS, effects, greet, handle, start, step_replica, stop, tick
 
-TICK_MS = BOUNDS.beat_ms
+TICK_MS = BOUNDS.heartbeat_ms
 PAYLOAD = encode(Look())
 
 
--- a/frostpost/simulator/explore_options.py
+++ b/frostpost/simulator/explore_options.py
@@ -135,7 +135,7 @@
 
 def snapshots(world):
     """Anyone may rewrite its log."""
-    return [TakeSnapshot(r.name) for r in up(world) if r.synchrony.applied > r.synchrony.log.start]
+    return [TakeSnapshot(r.name) for r in up(world) if r.synchrony.applied > r.synchrony.log.snapshot_index]
 
 
 def cuts(world):
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -28,11 +28,11 @@
 def acknowledge_unsynced(synchrony, out):
     """A replica acknowledges what it has written and not synced."""
     order = synchrony.order
-    while order.top + 1 in order.held:
-        order.top += 1
-        if synchrony.storage and synchrony.primary.ready_at >= 0:
-            delivery.record(synchrony, out, order.held[order.top])
-    ordering.acknowledge(synchrony, out, order.top)
+    while order.received_watermark + 1 in order.pending:
+        order.received_watermark += 1
+        if synchrony.has_log and synchrony.primary.ready_record_number >= 0:
+            delivery.record(synchrony, out, order.pending[order.received_watermark])
+    ordering.acknowledge(synchrony, out, order.received_watermark)
 
 
 def promise_anything(synchrony, out, frm, message):
@@ -50,23 +50,27 @@
 
 def confirm_unsynced(synchrony, out):
     """A member confirms a recovery before its disk has synced what it was handed."""
-    synced, synchrony.synced = synchrony.synced, synchrony.wrote + len(synchrony.order.held)
+    synced, synchrony.synced_count = synchrony.synced_count, synchrony.written_count + len(synchrony.order.pending)
     ORIGINAL["settle"](synchrony, out)
-    synchrony.synced = synced
+    synchrony.synced_count = synced
 
 
 def one_acknowledgement(synchrony, out, frm, message):
     """What one member has acknowledged counts as held by all."""
     order = synchrony.order
-    if message.id == synchrony.configuration.id and not synchrony.recovery and message.top > order.acks.get(frm, 0):
-        order.acks[frm] = message.top
+    if (
+        message.id == synchrony.configuration.id
+        and not synchrony.recovery
+        and message.received_watermark > order.acks.get(frm, 0)
+    ):
+        order.acks[frm] = message.received_watermark
         for name in names(synchrony.configuration):
-            out.sends.append((name, SafeUpdate(synchrony.configuration.id, message.top)))
+            out.sends.append((name, SafeUpdate(synchrony.configuration.id, message.received_watermark)))
 
 
 def own_changes_only(plan, best):
     """Changes of voters that other members hold aren't counted."""
-    return best.coming
+    return best.pending_voters
 
 
 def no_changes(plan, best):
@@ -77,11 +81,11 @@
 def apply_before_ready(synchrony, out):
     """A replica applies entries before its log reaches them, and so may never log them."""
     primary = synchrony.primary
-    if not synchrony.storage or primary.ready_at >= 0:
+    if not synchrony.has_log or primary.ready_record_number >= 0:
         ORIGINAL["drain"](synchrony, out)
         return
-    while primary.settled and not synchrony.paused and synchrony.applied + 1 in synchrony.waiting:
-        delivery.apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
+    while primary.open_committed and not synchrony.apply_paused and synchrony.applied + 1 in synchrony.pending_entries:
+        delivery.apply(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
 
 
 def stale_voters(synchrony, out):
@@ -99,7 +103,7 @@
 def confirmed_keeps(synchrony, group):
     """A member that has confirmed a recovery helps to keep entries in another one from the same configuration."""
     plan, last = synchrony.recovery.plan, synchrony.configuration.id
-    return [n for n in group if plan[n].memory and plan[n].memory.primary == last]
+    return [n for n in group if plan[n].durable_state and plan[n].durable_state.primary == last]
 
 
 def any_voters(ledger, entry, op):
@@ -130,7 +134,7 @@
 
 def no_rebroadcast(synchrony, out):
     """Members hand nothing on in a recovery."""
-    synchrony.recovery.owed = {}
+    synchrony.recovery.owed_ordinals = {}
 
 
 def no_resend(synchrony, out):
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -13,7 +13,7 @@
 from .explore_state import Disk, Message, SyncDone, first_voters, own
 
 BOUNDS = Bounds()
-TIMERS = ("beat_ms", "outbox_ms")
+TIMERS = ("heartbeat_ms", "outbox_ms")
 LONG_AGO_MS = -(1 << 40)
 
 
@@ -96,7 +96,7 @@
     """Set all timers as if they had been started long ago."""
     for timer in TIMERS:
         setattr(synchrony, timer, LONG_AGO_MS)
-    synchrony.primary.fetch_ms = LONG_AGO_MS
+    synchrony.primary.fetched_ms = LONG_AGO_MS
     synchrony.order.sent_ms = dict.fromkeys(names(synchrony.configuration), LONG_AGO_MS)
     if synchrony.recovery:
         synchrony.recovery.sent_ms = LONG_AGO_MS
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -21,12 +21,12 @@
 def ack_unsynced(synchrony, out):
     """Plant: acknowledge entries before they are synced."""
     order = synchrony.order
-    while order.top + 1 in order.held:
-        order.top += 1
-        if synchrony.storage and synchrony.primary.ready_at >= 0:
-            delivery.record(synchrony, out, order.held[order.top])
+    while order.received_watermark + 1 in order.pending:
+        order.received_watermark += 1
+        if synchrony.has_log and synchrony.primary.ready_record_number >= 0:
+            delivery.record(synchrony, out, order.pending[order.received_watermark])
     if not synchrony.recovery:
-        ordering.acknowledge(synchrony, out, order.top)
+        ordering.acknowledge(synchrony, out, order.received_watermark)
 
 
 def any_voter(primary, present):
@@ -36,18 +36,18 @@
 
 def old_length(plan, name):
     """Plant: compute the new base from the length before the recovery."""
-    return plan[name].memory.length
+    return plan[name].durable_state.length
 
 
 def eager_deliver(synchrony, out):
     """Plant: deliver what is not yet safe."""
-    synchrony.order.safe = max(synchrony.order.safe, synchrony.order.top)
+    synchrony.order.safe_watermark = max(synchrony.order.safe_watermark, synchrony.order.received_watermark)
     order = synchrony.order
-    while order.delivered < order.safe and order.delivered < order.top:
-        order.delivered += 1
-        entry = order.held[order.delivered]
-        out.answers.append(EntryDelivered(entry, False, synchrony.primary.able))
-        if synchrony.primary.able:
+    while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
+        order.delivered_watermark += 1
+        entry = order.pending[order.delivered_watermark]
+        out.answers.append(EntryDelivered(entry, False, synchrony.primary.eligible))
+        if synchrony.primary.eligible:
             delivery.act(synchrony, out, entry)
 
 
@@ -79,13 +79,13 @@
 
 def eager_drain(synchrony, out):
     """Plant: apply entries before the configuration opens."""
-    synchrony.primary.settled = True
+    synchrony.primary.open_committed = True
     KEPT["drain"](synchrony, out)
 
 
 def forget(synchrony, out, record):
     """Plant: do not write a promise."""
-    return synchrony.wrote
+    return synchrony.written_count
 
 
 def no_unlatch(synchrony, out, index, state):
@@ -97,7 +97,7 @@
 
 def no_union(synchrony, out):
     """Plant: do not send again what others lack."""
-    synchrony.recovery.owed = {}
+    synchrony.recovery.owed_ordinals = {}
 
 
 def late_self(synchrony, out, entries):
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -50,7 +50,7 @@
     """Hand in an operation at a node."""
     node = world.nodes[name]
     if node.core is not None:
-        world.ops[(node.place.member, node.core.synchrony.number + 1)] = op
+        world.ops[(node.place.member, node.core.synchrony.last_number + 1)] = op
     worlds.feed(world, name, OperationSubmitted(worlds.clock(world, node), encode(op)))
 
 
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -110,14 +110,14 @@
 
 def manners(core, life, out):
     """Yield the violations that one output shows."""
-    storage = core.synchrony.storage
+    storage = core.synchrony.has_log
     for _, body in out.sends:
         if isinstance(body, RecoveryComplete) and storage and life.log.epoch < body.id.epoch:
             yield Broken("promise", f"{body.id} was completed before its promise was synced")
-        if isinstance(body, BatchAck) and storage and core.synchrony.primary.ready_at >= 0:
-            if life.log.primary == body.id and life.log.length < life.log.base + body.top:
-                yield Broken("ack", f"{body.top} of {body.id} was acknowledged and not synced")
-            life.acked = (body.id, body.top)
+        if isinstance(body, BatchAck) and storage and core.synchrony.primary.ready_record_number >= 0:
+            if life.log.primary == body.id and life.log.length < life.log.base + body.received_watermark:
+                yield Broken("ack", f"{body.received_watermark} of {body.id} was acknowledged and not synced")
+            life.acked = (body.id, body.received_watermark)
     id, top = life.acked
     for log in (life.log, core.synchrony.log):
         if log.primary == id and log.length < log.base + top:
@@ -129,7 +129,7 @@
             case EntryDelivered(entry, _, True) if entry.ordinal == 1:
                 life.opened = True
             case SnapshotInstalled(index, _):
-                life.applied, life.opened = index, core.synchrony.primary.settled
+                life.applied, life.opened = index, core.synchrony.primary.open_committed
             case EntryApplied(entry):
                 if not life.opened:
                     yield Broken("open", f"{entry.index} was applied before its Open")
--- a/frostpost/virtual_synchrony/catch_up.py
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -8,23 +8,28 @@
 
 def lacking(synchrony):
     primary = synchrony.primary
-    if not primary.able:
+    if not primary.eligible:
         return 0
-    if synchrony.storage:
-        if primary.ready_at >= 0:
+    if synchrony.has_log:
+        if primary.ready_record_number >= 0:
             return 0
-        return synchrony.log.length + 1 if primary.same else synchrony.log.settled + 1
+        return synchrony.log.length + 1 if primary.log_matches else synchrony.log.commit_index + 1
     return synchrony.applied + 1 if synchrony.applied < primary.base else 0
 
 
 def fetch(synchrony, out):
     first = lacking(synchrony)
-    if not first or synchrony.recovery or synchrony.primary.loading or synchrony.primary.donor == synchrony.name:
+    if (
+        not first
+        or synchrony.recovery
+        or synchrony.primary.loading_snapshot
+        or synchrony.primary.donor == synchrony.name
+    ):
         return
-    if synchrony.now_ms - synchrony.primary.fetch_ms < synchrony.bounds.resend_ms:
+    if synchrony.now_ms - synchrony.primary.fetched_ms < synchrony.bounds.resend_ms:
         return
-    synchrony.primary.fetch_ms = synchrony.now_ms
-    if synchrony.storage and synchrony.applied > synchrony.primary.base:
+    synchrony.primary.fetched_ms = synchrony.now_ms
+    if synchrony.has_log and synchrony.applied > synchrony.primary.base:
         ask_own_snapshot(synchrony, out)
         return
     ready = sorted(
@@ -34,29 +39,32 @@
         and synchrony.peers[n].ready
         and synchrony.peers[n].configuration == synchrony.configuration.id
     )
-    if synchrony.primary.source not in ready:
+    if synchrony.primary.fetch_source not in ready:
         spot = sum(synchrony.name.encode()) % len(ready) if ready else 0
-        synchrony.primary.source = ready[spot] if ready else synchrony.primary.donor
-        synchrony.primary.piece = bytearray()
+        synchrony.primary.fetch_source = ready[spot] if ready else synchrony.primary.donor
+        synchrony.primary.chunks = bytearray()
     out.sends.append(
-        (synchrony.primary.source, EntriesRequest(synchrony.configuration.id, first, len(synchrony.primary.piece)))
+        (
+            synchrony.primary.fetch_source,
+            EntriesRequest(synchrony.configuration.id, first, len(synchrony.primary.chunks)),
+        )
     )
 
 
 def ask_own_snapshot(synchrony, out):
     """All that this member's log lacks is in its state: a snapshot of another would be behind it under traffic."""
-    synchrony.primary.loading = True
+    synchrony.primary.loading_snapshot = True
     out.answers.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
 
 
 def fetched(synchrony, out, frm, message):
     log, primary = synchrony.log, synchrony.primary
-    if message.id != synchrony.configuration.id or primary.ready_at < 0:
+    if message.id != synchrony.configuration.id or primary.ready_record_number < 0:
         return
-    if message.first <= log.start or message.offset:
+    if message.first <= log.snapshot_index or message.offset:
         out.answers.append(SnapshotRequested(frm, message.id, message.offset))
         return
-    entries = log.entries[message.first - log.start - 1 : primary.base - log.start]
+    entries = log.entries[message.first - log.snapshot_index - 1 : primary.base - log.snapshot_index]
     out.sends.append((frm, EntriesReply(message.id, tuple(entries[: synchrony.bounds.batch]))))
 
 
@@ -65,37 +73,37 @@
     if message.id != synchrony.configuration.id or not lacking(synchrony):
         return
     count(synchrony, "filled", len(message.entries))
-    if synchrony.storage:
+    if synchrony.has_log:
         delivery.relog(synchrony, out, message.entries)
-        if not primary.same:
+        if not primary.log_matches:
             last = message.entries[-1].index if message.entries else primary.base
-            del log.entries[max(0, last - log.start) :]
-            primary.same = True
+            del log.entries[max(0, last - log.snapshot_index) :]
+            primary.log_matches = True
         if log.length >= primary.base:
             primary_component.become_ready(synchrony, out)
     else:
         for entry in message.entries:
             if entry.index > synchrony.applied:
-                synchrony.waiting[entry.index] = entry
+                synchrony.pending_entries[entry.index] = entry
         delivery.drain(synchrony, out)
-    primary.fetch_ms = -(1 << 40)
+    primary.fetched_ms = -(1 << 40)
     fetch(synchrony, out)
 
 
 def pieced(synchrony, out, frm, message):
     primary = synchrony.primary
-    if message.id != synchrony.configuration.id or primary.loading or not lacking(synchrony):
+    if message.id != synchrony.configuration.id or primary.loading_snapshot or not lacking(synchrony):
         return
-    if message.index != primary.piece_index or message.offset == 0:
-        primary.piece, primary.piece_index = bytearray(), message.index
-    if message.offset != len(primary.piece):
+    if message.index != primary.chunks_index or message.offset == 0:
+        primary.chunks, primary.chunks_index = bytearray(), message.index
+    if message.offset != len(primary.chunks):
         return
-    primary.piece += message.data
+    primary.chunks += message.data
     wait_ms = synchrony.bounds.piece_bytes * 1000 // synchrony.bounds.refill_bytes_s
-    primary.fetch_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
-    if len(primary.piece) >= message.total:
-        state, primary.piece = bytes(primary.piece), bytearray()
-        primary.loading = True
+    primary.fetched_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
+    if len(primary.chunks) >= message.total:
+        state, primary.chunks = bytes(primary.chunks), bytearray()
+        primary.loading_snapshot = True
         out.answers.append(SnapshotReceived(message.id, message.index, state, message.digest))
     fetch(synchrony, out)
 
@@ -105,13 +113,13 @@
     if index < synchrony.applied:
         return
     count(synchrony, "refilled")
-    synchrony.applied = log.settled = index
+    synchrony.applied = log.commit_index = index
     out.answers.append(SnapshotInstalled(index, state))
     if index > primary.base and not primary.opened:
         delivery.unlatch(synchrony)
-    synchrony.waiting = {i: e for i, e in synchrony.waiting.items() if i > index}
-    if synchrony.storage:
-        log.start, log.entries, primary.same = index, [], True
+    synchrony.pending_entries = {i: e for i, e in synchrony.pending_entries.items() if i > index}
+    if synchrony.has_log:
+        log.snapshot_index, log.entries, primary.log_matches = index, [], True
         write(synchrony, out, SnapshotRecord(index, state))
         if index >= primary.base:
             primary_component.become_ready(synchrony, out)
--- a/frostpost/virtual_synchrony/delivery.py
+++ b/frostpost/virtual_synchrony/delivery.py
@@ -7,13 +7,13 @@
 def record(synchrony, out, entry):
     if entry.index == synchrony.log.length + 1:
         synchrony.log.entries.append(entry)
-        write(synchrony, out, EntryRecord(entry, synchrony.log.settled))
+        write(synchrony, out, EntryRecord(entry, synchrony.log.commit_index))
 
 
 def relog(synchrony, out, entries):
     log = synchrony.log
     for entry in entries:
-        at = entry.index - log.start - 1
+        at = entry.index - log.snapshot_index - 1
         if at < 0 or entry.index > log.length + 1:
             continue
         if at < len(log.entries) and log.entries[at].configuration == entry.configuration:
@@ -24,26 +24,26 @@
 
 def act(synchrony, out, entry):
     if entry.index > synchrony.applied:
-        synchrony.waiting[entry.index] = entry
-    synchrony.primary.settled = synchrony.primary.settled or entry.ordinal == 1
+        synchrony.pending_entries[entry.index] = entry
+    synchrony.primary.open_committed = synchrony.primary.open_committed or entry.ordinal == 1
     drain(synchrony, out)
 
 
 def drain(synchrony, out):
     log, primary = synchrony.log, synchrony.primary
-    if not primary.settled or synchrony.paused or (synchrony.storage and primary.ready_at < 0):
+    if not primary.open_committed or synchrony.apply_paused or (synchrony.has_log and primary.ready_record_number < 0):
         return
-    if synchrony.waiting and synchrony.storage and primary.ready_at >= 0:
-        first = min(synchrony.waiting)
-        while synchrony.applied + 1 < first and log.start <= synchrony.applied < log.length:
-            apply(synchrony, out, log.entries[synchrony.applied - log.start])
-    while synchrony.applied + 1 in synchrony.waiting:
-        apply(synchrony, out, synchrony.waiting.pop(synchrony.applied + 1))
+    if synchrony.pending_entries and synchrony.has_log and primary.ready_record_number >= 0:
+        first = min(synchrony.pending_entries)
+        while synchrony.applied + 1 < first and log.snapshot_index <= synchrony.applied < log.length:
+            apply(synchrony, out, log.entries[synchrony.applied - log.snapshot_index])
+    while synchrony.applied + 1 in synchrony.pending_entries:
+        apply(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
 
 
 def apply(synchrony, out, entry):
     synchrony.applied = entry.index
-    synchrony.log.settled = max(synchrony.log.settled, min(entry.index, synchrony.log.length))
+    synchrony.log.commit_index = max(synchrony.log.commit_index, min(entry.index, synchrony.log.length))
     out.answers.append(EntryApplied(entry))
     if entry.sender == synchrony.me and entry.number:
         while synchrony.outbox and (first := next(iter(synchrony.outbox))) <= entry.number:
@@ -54,6 +54,6 @@
 
 
 def unlatch(synchrony):
-    synchrony.primary.settled = synchrony.primary.opened = synchrony.changed = True
-    synchrony.order.floor = min(synchrony.outbox, default=synchrony.number + 1)
+    synchrony.primary.open_committed = synchrony.primary.opened = synchrony.peers_changed = True
+    synchrony.order.floor = min(synchrony.outbox, default=synchrony.last_number + 1)
     synchrony.submitted = synchrony.order.floor - 1
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -18,24 +18,24 @@
 
 def tell(synchrony, out):
     """Tell peers and seeds of places, as far as it is due in this period."""
-    synchrony.roster_ms = synchrony.now_ms
+    synchrony.discovery_ms = synchrony.now_ms
     places = (synchrony.place, *(peer.place for peer in synchrony.peers.values()))
-    if places != synchrony.roster_places:
-        synchrony.roster_places, synchrony.roster_periods = places, 0
-    synchrony.roster_periods += 1
-    fresh = not settled(synchrony) or synchrony.roster_periods <= REPEATS
-    again = synchrony.roster_periods % REMIND_PERIODS == 0
+    if places != synchrony.announced_endpoints:
+        synchrony.announced_endpoints, synchrony.announced_periods = places, 0
+    synchrony.announced_periods += 1
+    fresh = not settled(synchrony) or synchrony.announced_periods <= REPEATS
+    again = synchrony.announced_periods % REMIND_PERIODS == 0
     if fresh or again or sequencer(synchrony) == synchrony.name:
-        report = DiscoveryUpdate(() if settled(synchrony) else (synchrony.place,), synchrony.leaving)
+        report = DiscoveryUpdate(() if settled(synchrony) else (synchrony.place,), synchrony.draining)
         out.sends += [(seed, report) for seed in distant_seeds(synchrony)]
     if fresh or again:
-        whole = DiscoveryUpdate(places, synchrony.leaving)
+        whole = DiscoveryUpdate(places, synchrony.draining)
         out.sends += [(name, whole) for name in synchrony.peers]
 
 
 def settled(synchrony):
     """Whether this replica stands in an opened primary that it doesn't leave."""
-    return synchrony.primary.opened and synchrony.recovery is None and not synchrony.leaving
+    return synchrony.primary.opened and synchrony.recovery is None and not synchrony.draining
 
 
 def distant_seeds(synchrony):
@@ -48,8 +48,8 @@
 def told(synchrony, frm, message):
     """Take in what another replica knows of places, and whether it leaves."""
     peer = synchrony.peers[frm]
-    if peer.leaving != message.leaving:
-        peer.leaving, synchrony.changed = message.leaving, True
+    if peer.draining != message.draining:
+        peer.draining, synchrony.peers_changed = message.draining, True
     for place in message.places:
         if place.member.name not in synchrony.peers and place.member.name != synchrony.name:
-            synchrony.peers[place.member.name], synchrony.changed = Peer(place), True
+            synchrony.peers[place.member.name], synchrony.peers_changed = Peer(place), True
--- a/frostpost/virtual_synchrony/durable_log.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -11,17 +11,17 @@
 class DurableLog(Struct):
     primary: ConfigurationId = NOWHERE
     base: int = 0
-    start: int = 0
+    snapshot_index: int = 0
     entries: list[Entry] = []
     voters: tuple[str, ...] = ()
     epoch: int = 0
     boot: int = 0
-    settled: int = 0
+    commit_index: int = 0
     snapshot: bytes = b""
 
     @property
     def length(self):
-        return self.start + len(self.entries)
+        return self.snapshot_index + len(self.entries)
 
 
 def replay(records):
@@ -36,17 +36,17 @@
         case PromiseRecord(boot, epoch):
             log.boot, log.epoch = max(log.boot, boot), max(log.epoch, epoch)
         case SnapshotRecord(index, state):
-            log.start, log.entries, log.snapshot = index, [], state
-            log.settled = max(log.settled, index)
+            log.snapshot_index, log.entries, log.snapshot = index, [], state
+            log.commit_index = max(log.commit_index, index)
         case ConfigurationRecord(id, base, voters):
             log.primary, log.base, log.voters = id, base, voters
             log.epoch = max(log.epoch, id.epoch)
-            del log.entries[max(0, base - log.start) :]
+            del log.entries[max(0, base - log.snapshot_index) :]
         case EntryRecord(entry, settled):
-            del log.entries[max(0, entry.index - log.start - 1) :]
+            del log.entries[max(0, entry.index - log.snapshot_index - 1) :]
             if entry.index == log.length + 1:
                 log.entries.append(entry)
-            log.settled = max(log.settled, min(settled, log.length))
+            log.commit_index = max(log.commit_index, min(settled, log.length))
 
 
 def memory(log):
@@ -56,7 +56,7 @@
 
 
 def coming(log):
-    return voters_in(log.entries[max(0, log.settled - log.start) :])
+    return voters_in(log.entries[max(0, log.commit_index - log.snapshot_index) :])
 
 
 def voters_in(entries):
@@ -66,5 +66,5 @@
 
 def pending_voters(plan, best):
     """Voters that unsettled entries ask for; any member may be the only one that holds such an entry."""
-    said = [voters for e in plan.values() if e.last == best.primary for voters in e.coming]
-    return tuple(dict.fromkeys((*best.coming, *said)))
+    said = [voters for e in plan.values() if e.last_configuration == best.primary for voters in e.pending_voters]
+    return tuple(dict.fromkeys((*best.pending_voters, *said)))
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -17,7 +17,7 @@
 
 class EntryRecord(Struct, frozen=True, array_like=True, tag=2):
     entry: Entry
-    settled: int
+    commit_index: int
 
 
 class SnapshotRecord(Struct, frozen=True, array_like=True, tag=3):
@@ -71,7 +71,7 @@
 
 class DiskHealthChanged(Struct, frozen=True, array_like=True, tag=5):
     now_ms: int
-    unwell: bool
+    unhealthy: bool
 
 
 class DrainRequested(Struct, frozen=True, array_like=True, tag=6):
@@ -89,7 +89,7 @@
 class EntryDelivered(Struct, frozen=True, tag=2):
     entry: Entry
     transitional: bool
-    acted: bool
+    in_primary: bool
 
 
 class EntryApplied(Struct, frozen=True, tag=3):
@@ -117,7 +117,7 @@
 
 
 class WindowFull(Struct, frozen=True, tag=6):
-    held: int
+    pending: int
 
 
 class OperationNumbered(Struct, frozen=True, tag=7):
--- a/frostpost/virtual_synchrony/failure_detector.py
+++ b/frostpost/virtual_synchrony/failure_detector.py
@@ -6,15 +6,15 @@
 def alive(synchrony, peer):
     return (
         synchrony.now_ms - peer.heard_ms < synchrony.bounds.detect_ms
-        and not peer.unwell
-        and not peer.leaving
-        and synchrony.now_ms >= peer.shunned_ms
+        and not peer.unhealthy
+        and not peer.draining
+        and synchrony.now_ms >= peer.excluded_until_ms
     )
 
 
 def judged(synchrony, peer):
     """What a tick judges of a peer, as far as heartbeats tell it."""
-    told = peer.hears, peer.configuration, peer.promised, peer.ready, peer.serving, peer.last_primary
+    told = peer.reachable, peer.configuration, peer.promised, peer.ready, peer.serving, peer.last_primary
     return alive(synchrony, peer), *told
 
 
@@ -22,8 +22,8 @@
     mine = {p.place.member for p in synchrony.peers.values() if alive(synchrony, p)}
     graph = {synchrony.me: mine}
     for peer in synchrony.peers.values():
-        if alive(synchrony, peer) and synchrony.me in peer.hears:
-            graph[peer.place.member] = peer.hears
+        if alive(synchrony, peer) and synchrony.me in peer.reachable:
+            graph[peer.place.member] = peer.reachable
     return graph
 
 
@@ -53,7 +53,7 @@
 
 def desire(synchrony):
     """The configuration that this daemon wants: the first clique, in order of preference, that it is a member of."""
-    if synchrony.unwell or synchrony.leaving:
+    if synchrony.unhealthy or synchrony.draining:
         return (synchrony.me,)
     graph = hearing(synchrony)
     rest = sorted(graph, key=lambda member: rank(synchrony, member))
@@ -69,7 +69,7 @@
 
 
 def beat(synchrony, out):
-    synchrony.beat_ms = synchrony.now_ms
+    synchrony.heartbeat_ms = synchrony.now_ms
     hears = tuple(p.place.member for p in synchrony.peers.values() if alive(synchrony, p))
     for name, peer in synchrony.peers.items():
         out.sends.append(
@@ -81,10 +81,10 @@
                     hears,
                     synchrony.now_ms,
                     peer.sent_ms,
-                    synchrony.unwell or synchrony.leaving,
+                    synchrony.unhealthy or synchrony.draining,
                     synchrony.primary.ready,
                     synchrony.applied,
-                    dict(synchrony.news),
+                    dict(synchrony.status),
                     serving(synchrony),
                     synchrony.log.primary,
                 ),
@@ -96,12 +96,12 @@
     peer = synchrony.peers[frm]
     before = judged(synchrony, peer)
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
-    peer.hears = frozenset(message.hears)
+    peer.reachable = frozenset(message.reachable)
     peer.configuration, peer.promised = message.configuration, message.promised
-    peer.unwell, peer.ready, peer.applied = message.unwell, message.ready, message.applied
-    peer.news, peer.serving, peer.last_primary = message.news, message.serving, message.last_primary
+    peer.unhealthy, peer.ready, peer.applied = message.unhealthy, message.ready, message.applied
+    peer.status, peer.serving, peer.last_primary = message.status, message.serving, message.last_primary
     if before != judged(synchrony, peer):
-        synchrony.changed = True
+        synchrony.peers_changed = True
     agreed = message.configuration == synchrony.configuration.id == message.promised
     if agreed and message.echo_ms > peer.granted_ms:
         peer.granted_ms = message.echo_ms
@@ -112,7 +112,7 @@
 
 
 def lease_ok(synchrony, now_ms):
-    if not synchrony.primary.opened or synchrony.recovery is not None or synchrony.leaving:
+    if not synchrony.primary.opened or synchrony.recovery is not None or synchrony.draining:
         return False
     if synchrony.applied < synchrony.primary.base + 1:
         return False
@@ -123,7 +123,7 @@
             and peer.place.member in synchrony.configuration.members
         ):
             present.add(name)
-    voters = synchrony.voters or synchrony.voters0
+    voters = synchrony.voters or synchrony.bootstrap_voters
     return sum(v in present for v in voters) * 2 > len(voters)
 
 
@@ -131,7 +131,7 @@
     """How long this daemon's own lease runs on; 0 if it has none."""
     if not lease_ok(synchrony, now_ms):
         return 0
-    voters = synchrony.voters or synchrony.voters0
+    voters = synchrony.voters or synchrony.bootstrap_voters
     granted = sorted(
         (
             now_ms if v == synchrony.name else synchrony.peers[v].granted_ms if v in synchrony.peers else -(1 << 40)
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -21,14 +21,14 @@
     grown = set(desired) - set(synchrony.configuration.members)
     if gathered(synchrony, desired):
         return rank * synchrony.bounds.proposal_ms
-    base = synchrony.bounds.join_ms if grown else synchrony.bounds.beat_ms // 2
+    base = synchrony.bounds.join_ms if grown else synchrony.bounds.heartbeat_ms // 2
     return base + rank * synchrony.bounds.proposal_ms
 
 
 def sole(synchrony):
     """Whether the only voter stands in the configuration that it started with, which nobody has judged."""
-    voters = synchrony.voters or synchrony.log.voters or synchrony.voters0
-    return synchrony.storage and not synchrony.primary.able and tuple(voters) == (synchrony.name,)
+    voters = synchrony.voters or synchrony.log.voters or synchrony.bootstrap_voters
+    return synchrony.has_log and not synchrony.primary.eligible and tuple(voters) == (synchrony.name,)
 
 
 def gathered(synchrony, desired):
@@ -44,14 +44,14 @@
 
 def seek(synchrony, out):
     desired = desire(synchrony)
-    if desired != synchrony.desired:
-        synchrony.desired, synchrony.desired_ms = desired, synchrony.now_ms
-        synchrony.beat_ms = NEVER_MS
+    if desired != synchrony.desired_members:
+        synchrony.desired_members, synchrony.desired_since_ms = desired, synchrony.now_ms
+        synchrony.heartbeat_ms = NEVER_MS
     settled = synchrony.recovery is None and synchrony.proposal is None
     if settled and set(desired) == set(synchrony.configuration.members) and not sole(synchrony):
-        synchrony.desired_ms = synchrony.now_ms
+        synchrony.desired_since_ms = synchrony.now_ms
         return
-    since_ms = synchrony.desired_ms
+    since_ms = synchrony.desired_since_ms
     if synchrony.recovery:
         since_ms = max(since_ms, synchrony.recovery.started_ms + synchrony.bounds.proposal_ms)
     if synchrony.proposal is None and synchrony.now_ms - since_ms >= patience(synchrony, desired):
@@ -104,7 +104,7 @@
     """
     if id.epoch != synchrony.promised.epoch:
         return False
-    return synchrony.recovery is None or synchrony.recovery.complete
+    return synchrony.recovery is None or synchrony.recovery.is_complete
 
 
 def promise(synchrony, out, frm, message):
@@ -112,25 +112,25 @@
     synchrony.recovery = Recovery(
         message.id, frm, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
     )
-    synchrony.order.early = []
+    synchrony.order.early_messages = []
     write(synchrony, out, PromiseRecord(synchrony.me.boot, message.id.epoch))
     say_exchange(synchrony, out)
 
 
 def say_exchange(synchrony, out):
     order, id = synchrony.order, synchrony.recovery.id
-    extra = tuple(sorted(o for o in order.held if o > order.top))
+    extra = tuple(sorted(o for o in order.pending if o > order.received_watermark))
     said = RecoveryExchange(
         id,
         synchrony.configuration.id,
-        order.top,
+        order.received_watermark,
         extra,
-        order.safe,
+        order.safe_watermark,
         tuple(sorted(synchrony.obligations)),
-        memory(synchrony.log) if synchrony.storage else None,
+        memory(synchrony.log) if synchrony.has_log else None,
         synchrony.applied,
-        synchrony.voters or synchrony.voters0,
-        voters_in(order.held.values()),
+        synchrony.voters or synchrony.bootstrap_voters,
+        voters_in(order.pending.values()),
     )
     out.sends.append((synchrony.recovery.proposer, said))
 
@@ -140,8 +140,8 @@
     if proposal is None or proposal.id != message.id:
         return
     proposal.exchanges[frm] = message
-    if len(proposal.exchanges) == len(proposal.members) and not proposal.planned:
-        proposal.planned = True
+    if len(proposal.exchanges) == len(proposal.members) and not proposal.plan_sent:
+        proposal.plan_sent = True
         say_plan(synchrony, out)
 
 
@@ -149,7 +149,7 @@
     proposal = synchrony.proposal
     plan = RecoveryPlan(proposal.id, dict(proposal.exchanges))
     for member in proposal.members:
-        if member.name not in proposal.completes:
+        if member.name not in proposal.completed_members:
             out.sends.append((member.name, plan))
 
 
@@ -161,8 +161,8 @@
         return
     if proposal.id != message.id:
         return
-    proposal.completes.add(frm)
-    if len(proposal.completes) == len(proposal.members):
+    proposal.completed_members.add(frm)
+    if len(proposal.completed_members) == len(proposal.members):
         synchrony.proposal = None
         for member in proposal.members:
             out.sends.append((member.name, InstallRequest(proposal.id)))
@@ -175,7 +175,7 @@
     if synchrony.proposal and synchrony.proposal.id == message.id:
         count(synchrony, "proposals_turned_away")
         synchrony.proposal = None
-        synchrony.desired_ms = synchrony.now_ms
+        synchrony.desired_since_ms = synchrony.now_ms
 
 
 def shrink(synchrony, out):
@@ -184,7 +184,7 @@
         return
     wait_ms = synchrony.now_ms - proposal.started_ms
     if wait_ms >= synchrony.bounds.proposal_ms:
-        heard = proposal.completes if proposal.planned else set(proposal.exchanges)
+        heard = proposal.completed_members if proposal.plan_sent else set(proposal.exchanges)
         missing = [m for m in proposal.members if m.name not in heard]
         for member in missing:
             shun(synchrony, member)
@@ -195,7 +195,7 @@
         return
     if synchrony.now_ms - proposal.sent_ms >= synchrony.bounds.resend_ms:
         proposal.sent_ms = synchrony.now_ms
-        if proposal.planned:
+        if proposal.plan_sent:
             say_plan(synchrony, out)
         else:
             for member in proposal.members:
@@ -207,7 +207,7 @@
     peer = synchrony.peers.get(member.name)
     if peer is None or peer.place.member != member:
         return
-    if synchrony.now_ms - peer.shunned_ms > 20 * synchrony.bounds.proposal_ms:
-        peer.shuns = 0
-    peer.shuns = min(peer.shuns + 1, 4)
-    peer.shunned_ms = synchrony.now_ms + synchrony.bounds.proposal_ms // 2 * (1 << peer.shuns)
+    if synchrony.now_ms - peer.excluded_until_ms > 20 * synchrony.bounds.proposal_ms:
+        peer.exclusions = 0
+    peer.exclusions = min(peer.exclusions + 1, 4)
+    peer.excluded_until_ms = synchrony.now_ms + synchrony.bounds.proposal_ms // 2 * (1 << peer.exclusions)
--- a/frostpost/virtual_synchrony/messages.py
+++ b/frostpost/virtual_synchrony/messages.py
@@ -49,26 +49,26 @@
     primary: ConfigurationId
     length: int
     voters: tuple[str, ...]
-    coming: tuple[tuple[str, ...], ...]
+    pending_voters: tuple[tuple[str, ...], ...]
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=1):
     configuration: ConfigurationId
     promised: ConfigurationId
-    hears: tuple[Member, ...]
+    reachable: tuple[Member, ...]
     sent_ms: int
     echo_ms: int
-    unwell: bool
+    unhealthy: bool
     ready: bool
     applied: int
-    news: dict[str, int]
+    status: dict[str, int]
     serving: bool = False
     last_primary: ConfigurationId = ConfigurationId(0, "", 0)
 
 
 class DiscoveryUpdate(Struct, frozen=True, array_like=True, tag=2):
     places: tuple[Endpoint, ...]
-    leaving: bool
+    draining: bool
 
 
 class ProposeRequest(Struct, frozen=True, array_like=True, tag=3):
@@ -86,15 +86,15 @@
     """What a member holds at the start of a recovery. coming: voters asked for by entries that it has not delivered."""
 
     id: ConfigurationId
-    last: ConfigurationId
-    top: int
-    extra: tuple[int, ...]
-    safe: int
+    last_configuration: ConfigurationId
+    received_watermark: int
+    ordinals_above: tuple[int, ...]
+    safe_watermark: int
     obligations: tuple[Member, ...]
-    memory: DurableState | None
+    durable_state: DurableState | None
     applied: int
     voters: tuple[str, ...]
-    coming: tuple[tuple[str, ...], ...] = ()
+    pending_voters: tuple[tuple[str, ...], ...] = ()
 
 
 class RecoveryPlan(Struct, frozen=True, array_like=True, tag=6):
@@ -117,7 +117,7 @@
 
 class SubmitRequest(Struct, frozen=True, array_like=True, tag=10):
     id: ConfigurationId
-    floor: int
+    first_open: int
     first: int
     payloads: tuple[bytes, ...]
 
@@ -125,17 +125,17 @@
 class EntryBatch(Struct, frozen=True, array_like=True, tag=11):
     id: ConfigurationId
     entries: tuple[Entry, ...]
-    safe: int
+    safe_watermark: int
 
 
 class BatchAck(Struct, frozen=True, array_like=True, tag=12):
     id: ConfigurationId
-    top: int
+    received_watermark: int
 
 
 class SafeUpdate(Struct, frozen=True, array_like=True, tag=13):
     id: ConfigurationId
-    mark: int
+    safe_watermark: int
 
 
 class ReadyUpdate(Struct, frozen=True, array_like=True, tag=14):
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -10,9 +10,9 @@
         count(synchrony, "overfull")
         out.answers.append(WindowFull(len(synchrony.outbox)))
         return
-    synchrony.number += 1
-    synchrony.outbox[synchrony.number] = payload
-    out.answers.append(OperationNumbered(synchrony.number))
+    synchrony.last_number += 1
+    synchrony.outbox[synchrony.last_number] = payload
+    out.answers.append(OperationNumbered(synchrony.last_number))
     push(synchrony, out)
 
 
@@ -21,11 +21,11 @@
         return
     floor = first_open(synchrony)
     first = max(synchrony.submitted + 1, floor)
-    payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.number + 1))
+    payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.last_number + 1))
     if payloads:
         if synchrony.submitted < floor:
             synchrony.outbox_ms = synchrony.now_ms
-        synchrony.submitted = synchrony.number
+        synchrony.submitted = synchrony.last_number
         out.sends.append((sequencer(synchrony), SubmitRequest(synchrony.configuration.id, floor, first, payloads)))
 
 
@@ -41,44 +41,54 @@
         return
     if sequencer(synchrony) != synchrony.name:
         return
-    seen = max(order.seen.get(sender, 0), message.floor - 1)
-    parked = order.parked[sender] = {n: p for n, p in order.parked.get(sender, {}).items() if n > seen}
+    seen = max(order.submitted_watermark.get(sender, 0), message.first_open - 1)
+    parked = order.out_of_order[sender] = {n: p for n, p in order.out_of_order.get(sender, {}).items() if n > seen}
     for number, payload in enumerate(message.payloads, message.first):
         if seen < number <= seen + synchrony.bounds.window:
             parked[number] = payload
     while seen + 1 in parked:
-        if order.next - order.safe > synchrony.bounds.held:
+        if order.next_ordinal - order.safe_watermark > synchrony.bounds.held:
             count(synchrony, "window_full")
             break
         seen += 1
-        order.unsent.append(
-            Entry(message.id, order.next, synchrony.primary.base + order.next, sender, seen, parked.pop(seen))
+        order.unsent_entries.append(
+            Entry(
+                message.id,
+                order.next_ordinal,
+                synchrony.primary.base + order.next_ordinal,
+                sender,
+                seen,
+                parked.pop(seen),
+            )
         )
-        order.next += 1
-    order.seen[sender] = seen
+        order.next_ordinal += 1
+    order.submitted_watermark[sender] = seen
 
 
 def flush(synchrony, out, force=False):
     order = synchrony.order
-    if synchrony.recovery or not order.unsent or sequencer(synchrony) != synchrony.name:
+    if synchrony.recovery or not order.unsent_entries or sequencer(synchrony) != synchrony.name:
         return
-    if order.fanned > order.safe and not force:
+    if order.sent_watermark > order.safe_watermark and not force:
         return
-    entries, order.unsent = tuple(order.unsent[: synchrony.bounds.batch]), order.unsent[synchrony.bounds.batch :]
-    order.fanned = entries[-1].ordinal
+    entries, order.unsent_entries = (
+        tuple(order.unsent_entries[: synchrony.bounds.batch]),
+        order.unsent_entries[synchrony.bounds.batch :],
+    )
+    order.sent_watermark = entries[-1].ordinal
     count(synchrony, "batches")
     count(synchrony, "ordered", len(entries))
     for name in names(synchrony.configuration):
         order.sent_ms[name] = synchrony.now_ms
         if name != synchrony.name:
-            out.sends.append((name, EntryBatch(synchrony.configuration.id, entries, order.safe)))
+            out.sends.append((name, EntryBatch(synchrony.configuration.id, entries, order.safe_watermark)))
     take(synchrony, out, entries)
 
 
 def take(synchrony, out, entries):
     for entry in entries:
-        if entry.ordinal > synchrony.order.delivered:
-            synchrony.order.held.setdefault(entry.ordinal, entry)
+        if entry.ordinal > synchrony.order.delivered_watermark:
+            synchrony.order.pending.setdefault(entry.ordinal, entry)
     advance(synchrony, out)
 
 
@@ -88,23 +98,23 @@
         count(synchrony, "foreign")
         return
     take(synchrony, out, message.entries)
-    order.safe = max(order.safe, message.safe)
+    order.safe_watermark = max(order.safe_watermark, message.safe_watermark)
     deliver(synchrony, out)
 
 
 def advance(synchrony, out):
     order = synchrony.order
-    ready = synchrony.storage and synchrony.primary.ready_at >= 0
-    while order.top + 1 in order.held:
-        order.top += 1
+    ready = synchrony.has_log and synchrony.primary.ready_record_number >= 0
+    while order.received_watermark + 1 in order.pending:
+        order.received_watermark += 1
         if ready:
-            record(synchrony, out, order.held[order.top])
+            record(synchrony, out, order.pending[order.received_watermark])
     if synchrony.recovery:
         return
-    if ready and synchrony.wrote > synchrony.synced:
-        synchrony.acks_at.append((synchrony.wrote, order.top))
+    if ready and synchrony.written_count > synchrony.synced_count:
+        synchrony.pending_acks.append((synchrony.written_count, order.received_watermark))
     else:
-        acknowledge(synchrony, out, order.top)
+        acknowledge(synchrony, out, order.received_watermark)
 
 
 def acknowledge(synchrony, out, top):
@@ -116,12 +126,12 @@
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
-    if sequencer(synchrony) != synchrony.name or message.top <= order.acks.get(frm, 0):
+    if sequencer(synchrony) != synchrony.name or message.received_watermark <= order.acks.get(frm, 0):
         return
-    order.acks[frm] = message.top
+    order.acks[frm] = message.received_watermark
     order.sent_ms[frm] = synchrony.now_ms
     members = names(synchrony.configuration)
-    if any(order.acks.get(name, 0) <= order.safe for name in members):
+    if any(order.acks.get(name, 0) <= order.safe_watermark for name in members):
         return
     mark = min(order.acks[name] for name in members)
     for name in members:
@@ -131,30 +141,30 @@
 def safened(synchrony, out, message):
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
-    synchrony.order.safe = max(synchrony.order.safe, message.mark)
+    synchrony.order.safe_watermark = max(synchrony.order.safe_watermark, message.safe_watermark)
     deliver(synchrony, out)
 
 
 def deliver(synchrony, out):
     order = synchrony.order
-    while order.delivered < order.safe and order.delivered < order.top:
-        order.delivered += 1
-        entry = order.held.pop(order.delivered)
-        out.answers.append(EntryDelivered(entry, False, synchrony.primary.able))
-        if synchrony.primary.able:
+    while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
+        order.delivered_watermark += 1
+        entry = order.pending.pop(order.delivered_watermark)
+        out.answers.append(EntryDelivered(entry, False, synchrony.primary.eligible))
+        if synchrony.primary.eligible:
             act(synchrony, out, entry)
 
 
 def synced(synchrony, out, up_to):
-    synchrony.synced = max(synchrony.synced, up_to)
+    synchrony.synced_count = max(synchrony.synced_count, up_to)
     primary = synchrony.primary
-    if primary.ready_at >= 0 and not primary.ready and synchrony.synced >= primary.ready_at:
+    if primary.ready_record_number >= 0 and not primary.ready and synchrony.synced_count >= primary.ready_record_number:
         primary.ready = True
         if not synchrony.recovery:
             say_ready(synchrony, out)
-    done = [top for at, top in synchrony.acks_at if at <= synchrony.synced]
+    done = [top for at, top in synchrony.pending_acks if at <= synchrony.synced_count]
     if done:
-        synchrony.acks_at = [(at, top) for at, top in synchrony.acks_at if at > synchrony.synced]
+        synchrony.pending_acks = [(at, top) for at, top in synchrony.pending_acks if at > synchrony.synced_count]
         acknowledge(synchrony, out, max(done))
 
 
@@ -172,10 +182,15 @@
         return
     for name in names(synchrony.configuration):
         top = order.acks.get(name, 0)
-        if top < order.fanned and synchrony.now_ms - order.sent_ms.get(name, 0) >= synchrony.bounds.resend_ms:
+        if top < order.sent_watermark and synchrony.now_ms - order.sent_ms.get(name, 0) >= synchrony.bounds.resend_ms:
             order.sent_ms[name] = synchrony.now_ms
-            entries = [order.held[o] for o in range(top + 1, order.fanned + 1) if o in order.held]
+            entries = [order.pending[o] for o in range(top + 1, order.sent_watermark + 1) if o in order.pending]
             count(synchrony, "resent", len(entries[: synchrony.bounds.batch]))
             out.sends.append(
-                (name, EntryBatch(synchrony.configuration.id, tuple(entries[: synchrony.bounds.batch]), order.safe))
+                (
+                    name,
+                    EntryBatch(
+                        synchrony.configuration.id, tuple(entries[: synchrony.bounds.batch]), order.safe_watermark
+                    ),
+                )
             )
--- a/frostpost/virtual_synchrony/primary_component.py
+++ b/frostpost/virtual_synchrony/primary_component.py
@@ -12,8 +12,8 @@
 
 
 def reach(plan, last):
-    said = [e for e in plan.values() if e.last == last]
-    top, extras = max(e.top for e in said), {o for e in said for o in e.extra}
+    said = [e for e in plan.values() if e.last_configuration == last]
+    top, extras = max(e.received_watermark for e in said), {o for e in said for o in e.ordinals_above}
     while top + 1 in extras:
         top += 1
     return top
@@ -21,36 +21,36 @@
 
 def length_of(plan, name):
     said = plan[name]
-    if said.memory.primary != said.last:
-        return said.memory.length
-    return said.memory.length - said.top + reach(plan, said.last)
+    if said.durable_state.primary != said.last_configuration:
+        return said.durable_state.length
+    return said.durable_state.length - said.received_watermark + reach(plan, said.last_configuration)
 
 
 def judge(plan):
-    memories = {n: e.memory for n, e in plan.items() if e.memory}
+    memories = {n: e.durable_state for n, e in plan.items() if e.durable_state}
     if not memories:
         voters = max((e.voters for e in plan.values()), key=len, default=())
         able = bool(voters) and all(v in plan for v in voters)
-        return PrimaryState(able=able, donor=min(voters, default=""), voters=voters)
+        return PrimaryState(eligible=able, donor=min(voters, default=""), voters=voters)
     lengths = {n: length_of(plan, n) for n in memories}
     donor = max(memories, key=lambda n: (memories[n].primary, lengths[n], n))
     best, base = memories[donor], lengths[donor]
     untouched = base <= 1 and all(v in plan for v in best.voters)
-    found = PrimaryState(donor=donor, base=base, voters=best.voters, coming=pending_voters(plan, best))
+    found = PrimaryState(donor=donor, base=base, voters=best.voters, pending_voters=pending_voters(plan, best))
     if majorities(found, memories) or untouched:
-        found.able = True
+        found.eligible = True
         return found
     return PrimaryState(voters=best.voters)
 
 
 def prepare(synchrony, out, plan):
     primary, log = synchrony.primary, synchrony.log
-    if not primary.able or not synchrony.storage:
+    if not primary.eligible or not synchrony.has_log:
         return
-    best, mine = plan[primary.donor].memory, plan[synchrony.name].memory
-    primary.same = bool(best and mine and best.primary == mine.primary)
+    best, mine = plan[primary.donor].durable_state, plan[synchrony.name].durable_state
+    primary.log_matches = bool(best and mine and best.primary == mine.primary)
     fresh = best is None and log.primary == NOWHERE and synchrony.name in primary.voters
-    if fresh or (primary.same and log.length >= primary.base):
+    if fresh or (primary.log_matches and log.length >= primary.base):
         become_ready(synchrony, out)
 
 
@@ -58,14 +58,16 @@
     primary, log = synchrony.primary, synchrony.log
     voters = synchrony.voters or primary.voters
     log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, voters
-    del log.entries[max(0, primary.base - log.start) :]
-    primary.ready_at = write(synchrony, out, ConfigurationRecord(log.primary, log.base, log.voters))
-    later = {**synchrony.waiting}
-    later.update({e.index: e for e in synchrony.order.held.values() if e.ordinal <= synchrony.order.top})
+    del log.entries[max(0, primary.base - log.snapshot_index) :]
+    primary.ready_record_number = write(synchrony, out, ConfigurationRecord(log.primary, log.base, log.voters))
+    later = {**synchrony.pending_entries}
+    later.update(
+        {e.index: e for e in synchrony.order.pending.values() if e.ordinal <= synchrony.order.received_watermark}
+    )
     while log.length + 1 in later:
         delivery.record(synchrony, out, later[log.length + 1])
-    if synchrony.order.top:
-        synchrony.acks_at.append((synchrony.wrote, synchrony.order.top))
+    if synchrony.order.received_watermark:
+        synchrony.pending_acks.append((synchrony.written_count, synchrony.order.received_watermark))
     delivery.drain(synchrony, out)
 
 
@@ -75,14 +77,14 @@
 
 def readied(synchrony, out, frm, message):
     primary, order = synchrony.primary, synchrony.order
-    if message.id != synchrony.configuration.id or not primary.able or synchrony.recovery:
+    if message.id != synchrony.configuration.id or not primary.eligible or synchrony.recovery:
         return
     if sequencer(synchrony) != synchrony.name:
         return
-    primary.readies.add(frm)
-    if not primary.open_ordered and majorities(primary, primary.readies):
+    primary.ready_members.add(frm)
+    if not primary.open_ordered and majorities(primary, primary.ready_members):
         primary.open_ordered = True
         cores = tuple(n for n in names(synchrony.configuration) if role(synchrony, n) == "core")
         payload = encode(OpenPrimary(synchrony.configuration.members, cores, primary.voters))
-        order.unsent.append(Entry(synchrony.configuration.id, 1, primary.base + 1, synchrony.me, 0, payload))
-        order.next = 2
+        order.unsent_entries.append(Entry(synchrony.configuration.id, 1, primary.base + 1, synchrony.me, 0, payload))
+        order.next_ordinal = 2
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -7,7 +7,7 @@
 
 
 def holds(exchange, ordinal):
-    return ordinal <= exchange.top or ordinal in exchange.extra
+    return ordinal <= exchange.received_watermark or ordinal in exchange.ordinals_above
 
 
 def planned(synchrony, out, message):
@@ -16,19 +16,21 @@
         return
     if recovery.plan is None:
         last = synchrony.configuration.id
-        if message.exchanges[synchrony.name].last != last:
+        if message.exchanges[synchrony.name].last_configuration != last:
             count(synchrony, "foreign")
             return
         recovery.plan = message.exchanges
-        recovery.group = tuple(m for m in recovery.members if message.exchanges[m.name].last == last)
-        said = {m.name: message.exchanges[m.name] for m in recovery.group}
-        floor = min(e.top for e in said.values())
-        union = set(range(floor + 1, max(e.top for e in said.values()) + 1))
+        recovery.transitional_members = tuple(
+            m for m in recovery.members if message.exchanges[m.name].last_configuration == last
+        )
+        said = {m.name: message.exchanges[m.name] for m in recovery.transitional_members}
+        floor = min(e.received_watermark for e in said.values())
+        union = set(range(floor + 1, max(e.received_watermark for e in said.values()) + 1))
         for exchange in said.values():
-            union.update(exchange.extra)
-        recovery.wanted = frozenset(union)
-        recovery.owed = owed(synchrony, said, union)
-    if recovery.complete:
+            union.update(exchange.ordinals_above)
+        recovery.wanted_ordinals = frozenset(union)
+        recovery.owed_ordinals = owed(synchrony, said, union)
+    if recovery.is_complete:
         say_complete(synchrony, out)
     else:
         rebroadcast(synchrony, out)
@@ -47,8 +49,8 @@
 
 
 def rebroadcast(synchrony, out):
-    recovery, held = synchrony.recovery, synchrony.order.held
-    for name, ordinals in recovery.owed.items():
+    recovery, held = synchrony.recovery, synchrony.order.pending
+    for name, ordinals in recovery.owed_ordinals.items():
         entries = [held[o] for o in ordinals if o in held]
         for at in range(0, len(entries), synchrony.bounds.batch):
             part = tuple(entries[at : at + synchrony.bounds.batch])
@@ -61,27 +63,27 @@
     if recovery is None or recovery.id != message.id:
         return
     for entry in message.entries:
-        if entry.configuration == synchrony.configuration.id and entry.ordinal > synchrony.order.delivered:
-            synchrony.order.held[entry.ordinal] = entry
+        if entry.configuration == synchrony.configuration.id and entry.ordinal > synchrony.order.delivered_watermark:
+            synchrony.order.pending[entry.ordinal] = entry
     settle(synchrony, out)
 
 
 def settle(synchrony, out):
     recovery, order = synchrony.recovery, synchrony.order
-    if recovery is None or recovery.plan is None or recovery.complete:
+    if recovery is None or recovery.plan is None or recovery.is_complete:
         return
-    if any(o > order.top and o not in order.held for o in recovery.wanted):
+    if any(o > order.received_watermark and o not in order.pending for o in recovery.wanted_ordinals):
         return
     advance(synchrony, out)
-    if recovery.sync_at < 0:
-        recovery.sync_at = synchrony.wrote
-    if synchrony.storage and synchrony.synced < recovery.sync_at:
+    if recovery.sync_target < 0:
+        recovery.sync_target = synchrony.written_count
+    if synchrony.has_log and synchrony.synced_count < recovery.sync_target:
         return
-    obligations = set(synchrony.obligations) | set(recovery.group)
-    for member in recovery.group:
+    obligations = set(synchrony.obligations) | set(recovery.transitional_members)
+    for member in recovery.transitional_members:
         obligations.update(recovery.plan[member.name].obligations)
     synchrony.obligations = frozenset(obligations)
-    recovery.complete = True
+    recovery.is_complete = True
     say_complete(synchrony, out)
 
 
@@ -91,36 +93,38 @@
 
 def installed(synchrony, out, message):
     recovery = synchrony.recovery
-    if recovery and recovery.id == message.id and recovery.complete:
+    if recovery and recovery.id == message.id and recovery.is_complete:
         install(synchrony, out)
 
 
 def install(synchrony, out):
     recovery, order = synchrony.recovery, synchrony.order
-    group = [m.name for m in recovery.group]
-    safe = max(recovery.plan[n].safe for n in group)
-    acting, changes = synchrony.primary.able, []
-    while order.delivered < safe and order.delivered + 1 in order.held:
-        order.delivered += 1
-        entry = order.held[order.delivered]
+    group = [m.name for m in recovery.transitional_members]
+    safe = max(recovery.plan[n].safe_watermark for n in group)
+    acting, changes = synchrony.primary.eligible, []
+    while order.delivered_watermark < safe and order.delivered_watermark + 1 in order.pending:
+        order.delivered_watermark += 1
+        entry = order.pending[order.delivered_watermark]
         out.answers.append(EntryDelivered(entry, False, acting))
         changes += voters_in([entry])
         if acting:
             act(synchrony, out, entry)
     out.answers.append(
-        ConfigurationChanged(Configuration(synchrony.configuration.id, recovery.group, sequencer(synchrony)), True)
+        ConfigurationChanged(
+            Configuration(synchrony.configuration.id, recovery.transitional_members, sequencer(synchrony)), True
+        )
     )
     full = full_voters(synchrony, group)
     keeping = acting and majorities(synchrony.primary, full) and all(majority(v, full) for v in changes)
     gap = False
-    for ordinal in sorted(o for o in order.held if o > order.delivered):
-        if ordinal != order.delivered + 1:
+    for ordinal in sorted(o for o in order.pending if o > order.delivered_watermark):
+        if ordinal != order.delivered_watermark + 1:
             gap = True
-        if gap and not obligated(synchrony, order.held[ordinal]):
+        if gap and not obligated(synchrony, order.pending[ordinal]):
             count(synchrony, "discarded")
             continue
-        order.delivered = ordinal
-        entry = order.held[ordinal]
+        order.delivered_watermark = ordinal
+        entry = order.pending[ordinal]
         out.answers.append(EntryDelivered(entry, True, keeping and not gap))
         if keeping and not gap:
             act(synchrony, out, entry)
@@ -139,21 +143,21 @@
     One that has may already count for a primary that begins without the entries that would be kept here.
     """
     plan, last = synchrony.recovery.plan, synchrony.configuration.id
-    full = [n for n in group if plan[n].memory and plan[n].memory.primary == last]
+    full = [n for n in group if plan[n].durable_state and plan[n].durable_state.primary == last]
     return [n for n in full if not plan[n].obligations]
 
 
 def begin(synchrony, out):
     recovery = synchrony.recovery
     synchrony.configuration = Configuration(recovery.id, recovery.members, recovery.sequencer)
-    synchrony.installed_ms, synchrony.changed = synchrony.now_ms, True
+    synchrony.installed_ms, synchrony.peers_changed = synchrony.now_ms, True
     synchrony.log.epoch = max(synchrony.log.epoch, recovery.id.epoch)
     synchrony.recovery = None
     synchrony.obligations = frozenset()
-    synchrony.replays, synchrony.order = synchrony.order.early, OrderState()
-    synchrony.acks_at = []
+    synchrony.replayed_messages, synchrony.order = synchrony.order.early_messages, OrderState()
+    synchrony.pending_acks = []
     count(synchrony, "installs")
-    synchrony.waiting = {}
+    synchrony.pending_entries = {}
     synchrony.primary = judge(recovery.plan)
     out.answers.append(ConfigurationChanged(synchrony.configuration, False))
     prepare(synchrony, out, recovery.plan)
@@ -164,7 +168,7 @@
     if recovery is None or synchrony.now_ms - recovery.sent_ms < synchrony.bounds.resend_ms:
         return
     recovery.sent_ms = synchrony.now_ms
-    if recovery.complete:
+    if recovery.is_complete:
         say_complete(synchrony, out)
     elif recovery.plan is not None:
         rebroadcast(synchrony, out)
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -20,7 +20,7 @@
     slice_records: int = 2000
 
     @property
-    def beat_ms(self):
+    def heartbeat_ms(self):
         return self.detect_ms // 5
 
     @property
@@ -35,21 +35,21 @@
 class Peer(Struct):
     place: Endpoint
     heard_ms: int = -(1 << 40)
-    hears: frozenset[Member] = frozenset()
+    reachable: frozenset[Member] = frozenset()
     configuration: ConfigurationId = NOWHERE
     promised: ConfigurationId = NOWHERE
     sent_ms: int = 0
     granted_ms: int = -(1 << 40)
-    unwell: bool = False
+    unhealthy: bool = False
     ready: bool = False
     applied: int = 0
     serving: bool = False
     last_primary: ConfigurationId = NOWHERE
-    leaving: bool = False
-    shunned_ms: int = -(1 << 40)
-    shuns: int = 0
-    news: dict[str, int] = {}
-    past: frozenset[Member] = frozenset()
+    draining: bool = False
+    excluded_until_ms: int = -(1 << 40)
+    exclusions: int = 0
+    status: dict[str, int] = {}
+    past_incarnations: frozenset[Member] = frozenset()
 
 
 class Proposal(Struct):
@@ -59,8 +59,8 @@
     started_ms: int
     sent_ms: int
     exchanges: dict[str, RecoveryExchange] = {}
-    completes: set[str] = set()
-    planned: bool = False
+    completed_members: set[str] = set()
+    plan_sent: bool = False
 
 
 class Recovery(Struct):
@@ -71,57 +71,57 @@
     started_ms: int
     sent_ms: int
     plan: dict[str, RecoveryExchange] | None = None
-    group: tuple[Member, ...] = ()
-    wanted: frozenset[int] = frozenset()
-    owed: dict[str, tuple[int, ...]] = {}
-    complete: bool = False
-    sync_at: int = -1
+    transitional_members: tuple[Member, ...] = ()
+    wanted_ordinals: frozenset[int] = frozenset()
+    owed_ordinals: dict[str, tuple[int, ...]] = {}
+    is_complete: bool = False
+    sync_target: int = -1
 
 
 class OrderState(Struct):
-    held: dict[int, Entry] = {}
-    top: int = 0
+    pending: dict[int, Entry] = {}
+    received_watermark: int = 0
     acked: int = 0
-    delivered: int = 0
-    safe: int = 0
-    next: int = 1
+    delivered_watermark: int = 0
+    safe_watermark: int = 0
+    next_ordinal: int = 1
     acks: dict[str, int] = {}
     sent: dict[str, int] = {}
     sent_ms: dict[str, int] = {}
-    seen: dict[Member, int] = {}
-    parked: dict[Member, dict[int, bytes]] = {}
-    unsent: list[Entry] = []
-    fanned: int = 0
+    submitted_watermark: dict[Member, int] = {}
+    out_of_order: dict[Member, dict[int, bytes]] = {}
+    unsent_entries: list[Entry] = []
+    sent_watermark: int = 0
     floor: int = 0
-    early: list[tuple[str, object]] = []
+    early_messages: list[tuple[str, object]] = []
 
 
 class PrimaryState(Struct):
-    able: bool = False
+    eligible: bool = False
     donor: str = ""
     base: int = 0
     voters: tuple[str, ...] = ()
-    coming: tuple[tuple[str, ...], ...] = ()
-    readies: set[str] = set()
+    pending_voters: tuple[tuple[str, ...], ...] = ()
+    ready_members: set[str] = set()
     ready: bool = False
-    ready_at: int = -1
-    same: bool = False
-    settled: bool = False
+    ready_record_number: int = -1
+    log_matches: bool = False
+    open_committed: bool = False
     opened: bool = False
     open_ordered: bool = False
-    fetch_ms: int = -(1 << 40)
-    loading: bool = False
-    piece: bytearray = field(default_factory=bytearray)
-    piece_index: int = -1
-    source: str = ""
+    fetched_ms: int = -(1 << 40)
+    loading_snapshot: bool = False
+    chunks: bytearray = field(default_factory=bytearray)
+    chunks_index: int = -1
+    fetch_source: str = ""
 
 
 class Synchrony(Struct):
     place: Endpoint
     bounds: Bounds
     seeds: tuple[str, ...]
-    voters0: tuple[str, ...]
-    storage: bool
+    bootstrap_voters: tuple[str, ...]
+    has_log: bool
     log: DurableLog
     configuration: Configuration
     promised: ConfigurationId
@@ -129,35 +129,35 @@
     installed_ms: int = 0
     peers: dict[str, Peer] = {}
     now_ms: int = 0
-    beat_ms: int = -(1 << 40)
-    roster_ms: int = -(1 << 40)
-    roster_places: tuple[Endpoint, ...] = ()
-    roster_periods: int = 0
-    desired: tuple[Member, ...] = ()
-    desired_ms: int = 0
+    heartbeat_ms: int = -(1 << 40)
+    discovery_ms: int = -(1 << 40)
+    announced_endpoints: tuple[Endpoint, ...] = ()
+    announced_periods: int = 0
+    desired_members: tuple[Member, ...] = ()
+    desired_since_ms: int = 0
     obligations: frozenset[Member] = frozenset()
     proposal: Proposal | None = None
     recovery: Recovery | None = None
     order: OrderState = field(default_factory=OrderState)
     primary: PrimaryState = field(default_factory=PrimaryState)
     applied: int = 0
-    waiting: dict[int, Entry] = {}
+    pending_entries: dict[int, Entry] = {}
     outbox: dict[int, bytes] = {}
     outbox_ms: int = 0
     submitted: int = 0
-    number: int = 0
-    wrote: int = 0
-    synced: int = 0
-    acks_at: list[tuple[int, int]] = []
-    replays: list[tuple[str, object]] = []
-    unwell: bool = False
-    leaving: bool = False
-    paused: bool = False
+    last_number: int = 0
+    written_count: int = 0
+    synced_count: int = 0
+    pending_acks: list[tuple[int, int]] = []
+    replayed_messages: list[tuple[str, object]] = []
+    unhealthy: bool = False
+    draining: bool = False
+    apply_paused: bool = False
     counts: dict[str, int] = {}
-    news: dict[str, int] = {}
-    changed: bool = True
+    status: dict[str, int] = {}
+    peers_changed: bool = True
     ticked_ms: int = -(1 << 40)
-    apart: bool = True
+    membership_differs: bool = True
 
     @property
     def me(self):
@@ -173,10 +173,10 @@
 
 
 def write(synchrony, out, record):
-    if synchrony.storage:
+    if synchrony.has_log:
         out.writes.append(record)
-        synchrony.wrote += 1
-    return synchrony.wrote
+        synchrony.written_count += 1
+    return synchrony.written_count
 
 
 def names(configuration):
@@ -204,7 +204,7 @@
 
 
 def majorities(primary, present):
-    return all(majority(v, present) for v in (primary.voters, *primary.coming))
+    return all(majority(v, present) for v in (primary.voters, *primary.pending_voters))
 
 
 def begin(place, bounds, seeds, voters, log, now_ms):
@@ -214,14 +214,14 @@
         place=place,
         bounds=bounds,
         seeds=tuple(seeds),
-        voters0=tuple(voters),
-        storage=storage,
+        bootstrap_voters=tuple(voters),
+        has_log=storage,
         log=log,
         configuration=Configuration(single, (place.member,), place.member.name),
         promised=single,
         now_ms=now_ms,
         installed_ms=now_ms,
-        applied=log.settled,
+        applied=log.commit_index,
     )
     out = Output()
     write(synchrony, out, PromiseRecord(place.member.boot, single.epoch))
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -39,9 +39,9 @@
             ordering.synced(synchrony, out, up_to)
             recovery.settle(synchrony, out)
         case DiskHealthChanged(_, unwell):
-            synchrony.unwell, synchrony.changed = unwell, True
+            synchrony.unhealthy, synchrony.peers_changed = unwell, True
         case DrainRequested():
-            synchrony.leaving = True
+            synchrony.draining = True
             failure_detector.beat(synchrony, out)
             discovery.tell(synchrony, out)
     loop(synchrony, out)
@@ -51,10 +51,10 @@
 def overslept(synchrony, now_ms):
     if now_ms - synchrony.now_ms > synchrony.bounds.detect_ms:
         count(synchrony, "overslept")
-        synchrony.changed = True
+        synchrony.peers_changed = True
         for peer in synchrony.peers.values():
             peer.heard_ms = peer.granted_ms = -(1 << 40)
-            peer.hears = frozenset()
+            peer.reachable = frozenset()
         synchrony.proposal = None
     synchrony.now_ms = max(synchrony.now_ms, now_ms)
 
@@ -65,27 +65,27 @@
         mine = [body for name, body in out.sends if name == me]
         if mine:
             out.sends = [s for s in out.sends if s[0] != me]
-        replays, synchrony.replays = synchrony.replays, []
+        replays, synchrony.replayed_messages = synchrony.replayed_messages, []
         for body in mine:
             received(synchrony, out, me, body)
         for frm, body in replays:
             received(synchrony, out, frm, body)
         ordering.flush(synchrony, out)
-        if not any(name == me for name, _ in out.sends) and not synchrony.replays:
+        if not any(name == me for name, _ in out.sends) and not synchrony.replayed_messages:
             out.sends = without_superseded(out.sends)
             return
 
 
 def without_superseded(sends):
     """The sends without each Safe after which the same receiver gets a Batch of as high a mark."""
-    batches = {(to, body.id): body.safe for to, body in sends if isinstance(body, EntryBatch)}
+    batches = {(to, body.id): body.safe_watermark for to, body in sends if isinstance(body, EntryBatch)}
     if not batches:
         return sends
     return [(to, body) for to, body in sends if not (isinstance(body, SafeUpdate) and superseded(batches, to, body))]
 
 
 def superseded(batches, to, message):
-    return batches.get((to, message.id), -1) >= message.mark
+    return batches.get((to, message.id), -1) >= message.safe_watermark
 
 
 def meet(synchrony, place):
@@ -94,23 +94,26 @@
         return False
     peer = synchrony.peers.get(name)
     if peer is None:
-        synchrony.peers[name], synchrony.changed = Peer(place), True
-        synchrony.beat_ms = -(1 << 40)
+        synchrony.peers[name], synchrony.peers_changed = Peer(place), True
+        synchrony.heartbeat_ms = -(1 << 40)
     elif peer.place.member.boot != place.member.boot:
-        if place.member in peer.past and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
+        if place.member in peer.past_incarnations and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
             count(synchrony, "past_boot")
             return False
-        synchrony.peers[name], synchrony.changed = Peer(place, past=(peer.past | {peer.place.member})), True
-        synchrony.beat_ms = -(1 << 40)
+        synchrony.peers[name], synchrony.peers_changed = (
+            Peer(place, past_incarnations=(peer.past_incarnations | {peer.place.member})),
+            True,
+        )
+        synchrony.heartbeat_ms = -(1 << 40)
     elif peer.place != place:
-        peer.place, synchrony.changed = place, True
+        peer.place, synchrony.peers_changed = place, True
     return True
 
 
 def ticked(synchrony, out):
-    if synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms:
+    if synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms:
         failure_detector.beat(synchrony, out)
-    if synchrony.now_ms - synchrony.roster_ms >= synchrony.bounds.detect_ms:
+    if synchrony.now_ms - synchrony.discovery_ms >= synchrony.bounds.detect_ms:
         discovery.tell(synchrony, out)
     membership.shrink(synchrony, out)
     membership.seek(synchrony, out)
@@ -118,15 +121,15 @@
     ordering.remind(synchrony, out)
     ordering.flush(synchrony, out, force=True)
     catch_up.fetch(synchrony, out)
-    synchrony.changed, synchrony.ticked_ms = False, synchrony.now_ms
-    synchrony.apart = set(synchrony.desired) != set(synchrony.configuration.members)
+    synchrony.peers_changed, synchrony.ticked_ms = False, synchrony.now_ms
+    synchrony.membership_differs = set(synchrony.desired_members) != set(synchrony.configuration.members)
 
 
 def received(synchrony, out, frm, body):
     recovering = synchrony.recovery
     if recovering and isinstance(body, EARLY) and body.id == recovering.id:
-        if len(synchrony.order.early) < synchrony.bounds.held:
-            synchrony.order.early.append((frm, body))
+        if len(synchrony.order.early_messages) < synchrony.bounds.held:
+            synchrony.order.early_messages.append((frm, body))
         return
     match body:
         case Heartbeat():
--- a/frostpost/virtual_synchrony/timers.py
+++ b/frostpost/virtual_synchrony/timers.py
@@ -12,17 +12,17 @@
     """
     order, primary = synchrony.order, synchrony.primary
     return bool(
-        synchrony.changed
-        or synchrony.leaving
-        or synchrony.unwell
+        synchrony.peers_changed
+        or synchrony.draining
+        or synchrony.unhealthy
         or synchrony.proposal is not None
         or synchrony.recovery is not None
         or not primary.opened
         or synchrony.outbox
-        or order.unsent
-        or order.fanned > order.safe
-        or synchrony.apart
-        or synchrony.now_ms - synchrony.beat_ms >= synchrony.bounds.beat_ms
+        or order.unsent_entries
+        or order.sent_watermark > order.safe_watermark
+        or synchrony.membership_differs
+        or synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms
         or lacking(synchrony)
     )
 
@@ -32,7 +32,7 @@
     if unsettled(synchrony):
         return synchrony.now_ms
     bounds = synchrony.bounds
-    times = [synchrony.beat_ms + bounds.beat_ms, synchrony.roster_ms + bounds.detect_ms]
+    times = [synchrony.heartbeat_ms + bounds.heartbeat_ms, synchrony.discovery_ms + bounds.detect_ms]
     for peer in synchrony.peers.values():
-        times += [peer.heard_ms + bounds.detect_ms, peer.shunned_ms]
+        times += [peer.heard_ms + bounds.detect_ms, peer.excluded_until_ms]
     return min(at_ms for at_ms in times if at_ms > synchrony.ticked_ms)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -94,7 +94,7 @@
         worlds.run(world, world.now_ms + 10)
         core = world.nodes["s3"].core
         loading += core.snapshots.loading is not None
-        waiting = max(waiting, len(synchrony.waiting))
+        waiting = max(waiting, len(synchrony.pending_entries))
         assert not serves(world, world.nodes["s3"]) or core.ledger.index == synchrony.applied > synchrony.primary.base
         assert core.snapshots.loading is None or not serves(world, world.nodes["s3"])
     assert loading > 10 and serves(world, world.nodes["s3"]) and synchrony.primary.ready
--- a/tests/test_cluster_ring.py
+++ b/tests/test_cluster_ring.py
@@ -52,7 +52,7 @@
 def test_begins_at_once_with_a_memory_or_at_a_later_start(monkeypatch, records, first_start):
     replica, out, _ = new_house(monkeypatch, records, first_start)
     ring.start(replica)
-    assert not replica.waiting and replica.ctx.core.synchrony.voters0 == ()
+    assert not replica.waiting and replica.ctx.core.synchrony.bootstrap_voters == ()
     assert replica.ctx.core.synchrony.log.voters == (CHARTER if records else ())
     replica.reactor.advance(0.15)
     assert hellos(out) == []
@@ -70,7 +70,7 @@
     hear(replica, LeaseRequest(0, 0), "e1", "edge")
     assert replica.waiting and replica.ctx.core is None and stopped == []
     hear(replica, DirectoryReply((), CHARTER))
-    assert not replica.waiting and replica.ctx.core.synchrony.voters0 == CHARTER and replica.charter == CHARTER
+    assert not replica.waiting and replica.ctx.core.synchrony.bootstrap_voters == CHARTER and replica.charter == CHARTER
     out.clear()
     replica.reactor.advance(0.1)
     assert hellos(out) == []
@@ -81,7 +81,9 @@
     ring.start(replica)
     core = replica.ctx.core
     hear(replica, DirectoryReply((), CHARTER))
-    assert replica.charter == () and core.synchrony.voters0 == () and replica.ctx.core.synchrony is core.synchrony
+    assert (
+        replica.charter == () and core.synchrony.bootstrap_voters == () and replica.ctx.core.synchrony is core.synchrony
+    )
 
 
 def test_ring_runs_on_for_a_while_without_a_peer_and_grants_nothing(monkeypatch):
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_tenders.py
@@ -31,9 +31,9 @@
         place_of("s1"), Bounds(), (), voters, True, None, Configuration(ID, members, min(present)), ID
     )
     synchrony.primary.opened = synchrony.primary.ready = True
-    synchrony.news = dict(WHOLE)
+    synchrony.status = dict(WHOLE)
     synchrony.peers = {
-        n: Peer(place_of(n), configuration=ID, ready=True, news=dict(WHOLE)) for n in present if n != "s1"
+        n: Peer(place_of(n), configuration=ID, ready=True, status=dict(WHOLE)) for n in present if n != "s1"
     }
     ledger = Ledger(voters=voters, rules=SWAP_RULES)
     ledger.program_ledger.retiring = dict.fromkeys(retiring, "in_service")
@@ -59,9 +59,9 @@
     "change",
     [
         {"ready": False},
-        {"news": WHOLE | {"missing": 2}},
-        {"news": WHOLE | {"counted": OPENED - 1}},
-        {"news": {}},
+        {"status": WHOLE | {"missing": 2}},
+        {"status": WHOLE | {"counted": OPENED - 1}},
+        {"status": {}},
         {"configuration": ConfigurationId(2, "s1", 1)},
     ],
 )
@@ -74,9 +74,9 @@
 
 def test_own_daemon_is_added_only_when_whole():
     ctx = new_ctx(("s1", "s2", "s3", "s4"), ("s2", "s3", "s4"))
-    ctx.core.synchrony.news = WHOLE | {"missing": 1}
+    ctx.core.synchrony.status = WHOLE | {"missing": 1}
     assert wish(ctx) is None
-    ctx.core.synchrony.news = dict(WHOLE)
+    ctx.core.synchrony.status = dict(WHOLE)
     assert wish(ctx) == ("s1", "s2", "s3", "s4")
 
 
@@ -106,10 +106,10 @@
 def test_retiring_voter_is_removed_only_when_all_others_are_whole_and_enough():
     four = (*VOTERS, "s4")
     ctx = new_ctx(four, four, retiring=("s2",))
-    ctx.core.synchrony.peers["s4"].news = WHOLE | {"missing": 1}
+    ctx.core.synchrony.peers["s4"].status = WHOLE | {"missing": 1}
     assert wish(ctx) is None
-    ctx.core.synchrony.peers["s4"].news = dict(WHOLE)
-    ctx.core.synchrony.peers["s2"].news = WHOLE | {"missing": 5}
+    ctx.core.synchrony.peers["s4"].status = dict(WHOLE)
+    ctx.core.synchrony.peers["s2"].status = WHOLE | {"missing": 5}
     assert wish(ctx) == ("s1", "s3", "s4")
     assert wish(new_ctx(VOTERS, VOTERS, retiring=("s2",))) is None
 
@@ -125,7 +125,7 @@
     assert wish(ctx, background) is None
     clock.advance(AWAY_MS / tenders.TO_NEWCOMER_SHARE / 1000)
     assert wish(ctx, background) == ("s1", "s2", "s4")
-    ctx.core.synchrony.peers["s2"].news = WHOLE | {"missing": 1}
+    ctx.core.synchrony.peers["s2"].status = WHOLE | {"missing": 1}
     assert wish(ctx, background) is None
 
 
@@ -141,12 +141,12 @@
 def test_a_voter_that_is_told_to_end_gives_its_vote_up_where_the_others_do_without():
     four = (*VOTERS, "s4")
     ctx = new_ctx(four, four)
-    ctx.core.synchrony.peers["s4"].news = WHOLE | {"leaving": 1}
+    ctx.core.synchrony.peers["s4"].status = WHOLE | {"leaving": 1}
     assert wish(ctx) == VOTERS
     ctx = new_ctx(four, VOTERS)
-    ctx.core.synchrony.peers["s4"].news = WHOLE | {"leaving": 1}
+    ctx.core.synchrony.peers["s4"].status = WHOLE | {"leaving": 1}
     assert wish(ctx) is None
-    ctx.core.synchrony.news = WHOLE | {"leaving": 1}
+    ctx.core.synchrony.status = WHOLE | {"leaving": 1}
     assert wish(ctx) is None and not tenders.dispensable(ctx, settings())
     assert tenders.dispensable(new_ctx(four, four), settings())
     assert not tenders.dispensable(new_ctx(four, four), settings(machines=2))
@@ -160,7 +160,7 @@
     background.marks["s4"] = OPENED + 1
     assert tenders.emptied(ctx, background) == []
     background.marks["s4"] = OPENED
-    ctx.core.synchrony.peers["s3"].news = WHOLE | {"missing": 1}
+    ctx.core.synchrony.peers["s3"].status = WHOLE | {"missing": 1}
     assert tenders.emptied(ctx, background) == []
 
 
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -181,7 +181,7 @@
         if hasattr(input, "up_to"):
             self.synced = input.up_to
         else:
-            self.stalled.append(input.unwell)
+            self.stalled.append(input.unhealthy)
 
 
 def rewritten(index, records):
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -12,7 +12,7 @@
 from frostpost.virtual_synchrony.events import TimerTick
 
 NEVER_MS = 10_000_000
-MOVING = ("now_ms", "ticked_ms", "desired_ms")
+MOVING = ("now_ms", "ticked_ms", "desired_since_ms")
 
 
 class Job:
@@ -139,9 +139,9 @@
     beaten = failure_detector.beaten
 
     def forgetful(synchrony, out, frm, message):
-        changed = synchrony.changed
+        changed = synchrony.peers_changed
         beaten(synchrony, out, frm, message)
-        synchrony.changed = changed
+        synchrony.peers_changed = changed
 
     monkeypatch.setattr(failure_detector, "beaten", forgetful)
     for seed in range(11, 17):
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -50,7 +50,7 @@
             return
         node = able[self.asked % len(able)]
         self.asked += 1
-        self.waiting = (node.place.member, node.core.synchrony.number + 1)
+        self.waiting = (node.place.member, node.core.synchrony.last_number + 1)
         ask(world, node.name, SetConfig(PATH, str(self.asked), 1, self.version, "me", self.asked, ()))
 
     def look(self, world):
@@ -164,13 +164,13 @@
     world, operator, state, _ = play(rewrite_entries, rewrite_entries)
     assert operator.acked >= CHANGES
     assert faults(world, operator, state) == []
-    assert all(n.core.synchrony.log.start > CHANGES // 2 for n in world.nodes.values())
+    assert all(n.core.synchrony.log.snapshot_index > CHANGES // 2 for n in world.nodes.values())
 
 
 def before_whole(synchrony, now_ms):
     """A lease is held as soon as the members are there, whatever the state."""
     present = {n for n, p in synchrony.peers.items() if now_ms - p.granted_ms < synchrony.bounds.lease_ms}
-    voters = synchrony.voters or synchrony.voters0
+    voters = synchrony.voters or synchrony.bootstrap_voters
     return majority(voters, present | {synchrony.name}) and not synchrony.recovery
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,7 +37,7 @@
         synchrony.peers[other] = Peer(
             place_of(other),
             heard_ms=10_000,
-            hears=everyone,
+            reachable=everyone,
             configuration=PRIMARY if inside else ConfigurationId(1, other, 1),
             promised=PRIMARY if inside else ConfigurationId(1, other, 1),
             serving=inside and serving,
@@ -55,7 +55,7 @@
     if here == synchrony.name:
         synchrony.peers[there].heard_ms = 0
     else:
-        synchrony.peers[here].hears -= {member(there)}
+        synchrony.peers[here].reachable -= {member(there)}
 
 
 def wanted(synchrony):
@@ -113,7 +113,7 @@
     assert synchrony.recovery is not None
 
 
-@pytest.mark.parametrize("why", ["silent", "leaving", "unwell", "deaf to another"])
+@pytest.mark.parametrize("why", ["silent", "draining", "unhealthy", "deaf to another"])
 def test_a_member_that_is_not_wanted_any_more_protects_nothing(why):
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
     lost = synchrony.peers["s4"]
@@ -158,8 +158,8 @@
 
 def test_a_replica_tells_at_once_whom_it_no_longer_hears_and_proposes_later():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
-    synchrony.desired = failure_detector.desire(synchrony)
-    synchrony.beat_ms = synchrony.now_ms
+    synchrony.desired_members = failure_detector.desire(synchrony)
+    synchrony.heartbeat_ms = synchrony.now_ms
     quiet = synchrony.now_ms + synchrony.bounds.detect_ms // 5
     for peer in synchrony.peers.values():
         peer.heard_ms = quiet
@@ -169,7 +169,7 @@
         synchrony, out = step(synchrony, TimerTick(now_ms))
         sent += [(now_ms, type(body), body) for to, body in out.sends if to == "s3"]
     beats = [body for _, kind, body in sent if kind is Heartbeat]
-    assert beats and member("s4") not in beats[0].hears
+    assert beats and member("s4") not in beats[0].reachable
     assert not any(kind is ProposeRequest for _, kind, _ in sent)
 
 
--- a/tests/test_platform_many_changes.py
+++ b/tests/test_platform_many_changes.py
@@ -147,8 +147,8 @@
     judge = recovery.judge
 
     def judged(plan):
-        found, memories = judge(plan), {name: said.memory for name, said in plan.items() if said.memory}
-        if found.able and memories:
+        found, memories = judge(plan), {name: said.durable_state for name, said in plan.items() if said.durable_state}
+        if found.eligible and memories:
             found.donor = min(memories, key=lambda name: memories[name].length)
             found.base = memories[found.donor].length
         return found
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -37,4 +37,4 @@
     sender = world.nodes["e1"].place.member
     for floor, first in ((1, 2), (2, 2)):
         submitted(synchrony, Output(), "e1", sender, SubmitRequest(synchrony.configuration.id, floor, first, (b"b",)))
-    assert [e.number for e in synchrony.order.unsent] == [2]
+    assert [e.number for e in synchrony.order.unsent_entries] == [2]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -26,8 +26,8 @@
 
 def test_a_ready_voter_that_has_not_applied_its_base_fetches_nothing():
     core = next(iter(make(1).nodes.values())).core
-    core.synchrony.primary = PrimaryState(able=True, base=10, ready_at=5)
-    assert core.synchrony.storage and core.synchrony.applied < 10
+    core.synchrony.primary = PrimaryState(eligible=True, base=10, ready_record_number=5)
+    assert core.synchrony.has_log and core.synchrony.applied < 10
     assert catch_up.lacking(core.synchrony) == 0
-    core.synchrony.primary.ready_at = -1
+    core.synchrony.primary.ready_record_number = -1
     assert catch_up.lacking(core.synchrony) == 1
