--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -15,7 +15,7 @@
     ConfigVersionsReply,
     ConfigVersionsRequest,
 )
-from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.state import is_majority
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 encode = msgpack.Encoder().encode
@@ -129,7 +129,7 @@
         holders = {n for n, p in ctx.core.synchrony.peers.items() if p.status.get(item.source, 0) >= item.number}
         if ctx.shelf.vector.get(item.source, 0) >= item.number:
             holders.add(ctx.place.member.name)
-        return majority(ctx.core.ledger.voters, holders)
+        return is_majority(ctx.core.ledger.voters, holders)
 
     return until(ctx, held, ctx.settings.doors.ack_ms)
 
--- a/frostpost/cluster/greeting.py
+++ b/frostpost/cluster/greeting.py
@@ -2,7 +2,7 @@
 
 from frostpost.daemon.context import clock_ms
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply
-from frostpost.virtual_synchrony.state import names
+from frostpost.virtual_synchrony.state import member_names
 
 from . import serving
 
@@ -12,7 +12,7 @@
 
 def configuration_places(synchrony):
     """Where the members of the configuration are."""
-    others = [synchrony.peers[name].place for name in names(synchrony.configuration) if name in synchrony.peers]
+    others = [synchrony.peers[name].place for name in member_names(synchrony.configuration) if name in synchrony.peers]
     return (synchrony.place, *others)
 
 
--- a/frostpost/cluster/peers.py
+++ b/frostpost/cluster/peers.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.virtual_synchrony.state import names
+from frostpost.virtual_synchrony.state import member_names
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 
@@ -27,7 +27,7 @@
     """Called now and then: what the open primary's members are, if that changed."""
     if peers.writing or not synchrony.primary.opened or synchrony.recovery:
         return
-    others = [synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers]
+    others = [synchrony.peers[n].place for n in member_names(synchrony.configuration) if n in synchrony.peers]
     keep_addresses(peers, [f"{p.host}:{p.port}" for p in others])
 
 
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -16,7 +16,7 @@
     RoutingUpdate,
 )
 from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
-from frostpost.virtual_synchrony.state import names, sequencer
+from frostpost.virtual_synchrony.state import member_names, sequencer_of
 
 ASK_MS = 5000
 GRACE_RATIO = 0.5
@@ -58,7 +58,7 @@
 
 def sequencing(ctx):
     synchrony = ctx.core.synchrony
-    return synchrony.primary.opened and not synchrony.recovery and sequencer(synchrony) == synchrony.name
+    return synchrony.primary.opened and not synchrony.recovery and sequencer_of(synchrony) == synchrony.name
 
 
 def voters_of(ctx):
@@ -79,7 +79,7 @@
 
 def member_places(synchrony):
     """Where the members of the configuration are, as far as is known."""
-    others = [synchrony.peers[n].place for n in names(synchrony.configuration) if n in synchrony.peers]
+    others = [synchrony.peers[n].place for n in member_names(synchrony.configuration) if n in synchrony.peers]
     return (synchrony.place, *others)
 
 
@@ -92,7 +92,7 @@
         return LeaseReply(
             message.sent_ms,
             0,
-            sequencer(synchrony) if opened else "",
+            sequencer_of(synchrony) if opened else "",
             places=member_places(synchrony) if opened else (),
         )
     held = ctx.core.ledger.program_ledger.routing_version
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -7,7 +7,7 @@
 from frostpost.turn_store.store import used_bytes
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
-from frostpost.virtual_synchrony.state import names, sequencer
+from frostpost.virtual_synchrony.state import member_names, sequencer_of
 
 from . import serving
 from .context import now_ms
@@ -115,8 +115,8 @@
     program_ledger, id = ledger.program_ledger, synchrony.configuration.id
     return {
         "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.boot},
-        "members": names(synchrony.configuration),
-        "sequencer": sequencer(synchrony),
+        "members": member_names(synchrony.configuration),
+        "sequencer": sequencer_of(synchrony),
         "sequencing": serving.sequencing(ctx),
         "primary_opened": synchrony.primary.opened,
         "recovering": synchrony.recovery is not None,
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -10,7 +10,7 @@
 from frostpost.ledger.results import Done
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
-from frostpost.virtual_synchrony.state import names
+from frostpost.virtual_synchrony.state import member_names
 
 from .serving import sequencing, voters_of
 from .voter_rule import ReplicaView, Waits, next_voters, sound
@@ -64,7 +64,7 @@
     peer = synchrony.peers.get(name)
     place = synchrony.place if name == synchrony.name else peer.place if peer is not None else None
     zone = place.zone if place is not None else ""
-    present = name in names(synchrony.configuration)
+    present = name in member_names(synchrony.configuration)
     return ReplicaView(
         name,
         zone,
@@ -80,7 +80,7 @@
 def observe(ctx, changes):
     """Take in since when voters are away, and since when the set in force is."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
-    voters, present = tuple(voters_of(ctx)), names(synchrony.configuration)
+    voters, present = tuple(voters_of(ctx)), member_names(synchrony.configuration)
     changes.away = {v: changes.away.get(v, now) for v in voters if v not in present}
     if voters != changes.voters or synchrony.configuration.id.epoch != changes.epoch:
         changes.voters, changes.voters_ms, changes.marks = voters, now, {}
@@ -91,7 +91,7 @@
     """The voters after one safe change, or None if they are right."""
     observe(ctx, changes)
     voters = [view(ctx, changes, n, settings.regions) for n in changes.voters]
-    present = names(ctx.core.synchrony.configuration)
+    present = member_names(ctx.core.synchrony.configuration)
     others = [view(ctx, changes, n, settings.regions) for n in present if n not in changes.voters]
     waits = Waits(settings.catch_up_ms // TO_NEWCOMER_SHARE, settings.catch_up_ms)
     return next_voters(voters, others, settings.tolerance, waits, ctx.core.ledger.rules >= SWAP_RULES)
@@ -99,7 +99,9 @@
 
 def staying(ctx):
     """Members that aren't emptied."""
-    return [n for n in names(ctx.core.synchrony.configuration) if n not in ctx.core.ledger.program_ledger.retiring]
+    return [
+        n for n in member_names(ctx.core.synchrony.configuration) if n not in ctx.core.ledger.program_ledger.retiring
+    ]
 
 
 def emptied(ctx, changes):
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -52,7 +52,7 @@
 
 def begin(place, bounds, seeds, voters, log, now_ms):
     """Return (core, output) of a daemon that starts with the log read from its disk."""
-    synchrony, out = synchronies.begin(place, bounds, seeds, voters, log, now_ms)
+    synchrony, out = synchronies.begin_synchrony(place, bounds, seeds, voters, log, now_ms)
     ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.commit_index - log.snapshot_index)]:
         ledger, _ = apply(ledger, entry)
@@ -155,4 +155,4 @@
 
 def lease_ok(core, now_ms):
     """Tell whether the lease allows this daemon to serve at that time."""
-    return failure_detector.lease_ok(core.synchrony, now_ms)
+    return failure_detector.holds_lease(core.synchrony, now_ms)
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -24,7 +24,7 @@
     ConfigVersionsRequest,
     Heartbeat,
 )
-from frostpost.virtual_synchrony.timers import due_ms, unsettled
+from frostpost.virtual_synchrony.timers import due_ms, needs_every_tick
 
 from . import core as cores
 from .context import clock_ms, count
@@ -62,7 +62,7 @@
                 answered(ctx, answer)
     finally:
         ctx.stepping = False
-    if ctx.ticker is not None and unsettled(ctx.core.synchrony):
+    if ctx.ticker is not None and needs_every_tick(ctx.core.synchrony):
         ctx.ticker.wake()
     continue_snapshot(ctx)
 
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -32,7 +32,7 @@
     elif core.snapshots.taking is not None:
         advance_taking(core, out)
         if not core.synchrony.apply_paused:
-            delivery.drain(core.synchrony, out)
+            delivery.apply_pending(core.synchrony, out)
     elif is_idle(core):
         core.snapshots.served = None
 
@@ -42,7 +42,7 @@
     primary, held = core.synchrony.primary, core.snapshots
     if held.taking is not None and primary.open_committed and not primary.opened:
         held.taking, core.synchrony.apply_paused = None, False
-        delivery.drain(core.synchrony, out)
+        delivery.apply_pending(core.synchrony, out)
 
 
 def is_idle(core):
@@ -95,8 +95,8 @@
     if asked.id != synchrony.configuration.id:
         return
     synchrony.primary.loading_snapshot = False
-    if taken.index == synchrony.applied and catch_up.lacking(synchrony):
-        catch_up.refill(synchrony, out, taken.index, taken.state)
+    if taken.index == synchrony.applied and catch_up.first_missing_index(synchrony):
+        catch_up.install_snapshot(synchrony, out, taken.index, taken.state)
 
 
 def is_usable(core):
@@ -153,12 +153,12 @@
     if current:
         synchrony.primary.loading_snapshot = False
     fits = received.index >= synchrony.applied and (current or received.index <= synchrony.primary.base)
-    if ledger is None or not fits or not catch_up.lacking(synchrony):
-        synchronies.count(synchrony, "snapshots_dropped")
+    if ledger is None or not fits or not catch_up.first_missing_index(synchrony):
+        synchronies.increment_counter(synchrony, "snapshots_dropped")
         return
     core.ledger, core.snapshots = ledger, Snapshots()
     synchrony.apply_paused = False
-    catch_up.refill(synchrony, out, received.index, received.state)
+    catch_up.install_snapshot(synchrony, out, received.index, received.state)
 
 
 def rewrite(core, out) -> None:
@@ -190,7 +190,7 @@
     tail = log.entries[taken.index - log.snapshot_index :]
     log.snapshot_index, log.entries, log.commit_index = taken.index, tail, max(log.commit_index, taken.index)
     synchrony.written_count += 1
-    synchronies.count(synchrony, "rewrites")
+    synchronies.increment_counter(synchrony, "rewrites")
     records = (
         PromiseRecord(synchrony.me.boot, log.epoch),
         SnapshotRecord(log.snapshot_index, taken.state),
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -13,7 +13,7 @@
 from frostpost.ledger.operations import Look
 from frostpost.ledger.programs import whole
 from frostpost.placement.judge import Question, explain
-from frostpost.virtual_synchrony.state import sequencer
+from frostpost.virtual_synchrony.state import sequencer_of
 
 from . import errors
 
@@ -33,7 +33,7 @@
             "epoch": synchrony.configuration.id.epoch,
             "proposer": synchrony.configuration.id.proposer,
             "members": [m.name for m in synchrony.configuration.members],
-            "sequencer": sequencer(synchrony),
+            "sequencer": sequencer_of(synchrony),
             "age_ms": synchrony.now_ms - synchrony.installed_ms,
         },
         "recovering": synchrony.recovery is not None,
--- a/frostpost/http_api/voting.py
+++ b/frostpost/http_api/voting.py
@@ -7,7 +7,7 @@
 from frostpost.daemon.news import say
 from frostpost.ledger.results import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.state import is_majority
 
 from . import calls, errors
 from .control import ready
@@ -39,7 +39,7 @@
     after = tuple(v for v in before if v != name)
     if after == before:
         return Error(errors.VotersRefused(f"{name} is no voter"))
-    if not majority(after, fulls(ctx)):
+    if not is_majority(after, fulls(ctx)):
         return Error(errors.VotersRefused("less than a majority of full copies would be left"))
     if len(after) < FEWEST and document.get("force") is not True:
         return Error(
--- a/frostpost/simulator/explore_checks.py
+++ b/frostpost/simulator/explore_checks.py
@@ -10,7 +10,7 @@
 from frostpost.virtual_synchrony import failure_detector
 from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.events import EntryApplied, SetVoters, SnapshotInstalled
-from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.state import is_majority
 
 from .explore_state import Opened, first_voters
 
@@ -99,7 +99,7 @@
 def stands_on_disks(world, entry, voters):
     """What is committed is synced by a majority of voters; a disk that was lost since may have held it."""
     holders = [name for name in voters if name in world.history.wiped or on_disk(world.replicas[name], entry)]
-    if not majority(voters, holders):
+    if not is_majority(voters, holders):
         say(world, "synced", f"{label(entry)} is committed and stands on the disks of {holders} alone")
 
 
@@ -118,7 +118,7 @@
         if other.id.epoch == id.epoch:
             say(world, "epoch", f"{other.id} and {id} were both opened")
     holders = [v for v in voters if v in history.wiped or replay(world.replicas[v].disk.synced).primary >= id]
-    if not majority(voters, holders):
+    if not is_majority(voters, holders):
         say(world, "quorum", f"{id} was opened while only {holders} of {list(voters)} had synced it")
     leader = world.replicas.get(replica.synchrony.configuration.sequencer, replica)
     if leader.core is None or leader.synchrony.configuration.id != id:
@@ -163,7 +163,7 @@
 def leases(world):
     """Once a leader counts leases of older configurations as over, none runs."""
     for replica in world.replicas.values():
-        if replica.core is None or replica.frozen or not failure_detector.lease_ok(replica.synchrony, world.now_ms):
+        if replica.core is None or replica.frozen or not failure_detector.holds_lease(replica.synchrony, world.now_ms):
             continue
         id = replica.synchrony.configuration.id
         for other in world.history.opened:
@@ -185,7 +185,7 @@
             return False
         if synchrony.outbox or synchrony.applied != len(world.history.committed):
             return False
-        if world.scenario.timed and not failure_detector.lease_ok(synchrony, world.now_ms):
+        if world.scenario.timed and not failure_detector.holds_lease(synchrony, world.now_ms):
             return False
         ids.add(synchrony.configuration)
     return len(ids) == 1 and len(next(iter(ids)).members) == len(world.replicas)
--- a/frostpost/simulator/explore_context.py
+++ b/frostpost/simulator/explore_context.py
@@ -56,7 +56,7 @@
     (snapshotting, "take", take_at_once),
     (snapshotting, "load", load_at_once),
 ]
-STAND_INS = {False: [*SHARED, (membership, "seek", no_detector)], True: SHARED}
+STAND_INS = {False: [*SHARED, (membership, "propose_if_due", no_detector)], True: SHARED}
 
 
 @contextmanager
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_moves.py
@@ -121,7 +121,7 @@
     out = Output()
     synchrony.proposal = None
     membership.propose(synchrony, out, tuple(known[n] for n in move.members if n in known))
-    step.loop(synchrony, out)
+    step.deliver_to_self(synchrony, out)
     effects(world, replica, out)
     checks.answers(world, replica, out.answers)
 
--- a/frostpost/simulator/explore_options.py
+++ b/frostpost/simulator/explore_options.py
@@ -2,7 +2,7 @@
 
 from itertools import combinations
 
-from frostpost.virtual_synchrony.state import majority, names
+from frostpost.virtual_synchrony.state import is_majority, member_names
 
 from .explore_kinds import (
     Ask,
@@ -89,7 +89,7 @@
             continue
         present = [r.name for r in others]
         sets = [r.core.ledger.voters for r in others] + list(world.history.requested_voters)
-        if all(majority(voters, present) for voters in sets):
+        if all(is_majority(voters, present) for voters in sets):
             found.append(Wipe(replica.name))
     return found
 
@@ -120,7 +120,7 @@
     """
     found = []
     for replica in up(world):
-        voters, present = replica.core.ledger.voters, names(replica.synchrony.configuration)
+        voters, present = replica.core.ledger.voters, member_names(replica.synchrony.configuration)
         if not replica.synchrony.primary.opened or not voters:
             continue
         members = [r.name for r in world.replicas.values() if whole(r) and r.name in present]
@@ -129,7 +129,7 @@
         gone = voters if len(voters) > LEAST_VOTERS else away if fresh else ()
         wanted = [tuple(v for v in voters if v != one) for one in gone]
         wanted += [tuple(sorted((*voters, one))) for one in fresh if not away]
-        found += [Revote(replica.name, after) for after in wanted if majority(after, members)]
+        found += [Revote(replica.name, after) for after in wanted if is_majority(after, members)]
     return found
 
 
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -12,16 +12,16 @@
     recovery,
 )
 from frostpost.virtual_synchrony.messages import ProposeRejection, SafeUpdate
-from frostpost.virtual_synchrony.state import names
+from frostpost.virtual_synchrony.state import member_names
 
 from .plants import any_voter, eager_deliver, old_length
 
 ORIGINAL = {
-    "settle": recovery.settle,
+    "settle": recovery.complete_if_ready,
     "become_ready": primary_component.become_ready,
-    "drain": delivery.drain,
-    "beaten": failure_detector.beaten,
-    "refill": catch_up.refill,
+    "drain": delivery.apply_pending,
+    "beaten": failure_detector.on_heartbeat,
+    "refill": catch_up.install_snapshot,
 }
 
 
@@ -31,8 +31,8 @@
     while order.received_watermark + 1 in order.pending:
         order.received_watermark += 1
         if synchrony.has_log and synchrony.primary.ready_record_number >= 0:
-            delivery.record(synchrony, out, order.pending[order.received_watermark])
-    ordering.acknowledge(synchrony, out, order.received_watermark)
+            delivery.append_to_log(synchrony, out, order.pending[order.received_watermark])
+    ordering.send_ack(synchrony, out, order.received_watermark)
 
 
 def promise_anything(synchrony, out, frm, message):
@@ -64,7 +64,7 @@
         and message.received_watermark > order.acks.get(frm, 0)
     ):
         order.acks[frm] = message.received_watermark
-        for name in names(synchrony.configuration):
+        for name in member_names(synchrony.configuration):
             out.sends.append((name, SafeUpdate(synchrony.configuration.id, message.received_watermark)))
 
 
@@ -85,7 +85,7 @@
         ORIGINAL["drain"](synchrony, out)
         return
     while primary.open_committed and not synchrony.apply_paused and synchrony.applied + 1 in synchrony.pending_entries:
-        delivery.apply(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
+        delivery.apply_entry(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
 
 
 def stale_voters(synchrony, out):
@@ -149,24 +149,27 @@
 
 
 PLANTS = {
-    "acknowledge_unsynced": [(ordering, "advance", acknowledge_unsynced), (recovery, "advance", acknowledge_unsynced)],
-    "minority_primary": [(primary_component, "majorities", any_voter), (recovery, "majorities", any_voter)],
-    "base_before_rebroadcast": [(primary_component, "length_of", old_length)],
-    "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
-    "one_acknowledgement": [(ordering, "acked", one_acknowledgement)],
-    "promise_anything": [(membership, "proposed", promise_anything)],
-    "never_bound": [(membership, "bound", never_bound)],
-    "confirm_unsynced": [(recovery, "settle", confirm_unsynced)],
+    "acknowledge_unsynced": [
+        (ordering, "advance_received_watermark", acknowledge_unsynced),
+        (recovery, "advance_received_watermark", acknowledge_unsynced),
+    ],
+    "minority_primary": [(primary_component, "has_quorums", any_voter), (recovery, "has_quorums", any_voter)],
+    "base_before_rebroadcast": [(primary_component, "recovered_length", old_length)],
+    "deliver_unsafe": [(ordering, "deliver_safe_entries", eager_deliver)],
+    "one_acknowledgement": [(ordering, "on_batch_ack", one_acknowledgement)],
+    "promise_anything": [(membership, "on_propose_request", promise_anything)],
+    "never_bound": [(membership, "has_confirmed_in_epoch", never_bound)],
+    "confirm_unsynced": [(recovery, "complete_if_ready", confirm_unsynced)],
     "own_changes_only": [(primary_component, "pending_voters", own_changes_only)],
     "no_changes": [(primary_component, "pending_voters", no_changes)],
-    "apply_before_ready": [(delivery, "drain", apply_before_ready)],
+    "apply_before_ready": [(delivery, "apply_pending", apply_before_ready)],
     "stale_voters": [(primary_component, "become_ready", stale_voters)],
     "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
     "any_voters": [(applying, "voters_", any_voters)],
-    "always_leased": [(failure_detector, "lease_ok", always_leased)],
-    "echo_for_all": [(failure_detector, "beaten", echo_for_all)],
-    "lease_from_receipt": [(failure_detector, "beaten", lease_from_receipt)],
-    "no_rebroadcast": [(recovery, "rebroadcast", no_rebroadcast)],
-    "no_resend": [(ordering, "remind", no_resend)],
+    "always_leased": [(failure_detector, "holds_lease", always_leased)],
+    "echo_for_all": [(failure_detector, "on_heartbeat", echo_for_all)],
+    "lease_from_receipt": [(failure_detector, "on_heartbeat", lease_from_receipt)],
+    "no_rebroadcast": [(recovery, "send_rebroadcasts", no_rebroadcast)],
+    "no_resend": [(ordering, "resend_due", no_resend)],
 }
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -6,7 +6,7 @@
 from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.events import LogSynced, MessageReceived, RewriteLog, TimerTick
 from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Heartbeat, Member
-from frostpost.virtual_synchrony.state import Bounds, names
+from frostpost.virtual_synchrony.state import Bounds, member_names
 
 from . import explore_checks as checks
 from .explore_hash import encode, short_hash
@@ -97,7 +97,7 @@
     for timer in TIMERS:
         setattr(synchrony, timer, LONG_AGO_MS)
     synchrony.primary.fetched_ms = LONG_AGO_MS
-    synchrony.order.sent_ms = dict.fromkeys(names(synchrony.configuration), LONG_AGO_MS)
+    synchrony.order.sent_ms = dict.fromkeys(member_names(synchrony.configuration), LONG_AGO_MS)
     if synchrony.recovery:
         synchrony.recovery.sent_ms = LONG_AGO_MS
     if synchrony.proposal:
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -8,7 +8,7 @@
 from frostpost.ledger.results import ConfigSet, Done, Reserved, Won
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.events import EntryApplied
-from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.state import is_majority
 
 from .checks import Broken
 
@@ -53,7 +53,7 @@
         if not isinstance(op, OpenPrimary):
             continue
         id = order[index].configuration
-        if not majority(op.voters, {m.name for m in op.members}):
+        if not is_majority(op.voters, {m.name for m in op.members}):
             yield Broken("primary.majority", f"{id} opened without a majority")
         if last is not None:
             if id <= last[0]:
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -24,9 +24,9 @@
     while order.received_watermark + 1 in order.pending:
         order.received_watermark += 1
         if synchrony.has_log and synchrony.primary.ready_record_number >= 0:
-            delivery.record(synchrony, out, order.pending[order.received_watermark])
+            delivery.append_to_log(synchrony, out, order.pending[order.received_watermark])
     if not synchrony.recovery:
-        ordering.acknowledge(synchrony, out, order.received_watermark)
+        ordering.send_ack(synchrony, out, order.received_watermark)
 
 
 def any_voter(primary, present):
@@ -48,7 +48,7 @@
         entry = order.pending[order.delivered_watermark]
         out.answers.append(EntryDelivered(entry, False, synchrony.primary.eligible))
         if synchrony.primary.eligible:
-            delivery.act(synchrony, out, entry)
+            delivery.queue_for_apply(synchrony, out, entry)
 
 
 def ever_leased(synchrony, now_ms):
@@ -107,23 +107,26 @@
 
 KEPT = {
     "reserve": programs.reserve,
-    "drain": delivery.drain,
-    "refill": catch_up.refill,
+    "drain": delivery.apply_pending,
+    "refill": catch_up.install_snapshot,
 }
 PLANTS = {
-    "ack_unsynced": [(ordering, "advance", ack_unsynced), (recovery, "advance", ack_unsynced)],
-    "minority_primary": [(primary_component, "majorities", any_voter), (recovery, "majorities", any_voter)],
-    "base_before_rebroadcast": [(primary_component, "length_of", old_length)],
-    "deliver_unsafe": [(ordering, "deliver", eager_deliver)],
-    "no_lease": [(failure_detector, "lease_ok", ever_leased)],
+    "ack_unsynced": [
+        (ordering, "advance_received_watermark", ack_unsynced),
+        (recovery, "advance_received_watermark", ack_unsynced),
+    ],
+    "minority_primary": [(primary_component, "has_quorums", any_voter), (recovery, "has_quorums", any_voter)],
+    "base_before_rebroadcast": [(primary_component, "recovered_length", old_length)],
+    "deliver_unsafe": [(ordering, "deliver_safe_entries", eager_deliver)],
+    "no_lease": [(failure_detector, "holds_lease", ever_leased)],
     "free_claim": [(keys, "claim", free_claim)],
     "no_compare": [(applying, "config", no_compare)],
     "budget_forgotten": [(programs, "reserve", loose_reserve)],
-    "no_rebroadcast": [(recovery, "rebroadcast", no_union)],
-    "apply_before_open": [(delivery, "drain", eager_drain)],
-    "forget_promise": [(membership, "write", forget)],
-    "wait_for_open": [(catch_up, "refill", no_unlatch)],
-    "drop_own": [(ordering, "take", late_self)],
+    "no_rebroadcast": [(recovery, "send_rebroadcasts", no_union)],
+    "apply_before_open": [(delivery, "apply_pending", eager_drain)],
+    "forget_promise": [(membership, "write_record", forget)],
+    "wait_for_open": [(catch_up, "install_snapshot", no_unlatch)],
+    "drop_own": [(ordering, "take_entries", late_self)],
 }
 
 
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -23,7 +23,7 @@
 from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Won
 from frostpost.virtual_synchrony.events import OperationSubmitted, SetVoters
-from frostpost.virtual_synchrony.state import majority
+from frostpost.virtual_synchrony.state import is_majority
 
 from . import world as worlds
 from .checks import Broken
@@ -113,7 +113,7 @@
     full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
     absent = sorted(set(before) - {m.name for m in synchrony.configuration.members})
-    if spare and absent and node.core.ledger.rules >= SWAP_RULES and majority(before, full | ready_self(node)):
+    if spare and absent and node.core.ledger.rules >= SWAP_RULES and is_majority(before, full | ready_self(node)):
         gone = random.choice(absent)
         after = (*(v for v in before if v != gone), random.choice(spare))
     elif spare and len(before) < 5 and random.random() < 0.6:
@@ -123,7 +123,7 @@
         after = tuple(v for v in before if v != gone)
     else:
         return
-    if majority(after, full | ready_self(node)):
+    if is_majority(after, full | ready_self(node)):
         ask(world, node.name, SetVoters(synchrony.configuration.id, before, after))
 
 
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, field, msgpack
 
 from frostpost.daemon import core as cores
-from frostpost.virtual_synchrony.durable_log import DurableLog, replay, replay_one
+from frostpost.virtual_synchrony.durable_log import DurableLog, replay, replay_record
 from frostpost.virtual_synchrony.events import (
     ConfigurationChanged,
     EntryApplied,
@@ -84,7 +84,7 @@
     if isinstance(record, RewriteLog):
         life.log = replay(record.records)
     else:
-        replay_one(life.log, record)
+        replay_record(life.log, record)
 
 
 def play(trace):
--- a/frostpost/virtual_synchrony/catch_up.py
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -3,10 +3,10 @@
 from . import delivery, primary_component
 from .events import SnapshotInstalled, SnapshotReceived, SnapshotRecord, SnapshotRequested
 from .messages import EntriesReply, EntriesRequest
-from .state import count, names, write
+from .state import increment_counter, member_names, write_record
 
 
-def lacking(synchrony):
+def first_missing_index(synchrony):
     primary = synchrony.primary
     if not primary.eligible:
         return 0
@@ -17,8 +17,8 @@
     return synchrony.applied + 1 if synchrony.applied < primary.base else 0
 
 
-def fetch(synchrony, out):
-    first = lacking(synchrony)
+def request_missing(synchrony, out):
+    first = first_missing_index(synchrony)
     if (
         not first
         or synchrony.recovery
@@ -30,11 +30,11 @@
         return
     synchrony.primary.fetched_ms = synchrony.now_ms
     if synchrony.has_log and synchrony.applied > synchrony.primary.base:
-        ask_own_snapshot(synchrony, out)
+        request_own_snapshot(synchrony, out)
         return
     ready = sorted(
         n
-        for n in names(synchrony.configuration)
+        for n in member_names(synchrony.configuration)
         if n in synchrony.peers
         and synchrony.peers[n].ready
         and synchrony.peers[n].configuration == synchrony.configuration.id
@@ -51,13 +51,13 @@
     )
 
 
-def ask_own_snapshot(synchrony, out):
+def request_own_snapshot(synchrony, out):
     """All that this member's log lacks is in its state: a snapshot of another would be behind it under traffic."""
     synchrony.primary.loading_snapshot = True
     out.answers.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
 
 
-def fetched(synchrony, out, frm, message):
+def on_entries_request(synchrony, out, frm, message):
     log, primary = synchrony.log, synchrony.primary
     if message.id != synchrony.configuration.id or primary.ready_record_number < 0:
         return
@@ -68,13 +68,13 @@
     out.sends.append((frm, EntriesReply(message.id, tuple(entries[: synchrony.bounds.batch]))))
 
 
-def filled(synchrony, out, frm, message):
+def on_entries_reply(synchrony, out, frm, message):
     primary, log = synchrony.primary, synchrony.log
-    if message.id != synchrony.configuration.id or not lacking(synchrony):
+    if message.id != synchrony.configuration.id or not first_missing_index(synchrony):
         return
-    count(synchrony, "filled", len(message.entries))
+    increment_counter(synchrony, "filled", len(message.entries))
     if synchrony.has_log:
-        delivery.relog(synchrony, out, message.entries)
+        delivery.append_fetched_to_log(synchrony, out, message.entries)
         if not primary.log_matches:
             last = message.entries[-1].index if message.entries else primary.base
             del log.entries[max(0, last - log.snapshot_index) :]
@@ -85,14 +85,14 @@
         for entry in message.entries:
             if entry.index > synchrony.applied:
                 synchrony.pending_entries[entry.index] = entry
-        delivery.drain(synchrony, out)
+        delivery.apply_pending(synchrony, out)
     primary.fetched_ms = -(1 << 40)
-    fetch(synchrony, out)
+    request_missing(synchrony, out)
 
 
-def pieced(synchrony, out, frm, message):
+def on_snapshot_chunk(synchrony, out, frm, message):
     primary = synchrony.primary
-    if message.id != synchrony.configuration.id or primary.loading_snapshot or not lacking(synchrony):
+    if message.id != synchrony.configuration.id or primary.loading_snapshot or not first_missing_index(synchrony):
         return
     if message.index != primary.chunks_index or message.offset == 0:
         primary.chunks, primary.chunks_index = bytearray(), message.index
@@ -105,22 +105,22 @@
         state, primary.chunks = bytes(primary.chunks), bytearray()
         primary.loading_snapshot = True
         out.answers.append(SnapshotReceived(message.id, message.index, state, message.digest))
-    fetch(synchrony, out)
+    request_missing(synchrony, out)
 
 
-def refill(synchrony, out, index, state):
+def install_snapshot(synchrony, out, index, state):
     log, primary = synchrony.log, synchrony.primary
     if index < synchrony.applied:
         return
-    count(synchrony, "refilled")
+    increment_counter(synchrony, "refilled")
     synchrony.applied = log.commit_index = index
     out.answers.append(SnapshotInstalled(index, state))
     if index > primary.base and not primary.opened:
-        delivery.unlatch(synchrony)
+        delivery.mark_opened(synchrony)
     synchrony.pending_entries = {i: e for i, e in synchrony.pending_entries.items() if i > index}
     if synchrony.has_log:
         log.snapshot_index, log.entries, primary.log_matches = index, [], True
-        write(synchrony, out, SnapshotRecord(index, state))
+        write_record(synchrony, out, SnapshotRecord(index, state))
         if index >= primary.base:
             primary_component.become_ready(synchrony, out)
-    delivery.drain(synchrony, out)
+    delivery.apply_pending(synchrony, out)
--- a/frostpost/virtual_synchrony/delivery.py
+++ b/frostpost/virtual_synchrony/delivery.py
@@ -1,16 +1,16 @@
 """Delivered entries applied in order of the log, and the records that a voter writes of them."""
 
 from .events import EntryApplied, EntryRecord
-from .state import write
+from .state import write_record
 
 
-def record(synchrony, out, entry):
+def append_to_log(synchrony, out, entry):
     if entry.index == synchrony.log.length + 1:
         synchrony.log.entries.append(entry)
-        write(synchrony, out, EntryRecord(entry, synchrony.log.commit_index))
+        write_record(synchrony, out, EntryRecord(entry, synchrony.log.commit_index))
 
 
-def relog(synchrony, out, entries):
+def append_fetched_to_log(synchrony, out, entries):
     log = synchrony.log
     for entry in entries:
         at = entry.index - log.snapshot_index - 1
@@ -19,29 +19,29 @@
         if at < len(log.entries) and log.entries[at].configuration == entry.configuration:
             continue
         del log.entries[at:]
-        record(synchrony, out, entry)
+        append_to_log(synchrony, out, entry)
 
 
-def act(synchrony, out, entry):
+def queue_for_apply(synchrony, out, entry):
     if entry.index > synchrony.applied:
         synchrony.pending_entries[entry.index] = entry
     synchrony.primary.open_committed = synchrony.primary.open_committed or entry.ordinal == 1
-    drain(synchrony, out)
+    apply_pending(synchrony, out)
 
 
-def drain(synchrony, out):
+def apply_pending(synchrony, out):
     log, primary = synchrony.log, synchrony.primary
     if not primary.open_committed or synchrony.apply_paused or (synchrony.has_log and primary.ready_record_number < 0):
         return
     if synchrony.pending_entries and synchrony.has_log and primary.ready_record_number >= 0:
         first = min(synchrony.pending_entries)
         while synchrony.applied + 1 < first and log.snapshot_index <= synchrony.applied < log.length:
-            apply(synchrony, out, log.entries[synchrony.applied - log.snapshot_index])
+            apply_entry(synchrony, out, log.entries[synchrony.applied - log.snapshot_index])
     while synchrony.applied + 1 in synchrony.pending_entries:
-        apply(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
+        apply_entry(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
 
 
-def apply(synchrony, out, entry):
+def apply_entry(synchrony, out, entry):
     synchrony.applied = entry.index
     synchrony.log.commit_index = max(synchrony.log.commit_index, min(entry.index, synchrony.log.length))
     out.answers.append(EntryApplied(entry))
@@ -50,10 +50,10 @@
             del synchrony.outbox[first]
             synchrony.outbox_ms = synchrony.now_ms
     if entry.ordinal == 1 and entry.configuration == synchrony.configuration.id:
-        unlatch(synchrony)
+        mark_opened(synchrony)
 
 
-def unlatch(synchrony):
+def mark_opened(synchrony):
     synchrony.primary.open_committed = synchrony.primary.opened = synchrony.peers_changed = True
     synchrony.order.floor = min(synchrony.outbox, default=synchrony.last_number + 1)
     synchrony.submitted = synchrony.order.floor - 1
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -10,30 +10,30 @@
 """
 
 from .messages import DiscoveryUpdate
-from .state import Peer, sequencer
+from .state import Peer, sequencer_of
 
 REPEATS = 4
 REMIND_PERIODS = 10
 
 
-def tell(synchrony, out):
+def announce_endpoints(synchrony, out):
     """Tell peers and seeds of places, as far as it is due in this period."""
     synchrony.discovery_ms = synchrony.now_ms
     places = (synchrony.place, *(peer.place for peer in synchrony.peers.values()))
     if places != synchrony.announced_endpoints:
         synchrony.announced_endpoints, synchrony.announced_periods = places, 0
     synchrony.announced_periods += 1
-    fresh = not settled(synchrony) or synchrony.announced_periods <= REPEATS
+    fresh = not is_settled_member(synchrony) or synchrony.announced_periods <= REPEATS
     again = synchrony.announced_periods % REMIND_PERIODS == 0
-    if fresh or again or sequencer(synchrony) == synchrony.name:
-        report = DiscoveryUpdate(() if settled(synchrony) else (synchrony.place,), synchrony.draining)
+    if fresh or again or sequencer_of(synchrony) == synchrony.name:
+        report = DiscoveryUpdate(() if is_settled_member(synchrony) else (synchrony.place,), synchrony.draining)
         out.sends += [(seed, report) for seed in distant_seeds(synchrony)]
     if fresh or again:
         whole = DiscoveryUpdate(places, synchrony.draining)
         out.sends += [(name, whole) for name in synchrony.peers]
 
 
-def settled(synchrony):
+def is_settled_member(synchrony):
     """Whether this replica stands in an opened primary that it doesn't leave."""
     return synchrony.primary.opened and synchrony.recovery is None and not synchrony.draining
 
@@ -45,7 +45,7 @@
     return [seed for seed in synchrony.seeds if seed not in known]
 
 
-def told(synchrony, frm, message):
+def on_discovery_update(synchrony, frm, message):
     """Take in what another replica knows of places, and whether it leaves."""
     peer = synchrony.peers[frm]
     if peer.draining != message.draining:
--- a/frostpost/virtual_synchrony/durable_log.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -27,11 +27,11 @@
 def replay(records):
     log = DurableLog()
     for record in records:
-        replay_one(log, record)
+        replay_record(log, record)
     return log
 
 
-def replay_one(log, record):
+def replay_record(log, record):
     match record:
         case PromiseRecord(boot, epoch):
             log.boot, log.epoch = max(log.boot, boot), max(log.epoch, epoch)
@@ -49,13 +49,13 @@
             log.commit_index = max(log.commit_index, min(settled, log.length))
 
 
-def memory(log):
+def durable_state_of(log):
     if log.primary == NOWHERE:
         return None
-    return DurableState(log.primary, log.length, log.voters, coming(log))
+    return DurableState(log.primary, log.length, log.voters, unsettled_voters(log))
 
 
-def coming(log):
+def unsettled_voters(log):
     return voters_in(log.entries[max(0, log.commit_index - log.snapshot_index) :])
 
 
--- a/frostpost/virtual_synchrony/failure_detector.py
+++ b/frostpost/virtual_synchrony/failure_detector.py
@@ -1,9 +1,9 @@
 from .durable_log import NOWHERE
 from .messages import Heartbeat, InstallRequest
-from .state import RANK, role
+from .state import ROLE_ORDER, role_of
 
 
-def alive(synchrony, peer):
+def is_available(synchrony, peer):
     return (
         synchrony.now_ms - peer.heard_ms < synchrony.bounds.detect_ms
         and not peer.unhealthy
@@ -12,65 +12,65 @@
     )
 
 
-def judged(synchrony, peer):
+def observed_health(synchrony, peer):
     """What a tick judges of a peer, as far as heartbeats tell it."""
     told = peer.reachable, peer.configuration, peer.promised, peer.ready, peer.serving, peer.last_primary
-    return alive(synchrony, peer), *told
+    return is_available(synchrony, peer), *told
 
 
-def hearing(synchrony):
-    mine = {p.place.member for p in synchrony.peers.values() if alive(synchrony, p)}
+def reachability_graph(synchrony):
+    mine = {p.place.member for p in synchrony.peers.values() if is_available(synchrony, p)}
     graph = {synchrony.me: mine}
     for peer in synchrony.peers.values():
-        if alive(synchrony, peer) and synchrony.me in peer.reachable:
+        if is_available(synchrony, peer) and synchrony.me in peer.reachable:
             graph[peer.place.member] = peer.reachable
     return graph
 
 
-def serving(synchrony):
+def is_serving(synchrony):
     """Whether this daemon stands in an opened primary that no proposal has reached."""
     return synchrony.primary.opened and synchrony.recovery is None and synchrony.proposal is None
 
 
-def preference(synchrony, member):
+def member_preference(synchrony, member):
     """Sort key of the order in which members are taken into the wanted configuration.
 
     Members of an opened primary come first, of the newest where there are several, then those that were in a primary
     before, then newcomers: who can't hear all of a primary that serves doesn't break it up by the order of names.
     """
     if member == synchrony.me:
-        opened, epoch, last = serving(synchrony), synchrony.configuration.id.epoch, synchrony.log.primary
+        opened, epoch, last = is_serving(synchrony), synchrony.configuration.id.epoch, synchrony.log.primary
     else:
         peer = synchrony.peers[member.name]
         opened, epoch, last = peer.serving, peer.configuration.epoch, peer.last_primary
     return -epoch if opened else 0, last == NOWHERE
 
 
-def rank(synchrony, member):
+def member_sort_key(synchrony, member):
     """Sort key of the members of a configuration: replicas first, then by name."""
-    return RANK[role(synchrony, member.name)], member.name, member.boot
+    return ROLE_ORDER[role_of(synchrony, member.name)], member.name, member.boot
 
 
-def desire(synchrony):
+def desired_members(synchrony):
     """The configuration that this daemon wants: the first clique, in order of preference, that it is a member of."""
     if synchrony.unhealthy or synchrony.draining:
         return (synchrony.me,)
-    graph = hearing(synchrony)
-    rest = sorted(graph, key=lambda member: rank(synchrony, member))
-    rest.sort(key=lambda member: (RANK[role(synchrony, member.name)], *preference(synchrony, member)))
+    graph = reachability_graph(synchrony)
+    rest = sorted(graph, key=lambda member: member_sort_key(synchrony, member))
+    rest.sort(key=lambda member: (ROLE_ORDER[role_of(synchrony, member.name)], *member_preference(synchrony, member)))
     while True:
         group: list = []
         for member in rest:
             if all(member in graph[g] and g in graph[member] for g in group):
                 group.append(member)
         if synchrony.me in group:
-            return tuple(sorted(group, key=lambda member: rank(synchrony, member)))
+            return tuple(sorted(group, key=lambda member: member_sort_key(synchrony, member)))
         rest = [m for m in rest if m not in group]
 
 
-def beat(synchrony, out):
+def send_heartbeats(synchrony, out):
     synchrony.heartbeat_ms = synchrony.now_ms
-    hears = tuple(p.place.member for p in synchrony.peers.values() if alive(synchrony, p))
+    hears = tuple(p.place.member for p in synchrony.peers.values() if is_available(synchrony, p))
     for name, peer in synchrony.peers.items():
         out.sends.append(
             (
@@ -85,22 +85,22 @@
                     synchrony.primary.ready,
                     synchrony.applied,
                     dict(synchrony.status),
-                    serving(synchrony),
+                    is_serving(synchrony),
                     synchrony.log.primary,
                 ),
             )
         )
 
 
-def beaten(synchrony, out, frm, message):
+def on_heartbeat(synchrony, out, frm, message):
     peer = synchrony.peers[frm]
-    before = judged(synchrony, peer)
+    before = observed_health(synchrony, peer)
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
     peer.reachable = frozenset(message.reachable)
     peer.configuration, peer.promised = message.configuration, message.promised
     peer.unhealthy, peer.ready, peer.applied = message.unhealthy, message.ready, message.applied
     peer.status, peer.serving, peer.last_primary = message.status, message.serving, message.last_primary
-    if before != judged(synchrony, peer):
+    if before != observed_health(synchrony, peer):
         synchrony.peers_changed = True
     agreed = message.configuration == synchrony.configuration.id == message.promised
     if agreed and message.echo_ms > peer.granted_ms:
@@ -111,7 +111,7 @@
         out.sends.append((frm, InstallRequest(mine)))
 
 
-def lease_ok(synchrony, now_ms):
+def holds_lease(synchrony, now_ms):
     if not synchrony.primary.opened or synchrony.recovery is not None or synchrony.draining:
         return False
     if synchrony.applied < synchrony.primary.base + 1:
@@ -129,7 +129,7 @@
 
 def lease_remaining_ms(synchrony, now_ms):
     """How long this daemon's own lease runs on; 0 if it has none."""
-    if not lease_ok(synchrony, now_ms):
+    if not holds_lease(synchrony, now_ms):
         return 0
     voters = synchrony.voters or synchrony.bootstrap_voters
     granted = sorted(
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,6 +1,6 @@
-from .durable_log import memory, voters_in
+from .durable_log import durable_state_of, voters_in
 from .events import PromiseRecord
-from .failure_detector import desire, serving
+from .failure_detector import desired_members, is_serving
 from .messages import (
     ConfigurationId,
     InstallRequest,
@@ -10,28 +10,28 @@
     RecoveryExchange,
     RecoveryPlan,
 )
-from .state import Proposal, Recovery, count, elect, write
+from .state import Proposal, Recovery, elect_sequencer, increment_counter, write_record
 
 # A heartbeat last sent then is due: whom this daemon hears is told before it proposes.
 NEVER_MS = -(1 << 40)
 
 
-def patience(synchrony, desired):
+def proposal_delay_ms(synchrony, desired):
     rank = desired.index(synchrony.me)
     grown = set(desired) - set(synchrony.configuration.members)
-    if gathered(synchrony, desired):
+    if are_all_known_present(synchrony, desired):
         return rank * synchrony.bounds.proposal_ms
     base = synchrony.bounds.join_ms if grown else synchrony.bounds.heartbeat_ms // 2
     return base + rank * synchrony.bounds.proposal_ms
 
 
-def sole(synchrony):
+def is_unjudged_sole_voter(synchrony):
     """Whether the only voter stands in the configuration that it started with, which nobody has judged."""
     voters = synchrony.voters or synchrony.log.voters or synchrony.bootstrap_voters
     return synchrony.has_log and not synchrony.primary.eligible and tuple(voters) == (synchrony.name,)
 
 
-def gathered(synchrony, desired):
+def are_all_known_present(synchrony, desired):
     """Whether nobody is left to wait for after a start: all voters of this log and all known members are there."""
     voters = synchrony.voters or synchrony.log.voters
     here = {m.name for m in desired}
@@ -42,42 +42,42 @@
     )
 
 
-def seek(synchrony, out):
-    desired = desire(synchrony)
+def propose_if_due(synchrony, out):
+    desired = desired_members(synchrony)
     if desired != synchrony.desired_members:
         synchrony.desired_members, synchrony.desired_since_ms = desired, synchrony.now_ms
         synchrony.heartbeat_ms = NEVER_MS
     settled = synchrony.recovery is None and synchrony.proposal is None
-    if settled and set(desired) == set(synchrony.configuration.members) and not sole(synchrony):
+    if settled and set(desired) == set(synchrony.configuration.members) and not is_unjudged_sole_voter(synchrony):
         synchrony.desired_since_ms = synchrony.now_ms
         return
     since_ms = synchrony.desired_since_ms
     if synchrony.recovery:
         since_ms = max(since_ms, synchrony.recovery.started_ms + synchrony.bounds.proposal_ms)
-    if synchrony.proposal is None and synchrony.now_ms - since_ms >= patience(synchrony, desired):
+    if synchrony.proposal is None and synchrony.now_ms - since_ms >= proposal_delay_ms(synchrony, desired):
         propose(synchrony, out, desired)
 
 
-def top_epoch(synchrony):
+def highest_known_epoch(synchrony):
     seen = [p.promised.epoch for p in synchrony.peers.values()]
     return max([synchrony.promised.epoch, synchrony.log.epoch, *seen])
 
 
 def propose(synchrony, out, members):
-    count(synchrony, "proposals")
-    id = ConfigurationId(top_epoch(synchrony) + 1, synchrony.name, synchrony.me.boot)
-    proposal = Proposal(id, tuple(members), elect(synchrony, members), synchrony.now_ms, synchrony.now_ms)
+    increment_counter(synchrony, "proposals")
+    id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.me.boot)
+    proposal = Proposal(id, tuple(members), elect_sequencer(synchrony, members), synchrony.now_ms, synchrony.now_ms)
     synchrony.proposal = proposal
     for member in members:
         out.sends.append((member.name, ProposeRequest(id, proposal.members, proposal.sequencer)))
 
 
-def proposed(synchrony, out, frm, message):
+def on_propose_request(synchrony, out, frm, message):
     known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
-        return say_exchange(synchrony, out)
+        return send_exchange(synchrony, out)
     refused = message.id <= synchrony.promised or synchrony.me not in message.members
-    if refused or bound(synchrony, message.id) or breaks_up(synchrony, message):
+    if refused or has_confirmed_in_epoch(synchrony, message.id) or would_split_serving_primary(synchrony, message):
         out.sends.append((frm, ProposeRejection(message.id, synchrony.promised)))
         return
     if synchrony.proposal and synchrony.proposal.id < message.id:
@@ -85,19 +85,19 @@
     promise(synchrony, out, frm, message)
 
 
-def breaks_up(synchrony, message):
+def would_split_serving_primary(synchrony, message):
     """Whether an outsider's proposal would part this daemon from a member of the serving primary that it still hears.
 
     A member's own proposal is never refused for this: its proposer has left the primary, which must be replaced.
     """
     members = synchrony.configuration.members
-    if not serving(synchrony) or Member(message.id.proposer, message.id.boot) in members:
+    if not is_serving(synchrony) or Member(message.id.proposer, message.id.boot) in members:
         return False
-    wanted = desire(synchrony)
+    wanted = desired_members(synchrony)
     return any(member in wanted and member not in message.members for member in members)
 
 
-def bound(synchrony, id):
+def has_confirmed_in_epoch(synchrony, id):
     """Whether this member has confirmed another configuration of the same epoch, which may open a primary.
 
     An opened primary was confirmed by a majority of the voters, so no second one can be opened in its epoch.
@@ -113,11 +113,11 @@
         message.id, frm, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
     )
     synchrony.order.early_messages = []
-    write(synchrony, out, PromiseRecord(synchrony.me.boot, message.id.epoch))
-    say_exchange(synchrony, out)
+    write_record(synchrony, out, PromiseRecord(synchrony.me.boot, message.id.epoch))
+    send_exchange(synchrony, out)
 
 
-def say_exchange(synchrony, out):
+def send_exchange(synchrony, out):
     order, id = synchrony.order, synchrony.recovery.id
     extra = tuple(sorted(o for o in order.pending if o > order.received_watermark))
     said = RecoveryExchange(
@@ -127,7 +127,7 @@
         extra,
         order.safe_watermark,
         tuple(sorted(synchrony.obligations)),
-        memory(synchrony.log) if synchrony.has_log else None,
+        durable_state_of(synchrony.log) if synchrony.has_log else None,
         synchrony.applied,
         synchrony.voters or synchrony.bootstrap_voters,
         voters_in(order.pending.values()),
@@ -135,17 +135,17 @@
     out.sends.append((synchrony.recovery.proposer, said))
 
 
-def exchanged(synchrony, out, frm, message):
+def on_recovery_exchange(synchrony, out, frm, message):
     proposal = synchrony.proposal
     if proposal is None or proposal.id != message.id:
         return
     proposal.exchanges[frm] = message
     if len(proposal.exchanges) == len(proposal.members) and not proposal.plan_sent:
         proposal.plan_sent = True
-        say_plan(synchrony, out)
+        send_plan(synchrony, out)
 
 
-def say_plan(synchrony, out):
+def send_plan(synchrony, out):
     proposal = synchrony.proposal
     plan = RecoveryPlan(proposal.id, dict(proposal.exchanges))
     for member in proposal.members:
@@ -153,7 +153,7 @@
             out.sends.append((member.name, plan))
 
 
-def completed(synchrony, out, frm, message):
+def on_recovery_complete(synchrony, out, frm, message):
     proposal = synchrony.proposal
     if proposal is None:
         if message.id == synchrony.configuration.id:
@@ -168,17 +168,17 @@
             out.sends.append((member.name, InstallRequest(proposal.id)))
 
 
-def turned_away(synchrony, out, frm, message):
+def on_propose_rejection(synchrony, out, frm, message):
     peer = synchrony.peers.get(frm)
     if peer:
         peer.promised = max(peer.promised, message.promised)
     if synchrony.proposal and synchrony.proposal.id == message.id:
-        count(synchrony, "proposals_turned_away")
+        increment_counter(synchrony, "proposals_turned_away")
         synchrony.proposal = None
         synchrony.desired_since_ms = synchrony.now_ms
 
 
-def shrink(synchrony, out):
+def check_proposal(synchrony, out):
     proposal = synchrony.proposal
     if proposal is None:
         return
@@ -187,23 +187,23 @@
         heard = proposal.completed_members if proposal.plan_sent else set(proposal.exchanges)
         missing = [m for m in proposal.members if m.name not in heard]
         for member in missing:
-            shun(synchrony, member)
-        count(synchrony, "shrunk")
+            exclude_for_a_while(synchrony, member)
+        increment_counter(synchrony, "shrunk")
         synchrony.proposal = None
-        kept = [m for m in desire(synchrony) if m not in missing]
+        kept = [m for m in desired_members(synchrony) if m not in missing]
         propose(synchrony, out, kept or [synchrony.me])
         return
     if synchrony.now_ms - proposal.sent_ms >= synchrony.bounds.resend_ms:
         proposal.sent_ms = synchrony.now_ms
         if proposal.plan_sent:
-            say_plan(synchrony, out)
+            send_plan(synchrony, out)
         else:
             for member in proposal.members:
                 if member.name not in proposal.exchanges:
                     out.sends.append((member.name, ProposeRequest(proposal.id, proposal.members, proposal.sequencer)))
 
 
-def shun(synchrony, member):
+def exclude_for_a_while(synchrony, member):
     peer = synchrony.peers.get(member.name)
     if peer is None or peer.place.member != member:
         return
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -1,45 +1,45 @@
-from .delivery import act, record
+from .delivery import append_to_log, queue_for_apply
 from .events import EntryDelivered, OperationNumbered, WindowFull
 from .messages import BatchAck, Entry, EntryBatch, SafeUpdate, SubmitRequest
-from .primary_component import say_ready
-from .state import count, names, sequencer
+from .primary_component import send_ready
+from .state import increment_counter, member_names, sequencer_of
 
 
-def asked(synchrony, out, payload, end=False):
+def submit_operation(synchrony, out, payload, end=False):
     if not end and len(synchrony.outbox) >= synchrony.bounds.window:
-        count(synchrony, "overfull")
+        increment_counter(synchrony, "overfull")
         out.answers.append(WindowFull(len(synchrony.outbox)))
         return
     synchrony.last_number += 1
     synchrony.outbox[synchrony.last_number] = payload
     out.answers.append(OperationNumbered(synchrony.last_number))
-    push(synchrony, out)
+    send_outbox(synchrony, out)
 
 
-def push(synchrony, out):
+def send_outbox(synchrony, out):
     if not synchrony.primary.opened or synchrony.recovery or not synchrony.outbox:
         return
-    floor = first_open(synchrony)
+    floor = first_open_number(synchrony)
     first = max(synchrony.submitted + 1, floor)
     payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.last_number + 1))
     if payloads:
         if synchrony.submitted < floor:
             synchrony.outbox_ms = synchrony.now_ms
         synchrony.submitted = synchrony.last_number
-        out.sends.append((sequencer(synchrony), SubmitRequest(synchrony.configuration.id, floor, first, payloads)))
+        out.sends.append((sequencer_of(synchrony), SubmitRequest(synchrony.configuration.id, floor, first, payloads)))
 
 
-def first_open(synchrony):
+def first_open_number(synchrony):
     """The lowest number in the outbox, which must not be empty; numbers are put in in rising order."""
     return next(iter(synchrony.outbox))
 
 
-def submitted(synchrony, out, frm, sender, message):
+def on_submit_request(synchrony, out, frm, sender, message):
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery or not synchrony.primary.open_ordered:
-        count(synchrony, "foreign")
+        increment_counter(synchrony, "foreign")
         return
-    if sequencer(synchrony) != synchrony.name:
+    if sequencer_of(synchrony) != synchrony.name:
         return
     seen = max(order.submitted_watermark.get(sender, 0), message.first_open - 1)
     parked = order.out_of_order[sender] = {n: p for n, p in order.out_of_order.get(sender, {}).items() if n > seen}
@@ -48,7 +48,7 @@
             parked[number] = payload
     while seen + 1 in parked:
         if order.next_ordinal - order.safe_watermark > synchrony.bounds.held:
-            count(synchrony, "window_full")
+            increment_counter(synchrony, "window_full")
             break
         seen += 1
         order.unsent_entries.append(
@@ -65,9 +65,9 @@
     order.submitted_watermark[sender] = seen
 
 
-def flush(synchrony, out, force=False):
+def send_batch(synchrony, out, force=False):
     order = synchrony.order
-    if synchrony.recovery or not order.unsent_entries or sequencer(synchrony) != synchrony.name:
+    if synchrony.recovery or not order.unsent_entries or sequencer_of(synchrony) != synchrony.name:
         return
     if order.sent_watermark > order.safe_watermark and not force:
         return
@@ -76,61 +76,61 @@
         order.unsent_entries[synchrony.bounds.batch :],
     )
     order.sent_watermark = entries[-1].ordinal
-    count(synchrony, "batches")
-    count(synchrony, "ordered", len(entries))
-    for name in names(synchrony.configuration):
+    increment_counter(synchrony, "batches")
+    increment_counter(synchrony, "ordered", len(entries))
+    for name in member_names(synchrony.configuration):
         order.sent_ms[name] = synchrony.now_ms
         if name != synchrony.name:
             out.sends.append((name, EntryBatch(synchrony.configuration.id, entries, order.safe_watermark)))
-    take(synchrony, out, entries)
+    take_entries(synchrony, out, entries)
 
 
-def take(synchrony, out, entries):
+def take_entries(synchrony, out, entries):
     for entry in entries:
         if entry.ordinal > synchrony.order.delivered_watermark:
             synchrony.order.pending.setdefault(entry.ordinal, entry)
-    advance(synchrony, out)
+    advance_received_watermark(synchrony, out)
 
 
-def batched(synchrony, out, frm, message):
+def on_entry_batch(synchrony, out, frm, message):
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
-        count(synchrony, "foreign")
+        increment_counter(synchrony, "foreign")
         return
-    take(synchrony, out, message.entries)
+    take_entries(synchrony, out, message.entries)
     order.safe_watermark = max(order.safe_watermark, message.safe_watermark)
-    deliver(synchrony, out)
+    deliver_safe_entries(synchrony, out)
 
 
-def advance(synchrony, out):
+def advance_received_watermark(synchrony, out):
     order = synchrony.order
     ready = synchrony.has_log and synchrony.primary.ready_record_number >= 0
     while order.received_watermark + 1 in order.pending:
         order.received_watermark += 1
         if ready:
-            record(synchrony, out, order.pending[order.received_watermark])
+            append_to_log(synchrony, out, order.pending[order.received_watermark])
     if synchrony.recovery:
         return
     if ready and synchrony.written_count > synchrony.synced_count:
         synchrony.pending_acks.append((synchrony.written_count, order.received_watermark))
     else:
-        acknowledge(synchrony, out, order.received_watermark)
+        send_ack(synchrony, out, order.received_watermark)
 
 
-def acknowledge(synchrony, out, top):
+def send_ack(synchrony, out, top):
     if top and not synchrony.recovery:
-        out.sends.append((sequencer(synchrony), BatchAck(synchrony.configuration.id, top)))
+        out.sends.append((sequencer_of(synchrony), BatchAck(synchrony.configuration.id, top)))
 
 
-def acked(synchrony, out, frm, message):
+def on_batch_ack(synchrony, out, frm, message):
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
-    if sequencer(synchrony) != synchrony.name or message.received_watermark <= order.acks.get(frm, 0):
+    if sequencer_of(synchrony) != synchrony.name or message.received_watermark <= order.acks.get(frm, 0):
         return
     order.acks[frm] = message.received_watermark
     order.sent_ms[frm] = synchrony.now_ms
-    members = names(synchrony.configuration)
+    members = member_names(synchrony.configuration)
     if any(order.acks.get(name, 0) <= order.safe_watermark for name in members):
         return
     mark = min(order.acks[name] for name in members)
@@ -138,54 +138,54 @@
         out.sends.append((name, SafeUpdate(synchrony.configuration.id, mark)))
 
 
-def safened(synchrony, out, message):
+def on_safe_update(synchrony, out, message):
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
     synchrony.order.safe_watermark = max(synchrony.order.safe_watermark, message.safe_watermark)
-    deliver(synchrony, out)
+    deliver_safe_entries(synchrony, out)
 
 
-def deliver(synchrony, out):
+def deliver_safe_entries(synchrony, out):
     order = synchrony.order
     while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
         order.delivered_watermark += 1
         entry = order.pending.pop(order.delivered_watermark)
         out.answers.append(EntryDelivered(entry, False, synchrony.primary.eligible))
         if synchrony.primary.eligible:
-            act(synchrony, out, entry)
+            queue_for_apply(synchrony, out, entry)
 
 
-def synced(synchrony, out, up_to):
+def on_log_synced(synchrony, out, up_to):
     synchrony.synced_count = max(synchrony.synced_count, up_to)
     primary = synchrony.primary
     if primary.ready_record_number >= 0 and not primary.ready and synchrony.synced_count >= primary.ready_record_number:
         primary.ready = True
         if not synchrony.recovery:
-            say_ready(synchrony, out)
+            send_ready(synchrony, out)
     done = [top for at, top in synchrony.pending_acks if at <= synchrony.synced_count]
     if done:
         synchrony.pending_acks = [(at, top) for at, top in synchrony.pending_acks if at > synchrony.synced_count]
-        acknowledge(synchrony, out, max(done))
+        send_ack(synchrony, out, max(done))
 
 
-def remind(synchrony, out):
+def resend_due(synchrony, out):
     order = synchrony.order
     if synchrony.recovery:
         return
     if synchrony.primary.ready and not synchrony.primary.opened:
-        say_ready(synchrony, out)
+        send_ready(synchrony, out)
     if synchrony.outbox and synchrony.now_ms - synchrony.outbox_ms >= synchrony.bounds.resend_ms:
-        synchrony.submitted = first_open(synchrony) - 1
-        count(synchrony, "handed_in_again")
-        push(synchrony, out)
-    if sequencer(synchrony) != synchrony.name:
+        synchrony.submitted = first_open_number(synchrony) - 1
+        increment_counter(synchrony, "handed_in_again")
+        send_outbox(synchrony, out)
+    if sequencer_of(synchrony) != synchrony.name:
         return
-    for name in names(synchrony.configuration):
+    for name in member_names(synchrony.configuration):
         top = order.acks.get(name, 0)
         if top < order.sent_watermark and synchrony.now_ms - order.sent_ms.get(name, 0) >= synchrony.bounds.resend_ms:
             order.sent_ms[name] = synchrony.now_ms
             entries = [order.pending[o] for o in range(top + 1, order.sent_watermark + 1) if o in order.pending]
-            count(synchrony, "resent", len(entries[: synchrony.bounds.batch]))
+            increment_counter(synchrony, "resent", len(entries[: synchrony.bounds.batch]))
             out.sends.append(
                 (
                     name,
--- a/frostpost/virtual_synchrony/primary_component.py
+++ b/frostpost/virtual_synchrony/primary_component.py
@@ -6,12 +6,12 @@
 from .durable_log import NOWHERE, pending_voters
 from .events import ConfigurationRecord, OpenPrimary
 from .messages import Entry, ReadyUpdate
-from .state import PrimaryState, majorities, names, role, sequencer, write
+from .state import PrimaryState, has_quorums, member_names, role_of, sequencer_of, write_record
 
 encode = msgpack.Encoder().encode
 
 
-def reach(plan, last):
+def recovered_watermark(plan, last):
     said = [e for e in plan.values() if e.last_configuration == last]
     top, extras = max(e.received_watermark for e in said), {o for e in said for o in e.ordinals_above}
     while top + 1 in extras:
@@ -19,31 +19,31 @@
     return top
 
 
-def length_of(plan, name):
+def recovered_length(plan, name):
     said = plan[name]
     if said.durable_state.primary != said.last_configuration:
         return said.durable_state.length
-    return said.durable_state.length - said.received_watermark + reach(plan, said.last_configuration)
+    return said.durable_state.length - said.received_watermark + recovered_watermark(plan, said.last_configuration)
 
 
-def judge(plan):
+def decide_primary(plan):
     memories = {n: e.durable_state for n, e in plan.items() if e.durable_state}
     if not memories:
         voters = max((e.voters for e in plan.values()), key=len, default=())
         able = bool(voters) and all(v in plan for v in voters)
         return PrimaryState(eligible=able, donor=min(voters, default=""), voters=voters)
-    lengths = {n: length_of(plan, n) for n in memories}
+    lengths = {n: recovered_length(plan, n) for n in memories}
     donor = max(memories, key=lambda n: (memories[n].primary, lengths[n], n))
     best, base = memories[donor], lengths[donor]
     untouched = base <= 1 and all(v in plan for v in best.voters)
     found = PrimaryState(donor=donor, base=base, voters=best.voters, pending_voters=pending_voters(plan, best))
-    if majorities(found, memories) or untouched:
+    if has_quorums(found, memories) or untouched:
         found.eligible = True
         return found
     return PrimaryState(voters=best.voters)
 
 
-def prepare(synchrony, out, plan):
+def prepare_primary(synchrony, out, plan):
     primary, log = synchrony.primary, synchrony.log
     if not primary.eligible or not synchrony.has_log:
         return
@@ -59,32 +59,32 @@
     voters = synchrony.voters or primary.voters
     log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, voters
     del log.entries[max(0, primary.base - log.snapshot_index) :]
-    primary.ready_record_number = write(synchrony, out, ConfigurationRecord(log.primary, log.base, log.voters))
+    primary.ready_record_number = write_record(synchrony, out, ConfigurationRecord(log.primary, log.base, log.voters))
     later = {**synchrony.pending_entries}
     later.update(
         {e.index: e for e in synchrony.order.pending.values() if e.ordinal <= synchrony.order.received_watermark}
     )
     while log.length + 1 in later:
-        delivery.record(synchrony, out, later[log.length + 1])
+        delivery.append_to_log(synchrony, out, later[log.length + 1])
     if synchrony.order.received_watermark:
         synchrony.pending_acks.append((synchrony.written_count, synchrony.order.received_watermark))
-    delivery.drain(synchrony, out)
+    delivery.apply_pending(synchrony, out)
 
 
-def say_ready(synchrony, out):
-    out.sends.append((sequencer(synchrony), ReadyUpdate(synchrony.configuration.id)))
+def send_ready(synchrony, out):
+    out.sends.append((sequencer_of(synchrony), ReadyUpdate(synchrony.configuration.id)))
 
 
-def readied(synchrony, out, frm, message):
+def on_ready_update(synchrony, out, frm, message):
     primary, order = synchrony.primary, synchrony.order
     if message.id != synchrony.configuration.id or not primary.eligible or synchrony.recovery:
         return
-    if sequencer(synchrony) != synchrony.name:
+    if sequencer_of(synchrony) != synchrony.name:
         return
     primary.ready_members.add(frm)
-    if not primary.open_ordered and majorities(primary, primary.ready_members):
+    if not primary.open_ordered and has_quorums(primary, primary.ready_members):
         primary.open_ordered = True
-        cores = tuple(n for n in names(synchrony.configuration) if role(synchrony, n) == "core")
+        cores = tuple(n for n in member_names(synchrony.configuration) if role_of(synchrony, n) == "core")
         payload = encode(OpenPrimary(synchrony.configuration.members, cores, primary.voters))
         order.unsent_entries.append(Entry(synchrony.configuration.id, 1, primary.base + 1, synchrony.me, 0, payload))
         order.next_ordinal = 2
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -1,23 +1,23 @@
 from .durable_log import voters_in
 from .events import ConfigurationChanged, EntryDelivered
 from .messages import Configuration, Rebroadcast, RecoveryComplete
-from .ordering import act, advance
-from .primary_component import judge, prepare
-from .state import OrderState, count, majorities, majority, sequencer
+from .ordering import advance_received_watermark, queue_for_apply
+from .primary_component import decide_primary, prepare_primary
+from .state import OrderState, has_quorums, increment_counter, is_majority, sequencer_of
 
 
-def holds(exchange, ordinal):
+def has_entry(exchange, ordinal):
     return ordinal <= exchange.received_watermark or ordinal in exchange.ordinals_above
 
 
-def planned(synchrony, out, message):
+def on_recovery_plan(synchrony, out, message):
     recovery = synchrony.recovery
     if recovery is None or recovery.id != message.id:
         return
     if recovery.plan is None:
         last = synchrony.configuration.id
         if message.exchanges[synchrony.name].last_configuration != last:
-            count(synchrony, "foreign")
+            increment_counter(synchrony, "foreign")
             return
         recovery.plan = message.exchanges
         recovery.transitional_members = tuple(
@@ -29,52 +29,52 @@
         for exchange in said.values():
             union.update(exchange.ordinals_above)
         recovery.wanted_ordinals = frozenset(union)
-        recovery.owed_ordinals = owed(synchrony, said, union)
+        recovery.owed_ordinals = owed_ordinals(synchrony, said, union)
     if recovery.is_complete:
-        say_complete(synchrony, out)
+        send_complete(synchrony, out)
     else:
-        rebroadcast(synchrony, out)
-        settle(synchrony, out)
+        send_rebroadcasts(synchrony, out)
+        complete_if_ready(synchrony, out)
 
 
-def owed(synchrony, said, union):
+def owed_ordinals(synchrony, said, union):
     mine: dict[str, list[int]] = {}
     for ordinal in sorted(union):
-        holders = sorted(n for n, e in said.items() if holds(e, ordinal))
+        holders = sorted(n for n, e in said.items() if has_entry(e, ordinal))
         if holders and holders[0] == synchrony.name:
             for name, exchange in said.items():
-                if not holds(exchange, ordinal):
+                if not has_entry(exchange, ordinal):
                     mine.setdefault(name, []).append(ordinal)
     return {name: tuple(o) for name, o in mine.items()}
 
 
-def rebroadcast(synchrony, out):
+def send_rebroadcasts(synchrony, out):
     recovery, held = synchrony.recovery, synchrony.order.pending
     for name, ordinals in recovery.owed_ordinals.items():
         entries = [held[o] for o in ordinals if o in held]
         for at in range(0, len(entries), synchrony.bounds.batch):
             part = tuple(entries[at : at + synchrony.bounds.batch])
-            count(synchrony, "rebroadcast", len(part))
+            increment_counter(synchrony, "rebroadcast", len(part))
             out.sends.append((name, Rebroadcast(recovery.id, part)))
 
 
-def rebroadcasted(synchrony, out, message):
+def on_rebroadcast(synchrony, out, message):
     recovery = synchrony.recovery
     if recovery is None or recovery.id != message.id:
         return
     for entry in message.entries:
         if entry.configuration == synchrony.configuration.id and entry.ordinal > synchrony.order.delivered_watermark:
             synchrony.order.pending[entry.ordinal] = entry
-    settle(synchrony, out)
+    complete_if_ready(synchrony, out)
 
 
-def settle(synchrony, out):
+def complete_if_ready(synchrony, out):
     recovery, order = synchrony.recovery, synchrony.order
     if recovery is None or recovery.plan is None or recovery.is_complete:
         return
     if any(o > order.received_watermark and o not in order.pending for o in recovery.wanted_ordinals):
         return
-    advance(synchrony, out)
+    advance_received_watermark(synchrony, out)
     if recovery.sync_target < 0:
         recovery.sync_target = synchrony.written_count
     if synchrony.has_log and synchrony.synced_count < recovery.sync_target:
@@ -84,20 +84,20 @@
         obligations.update(recovery.plan[member.name].obligations)
     synchrony.obligations = frozenset(obligations)
     recovery.is_complete = True
-    say_complete(synchrony, out)
+    send_complete(synchrony, out)
 
 
-def say_complete(synchrony, out):
+def send_complete(synchrony, out):
     out.sends.append((synchrony.recovery.proposer, RecoveryComplete(synchrony.recovery.id)))
 
 
-def installed(synchrony, out, message):
+def on_install_request(synchrony, out, message):
     recovery = synchrony.recovery
     if recovery and recovery.id == message.id and recovery.is_complete:
-        install(synchrony, out)
+        deliver_and_install(synchrony, out)
 
 
-def install(synchrony, out):
+def deliver_and_install(synchrony, out):
     recovery, order = synchrony.recovery, synchrony.order
     group = [m.name for m in recovery.transitional_members]
     safe = max(recovery.plan[n].safe_watermark for n in group)
@@ -108,32 +108,32 @@
         out.answers.append(EntryDelivered(entry, False, acting))
         changes += voters_in([entry])
         if acting:
-            act(synchrony, out, entry)
+            queue_for_apply(synchrony, out, entry)
     out.answers.append(
         ConfigurationChanged(
-            Configuration(synchrony.configuration.id, recovery.transitional_members, sequencer(synchrony)), True
+            Configuration(synchrony.configuration.id, recovery.transitional_members, sequencer_of(synchrony)), True
         )
     )
     full = full_voters(synchrony, group)
-    keeping = acting and majorities(synchrony.primary, full) and all(majority(v, full) for v in changes)
+    keeping = acting and has_quorums(synchrony.primary, full) and all(is_majority(v, full) for v in changes)
     gap = False
     for ordinal in sorted(o for o in order.pending if o > order.delivered_watermark):
         if ordinal != order.delivered_watermark + 1:
             gap = True
         if gap and not obligated(synchrony, order.pending[ordinal]):
-            count(synchrony, "discarded")
+            increment_counter(synchrony, "discarded")
             continue
         order.delivered_watermark = ordinal
         entry = order.pending[ordinal]
         out.answers.append(EntryDelivered(entry, True, keeping and not gap))
         if keeping and not gap:
-            act(synchrony, out, entry)
-            keeping = all(majority(voters, full) for voters in voters_in([entry]))
-    begin(synchrony, out)
+            queue_for_apply(synchrony, out, entry)
+            keeping = all(is_majority(voters, full) for voters in voters_in([entry]))
+    begin_configuration(synchrony, out)
 
 
 def obligated(synchrony, entry):
-    first = sequencer(synchrony)
+    first = sequencer_of(synchrony)
     return any(m.name == first for m in synchrony.obligations)
 
 
@@ -147,7 +147,7 @@
     return [n for n in full if not plan[n].obligations]
 
 
-def begin(synchrony, out):
+def begin_configuration(synchrony, out):
     recovery = synchrony.recovery
     synchrony.configuration = Configuration(recovery.id, recovery.members, recovery.sequencer)
     synchrony.installed_ms, synchrony.peers_changed = synchrony.now_ms, True
@@ -156,19 +156,19 @@
     synchrony.obligations = frozenset()
     synchrony.replayed_messages, synchrony.order = synchrony.order.early_messages, OrderState()
     synchrony.pending_acks = []
-    count(synchrony, "installs")
+    increment_counter(synchrony, "installs")
     synchrony.pending_entries = {}
-    synchrony.primary = judge(recovery.plan)
+    synchrony.primary = decide_primary(recovery.plan)
     out.answers.append(ConfigurationChanged(synchrony.configuration, False))
-    prepare(synchrony, out, recovery.plan)
+    prepare_primary(synchrony, out, recovery.plan)
 
 
-def remind(synchrony, out):
+def resend_due(synchrony, out):
     recovery = synchrony.recovery
     if recovery is None or synchrony.now_ms - recovery.sent_ms < synchrony.bounds.resend_ms:
         return
     recovery.sent_ms = synchrony.now_ms
     if recovery.is_complete:
-        say_complete(synchrony, out)
+        send_complete(synchrony, out)
     elif recovery.plan is not None:
-        rebroadcast(synchrony, out)
+        send_rebroadcasts(synchrony, out)
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -4,7 +4,7 @@
 from .events import Output, PromiseRecord
 from .messages import Configuration, ConfigurationId, Endpoint, Entry, Member, RecoveryExchange
 
-RANK = {"storage": 0, "core": 1, "edge": 2}
+ROLE_ORDER = {"storage": 0, "core": 1, "edge": 2}
 
 
 class Bounds(Struct, frozen=True):
@@ -168,46 +168,46 @@
         return self.place.member.name
 
 
-def count(synchrony, what, by=1):
+def increment_counter(synchrony, what, by=1):
     synchrony.counts[what] = synchrony.counts.get(what, 0) + by
 
 
-def write(synchrony, out, record):
+def write_record(synchrony, out, record):
     if synchrony.has_log:
         out.writes.append(record)
         synchrony.written_count += 1
     return synchrony.written_count
 
 
-def names(configuration):
+def member_names(configuration):
     return [m.name for m in configuration.members]
 
 
-def role(synchrony, name):
+def role_of(synchrony, name):
     if name == synchrony.name:
         return synchrony.place.role
     peer = synchrony.peers.get(name)
     return peer.place.role if peer else "edge"
 
 
-def sequencer(synchrony):
+def sequencer_of(synchrony):
     return synchrony.configuration.sequencer
 
 
-def elect(synchrony, members):
+def elect_sequencer(synchrony, members):
     held = sorted(m.name for m in members)
-    return next((n for n in held if role(synchrony, n) == "core"), held[0])
+    return next((n for n in held if role_of(synchrony, n) == "core"), held[0])
 
 
-def majority(voters, present):
+def is_majority(voters, present):
     return len(voters) > 0 and sum(v in present for v in voters) * 2 > len(voters)
 
 
-def majorities(primary, present):
-    return all(majority(v, present) for v in (primary.voters, *primary.pending_voters))
+def has_quorums(primary, present):
+    return all(is_majority(v, present) for v in (primary.voters, *primary.pending_voters))
 
 
-def begin(place, bounds, seeds, voters, log, now_ms):
+def begin_synchrony(place, bounds, seeds, voters, log, now_ms):
     storage = place.role == "storage"
     single = ConfigurationId(log.epoch + 1, place.member.name, place.member.boot)
     synchrony = Synchrony(
@@ -224,5 +224,5 @@
         applied=log.commit_index,
     )
     out = Output()
-    write(synchrony, out, PromiseRecord(place.member.boot, single.epoch))
+    write_record(synchrony, out, PromiseRecord(place.member.boot, single.epoch))
     return synchrony, out
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -19,38 +19,38 @@
     SnapshotChunk,
     SubmitRequest,
 )
-from .state import Peer, count
+from .state import Peer, increment_counter
 
 EARLY = (EntryBatch, SafeUpdate, SubmitRequest, ReadyUpdate, BatchAck, EntriesRequest)
 
 
 def step(synchrony, input):
     out = Output()
-    overslept(synchrony, input.now_ms)
+    advance_clock(synchrony, input.now_ms)
     match input:
         case TimerTick():
-            ticked(synchrony, out)
+            on_tick(synchrony, out)
         case MessageReceived(_, place, body):
-            if meet(synchrony, place):
-                received(synchrony, out, place.member.name, body)
+            if register_peer(synchrony, place):
+                on_message(synchrony, out, place.member.name, body)
         case OperationSubmitted(_, payload, end):
-            ordering.asked(synchrony, out, payload, end)
+            ordering.submit_operation(synchrony, out, payload, end)
         case LogSynced(_, up_to):
-            ordering.synced(synchrony, out, up_to)
-            recovery.settle(synchrony, out)
+            ordering.on_log_synced(synchrony, out, up_to)
+            recovery.complete_if_ready(synchrony, out)
         case DiskHealthChanged(_, unwell):
             synchrony.unhealthy, synchrony.peers_changed = unwell, True
         case DrainRequested():
             synchrony.draining = True
-            failure_detector.beat(synchrony, out)
-            discovery.tell(synchrony, out)
-    loop(synchrony, out)
+            failure_detector.send_heartbeats(synchrony, out)
+            discovery.announce_endpoints(synchrony, out)
+    deliver_to_self(synchrony, out)
     return synchrony, out
 
 
-def overslept(synchrony, now_ms):
+def advance_clock(synchrony, now_ms):
     if now_ms - synchrony.now_ms > synchrony.bounds.detect_ms:
-        count(synchrony, "overslept")
+        increment_counter(synchrony, "overslept")
         synchrony.peers_changed = True
         for peer in synchrony.peers.values():
             peer.heard_ms = peer.granted_ms = -(1 << 40)
@@ -59,7 +59,7 @@
     synchrony.now_ms = max(synchrony.now_ms, now_ms)
 
 
-def loop(synchrony, out):
+def deliver_to_self(synchrony, out):
     me = synchrony.name
     while True:
         mine = [body for name, body in out.sends if name == me]
@@ -67,10 +67,10 @@
             out.sends = [s for s in out.sends if s[0] != me]
         replays, synchrony.replayed_messages = synchrony.replayed_messages, []
         for body in mine:
-            received(synchrony, out, me, body)
+            on_message(synchrony, out, me, body)
         for frm, body in replays:
-            received(synchrony, out, frm, body)
-        ordering.flush(synchrony, out)
+            on_message(synchrony, out, frm, body)
+        ordering.send_batch(synchrony, out)
         if not any(name == me for name, _ in out.sends) and not synchrony.replayed_messages:
             out.sends = without_superseded(out.sends)
             return
@@ -81,14 +81,14 @@
     batches = {(to, body.id): body.safe_watermark for to, body in sends if isinstance(body, EntryBatch)}
     if not batches:
         return sends
-    return [(to, body) for to, body in sends if not (isinstance(body, SafeUpdate) and superseded(batches, to, body))]
+    return [(to, body) for to, body in sends if not (isinstance(body, SafeUpdate) and is_superseded(batches, to, body))]
 
 
-def superseded(batches, to, message):
+def is_superseded(batches, to, message):
     return batches.get((to, message.id), -1) >= message.safe_watermark
 
 
-def meet(synchrony, place):
+def register_peer(synchrony, place):
     name = place.member.name
     if name == synchrony.name:
         return False
@@ -98,7 +98,7 @@
         synchrony.heartbeat_ms = -(1 << 40)
     elif peer.place.member.boot != place.member.boot:
         if place.member in peer.past_incarnations and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
-            count(synchrony, "past_boot")
+            increment_counter(synchrony, "past_boot")
             return False
         synchrony.peers[name], synchrony.peers_changed = (
             Peer(place, past_incarnations=(peer.past_incarnations | {peer.place.member})),
@@ -110,22 +110,22 @@
     return True
 
 
-def ticked(synchrony, out):
+def on_tick(synchrony, out):
     if synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms:
-        failure_detector.beat(synchrony, out)
+        failure_detector.send_heartbeats(synchrony, out)
     if synchrony.now_ms - synchrony.discovery_ms >= synchrony.bounds.detect_ms:
-        discovery.tell(synchrony, out)
-    membership.shrink(synchrony, out)
-    membership.seek(synchrony, out)
-    recovery.remind(synchrony, out)
-    ordering.remind(synchrony, out)
-    ordering.flush(synchrony, out, force=True)
-    catch_up.fetch(synchrony, out)
+        discovery.announce_endpoints(synchrony, out)
+    membership.check_proposal(synchrony, out)
+    membership.propose_if_due(synchrony, out)
+    recovery.resend_due(synchrony, out)
+    ordering.resend_due(synchrony, out)
+    ordering.send_batch(synchrony, out, force=True)
+    catch_up.request_missing(synchrony, out)
     synchrony.peers_changed, synchrony.ticked_ms = False, synchrony.now_ms
     synchrony.membership_differs = set(synchrony.desired_members) != set(synchrony.configuration.members)
 
 
-def received(synchrony, out, frm, body):
+def on_message(synchrony, out, frm, body):
     recovering = synchrony.recovery
     if recovering and isinstance(body, EARLY) and body.id == recovering.id:
         if len(synchrony.order.early_messages) < synchrony.bounds.held:
@@ -133,37 +133,37 @@
         return
     match body:
         case Heartbeat():
-            failure_detector.beaten(synchrony, out, frm, body)
+            failure_detector.on_heartbeat(synchrony, out, frm, body)
         case DiscoveryUpdate():
-            discovery.told(synchrony, frm, body)
+            discovery.on_discovery_update(synchrony, frm, body)
         case ProposeRequest():
-            membership.proposed(synchrony, out, frm, body)
+            membership.on_propose_request(synchrony, out, frm, body)
         case ProposeRejection():
-            membership.turned_away(synchrony, out, frm, body)
+            membership.on_propose_rejection(synchrony, out, frm, body)
         case RecoveryExchange():
-            membership.exchanged(synchrony, out, frm, body)
+            membership.on_recovery_exchange(synchrony, out, frm, body)
         case RecoveryPlan():
-            recovery.planned(synchrony, out, body)
+            recovery.on_recovery_plan(synchrony, out, body)
         case Rebroadcast():
-            recovery.rebroadcasted(synchrony, out, body)
+            recovery.on_rebroadcast(synchrony, out, body)
         case RecoveryComplete():
-            membership.completed(synchrony, out, frm, body)
+            membership.on_recovery_complete(synchrony, out, frm, body)
         case InstallRequest():
-            recovery.installed(synchrony, out, body)
+            recovery.on_install_request(synchrony, out, body)
         case SubmitRequest():
             sender = synchrony.me if frm == synchrony.name else synchrony.peers[frm].place.member
-            ordering.submitted(synchrony, out, frm, sender, body)
+            ordering.on_submit_request(synchrony, out, frm, sender, body)
         case EntryBatch():
-            ordering.batched(synchrony, out, frm, body)
+            ordering.on_entry_batch(synchrony, out, frm, body)
         case BatchAck():
-            ordering.acked(synchrony, out, frm, body)
+            ordering.on_batch_ack(synchrony, out, frm, body)
         case SafeUpdate():
-            ordering.safened(synchrony, out, body)
+            ordering.on_safe_update(synchrony, out, body)
         case ReadyUpdate():
-            primary_component.readied(synchrony, out, frm, body)
+            primary_component.on_ready_update(synchrony, out, frm, body)
         case EntriesRequest():
-            catch_up.fetched(synchrony, out, frm, body)
+            catch_up.on_entries_request(synchrony, out, frm, body)
         case EntriesReply():
-            catch_up.filled(synchrony, out, frm, body)
+            catch_up.on_entries_reply(synchrony, out, frm, body)
         case SnapshotChunk():
-            catch_up.pieced(synchrony, out, frm, body)
+            catch_up.on_snapshot_chunk(synchrony, out, frm, body)
--- a/frostpost/virtual_synchrony/timers.py
+++ b/frostpost/virtual_synchrony/timers.py
@@ -1,9 +1,9 @@
 """When a replica's next Tick has something to do; a Tick before that time changes nothing and may be left out."""
 
-from .catch_up import lacking
+from .catch_up import first_missing_index
 
 
-def unsettled(synchrony):
+def needs_every_tick(synchrony):
     """Whether something is under way that every tick looks after.
 
     Besides what is open (a proposal, a recovery, a primary that isn't open, a log that is being fetched, operations
@@ -23,13 +23,13 @@
         or order.sent_watermark > order.safe_watermark
         or synchrony.membership_differs
         or synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms
-        or lacking(synchrony)
+        or first_missing_index(synchrony)
     )
 
 
 def due_ms(synchrony):
     """The time of the next tick that does something, as far as is known now."""
-    if unsettled(synchrony):
+    if needs_every_tick(synchrony):
         return synchrony.now_ms
     bounds = synchrony.bounds
     times = [synchrony.heartbeat_ms + bounds.heartbeat_ms, synchrony.discovery_ms + bounds.detect_ms]
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -111,7 +111,7 @@
     def majorities(primary, present):
         return all(v in present for v in primary.voters)
 
-    return [(module, "majorities", majorities) for module in (primary_component, recovery)]
+    return [(module, "has_quorums", majorities) for module in (primary_component, recovery)]
 
 
 def unordered_ack():
@@ -229,7 +229,7 @@
 
 def never_refilled():
     """A replica that comes back empty never gets the ledger, and acknowledges from memory for ever."""
-    return [(catch_up, "fetch", lambda synchrony, out: None)]
+    return [(catch_up, "request_missing", lambda synchrony, out: None)]
 
 
 COPY_PLANTS = {
--- a/tests/test_behaviour_fingerprint.py
+++ b/tests/test_behaviour_fingerprint.py
@@ -27,7 +27,7 @@
 
         return acknowledge
 
-    with patched(ordering, "acknowledge", twice_once):
+    with patched(ordering, "send_ack", twice_once):
         found = core_run(1)
     assert len(sent) == 1 and found != recorded()["core/1"]
     assert core_run(1) == recorded()["core/1"]
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -136,14 +136,14 @@
 
 def test_fault_that_forgets_what_a_heartbeat_changed_is_found(monkeypatch):
     slept = SleptTicks(monkeypatch)
-    beaten = failure_detector.beaten
+    beaten = failure_detector.on_heartbeat
 
     def forgetful(synchrony, out, frm, message):
         changed = synchrony.peers_changed
         beaten(synchrony, out, frm, message)
         synchrony.peers_changed = changed
 
-    monkeypatch.setattr(failure_detector, "beaten", forgetful)
+    monkeypatch.setattr(failure_detector, "on_heartbeat", forgetful)
     for seed in range(11, 17):
         plays.play(seed, 0, 5, 0, gap_ms=1500)
     assert slept.effects
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -16,7 +16,7 @@
 from frostpost.virtual_synchrony import catch_up
 from frostpost.virtual_synchrony import failure_detector as watching
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.state import Bounds, majority
+from frostpost.virtual_synchrony.state import Bounds, is_majority
 
 PATH = "templates/t"
 CHANGES = 500
@@ -171,7 +171,7 @@
     """A lease is held as soon as the members are there, whatever the state."""
     present = {n for n, p in synchrony.peers.items() if now_ms - p.granted_ms < synchrony.bounds.lease_ms}
     voters = synchrony.voters or synchrony.bootstrap_voters
-    return majority(voters, present | {synchrony.name}) and not synchrony.recovery
+    return is_majority(voters, present | {synchrony.name}) and not synchrony.recovery
 
 
 def stale_state(synchrony, out, index, state):
@@ -179,10 +179,10 @@
     refill(synchrony, out, index + 1, state)
 
 
-refill = catch_up.refill
+refill = catch_up.install_snapshot
 PLANTS = {
-    "a member serves before it is whole": (watching, "lease_ok", before_whole),
-    "a snapshot is taken for a newer one": (catch_up, "refill", stale_state),
+    "a member serves before it is whole": (watching, "holds_lease", before_whole),
+    "a snapshot is taken for a newer one": (catch_up, "install_snapshot", stale_state),
 }
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
     ProposeRejection,
     ProposeRequest,
 )
-from frostpost.virtual_synchrony.state import Bounds, Peer, begin
+from frostpost.virtual_synchrony.state import Bounds, Peer, begin_synchrony
 from frostpost.virtual_synchrony.step import step
 
 PRIMARY, OUTSIDE = ConfigurationId(7, "s2", 1), ConfigurationId(9, "s1", 1)
@@ -30,7 +30,7 @@
 
 def replica(name, members, others, serving=True):
     """A replica that hears `others`, all of which hear one another, in a primary of `members`."""
-    synchrony, _ = begin(place_of(name), Bounds(), (), (), DurableLog(), 10_000)
+    synchrony, _ = begin_synchrony(place_of(name), Bounds(), (), (), DurableLog(), 10_000)
     everyone = frozenset(member(n) for n in (name, *others))
     for other in others:
         inside = other in members
@@ -59,14 +59,14 @@
 
 
 def wanted(synchrony):
-    return [m.name for m in failure_detector.desire(synchrony)]
+    return [m.name for m in failure_detector.desired_members(synchrony)]
 
 
 def propose(synchrony, proposer, members, epoch=9, boot=1):
     """-> the messages that the replica answers a proposal with."""
     out = Output()
     message = ProposeRequest(ConfigurationId(epoch, proposer, boot), tuple(member(n) for n in members), members[0])
-    membership.proposed(synchrony, out, proposer, message)
+    membership.on_propose_request(synchrony, out, proposer, message)
     return [type(body) for _, body in out.sends]
 
 
@@ -104,7 +104,7 @@
 def test_an_outsiders_proposal_that_leaves_out_a_member_that_is_heard_is_refused():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s1", "s3", "s4"))
     assert propose(synchrony, "s1", ("s1", "s2", "s3")) == [ProposeRejection]
-    assert synchrony.recovery is None and failure_detector.serving(synchrony)
+    assert synchrony.recovery is None and failure_detector.is_serving(synchrony)
 
 
 def test_an_outsiders_proposal_that_holds_all_members_is_taken():
@@ -144,7 +144,7 @@
 
 def beat_of(synchrony):
     out = Output()
-    failure_detector.beat(synchrony, out)
+    failure_detector.send_heartbeats(synchrony, out)
     return next(body for _, body in out.sends)
 
 
@@ -158,7 +158,7 @@
 
 def test_a_replica_tells_at_once_whom_it_no_longer_hears_and_proposes_later():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
-    synchrony.desired_members = failure_detector.desire(synchrony)
+    synchrony.desired_members = failure_detector.desired_members(synchrony)
     synchrony.heartbeat_ms = synchrony.now_ms
     quiet = synchrony.now_ms + synchrony.bounds.detect_ms // 5
     for peer in synchrony.peers.values():
--- a/tests/test_platform_many_changes.py
+++ b/tests/test_platform_many_changes.py
@@ -144,7 +144,7 @@
 
 def believe_the_shortest(monkeypatch):
     """Plant: of the members that meet, the one with the shortest log is taken to hold the newest state."""
-    judge = recovery.judge
+    judge = recovery.decide_primary
 
     def judged(plan):
         found, memories = judge(plan), {name: said.durable_state for name, said in plan.items() if said.durable_state}
@@ -153,7 +153,7 @@
             found.base = memories[found.donor].length
         return found
 
-    monkeypatch.setattr(recovery, "judge", judged)
+    monkeypatch.setattr(recovery, "decide_primary", judged)
 
 
 def test_a_returning_member_whose_old_state_is_believed_is_found(monkeypatch):
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -2,8 +2,8 @@
 from frostpost.simulator.play import back
 from frostpost.virtual_synchrony.events import Output
 from frostpost.virtual_synchrony.messages import SubmitRequest
-from frostpost.virtual_synchrony.ordering import submitted
-from frostpost.virtual_synchrony.state import sequencer
+from frostpost.virtual_synchrony.ordering import on_submit_request
+from frostpost.virtual_synchrony.state import sequencer_of
 
 
 def test_all_members_follow_the_proposers_sequencer_even_if_roles_are_unknown():
@@ -27,7 +27,7 @@
     finally:
         worlds.send = send
     assert back(world)
-    assert {sequencer(n.core.synchrony) for n in world.nodes.values()} == {"c1"}
+    assert {sequencer_of(n.core.synchrony) for n in world.nodes.values()} == {"c1"}
 
 
 def test_a_request_settled_elsewhere_does_not_hold_up_the_next():
@@ -36,5 +36,7 @@
     synchrony = world.nodes["c1"].core.synchrony
     sender = world.nodes["e1"].place.member
     for floor, first in ((1, 2), (2, 2)):
-        submitted(synchrony, Output(), "e1", sender, SubmitRequest(synchrony.configuration.id, floor, first, (b"b",)))
+        on_submit_request(
+            synchrony, Output(), "e1", sender, SubmitRequest(synchrony.configuration.id, floor, first, (b"b",))
+        )
     assert [e.number for e in synchrony.order.unsent_entries] == [2]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -28,6 +28,6 @@
     core = next(iter(make(1).nodes.values())).core
     core.synchrony.primary = PrimaryState(eligible=True, base=10, ready_record_number=5)
     assert core.synchrony.has_log and core.synchrony.applied < 10
-    assert catch_up.lacking(core.synchrony) == 0
+    assert catch_up.first_missing_index(core.synchrony) == 0
     core.synchrony.primary.ready_record_number = -1
-    assert catch_up.lacking(core.synchrony) == 1
+    assert catch_up.first_missing_index(core.synchrony) == 1
