--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -30,15 +30,15 @@
 def take(fleet, answers):
     """Sort facts in; -> addresses whose answer could be read."""
     read = set()
-    for address, (place, tell) in answers.items():
+    for address, (endpoint, tell) in answers.items():
         try:
             facts = json.decode(tell.facts, type=dict)
         except DecodeError:
             continue
         read.add(address)
-        (fleet.ring if place.role == "storage" else fleet.leaves)[place.member.name] = facts
-        if place.role == "storage":
-            fleet.zones[place.member.name] = place.zone
+        (fleet.ring if endpoint.role == "storage" else fleet.leaves)[endpoint.member.name] = facts
+        if endpoint.role == "storage":
+            fleet.zones[endpoint.member.name] = endpoint.zone
     return read
 
 
@@ -65,24 +65,24 @@
     for _ in range(DEPTH):
         asked |= fresh
         for _, told in ask(fresh, DirectoryRequest(), DirectoryReply).values():
-            places |= {place.member.name: place for place in told.places if place.role == "storage"}
-        fresh = {address_of(place) for place in places.values()} - asked
+            places |= {endpoint.member.name: endpoint for endpoint in told.endpoints if endpoint.role == "storage"}
+        fresh = {address_of(endpoint) for endpoint in places.values()} - asked
         if not fresh:
             break
     return places
 
 
-def address_of(place):
+def address_of(endpoint):
     """Return a daemon's inner address, `IP:port`."""
-    return f"{place.host}:{place.port}"
+    return f"{endpoint.host}:{endpoint.port}"
 
 
 def gather(seeds, ask=inner.ask):
     """Fleet, as its daemons tell it; ask(addresses, body, kind) -> address -> (place, answer)."""
     fleet = Fleet()
     places = ring_of(ask, seeds)
-    ring = {name: address_of(place) for name, place in places.items()}
-    fleet.zones |= {name: place.zone for name, place in places.items()}
+    ring = {name: address_of(endpoint) for name, endpoint in places.items()}
+    fleet.zones |= {name: endpoint.zone for name, endpoint in places.items()}
     asked = {*seeds, *ring.values()}
     reached = take(fleet, ask(asked, StatusRequest(), StatusReply))
     fleet.seeds_silent = [seed for seed in seeds if seed not in reached]
--- a/frostpost/admin/inner.py
+++ b/frostpost/admin/inner.py
@@ -65,8 +65,8 @@
     host, _, there = address.rpartition(":")
     try:
         with socket.create_connection((host, int(there)), timeout=WAIT_S) as connection:
-            place = Endpoint(Member(ROLE, 1), ROLE, "", connection.getsockname()[0], port, 0, PROTOCOL_REVISION)
-            data = encode(Frame(FRAME_VERSION, place, "", body))
+            endpoint = Endpoint(Member(ROLE, 1), ROLE, "", connection.getsockname()[0], port, 0, PROTOCOL_REVISION)
+            data = encode(Frame(FRAME_VERSION, endpoint, "", body))
             connection.sendall(struct.pack("!I", len(data)) + data)
     except (OSError, ValueError, OverflowError):
         return False
@@ -132,9 +132,9 @@
         until_s = None
         while until_s is None or monotonic() < until_s:
             for frame in heard(hearing):
-                address = f"{frame.place.host}:{frame.place.port}"
+                address = f"{frame.endpoint.host}:{frame.endpoint.port}"
                 if isinstance(frame.body, kind) and address in addresses:
-                    answers[address] = frame.place, frame.body
+                    answers[address] = frame.endpoint, frame.body
             if until_s is None and all(send.done() for send in sends):
                 until_s = monotonic() + WAIT_S
             if until_s is not None and len(answers) >= sum(send.result() for send in sends):
--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -67,9 +67,9 @@
 
 def assemble(settings, reactor, machine):
     """Return (context, site) of a daemon; nothing listens yet."""
-    boot = 1 + int(machine.token(6), 16)
-    place = Endpoint(
-        Member(settings.name, boot),
+    incarnation = 1 + int(machine.token(6), 16)
+    endpoint = Endpoint(
+        Member(settings.name, incarnation),
         settings.role,
         settings.zone,
         settings.host,
@@ -77,8 +77,8 @@
         settings.http_port,
         PROTOCOL_REVISION,
     )
-    ctx = Context(settings, reactor, place, machine)
-    ctx.shelf = Shelf(f"{settings.name}.{boot}")
+    ctx = Context(settings, reactor, endpoint, machine)
+    ctx.shelf = Shelf(f"{settings.name}.{incarnation}")
     records, ctx.disk = [], disks.Diskless()
     if settings.role == "storage":
         write_ahead_log, records, error = disks.open_(settings.data, machine.files)
@@ -101,7 +101,7 @@
     }
     ctx.agent = agent(ctx)[1]
     seeds = [f"@{s}" for s in settings.seeds]
-    ctx.core, out = begin(place, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
+    ctx.core, out = begin(endpoint, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
     ctx.core.synchrony.status = shelves.news(ctx)
     ctx.disk.write(out.writes)
     return ctx, build(ctx)
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -55,7 +55,7 @@
 
 def poll_all(ctx):
     """Poll all runners, spread over the interval."""
-    if ctx.place.role != "edge" and not ctx.flights:
+    if ctx.endpoint.role != "edge" and not ctx.flights:
         return
     listed = list(ctx.core.ledger.runners.values())
     names = {r.name for r in listed}
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -128,32 +128,32 @@
     def held():
         holders = {n for n, p in ctx.core.synchrony.peers.items() if p.status.get(item.source, 0) >= item.number}
         if ctx.shelf.vector.get(item.source, 0) >= item.number:
-            holders.add(ctx.place.member.name)
+            holders.add(ctx.endpoint.member.name)
         return is_majority(ctx.core.ledger.voters, holders)
 
     return until(ctx, held, ctx.settings.doors.ack_ms)
 
 
-def received(ctx, frm, body):
+def received(ctx, sender_name, body):
     """Handle a peer's message about bodies."""
     match body:
         case ConfigVersionsRequest():
-            send(ctx, shelves.asked(ctx.shelf, frm, body))
+            send(ctx, shelves.asked(ctx.shelf, sender_name, body))
         case ConfigVersionsReply():
-            ctx.shelf, sends, stores = shelves.told(ctx.shelf, frm, body, clock_ms(ctx))
+            ctx.shelf, sends, stores = shelves.told(ctx.shelf, sender_name, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
         case ConfigBodyRequest():
-            send(ctx, shelves.body_asked(ctx.shelf, frm, body))
+            send(ctx, shelves.body_asked(ctx.shelf, sender_name, body))
         case ConfigBodyChunk():
-            ctx.shelf, sends, stores = shelves.body_pieced(ctx.shelf, frm, body, clock_ms(ctx))
+            ctx.shelf, sends, stores = shelves.body_pieced(ctx.shelf, sender_name, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
 
 
-def heard(ctx, frm, vector):
+def heard(ctx, sender_name, vector):
     """Handle a peer's version vector."""
-    send(ctx, shelves.heard(ctx.shelf, frm, vector))
+    send(ctx, shelves.heard(ctx.shelf, sender_name, vector))
 
 
 def parse_all(bodies):
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -9,7 +9,7 @@
 
 def tick_ledger(ctx):
     """Order the milliseconds since the last tick, if this daemon holds that duty."""
-    fence = duties.held(ctx.core.ledger, "ticks", ctx.place.member)
+    fence = duties.held(ctx.core.ledger, "ticks", ctx.endpoint.member)
     now = clock_ms(ctx)
     if not fence or not lease_ok(ctx.core, now):
         ctx.tick_ms = 0
--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/asking.py
@@ -75,7 +75,7 @@
     address = ring_addresses(leaf).get(held.sequencer)
     if address is not None:
         asked.sent_ms = now_ms(leaf)
-        leaf.links["send"](address, OperationRequest(leaf.place.member.boot, asked.number, asked.payload))
+        leaf.links["send"](address, OperationRequest(leaf.endpoint.member.incarnation, asked.number, asked.payload))
 
 
 def send_all(leaf):
@@ -87,7 +87,7 @@
 def told(leaf, message):
     state = asking(leaf)
     asked = state.open.get(message.number)
-    if asked is None or message.boot != leaf.place.member.boot:
+    if asked is None or message.incarnation != leaf.endpoint.member.incarnation:
         return
     if message.fault:
         count(leaf, f"ring/{message.fault}")
--- a/frostpost/cluster/context.py
+++ b/frostpost/cluster/context.py
@@ -8,7 +8,7 @@
     __slots__ = (
         "settings",
         "reactor",
-        "place",
+        "endpoint",
         "machine",
         "links",
         "directory",
@@ -38,8 +38,8 @@
         "told",
     )
 
-    def __init__(self, settings, reactor, place, machine=MACHINE):
-        self.settings, self.reactor, self.place, self.machine = settings, reactor, place, machine
+    def __init__(self, settings, reactor, endpoint, machine=MACHINE):
+        self.settings, self.reactor, self.endpoint, self.machine = settings, reactor, endpoint, machine
         self.links, self.directory, self.session, self.charter = {}, None, None, ()
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
--- a/frostpost/cluster/directory.py
+++ b/frostpost/cluster/directory.py
@@ -23,16 +23,16 @@
     return DirectoryReply(tuple(leaf.directory.values()), leaf.charter)
 
 
-def tell(leaf, place):
+def tell(leaf, endpoint):
     """The directory for the replica at that place; it is noted as told."""
     message = current(leaf)
-    leaf.told[place.member.name] = Told(place.member, message, now_ms(leaf))
+    leaf.told[endpoint.member.name] = Told(endpoint.member, message, now_ms(leaf))
     return message
 
 
-def is_news(leaf, place):
+def is_news(leaf, endpoint):
     """Whether the replica at that place lacks something of the directory, or was told long ago."""
-    told = leaf.told.get(place.member.name)
-    if told is None or told.member != place.member or now_ms(leaf) - told.at_ms >= REPEAT_MS:
+    told = leaf.told.get(endpoint.member.name)
+    if told is None or told.member != endpoint.member or now_ms(leaf) - told.at_ms >= REPEAT_MS:
         return True
     return told.directory != current(leaf)
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/founding.py
@@ -133,14 +133,14 @@
         leaf.links["send"](f"@{seed}", BootstrapRequest(names))
 
 
-def asked(leaf, place, message):
+def asked(leaf, endpoint, message):
     """Another seed asks what this one keeps, or to keep a charter."""
     founding = leaf.extras.get("founding")
     if founding is None or founding.kept_log is None or founding.writing:
         return
 
     def answer(_=None):
-        leaf.links["send"](f"@{place.host}:{place.port}", BootstrapReply(founding.kept or leaf.charter))
+        leaf.links["send"](f"@{endpoint.host}:{endpoint.port}", BootstrapReply(founding.kept or leaf.charter))
 
     def kept(_):
         founding.kept, founding.writing = message.names, False
@@ -153,9 +153,9 @@
     return None
 
 
-def held(leaf, place, message):
+def held(leaf, endpoint, message):
     """Another seed tells what it keeps."""
-    founding, seed = leaf.extras.get("founding"), f"{place.host}:{place.port}"
+    founding, seed = leaf.extras.get("founding"), f"{endpoint.host}:{endpoint.port}"
     if founding is None or not pending(leaf) or seed not in others(leaf):
         return
     answered = founding.taken if founding.proposed else founding.heard
--- a/frostpost/cluster/greeting.py
+++ b/frostpost/cluster/greeting.py
@@ -12,15 +12,17 @@
 
 def configuration_places(synchrony):
     """Where the members of the configuration are."""
-    others = [synchrony.peers[name].place for name in member_names(synchrony.configuration) if name in synchrony.peers]
-    return (synchrony.place, *others)
+    others = [
+        synchrony.peers[name].endpoint for name in member_names(synchrony.configuration) if name in synchrony.peers
+    ]
+    return (synchrony.endpoint, *others)
 
 
 def greet(replica, addresses):
     """Tell the agents at some addresses where the replicas are."""
-    places = configuration_places(replica.ctx.core.synchrony)
+    endpoints = configuration_places(replica.ctx.core.synchrony)
     for address in sorted(addresses):
-        replica.send(address, DirectoryReply(places))
+        replica.send(address, DirectoryReply(endpoints))
 
 
 def greet_known(replica):
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -27,11 +27,17 @@
 
 
 def make_leaf(settings, front, reactor, machine):
-    boot = 1 + int(machine.token(6), 16)
-    place = Endpoint(
-        Member(settings.name, boot), settings.role, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
+    incarnation = 1 + int(machine.token(6), 16)
+    endpoint = Endpoint(
+        Member(settings.name, incarnation),
+        settings.role,
+        settings.zone,
+        settings.host,
+        settings.port,
+        0,
+        PROTOCOL_REVISION,
     )
-    leaf = Leaf(settings, reactor, place, machine)
+    leaf = Leaf(settings, reactor, endpoint, machine)
     leaf.wire = front.wire
     leaf.links["send"] = sender(leaf)
     leaf.extras["routing_from_body"] = front.routing_from_body
@@ -48,12 +54,12 @@
 
 def received(leaf, frame):
     """A frame from any daemon."""
-    place, body = frame.place, frame.body
-    if status.leaf_answered(leaf, place, body):
+    endpoint, body = frame.endpoint, frame.body
+    if status.leaf_answered(leaf, endpoint, body):
         return
     match body:
         case LeaseReply():
-            if lease.granted(leaf, place, body):
+            if lease.granted(leaf, endpoint, body):
                 asking.send_all(leaf)
             turn_store_client.granted(leaf)
             if leaf.ticker is not None:
@@ -63,33 +69,33 @@
         case RoutingUpdate():
             lease.routed(leaf, body)
         case PutBodyReply() | GetBodiesReply():
-            turn_store_client.received(leaf, place.member.name, body)
+            turn_store_client.received(leaf, endpoint.member.name, body)
         case BootstrapRequest():
-            founding.asked(leaf, place, body)
+            founding.asked(leaf, endpoint, body)
         case BootstrapReply():
-            founding.held(leaf, place, body)
+            founding.held(leaf, endpoint, body)
         case DirectoryReply():
-            lease.directed(leaf, body.places)
-            if place.role == RING:
-                lease.greeted(leaf, place)
+            lease.directed(leaf, body.endpoints)
+            if endpoint.role == RING:
+                lease.greeted(leaf, endpoint)
         case DirectoryRequest():
-            if place.role == RING:
-                founding.waits(leaf, place.member.name)
+            if endpoint.role == RING:
+                founding.waits(leaf, endpoint.member.name)
             elif not leaf.directory:
-                leaf.extras.setdefault("askers", {})[place.member.name] = place
+                leaf.extras.setdefault("askers", {})[endpoint.member.name] = endpoint
                 return
-            direct(leaf, place)
+            direct(leaf, endpoint)
         case DiscoveryUpdate():
-            lease.directed(leaf, [place])
-            if body.places or directory.is_news(leaf, place):
-                leaf.links["send"](lease.address_of(place), directory.tell(leaf, place))
+            lease.directed(leaf, [endpoint])
+            if body.endpoints or directory.is_news(leaf, endpoint):
+                leaf.links["send"](lease.address_of(endpoint), directory.tell(leaf, endpoint))
             for asker in leaf.extras.pop("askers", {}).values():
                 direct(leaf, asker)
 
 
-def direct(leaf, place):
+def direct(leaf, endpoint):
     """Tell a daemon that asks where the ring's daemons are."""
-    leaf.links["send"](lease.address_of(place), directory.current(leaf))
+    leaf.links["send"](lease.address_of(endpoint), directory.current(leaf))
 
 
 def tend(leaf):
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease.py
@@ -51,11 +51,11 @@
 def ring_addresses(leaf):
     """Name -> "@host:port" of the ring's daemons."""
     session(leaf)
-    return {name: address_of(place) for name, place in leaf.directory.items()}
+    return {name: address_of(endpoint) for name, endpoint in leaf.directory.items()}
 
 
-def address_of(place):
-    return f"@{place.host}:{place.port}"
+def address_of(endpoint):
+    return f"@{endpoint.host}:{endpoint.port}"
 
 
 def tend(leaf):
@@ -108,30 +108,30 @@
         leaf.ticker.wake(due_ms(leaf) - now_ms(leaf))
 
 
-def greeted(leaf, place):
+def greeted(leaf, endpoint):
     """A daemon of the ring speaks unasked: one that isn't the known sequencer may have come to be it."""
     held = session(leaf)
     if not lease_ok(leaf):
         renew(leaf)
-    elif place.member.name != held.sequencer:
-        leaf.links["send"](address_of(place), renewal(leaf))
+    elif endpoint.member.name != held.sequencer:
+        leaf.links["send"](address_of(endpoint), renewal(leaf))
 
 
-def directed(leaf, places):
+def directed(leaf, endpoints):
     """Places of the ring's daemons, told by any daemon."""
     session(leaf)
     known = set(leaf.directory)
-    for place in places:
-        if place.role == "storage":
-            leaf.directory[place.member.name] = place
+    for endpoint in endpoints:
+        if endpoint.role == "storage":
+            leaf.directory[endpoint.member.name] = endpoint
     if set(leaf.directory) - known and not lease_ok(leaf):
         renew(leaf)
 
 
-def redirected(leaf, place, leader):
+def redirected(leaf, endpoint, leader):
     """A replica that doesn't lead names the leader that it knows, if any; -> whether the leader changed."""
     held = session(leaf)
-    from_leader = place.member.name == held.sequencer
+    from_leader = endpoint.member.name == held.sequencer
     if leader and leader != held.sequencer and (from_leader or not lease_ok(leaf)):
         held.sequencer = leader
         return True
@@ -140,26 +140,26 @@
     return False
 
 
-def introduce(leaf, places, leader):
+def introduce(leaf, endpoints, leader):
     """Make this daemon known to replicas that it hasn't spoken to, so that each greets it when it comes to lead."""
-    for place in places:
-        if leaf.directory.get(place.member.name) != place and place.member.name != leader:
-            leaf.links["send"](address_of(place), renewal(leaf))
+    for endpoint in endpoints:
+        if leaf.directory.get(endpoint.member.name) != endpoint and endpoint.member.name != leader:
+            leaf.links["send"](address_of(endpoint), renewal(leaf))
 
 
-def granted(leaf, place, grant):
+def granted(leaf, endpoint, grant):
     """-> whether the sequencer changed."""
     held, now = session(leaf), now_ms(leaf)
-    if grant.sequencer != place.member.name:
-        directed(leaf, grant.places)
-        return redirected(leaf, place, grant.sequencer)
+    if grant.sequencer != endpoint.member.name:
+        directed(leaf, grant.endpoints)
+        return redirected(leaf, endpoint, grant.sequencer)
     if grant.epoch < held.epoch:
         return False
     if grant.lease_ms <= 0 and grant.version <= held.held:
         search(leaf)
         return False
-    moved = held.sequencer != place.member.name or held.epoch != grant.epoch
-    held.sequencer, held.heard_ms = place.member.name, now
+    moved = held.sequencer != endpoint.member.name or held.epoch != grant.epoch
+    held.sequencer, held.heard_ms = endpoint.member.name, now
     if grant.lease_ms > 0:
         held.until_ms = max(held.until_ms, grant.sent_ms + grant.lease_ms)
     held.voters, held.version = grant.voters, grant.version
@@ -168,13 +168,13 @@
     held.leaves = max(1, grant.leaves)
     if grant.draining and "drained" in leaf.extras:
         leaf.extras["drained"](grant.draining)
-    if grant.places:
-        introduce(leaf, grant.places, held.sequencer)
-        leaf.directory = {p.member.name: p for p in grant.places}
+    if grant.endpoints:
+        introduce(leaf, grant.endpoints, held.sequencer)
+        leaf.directory = {p.member.name: p for p in grant.endpoints}
         held.epoch = grant.epoch
     if grant.version > held.held and now - held.asked_ms >= 100:
         held.asked_ms = now
-        leaf.links["send"](address_of(place), RoutingRequest(held.held))
+        leaf.links["send"](address_of(endpoint), RoutingRequest(held.held))
     if moved:
         say("session", sequencer=held.sequencer, epoch=grant.epoch)
     return moved
--- a/frostpost/cluster/peers.py
+++ b/frostpost/cluster/peers.py
@@ -27,7 +27,7 @@
     """Called now and then: what the open primary's members are, if that changed."""
     if peers.writing or not synchrony.primary.opened or synchrony.recovery:
         return
-    others = [synchrony.peers[n].place for n in member_names(synchrony.configuration) if n in synchrony.peers]
+    others = [synchrony.peers[n].endpoint for n in member_names(synchrony.configuration) if n in synchrony.peers]
     keep_addresses(peers, [f"{p.host}:{p.port}" for p in others])
 
 
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -34,11 +34,11 @@
 
 def assemble(settings, reactor, machine, stop):
     """-> Replica; its core begins when it knows whether it is a founder, see `begin`."""
-    boot = 1 + int(machine.token(6), 16)
-    place = Endpoint(
-        Member(settings.name, boot), ROLE, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
+    incarnation = 1 + int(machine.token(6), 16)
+    endpoint = Endpoint(
+        Member(settings.name, incarnation), ROLE, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
     )
-    ctx = Context(ring_settings(settings), reactor, place, machine)
+    ctx = Context(ring_settings(settings), reactor, endpoint, machine)
     replica = Replica(ctx, settings, stop)
     ctx.life = Crash(stop)
     write_ahead_log, replica.records, fault = disks.open_(settings.data, machine.files)
@@ -55,8 +55,8 @@
     )
     ctx.links = {
         "applied": lambda: applied(replica),
-        "news": lambda frm, body: None,
-        "heard": lambda frm, news: None,
+        "news": lambda sender_name, body: None,
+        "heard": lambda sender_name, news: None,
     }
     ctx.links["send"] = replica.send = sender(ctx)
     return replica
@@ -90,7 +90,7 @@
     replica.waiting, replica.charter = False, charter
     seeds = dict.fromkeys((*settings.seeds, *peers.known(replica.peers)))
     ctx.core, out = cores.begin(
-        ctx.place, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
+        ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
     )
     replica.records = []
     ctx.disk.write(out.writes)
@@ -152,9 +152,9 @@
 def repair(replica):
     ctx = replica.ctx
     peers = [
-        f"@{p.place.host}:{p.place.port}"
+        f"@{p.endpoint.host}:{p.endpoint.port}"
         for p in ctx.core.synchrony.peers.values()
-        if p.place.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
+        if p.endpoint.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
     turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
     ctx.core.synchrony.status = tenders.report(replica.turn_store, replica.leaving)
@@ -181,18 +181,18 @@
 
 def received(replica, frame):
     """A frame from any daemon."""
-    place, body, ctx = frame.place, frame.body, replica.ctx
-    if status.ring_answered(replica, place, body):
+    endpoint, body, ctx = frame.endpoint, frame.body, replica.ctx
+    if status.ring_answered(replica, endpoint, body):
         return None
     if isinstance(body, DirectoryReply):
         return directed(replica, body)
     if isinstance(body, (PutBodyRequest, GetBodiesRequest, GetBodiesReply, PutBodyReply)):
-        return turn_stores.received(replica, f"@{place.host}:{place.port}", body)
+        return turn_stores.received(replica, f"@{endpoint.host}:{endpoint.port}", body)
     if replica.waiting:
         return None
-    if place.role == ROLE:
+    if endpoint.role == ROLE:
         return heart.received(ctx, frame)
-    return serving.received(ctx, replica.sessions, place, body)
+    return serving.received(ctx, replica.sessions, endpoint, body)
 
 
 def directed(replica, message):
@@ -202,9 +202,9 @@
             begin(replica, message.charter)
         return
     ctx = replica.ctx
-    for place in message.places:
-        if place.member.name != replica.settings.name and place.member.name not in ctx.core.synchrony.peers:
-            heart.feed(ctx, MessageReceived(clock_ms(ctx), place, DiscoveryUpdate((), False)))
+    for endpoint in message.endpoints:
+        if endpoint.member.name != replica.settings.name and endpoint.member.name not in ctx.core.synchrony.peers:
+            heart.feed(ctx, MessageReceived(clock_ms(ctx), endpoint, DiscoveryUpdate((), False)))
 
 
 def leave(replica):
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -29,7 +29,7 @@
     """until_ms: no lease granted to it runs longer, on this daemon's clock."""
 
     address: str
-    boot: int
+    incarnation: int
     version: int
     until_ms: int
 
@@ -66,38 +66,38 @@
     return ctx.core.ledger.voters or synchrony.voters or synchrony.bootstrap_voters
 
 
-def meet(sessions, place, version, now):
+def meet(sessions, endpoint, version, now):
     """Note an agent that speaks, also where this replica doesn't lead: it greets the agent when it comes to."""
-    seen = sessions.leaves.get(place.member.name)
-    address = f"@{place.host}:{place.port}"
-    if seen is None or seen.boot != place.member.boot:
-        seen = LeafSeen(address, place.member.boot, version, now - 1)
-        sessions.leaves[place.member.name], sessions.survey = seen, None
+    seen = sessions.leaves.get(endpoint.member.name)
+    address = f"@{endpoint.host}:{endpoint.port}"
+    if seen is None or seen.incarnation != endpoint.member.incarnation:
+        seen = LeafSeen(address, endpoint.member.incarnation, version, now - 1)
+        sessions.leaves[endpoint.member.name], sessions.survey = seen, None
     seen.address = address
     return seen
 
 
-def member_places(synchrony):
+def member_endpoints(synchrony):
     """Where the members of the configuration are, as far as is known."""
-    others = [synchrony.peers[n].place for n in member_names(synchrony.configuration) if n in synchrony.peers]
-    return (synchrony.place, *others)
+    others = [synchrony.peers[n].endpoint for n in member_names(synchrony.configuration) if n in synchrony.peers]
+    return (synchrony.endpoint, *others)
 
 
-def renewed(ctx, sessions, place, message):
+def renewed(ctx, sessions, endpoint, message):
     """A leaf renews its lease; -> the LeaseReply."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not sequencing(ctx):
-        meet(sessions, place, message.version, now)
+        meet(sessions, endpoint, message.version, now)
         opened = synchrony.primary.opened
         return LeaseReply(
             message.sent_ms,
             0,
             sequencer_of(synchrony) if opened else "",
-            places=member_places(synchrony) if opened else (),
+            endpoints=member_endpoints(synchrony) if opened else (),
         )
     held = ctx.core.ledger.program_ledger.routing_version
     follow(ctx, sessions)
-    seen = meet(sessions, place, message.version, now)
+    seen = meet(sessions, endpoint, message.version, now)
     if message.version > seen.version:
         seen.version, sessions.survey = message.version, None
     left_ms = lease_remaining_ms(synchrony, now)
@@ -107,7 +107,7 @@
         sessions.survey = None
     seen.until_ms = max(seen.until_ms, now + lease_ms)
     epoch = synchrony.configuration.id.epoch
-    places = () if message.epoch == epoch else member_places(synchrony)
+    endpoints = () if message.epoch == epoch else member_endpoints(synchrony)
     return LeaseReply(
         message.sent_ms,
         lease_ms,
@@ -116,7 +116,7 @@
         held,
         honoured(ctx, sessions),
         epoch,
-        places,
+        endpoints,
         survey_of(sessions, now).count,
         drained(sessions, message.draining, now),
     )
@@ -169,12 +169,12 @@
     return survey
 
 
-def received(ctx, sessions, place, body):
+def received(ctx, sessions, endpoint, body):
     """A frame of a leaf; -> whether it was one of these messages."""
-    address = f"@{place.host}:{place.port}"
+    address = f"@{endpoint.host}:{endpoint.port}"
     match body:
         case LeaseRequest():
-            ctx.links["send"](address, renewed(ctx, sessions, place, body))
+            ctx.links["send"](address, renewed(ctx, sessions, endpoint, body))
         case OperationRequest():
             asked(ctx, sessions, address, body)
         case RoutingRequest():
@@ -183,30 +183,30 @@
                 ctx.links["send"](address, RoutingUpdate(program_ledger.routing_version, program_ledger.routing_body))
         case DirectoryRequest():
             synchrony = ctx.core.synchrony
-            places = (synchrony.place, *(p.place for p in synchrony.peers.values()))
-            ctx.links["send"](address, DirectoryReply(places))
+            endpoints = (synchrony.endpoint, *(p.endpoint for p in synchrony.peers.values()))
+            ctx.links["send"](address, DirectoryReply(endpoints))
         case _:
             return False
     return True
 
 
 def asked(ctx, sessions, address, message):
-    mark = (address, message.boot, message.number)
+    mark = (address, message.incarnation, message.number)
     if mark in sessions.working:
         return
     try:
         op = decode_op(message.payload)
     except DecodeError:
-        ctx.links["send"](address, OperationReply(message.boot, message.number, b"", "Unreadable"))
+        ctx.links["send"](address, OperationReply(message.incarnation, message.number, b"", "Unreadable"))
         return
     sessions.working.add(mark)
 
     def decided(result):
         sessions.working.discard(mark)
         if result.is_ok():
-            told = OperationReply(message.boot, message.number, encode(result.ok))
+            told = OperationReply(message.incarnation, message.number, encode(result.ok))
         else:
-            told = OperationReply(message.boot, message.number, b"", type(result.error).__name__)
+            told = OperationReply(message.incarnation, message.number, b"", type(result.error).__name__)
         ctx.links["send"](address, told)
 
     ask(ctx, op, ASK_MS).addCallback(decided)
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -20,11 +20,11 @@
     leaf.extras["started_ms"] = now_ms(leaf)
 
 
-def answered(ctx, place, body, facts, directory):
+def answered(ctx, endpoint, body, facts, directory):
     """Answer an operator over a connection of its own: status or places; -> whether the frame ends here."""
-    if place.role in DAEMONS and not isinstance(body, StatusRequest):
+    if endpoint.role in DAEMONS and not isinstance(body, StatusRequest):
         return False
-    address = f"@{place.host}:{place.port}"
+    address = f"@{endpoint.host}:{endpoint.port}"
     if isinstance(body, StatusRequest):
         sender(ctx)(address, StatusReply(json.encode(facts())))
     elif isinstance(body, DirectoryRequest):
@@ -32,34 +32,34 @@
     return True
 
 
-def leaf_answered(leaf, place, body):
+def leaf_answered(leaf, endpoint, body):
     return answered(
         leaf,
-        place,
+        endpoint,
         body,
         lambda: leaf_facts(leaf),
         lambda: DirectoryReply(tuple(leaf.directory.values()), leaf.charter),
     )
 
 
-def ring_answered(replica, place, body):
+def ring_answered(replica, endpoint, body):
     return answered(
-        replica.ctx, place, body, lambda: ring_facts(replica), lambda: DirectoryReply(ring_places(replica.ctx))
+        replica.ctx, endpoint, body, lambda: ring_facts(replica), lambda: DirectoryReply(ring_endpoints(replica.ctx))
     )
 
 
-def ring_places(ctx):
+def ring_endpoints(ctx):
     if ctx.core is None:
-        return (ctx.place,)
-    return (ctx.place, *(peer.place for peer in ctx.core.synchrony.peers.values()))
+        return (ctx.endpoint,)
+    return (ctx.endpoint, *(peer.endpoint for peer in ctx.core.synchrony.peers.values()))
 
 
-def common(place, uptime_ms, counts):
+def common(endpoint, uptime_ms, counts):
     return {
-        "name": place.member.name,
-        "role": place.role,
-        "zone": place.zone,
-        "boot": place.member.boot,
+        "name": endpoint.member.name,
+        "role": endpoint.role,
+        "zone": endpoint.zone,
+        "boot": endpoint.member.incarnation,
         "uptime_ms": uptime_ms,
         "counts": dict(counts),
     }
@@ -68,7 +68,7 @@
 def leaf_facts(leaf):
     held, now, runners = session(leaf), now_ms(leaf), leaf.runners
     resting = [i for i, load in leaf.loads.items() if i in runners and load.resting_until_ms > now]
-    return common(leaf.place, now - leaf.extras.get("started_ms", now), leaf.counts) | {
+    return common(leaf.endpoint, now - leaf.extras.get("started_ms", now), leaf.counts) | {
         "sequencer": held.sequencer,
         "lease_left_ms": max(0, held.until_ms - now),
         "epoch": held.epoch,
@@ -95,7 +95,7 @@
 
 def ring_facts(replica):
     ctx = replica.ctx
-    facts = common(ctx.place, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
+    facts = common(ctx.endpoint, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
         "charter_waiting": replica.waiting,
         "charter": list(replica.charter),
         "tolerated": replica.settings.tolerated,
@@ -114,7 +114,7 @@
     synchrony, ledger, now = ctx.core.synchrony, ctx.core.ledger, clock_ms(ctx)
     program_ledger, id = ledger.program_ledger, synchrony.configuration.id
     return {
-        "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.boot},
+        "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.incarnation},
         "members": member_names(synchrony.configuration),
         "sequencer": sequencer_of(synchrony),
         "sequencing": serving.sequencing(ctx),
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -62,8 +62,8 @@
     """A replica as the rule for voters sees it."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     peer = synchrony.peers.get(name)
-    place = synchrony.place if name == synchrony.name else peer.place if peer is not None else None
-    zone = place.zone if place is not None else ""
+    endpoint = synchrony.endpoint if name == synchrony.name else peer.endpoint if peer is not None else None
+    zone = endpoint.zone if endpoint is not None else ""
     present = name in member_names(synchrony.configuration)
     return ReplicaView(
         name,
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -20,7 +20,7 @@
     __slots__ = (
         "settings",
         "reactor",
-        "place",
+        "endpoint",
         "machine",
         "core",
         "inputs",
@@ -60,8 +60,8 @@
         "ticker",
     )
 
-    def __init__(self, settings, reactor, place, machine=MACHINE):
-        self.settings, self.reactor, self.place, self.machine = settings, reactor, place, machine
+    def __init__(self, settings, reactor, endpoint, machine=MACHINE):
+        self.settings, self.reactor, self.endpoint, self.machine = settings, reactor, endpoint, machine
         self.core, self.shelf, self.disk, self.bodies, self.agent, self.life = (None,) * 6
         self.inputs, self.asking, self.tasks = deque(), deque(), []
         self.stepping = self.slicing = self.leaving = self.stamping = False
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -50,9 +50,9 @@
     ruled: object = None
 
 
-def begin(place, bounds, seeds, voters, log, now_ms):
+def begin(endpoint, bounds, seeds, voters, log, now_ms):
     """Return (core, output) of a daemon that starts with the log read from its disk."""
-    synchrony, out = synchronies.begin_synchrony(place, bounds, seeds, voters, log, now_ms)
+    synchrony, out = synchronies.begin_synchrony(endpoint, bounds, seeds, voters, log, now_ms)
     ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.commit_index - log.snapshot_index)]:
         ledger, _ = apply(ledger, entry)
@@ -114,8 +114,8 @@
 
 def forgotten(core):
     """Return the outcome of own operations that a snapshot already contains."""
-    boot, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
-    if boot != core.synchrony.me.boot:
+    incarnation, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
+    if incarnation != core.synchrony.me.incarnation:
         return []
     gone = [n for n in core.synchrony.outbox if n <= number]
     for n in gone:
@@ -146,8 +146,11 @@
         or not duties.held(ledger, "ticks", synchrony.me)
     ):
         return []
-    places = {p.place.member: p.place for p in synchrony.peers.values()} | {synchrony.me: synchrony.place}
-    if any(m not in places or places[m].speaks < PROTOCOL_REVISION for m in synchrony.configuration.members):
+    endpoints = {p.endpoint.member: p.endpoint for p in synchrony.peers.values()} | {synchrony.me: synchrony.endpoint}
+    if any(
+        m not in endpoints or endpoints[m].protocol_revision < PROTOCOL_REVISION
+        for m in synchrony.configuration.members
+    ):
         return []
     core.ruled = synchrony.configuration.id
     return [encode(Rules(PROTOCOL_REVISION))]
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -160,14 +160,14 @@
 
 def received(ctx, frame):
     """Handle a frame from a peer."""
-    body, frm = frame.body, frame.place.member.name
+    body, sender_name = frame.body, frame.endpoint.member.name
     match body:
         case ConfigBodyRequest() | ConfigBodyChunk() | ConfigVersionsRequest() | ConfigVersionsReply():
-            ctx.links["news"](frm, body)
+            ctx.links["news"](sender_name, body)
         case _:
-            feed(ctx, MessageReceived(clock_ms(ctx), frame.place, body))
+            feed(ctx, MessageReceived(clock_ms(ctx), frame.endpoint, body))
             if isinstance(body, Heartbeat):
-                ctx.links["heard"](frm, body.status)
+                ctx.links["heard"](sender_name, body.status)
 
 
 def tick(ctx):
--- a/frostpost/daemon/life.py
+++ b/frostpost/daemon/life.py
@@ -47,8 +47,8 @@
 @starting.upon(Life.started).to(serving)
 def began(life: Life, hand: Hand) -> None:
     """Log the start."""
-    place = hand.ctx.place
-    say("started", name=place.member.name, port=place.port, http_port=place.http_port)
+    endpoint = hand.ctx.endpoint
+    say("started", name=endpoint.member.name, port=endpoint.port, http_port=endpoint.http_port)
 
 
 @serving.upon(Life.leave).to(leaving)
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -34,15 +34,15 @@
             return
         if frame.version != FRAME_VERSION:
             count(ctx, "other_versions")
-            say("OtherVersion", frm=frame.place.member.name, version=frame.version)
+            say("OtherVersion", frm=frame.endpoint.member.name, version=frame.version)
             self.transport.loseConnection()
             return
-        if frame.to not in ("", ctx.place.member.name) or barred(ctx, frame.place.member.name):
+        if frame.to not in ("", ctx.endpoint.member.name) or barred(ctx, frame.endpoint.member.name):
             count(ctx, "misdirected")
             return
         links = ctx.links.get("send")
         if isinstance(links, Links):
-            links.heard(frame.place)
+            links.heard(frame.endpoint)
         self.factory.hear(ctx, frame)
 
 
@@ -62,7 +62,7 @@
 class Heard(Struct, frozen=True):
     """Which process spoke last from an address, and when."""
 
-    boot: int
+    incarnation: int
     at_s: float
 
 
@@ -81,23 +81,25 @@
             peer = self.ctx.core.synchrony.peers.get(to)
             if peer is None or barred(self.ctx, to):
                 return
-            host, port, name = peer.place.host, peer.place.port, to
+            host, port, name = peer.endpoint.host, peer.endpoint.port, to
         key = (host, int(port), isinstance(body, BULK))
         link = self.links.get(key)
         if link is None:
             link = self.links[key] = Link(self.ctx, host, int(port))
-        link.send(encode(Frame(FRAME_VERSION, self.ctx.place, name, body)))
+        link.send(encode(Frame(FRAME_VERSION, self.ctx.endpoint, name, body)))
 
-    def heard(self, place):
+    def heard(self, endpoint):
         """A frame came from a place: what is pending or dead on the way there is dialled anew."""
-        found = [self.links[k] for k in ((place.host, place.port, bulk) for bulk in (False, True)) if k in self.links]
+        found = [
+            self.links[k] for k in ((endpoint.host, endpoint.port, bulk) for bulk in (False, True)) if k in self.links
+        ]
         if not found:
             return
-        address, boot = (place.host, place.port), place.member.boot
+        address, incarnation = (endpoint.host, endpoint.port), endpoint.member.incarnation
         before = self.last_heard.get(address)
-        self.last_heard[address] = Heard(boot, self.ctx.reactor.seconds())
+        self.last_heard[address] = Heard(incarnation, self.ctx.reactor.seconds())
         for link in found:
-            if before is not None and before.boot != boot:
+            if before is not None and before.incarnation != incarnation:
                 link.restarted(before.at_s)
             link.heard()
 
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -152,7 +152,7 @@
             reached = ctx.honoured if what == "~honoured" else synchrony.applied
         else:
             peer = synchrony.peers.get(member.name)
-            if peer is None or peer.place.member != member:
+            if peer is None or peer.endpoint.member != member:
                 return False
             reached = peer.status.get(what, 0) if what == "~honoured" else peer.applied
         if reached < index:
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -175,7 +175,7 @@
 def holds(ctx, key):
     """Tell whether this daemon still owns a key."""
     claim = ctx.core.ledger.keys.get(key)
-    return claim is not None and claim.owner == ctx.place.member and claim.status == "held"
+    return claim is not None and claim.owner == ctx.endpoint.member and claim.status == "held"
 
 
 def settled(ctx, key, wait_ms):
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -23,9 +23,9 @@
     synchrony, ledger = ctx.core.synchrony, ctx.core.ledger
     return {
         "name": synchrony.name,
-        "boot": synchrony.me.boot,
-        "role": synchrony.place.role,
-        "zone": synchrony.place.zone,
+        "boot": synchrony.me.incarnation,
+        "role": synchrony.endpoint.role,
+        "zone": synchrony.endpoint.zone,
         "serving": lease_ok(ctx.core, clock_ms(ctx)) and not ctx.leaving,
         "leaving": ctx.leaving,
         "up_ms": clock_ms(ctx) - ctx.started_ms,
@@ -68,7 +68,7 @@
         "list_age_ms": clock_ms(ctx) - ctx.listed_ms if ctx.listed_ms else None,
         "disk_free_part": free_part(ctx.settings.data),
         "seeds": ctx.settings.seeds,
-        "places": [placed(p) for p in (synchrony.place, *(p.place for p in synchrony.peers.values()))],
+        "places": [placed(p) for p in (synchrony.endpoint, *(p.endpoint for p in synchrony.peers.values()))],
     }
 
 
@@ -80,14 +80,14 @@
     return usage.free / usage.total
 
 
-def placed(place):
+def placed(endpoint):
     """Return where a daemon listens."""
     return {
-        "name": place.member.name,
-        "role": place.role,
-        "zone": place.zone,
-        "inner": f"{place.host}:{place.port}",
-        "http": f"{place.host}:{place.http_port}",
+        "name": endpoint.member.name,
+        "role": endpoint.role,
+        "zone": endpoint.zone,
+        "inner": f"{endpoint.host}:{endpoint.port}",
+        "http": f"{endpoint.host}:{endpoint.http_port}",
     }
 
 
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -41,10 +41,10 @@
     """Apply one ordered entry and return (ledger, result); an entry seen before from its sender has the result None."""
     ledger.index = entry.index
     if entry.number:
-        boot, number = ledger.sessions.get(entry.sender.name, (0, 0))
-        if boot == entry.sender.boot and entry.number <= number:
+        incarnation, number = ledger.sessions.get(entry.sender.name, (0, 0))
+        if incarnation == entry.sender.incarnation and entry.number <= number:
             return ledger, None
-        ledger.sessions[entry.sender.name] = (entry.sender.boot, entry.number)
+        ledger.sessions[entry.sender.name] = (entry.sender.incarnation, entry.number)
     return ledger, act(ledger, entry, decode_op(entry.payload))
 
 
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -38,7 +38,7 @@
         return
     worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
     node = random.choice([n for n in world.nodes.values() if serves(world, n)])
-    asked[(node.place.member, node.core.synchrony.last_number + 1)] = world.now_ms
+    asked[(node.endpoint.member, node.core.synchrony.last_number + 1)] = world.now_ms
     worlds.feed(world, node.name, OperationSubmitted(worlds.clock(world, node), encode(Look())))
 
 
@@ -50,7 +50,7 @@
 
     def heard(world, node, answer):
         if isinstance(answer, Decided):
-            took.append(world.now_ms - asked[(node.place.member, answer.number)])
+            took.append(world.now_ms - asked[(node.endpoint.member, answer.number)])
 
     world.tap = heard
     kept, worlds.send = worlds.send, count(world, tally)
--- a/frostpost/simulator/explore_checks.py
+++ b/frostpost/simulator/explore_checks.py
@@ -93,7 +93,7 @@
 def label(entry):
     """An entry in words."""
     id = entry.configuration
-    return f"entry {entry.index} ({entry.ordinal} of {id.epoch}/{id.proposer}.{id.boot})"
+    return f"entry {entry.index} ({entry.ordinal} of {id.epoch}/{id.proposer}.{id.incarnation})"
 
 
 def stands_on_disks(world, entry, voters):
@@ -199,7 +199,7 @@
     synchrony = replica.synchrony
     kind = item.label[2]
     if kind == "Sync":
-        return item.boot != synchrony.me.boot
+        return item.incarnation != synchrony.me.incarnation
     id = getattr(item.body, "id", None)
     if id is None or kind == "ProposeRejection":
         return False
--- a/frostpost/simulator/explore_hash.py
+++ b/frostpost/simulator/explore_hash.py
@@ -13,7 +13,7 @@
 UNOBSERVED = {
     "counts",
     "bounds",
-    "place",
+    "endpoint",
     "written_count",
     "synced_count",
     "pending_acks",
@@ -78,7 +78,7 @@
             canonical(synchrony, now_ms),
             unsynced(synchrony),
             canonical(core.snapshots, now_ms),
-            [synchrony.me.boot, core.ledger.index, core.ledger.voters],
+            [synchrony.me.incarnation, core.ledger.index, core.ledger.voters],
         ]
     lasting = canonical(replay(replica.disk.synced), now_ms)
     pending = [encode(record) for record in replica.disk.pending]
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_moves.py
@@ -117,7 +117,9 @@
     if replica.core is None:
         return
     synchrony = replica.core.synchrony
-    known = {p.place.member.name: p.place.member for p in synchrony.peers.values()} | {synchrony.name: synchrony.me}
+    known = {p.endpoint.member.name: p.endpoint.member for p in synchrony.peers.values()} | {
+        synchrony.name: synchrony.me
+    }
     out = Output()
     synchrony.proposal = None
     membership.propose(synchrony, out, tuple(known[n] for n in move.members if n in known))
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -35,12 +35,12 @@
     ordering.send_ack(synchrony, out, order.received_watermark)
 
 
-def promise_anything(synchrony, out, frm, message):
+def promise_anything(synchrony, out, sender_name, message):
     """A member forgets that it promised a higher configuration."""
     if synchrony.me not in message.members:
-        out.sends.append((frm, ProposeRejection(message.id, synchrony.promised)))
+        out.sends.append((sender_name, ProposeRejection(message.id, synchrony.promised)))
         return
-    membership.promise(synchrony, out, frm, message)
+    membership.promise(synchrony, out, sender_name, message)
 
 
 def never_bound(synchrony, id):
@@ -55,15 +55,15 @@
     synchrony.synced_count = synced
 
 
-def one_acknowledgement(synchrony, out, frm, message):
+def one_acknowledgement(synchrony, out, sender_name, message):
     """What one member has acknowledged counts as held by all."""
     order = synchrony.order
     if (
         message.id == synchrony.configuration.id
         and not synchrony.recovery
-        and message.received_watermark > order.acks.get(frm, 0)
+        and message.received_watermark > order.acks.get(sender_name, 0)
     ):
-        order.acks[frm] = message.received_watermark
+        order.acks[sender_name] = message.received_watermark
         for name in member_names(synchrony.configuration):
             out.sends.append((name, SafeUpdate(synchrony.configuration.id, message.received_watermark)))
 
@@ -117,17 +117,17 @@
     return synchrony.primary.opened
 
 
-def echo_for_all(synchrony, out, frm, message):
+def echo_for_all(synchrony, out, sender_name, message):
     """A voter's heartbeat extends a lease though it has promised another configuration."""
-    ORIGINAL["beaten"](synchrony, out, frm, message)
-    peer = synchrony.peers[frm]
+    ORIGINAL["beaten"](synchrony, out, sender_name, message)
+    peer = synchrony.peers[sender_name]
     peer.granted_ms = max(peer.granted_ms, message.echo_ms)
 
 
-def lease_from_receipt(synchrony, out, frm, message):
+def lease_from_receipt(synchrony, out, sender_name, message):
     """A lease counts from when the heartbeat came back."""
-    ORIGINAL["beaten"](synchrony, out, frm, message)
-    peer = synchrony.peers[frm]
+    ORIGINAL["beaten"](synchrony, out, sender_name, message)
+    peer = synchrony.peers[sender_name]
     if peer.granted_ms == message.echo_ms:
         peer.granted_ms = synchrony.now_ms
 
--- a/frostpost/simulator/explore_state.py
+++ b/frostpost/simulator/explore_state.py
@@ -87,7 +87,7 @@
     """The disk's answer that is still to come."""
 
     target: str
-    boot: int
+    incarnation: int
     digest: bytes
 
     @property
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -40,15 +40,15 @@
     other = world.replicas.get(target)
     if other is None or other.core is None or (replica.name, target) in world.cuts:
         return
-    place = replica.core.synchrony.place
+    endpoint = replica.core.synchrony.endpoint
     if isinstance(body, (Heartbeat, DiscoveryUpdate)) and not (world.scenario.slow_heartbeats or other.frozen):
-        world.heartbeats.append((place, target, body))
+        world.heartbeats.append((endpoint, target, body))
         return
-    digest = short_hash(encode([place.member, target, type(body).__name__, body]))
+    digest = short_hash(encode([endpoint.member, target, type(body).__name__, body]))
     if other.frozen:
-        world.late += (Message(place, target, body, digest),)
+        world.late += (Message(endpoint, target, body, digest),)
     elif all(item.digest != digest for item in world.queue):
-        world.queue += (Message(place, target, body, digest),)
+        world.queue += (Message(endpoint, target, body, digest),)
 
 
 def start_sync(world, replica):
@@ -57,8 +57,8 @@
     if disk.syncing or not disk.pending:
         return
     replica.disk = structs.replace(disk, syncing=len(disk.pending))
-    boot = replica.core.synchrony.me.boot
-    world.queue += (SyncDone(replica.name, boot, short_hash(encode(["sync", replica.name, boot]))),)
+    incarnation = replica.core.synchrony.me.incarnation
+    world.queue += (SyncDone(replica.name, incarnation, short_hash(encode(["sync", replica.name, incarnation]))),)
 
 
 def finish_sync(world, name):
@@ -88,8 +88,8 @@
         rewind(own(world, name).core.synchrony)
     step_replica(world, name, TimerTick(world.now_ms))
     while world.heartbeats:
-        place, target, body = world.heartbeats.pop(0)
-        step_replica(world, target, MessageReceived(world.now_ms, place, body))
+        endpoint, target, body = world.heartbeats.pop(0)
+        step_replica(world, target, MessageReceived(world.now_ms, endpoint, body))
 
 
 def rewind(synchrony):
@@ -115,11 +115,11 @@
 def start(world, replica):
     """A process begins on what its disk holds."""
     scenario, boots = world.scenario, replica.disk.boots + 1
-    place = Endpoint(Member(replica.name, boots), "storage", "zone", replica.name, 1, 0, PROTOCOL_REVISION)
+    endpoint = Endpoint(Member(replica.name, boots), "storage", "zone", replica.name, 1, 0, PROTOCOL_REVISION)
     seeds = tuple(f"@{name}:1" for name in world.replicas)
     replica.disk = Disk(replica.disk.synced, boots=boots)
     log = replay(replica.disk.synced)
-    replica.core, out = cores.begin(place, BOUNDS, seeds, first_voters(scenario), log, world.now_ms)
+    replica.core, out = cores.begin(endpoint, BOUNDS, seeds, first_voters(scenario), log, world.now_ms)
     effects(world, replica, out)
     checks.restarted(world, replica)
 
@@ -128,13 +128,13 @@
     """Without a clock a replica that starts and all that it reaches hear of each other at once."""
     if world.scenario.timed:
         return
-    place = world.replicas[name].core.synchrony.place
+    endpoint = world.replicas[name].core.synchrony.endpoint
     others = [r.name for r in world.replicas.values() if r.core is not None and r.name != name]
     for other in others:
         if (name, other) in world.cuts or (other, name) in world.cuts:
             continue
-        step_replica(world, other, MessageReceived(world.now_ms, place, DiscoveryUpdate((), False)))
-        there = world.replicas[other].core.synchrony.place
+        step_replica(world, other, MessageReceived(world.now_ms, endpoint, DiscoveryUpdate((), False)))
+        there = world.replicas[other].core.synchrony.endpoint
         step_replica(world, name, MessageReceived(world.now_ms, there, DiscoveryUpdate((), False)))
     for one in (name, *others):
         tick(world, one)
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -50,7 +50,7 @@
     """Hand in an operation at a node."""
     node = world.nodes[name]
     if node.core is not None:
-        world.ops[(node.place.member, node.core.synchrony.last_number + 1)] = op
+        world.ops[(node.endpoint.member, node.core.synchrony.last_number + 1)] = op
     worlds.feed(world, name, OperationSubmitted(worlds.clock(world, node), encode(op)))
 
 
@@ -70,7 +70,7 @@
         return
     node = random.choice(able)
     state.asked += 1
-    ledger, me = node.core.ledger, node.place.member
+    ledger, me = node.core.ledger, node.endpoint.member
     fence = duties.held(ledger, "list", me)
     if fence and not ledger.runners:
         return ask(world, node.name, Runners(fence, RUNNERS))
@@ -142,7 +142,7 @@
         if world.trap:
             world.trap = False
             worlds.at(world, 0, "call", voters_down)
-        op = world.ops.get((node.place.member, answer.number))
+        op = world.ops.get((node.endpoint.member, answer.number))
         follow(world, node, state.random, op, answer.result)
 
     return heard
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -23,11 +23,11 @@
 from .checks import Broken
 
 
-class Trace(Struct):
-    """A recorded life: how the node started and all its inputs."""
+class Trace(Struct, rename={"endpoint": "place"}):
+    """A recorded life: how the node started and all its inputs; `place` is the name of its endpoint in recordings."""
 
     note: str
-    place: Endpoint
+    endpoint: Endpoint
     bounds: Bounds
     seeds: tuple[str, ...]
     voters: tuple[str, ...]
@@ -56,7 +56,7 @@
         start(world, node)
         if node == name:
             held = world.nodes[node]
-            traces[-1].insert(0, (held.place, worlds.clock(world, held)))
+            traces[-1].insert(0, (held.endpoint, worlds.clock(world, held)))
 
     def feed_one(world, node, input):
         held = world.nodes[node]
@@ -89,7 +89,9 @@
 
 def play(trace):
     """Play a trace; yield its violations."""
-    core, out = cores.begin(trace.place, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.now_ms)
+    core, out = cores.begin(
+        trace.endpoint, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.now_ms
+    )
     life, wrote = Life(replay(trace.records)), 0
     life.applied = core.synchrony.applied
     for input in (None, *trace.inputs):
@@ -148,7 +150,7 @@
     finally:
         worlds.start, worlds.feed = kept
     traces = []
-    for (place, now_ms), records, inputs in lives:
+    for (endpoint, now_ms), records, inputs in lives:
         seeds = tuple(f"@{n}:1" for n in list(world.nodes)[:3])
-        traces.append(Trace(note, place, world.bounds, seeds, world.voters, records, now_ms, inputs))
+        traces.append(Trace(note, endpoint, world.bounds, seeds, world.voters, records, now_ms, inputs))
     return traces
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -31,7 +31,7 @@
     name: str
     role: str
     zone: str
-    place: Endpoint | None = None
+    endpoint: Endpoint | None = None
     core: cores.Core | None = None
     disk: Disk = field(default_factory=Disk)
     life: int = 0
@@ -85,14 +85,16 @@
     node = world.nodes[name]
     node.life += 1
     node.disk.boots += 1
-    boot = node.disk.boots if node.role == "storage" else world.random.randrange(1 << 40)
-    member = Member(name, boot)
-    node.place = Endpoint(member, node.role, node.zone, name, 1, 0, PROTOCOL_REVISION)
+    incarnation = node.disk.boots if node.role == "storage" else world.random.randrange(1 << 40)
+    member = Member(name, incarnation)
+    node.endpoint = Endpoint(member, node.role, node.zone, name, 1, 0, PROTOCOL_REVISION)
     seeds = [f"@{n}:1" for n in list(world.nodes)[:3]]
     log = replay(node.disk.lasting)
     node.frozen, node.queue, node.disk.syncing = False, [], 0
     node.disk.written, node.disk.wrote = [], 0
-    node.core, out = cores.begin(node.place, world.bounds, seeds, world.voters, log, int(world.now_ms) + node.skew_ms)
+    node.core, out = cores.begin(
+        node.endpoint, world.bounds, seeds, world.voters, log, int(world.now_ms) + node.skew_ms
+    )
     note(world, name, events.ConfigurationChanged(node.core.synchrony.configuration, False))
     perform(world, node, out)
     at(world, world.random.random() * 20, "tick", name, node.life)
@@ -124,7 +126,7 @@
 def note(world, name, answer):
     """Add an answer to the history."""
     node = world.nodes[name]
-    member = node.place.member
+    member = node.endpoint.member
     world.history.append((round(world.now_ms, 3), member, answer))
 
 
@@ -173,7 +175,7 @@
     """Send a message, unless the link is cut or the message is lost."""
     world.sent += 1
     if isinstance(body, EntryBatch) and body.entries:
-        key = (node.place.member, body.id)
+        key = (node.endpoint.member, body.id)
         world.ordered[key] = max(world.ordered.get(key, 0), body.entries[-1].ordinal)
     other = world.nodes.get(target)
     if other is None or (node.name, target) in world.cuts:
@@ -181,7 +183,7 @@
     if world.loss_rate and world.random.random() < world.loss_rate:
         return
     far = 0.5 if other.zone != node.zone else 0.1
-    at(world, far + world.random.expovariate(2), "arrive", target, node.place, body)
+    at(world, far + world.random.expovariate(2), "arrive", target, node.endpoint, body)
 
 
 def run(world, until_ms):
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -147,7 +147,7 @@
     chain = load.chains.pop(name, [])
     if len(chain) >= TURNS:
         chain = []
-    this = f"{name}-{leaf.place.member.boot:013x}-{number:010d}"
+    this = f"{name}-{leaf.endpoint.member.incarnation:013x}-{number:010d}"
     program = chain[0] if chain else this
     begin = Begin(
         this,
@@ -175,7 +175,7 @@
 @inlineCallbacks
 def keyed(leaf, load, reactor, number):
     """Claim and resolve an idempotency key."""
-    this = f"{leaf.settings.name}-{leaf.place.member.boot:013x}-{number:010d}"
+    this = f"{leaf.settings.name}-{leaf.endpoint.member.incarnation:013x}-{number:010d}"
     claim = Claim(f"key-{this}", this, WINDOW_MS)
     ok = yield timed(load, reactor, load.claimed_ms, asking.ask(leaf, claim, WAIT_MS), Claimed)
     if ok:
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -85,7 +85,7 @@
 def send_puts(leaf, job):
     """Send a body to every replica that has not confirmed it, and again after a while."""
     later(leaf, job, "resend", RESEND_MS, lambda: send_puts(leaf, job))
-    message = PutBodyRequest(leaf.place.member.boot, job.number, job.turn, job.data)
+    message = PutBodyRequest(leaf.endpoint.member.incarnation, job.number, job.turn, job.data)
     for name, address in lease.ring_addresses(leaf).items():
         if name not in job.synced:
             leaf.links["send"](address, message)
@@ -131,7 +131,7 @@
     job.asked.append(name)
     address = lease.ring_addresses(leaf).get(name)
     if address is not None:
-        leaf.links["send"](address, GetBodiesRequest(leaf.place.member.boot, job.number, tuple(job.wanted)))
+        leaf.links["send"](address, GetBodiesRequest(leaf.endpoint.member.incarnation, job.number, tuple(job.wanted)))
 
 
 def out_of_reach(leaf, job):
@@ -144,7 +144,7 @@
     if not isinstance(body, (PutBodyReply, GetBodiesReply)):
         return False
     state = putting(leaf)
-    if body.boot == leaf.place.member.boot:
+    if body.incarnation == leaf.endpoint.member.incarnation:
         if isinstance(body, PutBodyReply) and body.number in state.puts:
             done(leaf, state.puts[body.number], name, body.synced)
         elif isinstance(body, GetBodiesReply) and body.number in state.fetches:
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -41,7 +41,7 @@
 class Repair(Struct):
     """queues: by peer, the turns to ask of it next. lacked: what the last round found lacking, at ledger index."""
 
-    boot: int
+    incarnation: int
     number: int = 0
     asks: dict[str, Ask] = {}
     tried: dict[str, Tried] = {}
@@ -168,14 +168,14 @@
         tried = state.tried.setdefault(turn, Tried())
         tried.asked.append(peer)
         tried.again_ms = now + CYCLE_MS
-    replica.send(peer, GetBodiesRequest(state.boot, state.number, turns))
+    replica.send(peer, GetBodiesRequest(state.incarnation, state.number, turns))
 
 
 def got(replica, peer, body):
     """A peer's answer: keep what it brought, ask others for what it denied, and go on with the next batch."""
     turn_store, state = replica.turn_store, replica.turn_store.repairing
     ask = state.asks.get(peer) if state is not None else None
-    if ask is None or body.boot != state.boot or body.number != ask.number:
+    if ask is None or body.incarnation != state.incarnation or body.number != ask.number:
         return
     del state.asks[peer]
     brought = {turn: data for turn, data in body.items if turn in ask.turns}
--- a/frostpost/turn_store/serving.py
+++ b/frostpost/turn_store/serving.py
@@ -12,10 +12,10 @@
     """Takes PutBodyRequest, GetBodiesRequest and GetBodiesReply; -> whether it was one of them."""
     if isinstance(body, PutBodyRequest):
         store.put(replica.turn_store, body.turn, body.data).addCallback(
-            lambda synced: replica.send(frm_address, PutBodyReply(body.boot, body.number, synced))
+            lambda synced: replica.send(frm_address, PutBodyReply(body.incarnation, body.number, synced))
         )
     elif isinstance(body, GetBodiesRequest):
-        replica.send(frm_address, GetBodiesReply(body.boot, body.number, found(replica.turn_store, body.turns)))
+        replica.send(frm_address, GetBodiesReply(body.incarnation, body.number, found(replica.turn_store, body.turns)))
     elif isinstance(body, GetBodiesReply):
         got(replica, frm_address, body)
     else:
--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -12,7 +12,7 @@
 class DirectoryReply(Struct, frozen=True, array_like=True, tag=23):
     """places: the ring's daemons that the teller knows; charter: the founding voters, if it knows them."""
 
-    places: tuple[Endpoint, ...]
+    endpoints: tuple[Endpoint, ...]
     charter: tuple[str, ...] = ()
 
 
@@ -36,13 +36,13 @@
     version: int = 0
     honoured: int = 0
     epoch: int = 0
-    places: tuple[Endpoint, ...] = ()
+    endpoints: tuple[Endpoint, ...] = ()
     leaves: int = 0
     draining: tuple[str, ...] = ()
 
 
 class OperationRequest(Struct, frozen=True, array_like=True, tag=26):
-    boot: int
+    incarnation: int
     number: int
     payload: bytes
 
@@ -50,7 +50,7 @@
 class OperationReply(Struct, frozen=True, array_like=True, tag=27):
     """fault is empty where the verdict stands."""
 
-    boot: int
+    incarnation: int
     number: int
     verdict: bytes
     fault: str = ""
@@ -66,26 +66,26 @@
 
 
 class PutBodyRequest(Struct, frozen=True, array_like=True, tag=30):
-    boot: int
+    incarnation: int
     number: int
     turn: str
     data: bytes
 
 
 class PutBodyReply(Struct, frozen=True, array_like=True, tag=31):
-    boot: int
+    incarnation: int
     number: int
     synced: bool
 
 
 class GetBodiesRequest(Struct, frozen=True, array_like=True, tag=32):
-    boot: int
+    incarnation: int
     number: int
     turns: tuple[str, ...]
 
 
 class GetBodiesReply(Struct, frozen=True, array_like=True, tag=33):
-    boot: int
+    incarnation: int
     number: int
     items: tuple[tuple[str, bytes], ...]
 
--- a/frostpost/virtual_synchrony/catch_up.py
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -57,18 +57,18 @@
     out.answers.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
 
 
-def on_entries_request(synchrony, out, frm, message):
+def on_entries_request(synchrony, out, sender_name, message):
     log, primary = synchrony.log, synchrony.primary
     if message.id != synchrony.configuration.id or primary.ready_record_number < 0:
         return
     if message.first <= log.snapshot_index or message.offset:
-        out.answers.append(SnapshotRequested(frm, message.id, message.offset))
+        out.answers.append(SnapshotRequested(sender_name, message.id, message.offset))
         return
     entries = log.entries[message.first - log.snapshot_index - 1 : primary.base - log.snapshot_index]
-    out.sends.append((frm, EntriesReply(message.id, tuple(entries[: synchrony.bounds.batch]))))
+    out.sends.append((sender_name, EntriesReply(message.id, tuple(entries[: synchrony.bounds.batch]))))
 
 
-def on_entries_reply(synchrony, out, frm, message):
+def on_entries_reply(synchrony, out, sender_name, message):
     primary, log = synchrony.primary, synchrony.log
     if message.id != synchrony.configuration.id or not first_missing_index(synchrony):
         return
@@ -90,7 +90,7 @@
     request_missing(synchrony, out)
 
 
-def on_snapshot_chunk(synchrony, out, frm, message):
+def on_snapshot_chunk(synchrony, out, sender_name, message):
     primary = synchrony.primary
     if message.id != synchrony.configuration.id or primary.loading_snapshot or not first_missing_index(synchrony):
         return
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -19,17 +19,17 @@
 def announce_endpoints(synchrony, out):
     """Tell peers and seeds of places, as far as it is due in this period."""
     synchrony.discovery_ms = synchrony.now_ms
-    places = (synchrony.place, *(peer.place for peer in synchrony.peers.values()))
-    if places != synchrony.announced_endpoints:
-        synchrony.announced_endpoints, synchrony.announced_periods = places, 0
+    endpoints = (synchrony.endpoint, *(peer.endpoint for peer in synchrony.peers.values()))
+    if endpoints != synchrony.announced_endpoints:
+        synchrony.announced_endpoints, synchrony.announced_periods = endpoints, 0
     synchrony.announced_periods += 1
     fresh = not is_settled_member(synchrony) or synchrony.announced_periods <= REPEATS
     again = synchrony.announced_periods % REMIND_PERIODS == 0
     if fresh or again or sequencer_of(synchrony) == synchrony.name:
-        report = DiscoveryUpdate(() if is_settled_member(synchrony) else (synchrony.place,), synchrony.draining)
+        report = DiscoveryUpdate(() if is_settled_member(synchrony) else (synchrony.endpoint,), synchrony.draining)
         out.sends += [(seed, report) for seed in distant_seeds(synchrony)]
     if fresh or again:
-        whole = DiscoveryUpdate(places, synchrony.draining)
+        whole = DiscoveryUpdate(endpoints, synchrony.draining)
         out.sends += [(name, whole) for name in synchrony.peers]
 
 
@@ -40,16 +40,16 @@
 
 def distant_seeds(synchrony):
     """The seeds that are neither this replica nor one of its peers."""
-    places = (synchrony.place, *(peer.place for peer in synchrony.peers.values()))
-    known = {f"@{place.host}:{place.port}" for place in places}
+    endpoints = (synchrony.endpoint, *(peer.endpoint for peer in synchrony.peers.values()))
+    known = {f"@{endpoint.host}:{endpoint.port}" for endpoint in endpoints}
     return [seed for seed in synchrony.seeds if seed not in known]
 
 
-def on_discovery_update(synchrony, frm, message):
+def on_discovery_update(synchrony, sender_name, message):
     """Take in what another replica knows of places, and whether it leaves."""
-    peer = synchrony.peers[frm]
+    peer = synchrony.peers[sender_name]
     if peer.draining != message.draining:
         peer.draining, synchrony.peers_changed = message.draining, True
-    for place in message.places:
-        if place.member.name not in synchrony.peers and place.member.name != synchrony.name:
-            synchrony.peers[place.member.name], synchrony.peers_changed = Peer(place), True
+    for endpoint in message.endpoints:
+        if endpoint.member.name not in synchrony.peers and endpoint.member.name != synchrony.name:
+            synchrony.peers[endpoint.member.name], synchrony.peers_changed = Peer(endpoint), True
--- a/frostpost/virtual_synchrony/durable_log.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -15,7 +15,7 @@
     entries: list[Entry] = []
     voters: tuple[str, ...] = ()
     epoch: int = 0
-    boot: int = 0
+    incarnation: int = 0
     commit_index: int = 0
     snapshot: bytes = b""
 
@@ -33,8 +33,8 @@
 
 def replay_record(log, record):
     match record:
-        case PromiseRecord(boot, epoch):
-            log.boot, log.epoch = max(log.boot, boot), max(log.epoch, epoch)
+        case PromiseRecord(incarnation, epoch):
+            log.incarnation, log.epoch = max(log.incarnation, incarnation), max(log.epoch, epoch)
         case SnapshotRecord(index, state):
             log.snapshot_index, log.entries, log.snapshot = index, [], state
             log.commit_index = max(log.commit_index, index)
--- a/frostpost/virtual_synchrony/endpoints.py
+++ b/frostpost/virtual_synchrony/endpoints.py
@@ -3,7 +3,7 @@
 
 class Member(Struct, frozen=True, array_like=True, order=True):
     name: str
-    boot: int
+    incarnation: int
 
 
 class Endpoint(Struct, frozen=True, array_like=True):
@@ -13,4 +13,4 @@
     host: str
     port: int
     http_port: int
-    speaks: int = 1
+    protocol_revision: int = 1
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -32,7 +32,7 @@
 
 
 class PromiseRecord(Struct, frozen=True, array_like=True, tag=4):
-    boot: int
+    incarnation: int
     epoch: int
 
 
@@ -54,7 +54,7 @@
 
 class MessageReceived(Struct, frozen=True, array_like=True, tag=2):
     now_ms: int
-    place: Endpoint
+    endpoint: Endpoint
     body: Message
 
 
--- a/frostpost/virtual_synchrony/failure_detector.py
+++ b/frostpost/virtual_synchrony/failure_detector.py
@@ -19,11 +19,11 @@
 
 
 def reachability_graph(synchrony):
-    mine = {p.place.member for p in synchrony.peers.values() if is_available(synchrony, p)}
+    mine = {p.endpoint.member for p in synchrony.peers.values() if is_available(synchrony, p)}
     graph = {synchrony.me: mine}
     for peer in synchrony.peers.values():
         if is_available(synchrony, peer) and synchrony.me in peer.reachable:
-            graph[peer.place.member] = peer.reachable
+            graph[peer.endpoint.member] = peer.reachable
     return graph
 
 
@@ -48,7 +48,7 @@
 
 def member_sort_key(synchrony, member):
     """Sort key of the members of a configuration: replicas first, then by name."""
-    return ROLE_ORDER[role_of(synchrony, member.name)], member.name, member.boot
+    return ROLE_ORDER[role_of(synchrony, member.name)], member.name, member.incarnation
 
 
 def desired_members(synchrony):
@@ -70,7 +70,7 @@
 
 def send_heartbeats(synchrony, out):
     synchrony.heartbeat_ms = synchrony.now_ms
-    hears = tuple(p.place.member for p in synchrony.peers.values() if is_available(synchrony, p))
+    hears = tuple(p.endpoint.member for p in synchrony.peers.values() if is_available(synchrony, p))
     for name, peer in synchrony.peers.items():
         out.sends.append(
             (
@@ -92,8 +92,8 @@
         )
 
 
-def on_heartbeat(synchrony, out, frm, message):
-    peer = synchrony.peers[frm]
+def on_heartbeat(synchrony, out, sender_name, message):
+    peer = synchrony.peers[sender_name]
     before = observed_health(synchrony, peer)
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
     peer.reachable = frozenset(message.reachable)
@@ -106,9 +106,9 @@
     if agreed and message.echo_ms > peer.granted_ms:
         peer.granted_ms = message.echo_ms
     mine = synchrony.configuration.id
-    proposed_here = mine.proposer == synchrony.name and mine.boot == synchrony.me.boot
+    proposed_here = mine.proposer == synchrony.name and mine.incarnation == synchrony.me.incarnation
     if proposed_here and message.promised == mine and message.configuration != mine:
-        out.sends.append((frm, InstallRequest(mine)))
+        out.sends.append((sender_name, InstallRequest(mine)))
 
 
 def holds_lease(synchrony, now_ms):
@@ -120,7 +120,7 @@
     for name, peer in synchrony.peers.items():
         if (
             now_ms - peer.granted_ms < synchrony.bounds.lease_ms
-            and peer.place.member in synchrony.configuration.members
+            and peer.endpoint.member in synchrony.configuration.members
         ):
             present.add(name)
     voters = synchrony.voters or synchrony.bootstrap_voters
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -65,24 +65,24 @@
 
 def propose(synchrony, out, members):
     increment_counter(synchrony, "proposals")
-    id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.me.boot)
+    id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.me.incarnation)
     proposal = Proposal(id, tuple(members), elect_sequencer(synchrony, members), synchrony.now_ms, synchrony.now_ms)
     synchrony.proposal = proposal
     for member in members:
         out.sends.append((member.name, ProposeRequest(id, proposal.members, proposal.sequencer)))
 
 
-def on_propose_request(synchrony, out, frm, message):
+def on_propose_request(synchrony, out, sender_name, message):
     known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
         return send_exchange(synchrony, out)
     refused = message.id <= synchrony.promised or synchrony.me not in message.members
     if refused or has_confirmed_in_epoch(synchrony, message.id) or would_split_serving_primary(synchrony, message):
-        out.sends.append((frm, ProposeRejection(message.id, synchrony.promised)))
+        out.sends.append((sender_name, ProposeRejection(message.id, synchrony.promised)))
         return
     if synchrony.proposal and synchrony.proposal.id < message.id:
         synchrony.proposal = None
-    promise(synchrony, out, frm, message)
+    promise(synchrony, out, sender_name, message)
 
 
 def would_split_serving_primary(synchrony, message):
@@ -91,7 +91,7 @@
     A member's own proposal is never refused for this: its proposer has left the primary, which must be replaced.
     """
     members = synchrony.configuration.members
-    if not is_serving(synchrony) or Member(message.id.proposer, message.id.boot) in members:
+    if not is_serving(synchrony) or Member(message.id.proposer, message.id.incarnation) in members:
         return False
     wanted = desired_members(synchrony)
     return any(member in wanted and member not in message.members for member in members)
@@ -107,13 +107,13 @@
     return synchrony.recovery is None or synchrony.recovery.is_complete
 
 
-def promise(synchrony, out, frm, message):
+def promise(synchrony, out, sender_name, message):
     synchrony.promised = message.id
     synchrony.recovery = Recovery(
-        message.id, frm, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
+        message.id, sender_name, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
     )
     synchrony.order.early_messages = []
-    write_record(synchrony, out, PromiseRecord(synchrony.me.boot, message.id.epoch))
+    write_record(synchrony, out, PromiseRecord(synchrony.me.incarnation, message.id.epoch))
     send_exchange(synchrony, out)
 
 
@@ -135,11 +135,11 @@
     out.sends.append((synchrony.recovery.proposer, said))
 
 
-def on_recovery_exchange(synchrony, out, frm, message):
+def on_recovery_exchange(synchrony, out, sender_name, message):
     proposal = synchrony.proposal
     if proposal is None or proposal.id != message.id:
         return
-    proposal.exchanges[frm] = message
+    proposal.exchanges[sender_name] = message
     if len(proposal.exchanges) == len(proposal.members) and not proposal.plan_sent:
         proposal.plan_sent = True
         send_plan(synchrony, out)
@@ -153,23 +153,23 @@
             out.sends.append((member.name, plan))
 
 
-def on_recovery_complete(synchrony, out, frm, message):
+def on_recovery_complete(synchrony, out, sender_name, message):
     proposal = synchrony.proposal
     if proposal is None:
         if message.id == synchrony.configuration.id:
-            out.sends.append((frm, InstallRequest(message.id)))
+            out.sends.append((sender_name, InstallRequest(message.id)))
         return
     if proposal.id != message.id:
         return
-    proposal.completed_members.add(frm)
+    proposal.completed_members.add(sender_name)
     if len(proposal.completed_members) == len(proposal.members):
         synchrony.proposal = None
         for member in proposal.members:
             out.sends.append((member.name, InstallRequest(proposal.id)))
 
 
-def on_propose_rejection(synchrony, out, frm, message):
-    peer = synchrony.peers.get(frm)
+def on_propose_rejection(synchrony, out, sender_name, message):
+    peer = synchrony.peers.get(sender_name)
     if peer:
         peer.promised = max(peer.promised, message.promised)
     if synchrony.proposal and synchrony.proposal.id == message.id:
@@ -205,7 +205,7 @@
 
 def exclude_for_a_while(synchrony, member):
     peer = synchrony.peers.get(member.name)
-    if peer is None or peer.place.member != member:
+    if peer is None or peer.endpoint.member != member:
         return
     if synchrony.now_ms - peer.excluded_until_ms > 20 * synchrony.bounds.proposal_ms:
         peer.exclusions = 0
--- a/frostpost/virtual_synchrony/messages.py
+++ b/frostpost/virtual_synchrony/messages.py
@@ -27,7 +27,7 @@
 class ConfigurationId(Struct, frozen=True, array_like=True, order=True):
     epoch: int
     proposer: str
-    boot: int
+    incarnation: int
 
 
 class Configuration(Struct, frozen=True, array_like=True):
@@ -67,7 +67,7 @@
 
 
 class DiscoveryUpdate(Struct, frozen=True, array_like=True, tag=2):
-    places: tuple[Endpoint, ...]
+    endpoints: tuple[Endpoint, ...]
     draining: bool
 
 
@@ -225,6 +225,6 @@
 
 class Frame(Struct, frozen=True, array_like=True):
     version: int
-    place: Endpoint
+    endpoint: Endpoint
     to: str
     body: Message
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -34,7 +34,7 @@
     return next(iter(synchrony.outbox))
 
 
-def on_submit_request(synchrony, out, frm, sender, message):
+def on_submit_request(synchrony, out, sender_name, sender, message):
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery or not synchrony.primary.open_ordered:
         increment_counter(synchrony, "foreign")
@@ -92,7 +92,7 @@
     advance_received_watermark(synchrony, out)
 
 
-def on_entry_batch(synchrony, out, frm, message):
+def on_entry_batch(synchrony, out, sender_name, message):
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         increment_counter(synchrony, "foreign")
@@ -122,14 +122,14 @@
         out.sends.append((sequencer_of(synchrony), BatchAck(synchrony.configuration.id, top)))
 
 
-def on_batch_ack(synchrony, out, frm, message):
+def on_batch_ack(synchrony, out, sender_name, message):
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
-    if sequencer_of(synchrony) != synchrony.name or message.received_watermark <= order.acks.get(frm, 0):
+    if sequencer_of(synchrony) != synchrony.name or message.received_watermark <= order.acks.get(sender_name, 0):
         return
-    order.acks[frm] = message.received_watermark
-    order.sent_ms[frm] = synchrony.now_ms
+    order.acks[sender_name] = message.received_watermark
+    order.sent_ms[sender_name] = synchrony.now_ms
     members = member_names(synchrony.configuration)
     if any(order.acks.get(name, 0) <= order.safe_watermark for name in members):
         return
--- a/frostpost/virtual_synchrony/primary_component.py
+++ b/frostpost/virtual_synchrony/primary_component.py
@@ -75,13 +75,13 @@
     out.sends.append((sequencer_of(synchrony), ReadyUpdate(synchrony.configuration.id)))
 
 
-def on_ready_update(synchrony, out, frm, message):
+def on_ready_update(synchrony, out, sender_name, message):
     primary, order = synchrony.primary, synchrony.order
     if message.id != synchrony.configuration.id or not primary.eligible or synchrony.recovery:
         return
     if sequencer_of(synchrony) != synchrony.name:
         return
-    primary.ready_members.add(frm)
+    primary.ready_members.add(sender_name)
     if not primary.open_ordered and has_quorums(primary, primary.ready_members):
         primary.open_ordered = True
         cores = tuple(n for n in member_names(synchrony.configuration) if role_of(synchrony, n) == "core")
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -33,7 +33,7 @@
 
 
 class Peer(Struct):
-    place: Endpoint
+    endpoint: Endpoint
     heard_ms: int = -(1 << 40)
     reachable: frozenset[Member] = frozenset()
     configuration: ConfigurationId = NOWHERE
@@ -117,7 +117,7 @@
 
 
 class Synchrony(Struct):
-    place: Endpoint
+    endpoint: Endpoint
     bounds: Bounds
     seeds: tuple[str, ...]
     bootstrap_voters: tuple[str, ...]
@@ -161,11 +161,11 @@
 
     @property
     def me(self):
-        return self.place.member
+        return self.endpoint.member
 
     @property
     def name(self):
-        return self.place.member.name
+        return self.endpoint.member.name
 
 
 def increment_counter(synchrony, what, by=1):
@@ -185,9 +185,9 @@
 
 def role_of(synchrony, name):
     if name == synchrony.name:
-        return synchrony.place.role
+        return synchrony.endpoint.role
     peer = synchrony.peers.get(name)
-    return peer.place.role if peer else "edge"
+    return peer.endpoint.role if peer else "edge"
 
 
 def sequencer_of(synchrony):
@@ -207,22 +207,22 @@
     return all(is_majority(v, present) for v in (primary.voters, *primary.pending_voters))
 
 
-def begin_synchrony(place, bounds, seeds, voters, log, now_ms):
-    storage = place.role == "storage"
-    single = ConfigurationId(log.epoch + 1, place.member.name, place.member.boot)
+def begin_synchrony(endpoint, bounds, seeds, voters, log, now_ms):
+    storage = endpoint.role == "storage"
+    single = ConfigurationId(log.epoch + 1, endpoint.member.name, endpoint.member.incarnation)
     synchrony = Synchrony(
-        place=place,
+        endpoint=endpoint,
         bounds=bounds,
         seeds=tuple(seeds),
         bootstrap_voters=tuple(voters),
         has_log=storage,
         log=log,
-        configuration=Configuration(single, (place.member,), place.member.name),
+        configuration=Configuration(single, (endpoint.member,), endpoint.member.name),
         promised=single,
         now_ms=now_ms,
         installed_ms=now_ms,
         applied=log.commit_index,
     )
     out = Output()
-    write_record(synchrony, out, PromiseRecord(place.member.boot, single.epoch))
+    write_record(synchrony, out, PromiseRecord(endpoint.member.incarnation, single.epoch))
     return synchrony, out
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -30,9 +30,9 @@
     match input:
         case TimerTick():
             on_tick(synchrony, out)
-        case MessageReceived(_, place, body):
-            if register_peer(synchrony, place):
-                on_message(synchrony, out, place.member.name, body)
+        case MessageReceived(_, endpoint, body):
+            if register_peer(synchrony, endpoint):
+                on_message(synchrony, out, endpoint.member.name, body)
         case OperationSubmitted(_, payload, end):
             ordering.submit_operation(synchrony, out, payload, end)
         case LogSynced(_, up_to):
@@ -68,8 +68,8 @@
         replays, synchrony.replayed_messages = synchrony.replayed_messages, []
         for body in mine:
             on_message(synchrony, out, me, body)
-        for frm, body in replays:
-            on_message(synchrony, out, frm, body)
+        for sender_name, body in replays:
+            on_message(synchrony, out, sender_name, body)
         ordering.send_batch(synchrony, out)
         if not any(name == me for name, _ in out.sends) and not synchrony.replayed_messages:
             out.sends = without_superseded(out.sends)
@@ -88,25 +88,28 @@
     return batches.get((to, message.id), -1) >= message.safe_watermark
 
 
-def register_peer(synchrony, place):
-    name = place.member.name
+def register_peer(synchrony, endpoint):
+    name = endpoint.member.name
     if name == synchrony.name:
         return False
     peer = synchrony.peers.get(name)
     if peer is None:
-        synchrony.peers[name], synchrony.peers_changed = Peer(place), True
+        synchrony.peers[name], synchrony.peers_changed = Peer(endpoint), True
         synchrony.heartbeat_ms = -(1 << 40)
-    elif peer.place.member.boot != place.member.boot:
-        if place.member in peer.past_incarnations and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms:
+    elif peer.endpoint.member.incarnation != endpoint.member.incarnation:
+        if (
+            endpoint.member in peer.past_incarnations
+            and synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms
+        ):
             increment_counter(synchrony, "past_boot")
             return False
         synchrony.peers[name], synchrony.peers_changed = (
-            Peer(place, past_incarnations=(peer.past_incarnations | {peer.place.member})),
+            Peer(endpoint, past_incarnations=(peer.past_incarnations | {peer.endpoint.member})),
             True,
         )
         synchrony.heartbeat_ms = -(1 << 40)
-    elif peer.place != place:
-        peer.place, synchrony.peers_changed = place, True
+    elif peer.endpoint != endpoint:
+        peer.endpoint, synchrony.peers_changed = endpoint, True
     return True
 
 
@@ -125,45 +128,45 @@
     synchrony.membership_differs = set(synchrony.desired_members) != set(synchrony.configuration.members)
 
 
-def on_message(synchrony, out, frm, body):
+def on_message(synchrony, out, sender_name, body):
     recovering = synchrony.recovery
     if recovering and isinstance(body, EARLY) and body.id == recovering.id:
         if len(synchrony.order.early_messages) < synchrony.bounds.held:
-            synchrony.order.early_messages.append((frm, body))
+            synchrony.order.early_messages.append((sender_name, body))
         return
     match body:
         case Heartbeat():
-            failure_detector.on_heartbeat(synchrony, out, frm, body)
+            failure_detector.on_heartbeat(synchrony, out, sender_name, body)
         case DiscoveryUpdate():
-            discovery.on_discovery_update(synchrony, frm, body)
+            discovery.on_discovery_update(synchrony, sender_name, body)
         case ProposeRequest():
-            membership.on_propose_request(synchrony, out, frm, body)
+            membership.on_propose_request(synchrony, out, sender_name, body)
         case ProposeRejection():
-            membership.on_propose_rejection(synchrony, out, frm, body)
+            membership.on_propose_rejection(synchrony, out, sender_name, body)
         case RecoveryExchange():
-            membership.on_recovery_exchange(synchrony, out, frm, body)
+            membership.on_recovery_exchange(synchrony, out, sender_name, body)
         case RecoveryPlan():
             recovery.on_recovery_plan(synchrony, out, body)
         case Rebroadcast():
             recovery.on_rebroadcast(synchrony, out, body)
         case RecoveryComplete():
-            membership.on_recovery_complete(synchrony, out, frm, body)
+            membership.on_recovery_complete(synchrony, out, sender_name, body)
         case InstallRequest():
             recovery.on_install_request(synchrony, out, body)
         case SubmitRequest():
-            sender = synchrony.me if frm == synchrony.name else synchrony.peers[frm].place.member
-            ordering.on_submit_request(synchrony, out, frm, sender, body)
+            sender = synchrony.me if sender_name == synchrony.name else synchrony.peers[sender_name].endpoint.member
+            ordering.on_submit_request(synchrony, out, sender_name, sender, body)
         case EntryBatch():
-            ordering.on_entry_batch(synchrony, out, frm, body)
+            ordering.on_entry_batch(synchrony, out, sender_name, body)
         case BatchAck():
-            ordering.on_batch_ack(synchrony, out, frm, body)
+            ordering.on_batch_ack(synchrony, out, sender_name, body)
         case SafeUpdate():
             ordering.on_safe_update(synchrony, out, body)
         case ReadyUpdate():
-            primary_component.on_ready_update(synchrony, out, frm, body)
+            primary_component.on_ready_update(synchrony, out, sender_name, body)
         case EntriesRequest():
-            catch_up.on_entries_request(synchrony, out, frm, body)
+            catch_up.on_entries_request(synchrony, out, sender_name, body)
         case EntriesReply():
-            catch_up.on_entries_reply(synchrony, out, frm, body)
+            catch_up.on_entries_reply(synchrony, out, sender_name, body)
         case SnapshotChunk():
-            catch_up.on_snapshot_chunk(synchrony, out, frm, body)
+            catch_up.on_snapshot_chunk(synchrony, out, sender_name, body)
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -200,7 +200,7 @@
         if not isinstance(op, LookRouting):
             return kept(ctx, sessions, address, message)
         verdict = settings.look_routing(ctx.core.ledger.program_ledger, 0, op)
-        return ctx.links["send"](address, OperationReply(message.boot, message.number, serving.encode(verdict)))
+        return ctx.links["send"](address, OperationReply(message.incarnation, message.number, serving.encode(verdict)))
 
     return [(serving, "asked", asked)]
 
--- a/tests/test_cluster_asking.py
+++ b/tests/test_cluster_asking.py
@@ -1,6 +1,6 @@
 import pytest
 from msgspec import msgpack
-from test_cluster_lease import new_leaf, place_of, sent
+from test_cluster_lease import endpoint_of, new_leaf, sent
 from twisted.internet.task import Clock
 
 from frostpost.cluster import asking
@@ -11,14 +11,14 @@
 from frostpost.virtual_synchrony.agent_messages import LeaseReply, OperationReply, OperationRequest
 from frostpost.virtual_synchrony.messages import Frame
 
-PLACES = (place_of("s1", port=7), place_of("s2", port=8))
+PLACES = (endpoint_of("s1", port=7), endpoint_of("s2", port=8))
 END = End("a", 3)
 ENDED = Ended()
 
 
 def granted(leaf, name="s1", lease_ms=1200, epoch=1):
     at = next(p for p in PLACES if p.member.name == name)
-    grant = LeaseReply(int(leaf.reactor.seconds() * 1000), lease_ms, name, epoch=epoch, places=PLACES)
+    grant = LeaseReply(int(leaf.reactor.seconds() * 1000), lease_ms, name, epoch=epoch, endpoints=PLACES)
     assembly.received(leaf, Frame(1, at, "", grant))
 
 
@@ -36,9 +36,15 @@
     return found
 
 
-def told(leaf, number, verdict=ENDED, boot=None, fault=""):
+def told(leaf, number, verdict=ENDED, incarnation=None, fault=""):
     asking.told(
-        leaf, OperationReply(leaf.place.member.boot if boot is None else boot, number, msgpack.encode(verdict), fault)
+        leaf,
+        OperationReply(
+            leaf.endpoint.member.incarnation if incarnation is None else incarnation,
+            number,
+            msgpack.encode(verdict),
+            fault,
+        ),
     )
 
 
@@ -104,7 +110,7 @@
 def test_verdict_for_another_boot_is_ignored():
     _, leaf = started()
     found = outcomes(asking.ask(leaf, END, 500))
-    told(leaf, 1, boot=leaf.place.member.boot + 1)
+    told(leaf, 1, incarnation=leaf.endpoint.member.incarnation + 1)
     told(leaf, 9)
     assert found == [] and list(leaf.asking.open) == [1]
 
--- a/tests/test_cluster_founding.py
+++ b/tests/test_cluster_founding.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from test_cluster_lease import place_of
+from test_cluster_lease import endpoint_of
 from test_turn_store_drive import Threads, lose_unsynced
 from twisted.internet.task import Clock
 
@@ -34,7 +34,7 @@
             "c1", "core", "z", *address, seeds=SEEDS, first_start=first_start, data="/data", tolerated=tolerated
         )
         machine = Machine(seconds=self.clock.seconds, in_thread=self.threads.run, files=drives.files_of(self.drive))
-        self.leaf = Leaf(settings, self.clock, place_of("c1", "core"), machine)
+        self.leaf = Leaf(settings, self.clock, endpoint_of("c1", "core"), machine)
         self.kept = {seed: () for seed in SEEDS if seed != f"{address[0]}:{address[1]}"} if kept is None else kept
         self.silent = set()
         self.leaf.links["send"] = self.send
@@ -49,12 +49,12 @@
         elif seed in self.kept and seed not in self.silent:
             self.kept[seed] = body.names or self.kept[seed]
             host, port = seed.split(":")
-            place = Endpoint(Member(seed, 1), "core", "z", host, int(port), 0)
-            assembly.received(self.leaf, Frame(1, place, "", BootstrapReply(self.kept[seed])))
+            endpoint = Endpoint(Member(seed, 1), "core", "z", host, int(port), 0)
+            assembly.received(self.leaf, Frame(1, endpoint, "", BootstrapReply(self.kept[seed])))
 
     def hello(self, *names, role="storage"):
         for name in names:
-            assembly.received(self.leaf, Frame(1, place_of(name, role), "", DirectoryRequest()))
+            assembly.received(self.leaf, Frame(1, endpoint_of(name, role), "", DirectoryRequest()))
 
     def after(self, wait_s):
         self.clock.advance(wait_s)
@@ -88,7 +88,7 @@
 def test_only_storage_daemons_that_ask_are_counted():
     core = Core()
     core.hello("e1", "e2", "c2", role="edge")
-    assembly.received(core.leaf, Frame(1, place_of("s1"), "", DiscoveryUpdate((), False)))
+    assembly.received(core.leaf, Frame(1, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
     assert core.after(FEW_S) == ()
 
 
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -23,13 +23,13 @@
 IDS = ConfigurationId(3, "s1", 1)
 
 
-def place_of(name, role="storage", port=1, boot=1):
-    return Endpoint(Member(name, boot), role, "z", "h", port, 0)
+def endpoint_of(name, role="storage", port=1, incarnation=1):
+    return Endpoint(Member(name, incarnation), role, "z", "h", port, 0)
 
 
 def new_leaf(clock, name="e1", seeds=("h:9",)):
     settings = DaemonSettings(name, "edge", "z", "h", 2, seeds=seeds, lease_ms=LEASE_MS)
-    leaf = Leaf(settings, clock, place_of(name, "edge", 2), Machine(seconds=clock.seconds))
+    leaf = Leaf(settings, clock, endpoint_of(name, "edge", 2), Machine(seconds=clock.seconds))
     leaf.links["send"] = lambda to, body: leaf.extras.setdefault("sent", []).append((to, body))
     leaf.extras["routing_from_body"] = lambda body: body.decode()
     lease.session(leaf)
@@ -44,7 +44,7 @@
     """A sequencer whose own lease runs from granted_ms."""
     members = tuple(Member(v, 1) for v in voters)
     synchrony = Synchrony(
-        place_of("s1"),
+        endpoint_of("s1"),
         Bounds(lease_ms=LEASE_MS),
         (),
         voters,
@@ -55,7 +55,7 @@
         voters=voters,
     )
     synchrony.primary.opened, synchrony.applied = True, 5
-    synchrony.peers = {v: Peer(place_of(v), granted_ms=granted_ms) for v in voters[1:]}
+    synchrony.peers = {v: Peer(endpoint_of(v), granted_ms=granted_ms) for v in voters[1:]}
     core = SimpleNamespace(synchrony=synchrony, ledger=Ledger())
     ctx = SimpleNamespace(core=core, machine=Machine(seconds=clock.seconds), links={}, out=[])
     ctx.links["send"] = lambda to, body: ctx.out.append((to, body))
@@ -73,34 +73,34 @@
         peer.granted_ms = int(clock.seconds() * 1000)
 
 
-def renewed(ctx, sessions, version, sent_ms=0, name="e1", boot=1):
-    return serving.renewed(ctx, sessions, place_of(name, "edge", 2, boot), LeaseRequest(sent_ms, version))
+def renewed(ctx, sessions, version, sent_ms=0, name="e1", incarnation=1):
+    return serving.renewed(ctx, sessions, endpoint_of(name, "edge", 2, incarnation), LeaseRequest(sent_ms, version))
 
 
 def test_lease_counts_from_the_leafs_send_time_and_ends_with_the_grant():
     clock = Clock()
     leaf = new_leaf(clock)
     clock.advance(0.9)
-    assert lease.granted(leaf, place_of("s1"), LeaseReply(100, 1000, "s1"))
+    assert lease.granted(leaf, endpoint_of("s1"), LeaseReply(100, 1000, "s1"))
     clock.advance(0.19)
     assert lease.lease_ok(leaf)
     clock.advance(0.02)
     assert not lease.lease_ok(leaf)
-    lease.granted(leaf, place_of("s1"), LeaseReply(50, 1000, "s1"))
+    lease.granted(leaf, endpoint_of("s1"), LeaseReply(50, 1000, "s1"))
     assert not lease.lease_ok(leaf)
 
 
 def test_leaf_without_a_grant_or_with_an_empty_one_is_not_ok():
     leaf = new_leaf(Clock())
     assert not lease.lease_ok(leaf)
-    assert lease.granted(leaf, place_of("s2"), LeaseReply(0, 0, "s1")) and leaf.session.sequencer == "s1"
+    assert lease.granted(leaf, endpoint_of("s2"), LeaseReply(0, 0, "s1")) and leaf.session.sequencer == "s1"
     assert not lease.lease_ok(leaf)
 
 
 def test_empty_grant_takes_no_running_lease_away_and_changes_no_sequencer():
     leaf = new_leaf(Clock())
-    lease.granted(leaf, place_of("s1"), LeaseReply(0, 1000, "s1"))
-    assert not lease.granted(leaf, place_of("s2"), LeaseReply(0, 0, "s2"))
+    lease.granted(leaf, endpoint_of("s1"), LeaseReply(0, 1000, "s1"))
+    assert not lease.granted(leaf, endpoint_of("s2"), LeaseReply(0, 0, "s2"))
     assert lease.lease_ok(leaf) and leaf.session.sequencer == "s1"
 
 
@@ -119,7 +119,7 @@
     ctx, sessions = new_ring(clock)
     ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
     granted = renewed(ctx, sessions, 0)
-    assert granted == LeaseReply(0, 0, "s2", places=granted.places)
+    assert granted == LeaseReply(0, 0, "s2", endpoints=granted.endpoints)
     assert [(seen.address, seen.until_ms < 0) for seen in sessions.leaves.values()] == [("@h:2", True)]
     ctx, sessions = new_ring(clock, granted_ms=-LEASE_MS)
     assert renewed(ctx, sessions, 0).lease_ms == 0
@@ -135,7 +135,7 @@
     clock.advance(LEASE_MS / 2000 + 0.001)
     fresh(ctx, clock)
     leaf = new_leaf(clock)
-    lease.granted(leaf, place_of("s1"), renewed(ctx, sessions, 0, int(clock.seconds() * 1000)))
+    lease.granted(leaf, endpoint_of("s1"), renewed(ctx, sessions, 0, int(clock.seconds() * 1000)))
     assert not lease.lease_ok(leaf)
     assert renewed(ctx, sessions, 1, 0).lease_ms == LEASE_MS
 
@@ -185,15 +185,17 @@
     ctx, sessions = new_ring(clock, 10000)
     route(ctx, sessions, 1)
     renewed(ctx, sessions, 1)
-    assert renewed(ctx, sessions, 0, boot=2).lease_ms == 0
+    assert renewed(ctx, sessions, 0, incarnation=2).lease_ms == 0
     assert serving.honoured(ctx, sessions) == 1
-    assert renewed(ctx, sessions, 1, boot=2).lease_ms > 0
+    assert renewed(ctx, sessions, 1, incarnation=2).lease_ms > 0
 
 
 def test_leaf_takes_a_newer_routing_once_and_tells_the_sequencer_at_once():
     clock = Clock()
     leaf = new_leaf(clock)
-    lease.granted(leaf, place_of("s1", port=7), LeaseReply(0, 900, "s1", version=2, places=(place_of("s1", port=7),)))
+    lease.granted(
+        leaf, endpoint_of("s1", port=7), LeaseReply(0, 900, "s1", version=2, endpoints=(endpoint_of("s1", port=7),))
+    )
     assert sent(leaf) == [("@h:7", RoutingRequest(0))]
     for version in (2, 2, 1):
         lease.routed(leaf, RoutingUpdate(version, b"v%d" % version))
@@ -203,8 +205,8 @@
 def test_leaf_that_hears_nothing_asks_every_daemon_and_the_seeds():
     clock = Clock()
     leaf = new_leaf(clock)
-    lease.directed(leaf, [place_of("s1", port=7), place_of("s2", port=8), place_of("e9", "edge")])
-    lease.granted(leaf, place_of("s1", port=7), LeaseReply(0, 900, "s1"))
+    lease.directed(leaf, [endpoint_of("s1", port=7), endpoint_of("s2", port=8), endpoint_of("e9", "edge")])
+    lease.granted(leaf, endpoint_of("s1", port=7), LeaseReply(0, 900, "s1"))
     sent(leaf)
     clock.advance(0.24)
     lease.tend(leaf)
@@ -221,8 +223,8 @@
 def known(clock, *names):
     """An agent that holds a lease of s1 and knows the other replicas."""
     agent = new_leaf(clock)
-    places = tuple(place_of(name, port=number) for number, name in enumerate(names, 7))
-    lease.granted(agent, places[0], LeaseReply(int(clock.seconds() * 1000), 1000, "s1", epoch=4, places=places))
+    places = tuple(endpoint_of(name, port=number) for number, name in enumerate(names, 7))
+    lease.granted(agent, places[0], LeaseReply(int(clock.seconds() * 1000), 1000, "s1", epoch=4, endpoints=places))
     sent(agent)
     return agent, places
 
@@ -276,7 +278,7 @@
     clock = Clock()
     clock.advance(1)
     agent, places = known(clock, "s1", "s2")
-    assert lease.granted(agent, places[1], LeaseReply(1000, 600, "s2", epoch=5, places=places))
+    assert lease.granted(agent, places[1], LeaseReply(1000, 600, "s2", epoch=5, endpoints=places))
     assert not lease.granted(agent, places[0], LeaseReply(1000, 1200, "s1", epoch=4))
     assert agent.session.sequencer == "s2" and agent.session.until_ms == 2000
 
@@ -304,8 +306,8 @@
     clock = Clock()
     clock.advance(1)
     agent, places = known(clock, "s1", "s2", "s3")
-    anew = (places[0], place_of("s2", port=8, boot=2), places[2])
-    lease.granted(agent, places[0], LeaseReply(1000, 1000, "s1", epoch=5, places=anew))
+    anew = (places[0], endpoint_of("s2", port=8, incarnation=2), places[2])
+    lease.granted(agent, places[0], LeaseReply(1000, 1000, "s1", epoch=5, endpoints=anew))
     assert [(to, type(body)) for to, body in sent(agent)] == [("@h:8", LeaseRequest)]
 
 
@@ -333,8 +335,8 @@
     clock.advance(5)
     agent, places = known(clock, "s1", "s2")
     clock.advance(2 * LEASE_MS / 1000)
-    new = place_of("s3", port=9)
-    assert lease.granted(agent, places[1], LeaseReply(1000, 0, "s3", places=(places[1], new)))
+    new = endpoint_of("s3", port=9)
+    assert lease.granted(agent, places[1], LeaseReply(1000, 0, "s3", endpoints=(places[1], new)))
     sent(agent)
     clock.advance(1)
     lease.renew(agent)
@@ -345,4 +347,4 @@
     clock = Clock()
     ctx, sessions = new_ring(clock)
     ctx.core.synchrony.configuration = Configuration(IDS, ctx.core.synchrony.configuration.members, "s2")
-    assert {p.member.name for p in renewed(ctx, sessions, 0).places} == {"s1", "s2", "s3"}
+    assert {p.member.name for p in renewed(ctx, sessions, 0).endpoints} == {"s1", "s2", "s3"}
--- a/tests/test_cluster_ring.py
+++ b/tests/test_cluster_ring.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from test_cluster_lease import place_of
+from test_cluster_lease import endpoint_of
 from test_turn_store_drive import Threads, files_of
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
@@ -41,7 +41,7 @@
 
 
 def hear(replica, body, name="c1", role="core"):
-    ring.received(replica, Frame(1, place_of(name, role), "", body))
+    ring.received(replica, Frame(1, endpoint_of(name, role), "", body))
 
 
 def hellos(out):
@@ -65,7 +65,7 @@
     assert replica.waiting and replica.ctx.core is None
     replica.reactor.advance(0.1)
     assert hellos(out) == ["@h:7", "@h:8"]
-    hear(replica, DirectoryReply((place_of("s2"),), ()))
+    hear(replica, DirectoryReply((endpoint_of("s2"),), ()))
     hear(replica, DiscoveryUpdate((), False), "s2", "storage")
     hear(replica, LeaseRequest(0, 0), "e1", "edge")
     assert replica.waiting and replica.ctx.core is None and stopped == []
@@ -89,7 +89,7 @@
 def test_ring_runs_on_for_a_while_without_a_peer_and_grants_nothing(monkeypatch):
     replica, out, stopped = new_house(monkeypatch)
     ring.start(replica)
-    hear(replica, DirectoryReply((place_of("s2", port=9),), CHARTER))
+    hear(replica, DirectoryReply((endpoint_of("s2", port=9),), CHARTER))
     for _ in range(100):
         replica.reactor.advance(0.05)
     hear(replica, LeaseRequest(77, 0), "e1", "edge")
@@ -106,7 +106,7 @@
     monkeypatch.setattr(serving, "sequencing", lambda ctx: True)
     for _ in range(5):
         replica.reactor.advance(0.03)
-    greeted = [(to, [p.member.name for p in body.places]) for to, body in out if isinstance(body, DirectoryReply)]
+    greeted = [(to, [p.member.name for p in body.endpoints]) for to, body in out if isinstance(body, DirectoryReply)]
     assert greeted == [("@h:21", ["s1"]), ("@h:22", ["s1"])]
 
 
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_tenders.py
@@ -2,7 +2,7 @@
 
 import pytest
 from expression import Ok
-from test_cluster_lease import place_of
+from test_cluster_lease import endpoint_of
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
@@ -28,12 +28,12 @@
     """Daemon s1; all that are present are whole."""
     members = tuple(Member(n, 1) for n in present)
     synchrony = Synchrony(
-        place_of("s1"), Bounds(), (), voters, True, None, Configuration(ID, members, min(present)), ID
+        endpoint_of("s1"), Bounds(), (), voters, True, None, Configuration(ID, members, min(present)), ID
     )
     synchrony.primary.opened = synchrony.primary.ready = True
     synchrony.status = dict(WHOLE)
     synchrony.peers = {
-        n: Peer(place_of(n), configuration=ID, ready=True, status=dict(WHOLE)) for n in present if n != "s1"
+        n: Peer(endpoint_of(n), configuration=ID, ready=True, status=dict(WHOLE)) for n in present if n != "s1"
     }
     ledger = Ledger(voters=voters, rules=SWAP_RULES)
     ledger.program_ledger.retiring = dict.fromkeys(retiring, "in_service")
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -7,7 +7,7 @@
 from fleet_simulator import stage as plays
 from fleet_simulator import world as worlds
 from msgspec import json
-from test_cluster_lease import new_leaf, place_of, sent
+from test_cluster_lease import endpoint_of, new_leaf, sent
 from test_cluster_ring import hellos, new_house
 from twisted.internet.task import Clock
 
@@ -55,7 +55,7 @@
     leaf = new_leaf(clock)
     status.begin(leaf)
     clock.advance(2)
-    assembly.received(leaf, Frame(FRAME_VERSION, place_of("s1"), "", DiscoveryUpdate((), False)))
+    assembly.received(leaf, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
     asking.tell(leaf, End("a", 3))
     leaf.runners = {"r": SimpleNamespace(draining=True)}
     leaf.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
@@ -68,7 +68,7 @@
 
 def test_a_leaf_keeps_nothing_of_an_operator(replies):
     leaf = new_leaf(Clock())
-    for body in (DirectoryRequest(), DiscoveryUpdate((place_of("s9"),), False), LeaseRequest(0, 0)):
+    for body in (DirectoryRequest(), DiscoveryUpdate((endpoint_of("s9"),), False), LeaseRequest(0, 0)):
         assembly.received(leaf, Frame(FRAME_VERSION, OPERATOR, "", body))
     assert replies == [("@o:9", DirectoryReply((), ()))] and sent(leaf) == []
     assert leaf.extras.get("askers") is None and not leaf.directory
@@ -76,7 +76,7 @@
 
 def test_a_leaf_still_notes_a_leaf_that_asks():
     leaf = new_leaf(Clock())
-    assembly.received(leaf, Frame(FRAME_VERSION, place_of("e2", "edge"), "", DirectoryRequest()))
+    assembly.received(leaf, Frame(FRAME_VERSION, endpoint_of("e2", "edge"), "", DirectoryRequest()))
     assert set(leaf.extras["askers"]) == {"e2"}
 
 
@@ -86,14 +86,14 @@
     ring.received(replica, ASK)
     facts = facts_of(replies)
     assert facts["charter_waiting"] and facts["tolerated"] == 1 and "configuration" not in facts
-    ring.received(replica, Frame(FRAME_VERSION, place_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3"))))
+    ring.received(replica, Frame(FRAME_VERSION, endpoint_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3"))))
     ring.received(replica, ASK)
     facts = facts_of(replies)
     assert facts["members"] == ["s1"] and not facts["primary_opened"] and facts["voters"] == ["s1", "s2", "s3"]
     out.clear()
     ring.received(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
     ring.received(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
-    assert replies == [("@o:9", DirectoryReply((replica.ctx.place,)))]
+    assert replies == [("@o:9", DirectoryReply((replica.ctx.endpoint,)))]
     assert not replica.sessions.leaves and "operator" not in replica.ctx.core.synchrony.peers and hellos(out) == []
 
 
@@ -111,7 +111,7 @@
                 continue
             receive = ring.received if daemon.role == "storage" else assembly.received
             receive(daemon.owner, Frame(FRAME_VERSION, OPERATOR, "", body))
-            place = daemon.owner.ctx.place if daemon.role == "storage" else daemon.owner.place
+            place = daemon.owner.ctx.endpoint if daemon.role == "storage" else daemon.owner.endpoint
             answers |= {
                 f"{daemon.host.address}:{worlds.INNER}": (place, told) for _, told in replies if isinstance(told, kind)
             }
@@ -255,7 +255,7 @@
             frame = inner.decode(file.read(struct.unpack("!I", file.read(4))[0]))
         place = Endpoint(Member("c1", 1), "core", "z", "127.0.0.1", port, 0)
         data = inner.encode(Frame(FRAME_VERSION, place, "", StatusReply(b"{}")))
-        with socket.create_connection((frame.place.host, frame.place.port), 2) as back:
+        with socket.create_connection((frame.endpoint.host, frame.endpoint.port), 2) as back:
             back.sendall(struct.pack("!I", len(data)) + data)
 
     thread = Thread(target=serve, daemon=True)
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -35,7 +35,7 @@
     stale: list = []
 
     def heard(self, world, node, answer):
-        if not isinstance(answer, Decided) or (node.place.member, answer.number) != self.waiting:
+        if not isinstance(answer, Decided) or (node.endpoint.member, answer.number) != self.waiting:
             return
         self.waiting = None
         if isinstance(answer.result, ConfigSet):
@@ -50,7 +50,7 @@
             return
         node = able[self.asked % len(able)]
         self.asked += 1
-        self.waiting = (node.place.member, node.core.synchrony.last_number + 1)
+        self.waiting = (node.endpoint.member, node.core.synchrony.last_number + 1)
         ask(world, node.name, SetConfig(PATH, str(self.asked), 1, self.version, "me", self.asked, ()))
 
     def look(self, world):
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -130,7 +130,7 @@
         for kind, raw in (row.split(" ") for row in rows if row)
     ]
     assert len(said) == 12 and isinstance(said[0][1].body, Heartbeat)
-    assert {f.place.speaks for kind, f in said if kind == "frame"} == {1}
+    assert {f.endpoint.protocol_revision for kind, f in said if kind == "frame"} == {1}
     reserve = next(o for kind, o in said if kind == "op")
     assert reserve == Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 0)
     ledger = said[-1][1]
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -17,16 +17,16 @@
 TO = "@10.0.0.2:7380"
 
 
-def place_of(boot=1):
-    return Endpoint(Member("s2", boot), "storage", "z", *ADDRESS, 0)
+def endpoint_of(incarnation=1):
+    return Endpoint(Member("s2", incarnation), "storage", "z", *ADDRESS, 0)
 
 
 @pytest.fixture
 def links():
     reactor = MemoryReactorClock()
     settings = DaemonSettings("s1", "storage", "z", "10.0.0.1", 7380, detect_ms=500)
-    place = Endpoint(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
-    return Links(SimpleNamespace(reactor=reactor, settings=settings, place=place, counts={}, hooks=Hooks()))
+    endpoint = Endpoint(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
+    return Links(SimpleNamespace(reactor=reactor, settings=settings, endpoint=endpoint, counts={}, hooks=Hooks()))
 
 
 def dials(links):
@@ -55,7 +55,7 @@
 def test_a_pending_attempt_is_begun_anew_once_the_other_end_is_heard(links):
     links(TO, DirectoryRequest())
     links.ctx.reactor.advance(0.3)
-    links.heard(place_of())
+    links.heard(endpoint_of())
     links.ctx.reactor.advance(0.001)
     assert dials(links) == [ADDRESS, ADDRESS]
     assert links.ctx.reactor.connectors[0].stoppedConnecting
@@ -65,7 +65,7 @@
     links(TO, DirectoryRequest())
     links.ctx.reactor.advance(0.02)
     for _ in range(5):
-        links.heard(place_of())
+        links.heard(endpoint_of())
     links.ctx.reactor.advance(0.07)
     assert len(dials(links)) == 1
     links.ctx.reactor.advance(0.02)
@@ -76,13 +76,13 @@
     links(TO, DirectoryRequest())
     for _ in range(100):
         links.ctx.reactor.advance(0.01)
-        links.heard(place_of())
+        links.heard(endpoint_of())
     assert len(dials(links)) <= 11
 
 
 def test_an_attempt_that_is_answered_in_time_is_kept(links):
     links(TO, DirectoryRequest())
-    links.heard(place_of())
+    links.heard(endpoint_of())
     accept(links)
     links.ctx.reactor.advance(1)
     assert len(dials(links)) == 1
@@ -94,7 +94,7 @@
     links(TO, DirectoryRequest())
     assert len(dials(links)) == 1
     links.ctx.reactor.advance(0.04)
-    links.heard(place_of())
+    links.heard(endpoint_of())
     links.ctx.reactor.advance(0.061)
     assert len(dials(links)) == 2
 
@@ -111,26 +111,26 @@
     links(TO, DirectoryRequest())
     accept(links)
     links.ctx.reactor.advance(0.1)
-    links.heard(place_of(boot=1))
+    links.heard(endpoint_of(incarnation=1))
     links.ctx.reactor.advance(0.7)
-    links.heard(place_of(boot=2))
+    links.heard(endpoint_of(incarnation=2))
     links.ctx.reactor.advance(0.001)
     assert len(dials(links)) == 2
 
 
 def test_a_connection_that_may_be_to_the_successor_is_kept(links):
     links(TO, DirectoryRequest())
-    links.heard(place_of(boot=1))
+    links.heard(endpoint_of(incarnation=1))
     links.ctx.reactor.advance(0.05)
     accept(links)
     links.ctx.reactor.advance(0.7)
-    links.heard(place_of(boot=2))
+    links.heard(endpoint_of(incarnation=2))
     links.ctx.reactor.advance(0.2)
     assert len(dials(links)) == 1
 
 
 def test_a_frame_from_where_nothing_is_sent_opens_no_link(links):
-    links.heard(place_of())
+    links.heard(endpoint_of())
     links.ctx.reactor.advance(1)
     assert dials(links) == []
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,22 +20,22 @@
 PRIMARY, OUTSIDE = ConfigurationId(7, "s2", 1), ConfigurationId(9, "s1", 1)
 
 
-def place_of(name, boot=1):
-    return Endpoint(Member(name, boot), "storage", "z", name, 1, 0)
+def endpoint_of(name, incarnation=1):
+    return Endpoint(Member(name, incarnation), "storage", "z", name, 1, 0)
 
 
-def member(name, boot=1):
-    return Member(name, boot)
+def member(name, incarnation=1):
+    return Member(name, incarnation)
 
 
 def replica(name, members, others, serving=True):
     """A replica that hears `others`, all of which hear one another, in a primary of `members`."""
-    synchrony, _ = begin_synchrony(place_of(name), Bounds(), (), (), DurableLog(), 10_000)
+    synchrony, _ = begin_synchrony(endpoint_of(name), Bounds(), (), (), DurableLog(), 10_000)
     everyone = frozenset(member(n) for n in (name, *others))
     for other in others:
         inside = other in members
         synchrony.peers[other] = Peer(
-            place_of(other),
+            endpoint_of(other),
             heard_ms=10_000,
             reachable=everyone,
             configuration=PRIMARY if inside else ConfigurationId(1, other, 1),
@@ -62,10 +62,12 @@
     return [m.name for m in failure_detector.desired_members(synchrony)]
 
 
-def propose(synchrony, proposer, members, epoch=9, boot=1):
+def propose(synchrony, proposer, members, epoch=9, incarnation=1):
     """-> the messages that the replica answers a proposal with."""
     out = Output()
-    message = ProposeRequest(ConfigurationId(epoch, proposer, boot), tuple(member(n) for n in members), members[0])
+    message = ProposeRequest(
+        ConfigurationId(epoch, proposer, incarnation), tuple(member(n) for n in members), members[0]
+    )
     membership.on_propose_request(synchrony, out, proposer, message)
     return [type(body) for _, body in out.sends]
 
@@ -134,7 +136,7 @@
 
 def test_a_member_that_runs_anew_is_an_outsider():
     synchrony = replica("s2", ("s2", "s3", "s4"), ("s3", "s4"))
-    assert propose(synchrony, "s3", ("s2", "s3"), boot=2) == [ProposeRejection]
+    assert propose(synchrony, "s3", ("s2", "s3"), incarnation=2) == [ProposeRejection]
 
 
 def test_a_replica_without_a_serving_primary_refuses_no_higher_proposal():
@@ -184,5 +186,5 @@
 def test_heard_heartbeats_are_kept_of_a_peer():
     synchrony = replica("s2", ("s2", "s3"), ("s1", "s3"))
     beat = Heartbeat(PRIMARY, PRIMARY, (), 1, 1, False, True, 3, {}, True, PRIMARY)
-    step(synchrony, MessageReceived(10_010, place_of("s1"), beat))
+    step(synchrony, MessageReceived(10_010, endpoint_of("s1"), beat))
     assert (synchrony.peers["s1"].serving, synchrony.peers["s1"].last_primary) == (True, PRIMARY)
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -27,7 +27,7 @@
     leaf.settings = structs.replace(leaf.settings, trace=trace)
     asking.look(leaf, LookRouting(), 100)
     asking.tell(leaf, End("a", 3)).addCallback(verdicts.append)
-    asking.told(leaf, OperationReply(leaf.place.member.boot, 2, msgpack.encode(Ended())))
+    asking.told(leaf, OperationReply(leaf.endpoint.member.incarnation, 2, msgpack.encode(Ended())))
     assert verdicts[0].ok == Ended()
     assert [line[:3] for line in lines] == [("trace", "a", "handed in"), ("trace", "a", "decided")][: 2 * trace]
     assert not trace or (lines[1][3]["operation"], lines[1][3]["verdict"]) == ("End", "Ended")
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -46,7 +46,7 @@
     ring = Watched(monkeypatch)
     rows = [row for row in ring.play(60_000, from_ms=20_000) if row[2] == SEED]
     first = ring.sequencer()
-    assert all(body.places == () for _, _, _, body in rows)
+    assert all(body.endpoints == () for _, _, _, body in rows)
     by_sender = {name: sum(row[1] == name for row in rows) for name in ring.world.nodes}
     assert by_sender.pop(first) == pytest.approx(80, abs=2)
     assert all(count == pytest.approx(8, abs=1) for count in by_sender.values())
@@ -56,7 +56,7 @@
     ring = Watched(monkeypatch)
     rows = [row for row in ring.play(60_000, from_ms=20_000) if row[2] != SEED]
     assert len(rows) == pytest.approx(3 * 2 * 8, abs=6)
-    assert all(len(body.places) == 3 for _, _, _, body in rows)
+    assert all(len(body.endpoints) == 3 for _, _, _, body in rows)
 
 
 def test_change_is_told_to_everybody_several_times(monkeypatch):
@@ -70,7 +70,7 @@
         assert sum(row[2] == SEED for row in told) >= discovery.REPEATS
         peers = {f"s{n}" for n in range(1, 5)} - {sender}
         for peer in peers:
-            assert sum(row[2] == peer and len(row[3].places) == 4 for row in told) >= discovery.REPEATS
+            assert sum(row[2] == peer and len(row[3].endpoints) == 4 for row in told) >= discovery.REPEATS
 
 
 def test_replica_outside_a_primary_tells_all_in_every_period(monkeypatch):
@@ -81,11 +81,11 @@
     for to, named in ((SEED, 1), ("s1", 3), ("s2", 3)):
         told = [body for _, _, receiver, body in rows if receiver == to]
         assert len(told) == pytest.approx(20, abs=2)
-        assert all(len(body.places) == named for body in told)
+        assert all(len(body.endpoints) == named for body in told)
 
 
-def place_of(name, boot=1):
-    return Endpoint(Member(name, boot), "storage", "z", name, 7, 0, PROTOCOL_REVISION)
+def endpoint_of(name, incarnation=1):
+    return Endpoint(Member(name, incarnation), "storage", "z", name, 7, 0, PROTOCOL_REVISION)
 
 
 class Seed:
@@ -99,13 +99,15 @@
         self.leaf.links["send"] = lambda to, body: self.out.append((to, body))
         agents.lease.session(self.leaf)
 
-    def hear(self, name, places=(), boot=1):
+    def hear(self, name, endpoints=(), incarnation=1):
         """-> how many places the sender is told, None if it gets no answer."""
         self.out.clear()
-        place = place_of(name, boot)
-        agents.received(self.leaf, Frame(1, place, "", DiscoveryUpdate(tuple(place_of(p) for p in places), False)))
+        endpoint = endpoint_of(name, incarnation)
+        agents.received(
+            self.leaf, Frame(1, endpoint, "", DiscoveryUpdate(tuple(endpoint_of(p) for p in endpoints), False))
+        )
         told = [body for to, body in self.out if isinstance(body, DirectoryReply) and to == f"@{name}:7"]
-        return len(told[-1].places) if told else None
+        return len(told[-1].endpoints) if told else None
 
 
 def test_seed_answers_a_report_without_places_only_with_news():
@@ -120,16 +122,16 @@
 def test_seed_answers_a_report_with_places_always():
     seed = Seed()
     seed.hear("s1")
-    assert seed.hear("s1", places=("s1", "s2")) == 1
-    assert seed.hear("s1", places=("s1", "s2")) == 1
+    assert seed.hear("s1", endpoints=("s1", "s2")) == 1
+    assert seed.hear("s1", endpoints=("s1", "s2")) == 1
 
 
 def test_seed_tells_a_new_boot_a_new_charter_and_after_a_minute_again():
     seed = Seed()
     assert seed.hear("s1") == 1
-    assert seed.hear("s1", boot=2) == 1
-    assert seed.hear("s1", boot=2) is None
+    assert seed.hear("s1", incarnation=2) == 1
+    assert seed.hear("s1", incarnation=2) is None
     seed.leaf.charter = ("s1",)
-    assert seed.hear("s1", boot=2) == 1
+    assert seed.hear("s1", incarnation=2) == 1
     seed.clock.advance(MINUTE_MS / 1000)
-    assert seed.hear("s1", boot=2) == 1
+    assert seed.hear("s1", incarnation=2) == 1
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -14,10 +14,10 @@
         other = world.nodes.get(target)
         if other is not None and other.core is not None and target[0] == "s" and target != "s1":
             for peer in other.core.synchrony.peers.values():
-                peer.place = peer.place.__class__(
-                    peer.place.member,
+                peer.endpoint = peer.endpoint.__class__(
+                    peer.endpoint.member,
                     "edge",
-                    *list(getattr(peer.place, f) for f in ("zone", "host", "port", "http_port")),
+                    *list(getattr(peer.endpoint, f) for f in ("zone", "host", "port", "http_port")),
                 )
         send(world, node, target, body)
 
@@ -34,7 +34,7 @@
     world = worlds.make(3, 2, 3, 2)
     worlds.run(world, 4000)
     synchrony = world.nodes["c1"].core.synchrony
-    sender = world.nodes["e1"].place.member
+    sender = world.nodes["e1"].endpoint.member
     for floor, first in ((1, 2), (2, 2)):
         on_submit_request(
             synchrony, Output(), "e1", sender, SubmitRequest(synchrony.configuration.id, floor, first, (b"b",))
--- a/tests/test_turn_store_serving.py
+++ b/tests/test_turn_store_serving.py
@@ -104,8 +104,8 @@
     net.down.add("@s1:1")
     net.repair("@s0:1", {"t": None})
     state = replica.turn_store.repairing
-    serving.received(replica, "@s1:1", GetBodiesReply(state.boot + 1, state.number, (("t", b"other"),)))
-    serving.received(replica, "@s1:1", GetBodiesReply(state.boot, state.number, (("u", b"other"),)))
+    serving.received(replica, "@s1:1", GetBodiesReply(state.incarnation + 1, state.number, (("t", b"other"),)))
+    serving.received(replica, "@s1:1", GetBodiesReply(state.incarnation, state.number, (("u", b"other"),)))
     assert not store.held(replica.turn_store, "t") and not store.held(replica.turn_store, "u")
 
 
