--- a/frostpost/admin/doctor.py
+++ b/frostpost/admin/doctor.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, to_builtins
 
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION
 
 from .asking import DONE, FOUND, Door, Refused, ask, fail, say
 
--- a/frostpost/admin/inner.py
+++ b/frostpost/admin/inner.py
@@ -8,7 +8,8 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from frostpost.virtual_synchrony.messages import FRAME_VERSION, PROTOCOL_REVISION, Endpoint, Frame, Member
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
+from frostpost.virtual_synchrony.frames import FRAME_VERSION, Frame
 
 ROLE = "operator"
 WAIT_S = 2.0
--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -20,7 +20,7 @@
 from frostpost.http_api.lookups import wake
 from frostpost.tenant_config.shelf import Shelf
 from frostpost.virtual_synchrony.durable_log import replay
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, Endpoint, Member
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 
 
 def read_hooks(ctx):
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -9,13 +9,13 @@
 from frostpost.daemon.waiting import until
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import stamp
-from frostpost.virtual_synchrony.messages import (
+from frostpost.virtual_synchrony.config_messages import (
     ConfigBodyChunk,
     ConfigBodyRequest,
     ConfigVersionsReply,
     ConfigVersionsRequest,
 )
-from frostpost.virtual_synchrony.state import is_majority
+from frostpost.virtual_synchrony.quorum import is_majority
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 encode = msgpack.Encoder().encode
--- a/frostpost/cluster/greeting.py
+++ b/frostpost/cluster/greeting.py
@@ -2,7 +2,7 @@
 
 from frostpost.daemon.context import clock_ms
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply
-from frostpost.virtual_synchrony.state import member_names
+from frostpost.virtual_synchrony.members import member_names
 
 from . import serving
 
--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/leaf.py
@@ -16,7 +16,8 @@
     PutBodyReply,
     RoutingUpdate,
 )
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Member
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
 from . import asking, directory, founding, lease, peers, status
 from .context import Leaf, now_ms
--- a/frostpost/cluster/peers.py
+++ b/frostpost/cluster/peers.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.virtual_synchrony.state import member_names
+from frostpost.virtual_synchrony.members import member_names
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 
--- a/frostpost/cluster/replica.py
+++ b/frostpost/cluster/replica.py
@@ -4,7 +4,7 @@
 
 from frostpost.daemon.settings import Settings
 from frostpost.daemon.settings import VoterChanges as Pace
-from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.bounds import Bounds
 
 from . import serving, tenders
 
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/ring.py
@@ -20,8 +20,9 @@
     PutBodyRequest,
 )
 from frostpost.virtual_synchrony.durable_log import NOWHERE, replay
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.events import DrainRequested, MessageReceived
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Member
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from . import greeting, peers, serving, status, tenders
--- a/frostpost/cluster/serving.py
+++ b/frostpost/cluster/serving.py
@@ -15,8 +15,8 @@
     RoutingRequest,
     RoutingUpdate,
 )
-from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
-from frostpost.virtual_synchrony.state import member_names, sequencer_of
+from frostpost.virtual_synchrony.leases import lease_remaining_ms
+from frostpost.virtual_synchrony.members import member_names, sequencer_of
 
 ASK_MS = 5000
 GRACE_RATIO = 0.5
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -6,8 +6,8 @@
 from frostpost.daemon.links import sender
 from frostpost.turn_store.store import used_bytes
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
-from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
-from frostpost.virtual_synchrony.state import member_names, sequencer_of
+from frostpost.virtual_synchrony.leases import lease_remaining_ms
+from frostpost.virtual_synchrony.members import member_names, sequencer_of
 
 from . import serving
 from .context import now_ms
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/tenders.py
@@ -10,7 +10,7 @@
 from frostpost.ledger.results import Done
 from frostpost.program_ledger.words import Retired
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
-from frostpost.virtual_synchrony.state import member_names
+from frostpost.virtual_synchrony.members import member_names
 
 from .serving import sequencing, voters_of
 from .voter_rule import ReplicaView, Waits, next_voters, sound
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -7,8 +7,9 @@
 from frostpost.ledger.operations import Ballot, Rules
 from frostpost.ledger.results import Result
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony import failure_detector
+from frostpost.virtual_synchrony import leases
 from frostpost.virtual_synchrony import state as synchronies
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION
 from frostpost.virtual_synchrony.events import (
     EntryApplied,
     OperationNumbered,
@@ -20,7 +21,6 @@
     TimerTick,
     WindowFull,
 )
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION
 from frostpost.virtual_synchrony.step import step as synchrony_step
 
 from . import snapshotting
@@ -158,4 +158,4 @@
 
 def lease_ok(core, now_ms):
     """Tell whether the lease allows this daemon to serve at that time."""
-    return failure_detector.holds_lease(core.synchrony, now_ms)
+    return leases.holds_lease(core.synchrony, now_ms)
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/heart.py
@@ -7,6 +7,12 @@
 from frostpost.ledger.operations import Finish, Release, Settle, Unclaim
 from frostpost.ledger.results import Reserved, Won
 from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
+from frostpost.virtual_synchrony.config_messages import (
+    ConfigBodyChunk,
+    ConfigBodyRequest,
+    ConfigVersionsReply,
+    ConfigVersionsRequest,
+)
 from frostpost.virtual_synchrony.events import (
     ConfigurationChanged,
     EntryApplied,
@@ -17,13 +23,7 @@
     TimerTick,
     WindowFull,
 )
-from frostpost.virtual_synchrony.messages import (
-    ConfigBodyChunk,
-    ConfigBodyRequest,
-    ConfigVersionsReply,
-    ConfigVersionsRequest,
-    Heartbeat,
-)
+from frostpost.virtual_synchrony.messages import Heartbeat
 from frostpost.virtual_synchrony.timers import due_ms, needs_every_tick
 
 from . import core as cores
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/links.py
@@ -6,7 +6,9 @@
 from twisted.protocols.basic import Int32StringReceiver
 
 from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, PutBodyRequest, RoutingUpdate
-from frostpost.virtual_synchrony.messages import FRAME_VERSION, ConfigBodyChunk, Frame, SnapshotChunk
+from frostpost.virtual_synchrony.config_messages import ConfigBodyChunk
+from frostpost.virtual_synchrony.frames import FRAME_VERSION, Frame
+from frostpost.virtual_synchrony.messages import SnapshotChunk
 
 from .context import count
 from .heart import received
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -6,7 +6,7 @@
 from msgspec import Struct, ValidationError, convert, field, structs
 
 from frostpost.placement.judge import Weights
-from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.bounds import Bounds
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -13,7 +13,7 @@
 from frostpost.ledger.operations import Look
 from frostpost.ledger.programs import whole
 from frostpost.placement.judge import Question, explain
-from frostpost.virtual_synchrony.state import sequencer_of
+from frostpost.virtual_synchrony.members import sequencer_of
 
 from . import errors
 
--- a/frostpost/http_api/voting.py
+++ b/frostpost/http_api/voting.py
@@ -7,7 +7,7 @@
 from frostpost.daemon.news import say
 from frostpost.ledger.results import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.state import is_majority
+from frostpost.virtual_synchrony.quorum import is_majority
 
 from . import calls, errors
 from .control import ready
--- a/frostpost/ledger/records.py
+++ b/frostpost/ledger/records.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.messages import Member
+from frostpost.virtual_synchrony.endpoints import Member
 
 
 class Line(Struct, array_like=True, frozen=True):
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, field
 
 from frostpost.program_ledger.state import ProgramLedger
-from frostpost.virtual_synchrony.messages import Member
+from frostpost.virtual_synchrony.endpoints import Member
 
 from .records import Claim, Duty, Mark, Program, Reservation, Runner
 
--- a/frostpost/simulator/explore_checks.py
+++ b/frostpost/simulator/explore_checks.py
@@ -7,10 +7,10 @@
 from frostpost.ledger.apply import apply as apply_entry
 from frostpost.ledger.apply import encode as encode_ledger
 from frostpost.ledger.state import Ledger
-from frostpost.virtual_synchrony import failure_detector
+from frostpost.virtual_synchrony import leases as protocol_leases
 from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.events import EntryApplied, SetVoters, SnapshotInstalled
-from frostpost.virtual_synchrony.state import is_majority
+from frostpost.virtual_synchrony.quorum import is_majority
 
 from .explore_state import Opened, first_voters
 
@@ -163,7 +163,7 @@
 def leases(world):
     """Once a leader counts leases of older configurations as over, none runs."""
     for replica in world.replicas.values():
-        if replica.core is None or replica.frozen or not failure_detector.holds_lease(replica.synchrony, world.now_ms):
+        if replica.core is None or replica.frozen or not protocol_leases.holds_lease(replica.synchrony, world.now_ms):
             continue
         id = replica.synchrony.configuration.id
         for other in world.history.opened:
@@ -185,7 +185,7 @@
             return False
         if synchrony.outbox or synchrony.applied != len(world.history.committed):
             return False
-        if world.scenario.timed and not failure_detector.holds_lease(synchrony, world.now_ms):
+        if world.scenario.timed and not protocol_leases.holds_lease(synchrony, world.now_ms):
             return False
         ids.add(synchrony.configuration)
     return len(ids) == 1 and len(next(iter(ids)).members) == len(world.replicas)
--- a/frostpost/simulator/explore_options.py
+++ b/frostpost/simulator/explore_options.py
@@ -2,7 +2,8 @@
 
 from itertools import combinations
 
-from frostpost.virtual_synchrony.state import is_majority, member_names
+from frostpost.virtual_synchrony.members import member_names
+from frostpost.virtual_synchrony.quorum import is_majority
 
 from .explore_kinds import (
     Ask,
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -6,13 +6,14 @@
     catch_up,
     delivery,
     failure_detector,
+    leases,
     membership,
     ordering,
     primary_component,
     recovery,
 )
+from frostpost.virtual_synchrony.members import member_names
 from frostpost.virtual_synchrony.messages import ProposeRejection, SafeUpdate
-from frostpost.virtual_synchrony.state import member_names
 
 from .plants import any_voter, eager_deliver, old_length
 
@@ -167,7 +168,7 @@
     "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
     "any_voters": [(applying, "voters_", any_voters)],
-    "always_leased": [(failure_detector, "holds_lease", always_leased)],
+    "always_leased": [(leases, "holds_lease", always_leased)],
     "echo_for_all": [(failure_detector, "on_heartbeat", echo_for_all)],
     "lease_from_receipt": [(failure_detector, "on_heartbeat", lease_from_receipt)],
     "no_rebroadcast": [(recovery, "send_rebroadcasts", no_rebroadcast)],
--- a/frostpost/simulator/explore_state.py
+++ b/frostpost/simulator/explore_state.py
@@ -9,7 +9,8 @@
 from msgspec import Struct, field
 
 from frostpost.daemon.core import Core
-from frostpost.virtual_synchrony.messages import ConfigurationId, Endpoint, Entry
+from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
+from frostpost.virtual_synchrony.endpoints import Endpoint
 
 ATOMS = {int, str, bytes, bool, float, tuple, frozenset, type(None)}
 
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -3,10 +3,12 @@
 from msgspec import structs
 
 from frostpost.daemon import core as cores
+from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.durable_log import replay
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.events import LogSynced, MessageReceived, RewriteLog, TimerTick
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Heartbeat, Member
-from frostpost.virtual_synchrony.state import Bounds, member_names
+from frostpost.virtual_synchrony.members import member_names
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate, Heartbeat
 
 from . import explore_checks as checks
 from .explore_hash import encode, short_hash
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -8,7 +8,7 @@
 from frostpost.ledger.results import ConfigSet, Done, Reserved, Won
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.events import EntryApplied
-from frostpost.virtual_synchrony.state import is_majority
+from frostpost.virtual_synchrony.quorum import is_majority
 
 from .checks import Broken
 
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -9,11 +9,12 @@
 from frostpost.virtual_synchrony import (
     catch_up,
     delivery,
-    failure_detector,
+    leases,
     membership,
     ordering,
     primary_component,
     recovery,
+    step,
 )
 from frostpost.virtual_synchrony.events import EntryDelivered
 
@@ -118,7 +119,7 @@
     "minority_primary": [(primary_component, "has_quorums", any_voter), (recovery, "has_quorums", any_voter)],
     "base_before_rebroadcast": [(primary_component, "recovered_length", old_length)],
     "deliver_unsafe": [(ordering, "deliver_safe_entries", eager_deliver)],
-    "no_lease": [(failure_detector, "holds_lease", ever_leased)],
+    "no_lease": [(leases, "holds_lease", ever_leased)],
     "free_claim": [(keys, "claim", free_claim)],
     "no_compare": [(applying, "config", no_compare)],
     "budget_forgotten": [(programs, "reserve", loose_reserve)],
@@ -137,12 +138,18 @@
 
 @contextmanager
 def changed(changes):
-    """Context manager: set module attributes, given as (module, attribute, value), and set them back at the end."""
-    kept = [(module, word, getattr(module, word)) for module, word, _ in changes]
-    for module, word, fault in changes:
-        setattr(module, word, fault)
+    """Context manager: set module attributes, given as (module, attribute, value), and set them back at the end.
+
+    A function that handles a type of message is replaced in the table of handlers too.
+    """
+    originals = [(module, name, getattr(module, name)) for module, name, _ in changes]
+    handlers = dict(step.HANDLERS)
+    for (module, name, replacement), (_, _, original) in zip(changes, originals, strict=True):
+        setattr(module, name, replacement)
+        step.HANDLERS.update({kind: replacement for kind, handler in handlers.items() if handler is original})
     try:
         yield
     finally:
-        for module, word, was in kept:
-            setattr(module, word, was)
+        step.HANDLERS.update(handlers)
+        for module, name, original in originals:
+            setattr(module, name, original)
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.bounds import Bounds
 
 from . import world as worlds
 from .checks import Broken, evs
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -23,7 +23,7 @@
 from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Won
 from frostpost.virtual_synchrony.events import OperationSubmitted, SetVoters
-from frostpost.virtual_synchrony.state import is_majority
+from frostpost.virtual_synchrony.quorum import is_majority
 
 from . import world as worlds
 from .checks import Broken
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -5,7 +5,9 @@
 from msgspec import Struct, field, msgpack
 
 from frostpost.daemon import core as cores
+from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.durable_log import DurableLog, replay, replay_record
+from frostpost.virtual_synchrony.endpoints import Endpoint
 from frostpost.virtual_synchrony.events import (
     ConfigurationChanged,
     EntryApplied,
@@ -16,8 +18,7 @@
     RewriteLog,
     SnapshotInstalled,
 )
-from frostpost.virtual_synchrony.messages import BatchAck, Endpoint, RecoveryComplete
-from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.messages import BatchAck, RecoveryComplete
 
 from . import world as worlds
 from .checks import Broken
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -7,37 +7,13 @@
 
 from frostpost.daemon import core as cores
 from frostpost.virtual_synchrony import events
+from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.durable_log import replay
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.events import LogSynced, MessageReceived, RewriteLog, TimerTick
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, Endpoint, EntryBatch, Member
-from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.messages import EntryBatch
 
-
-class Disk(Struct):
-    """A node's log: lasting records are synced, written ones are not yet."""
-
-    lasting: list = []
-    written: list = []
-    syncing: int = 0
-    delay_ms: int = 3
-    boots: int = 0
-    wrote: int = 0
-    syncs: int = 0
-
-
-class Node(Struct):
-    """One daemon's core with its disk."""
-
-    name: str
-    role: str
-    zone: str
-    endpoint: Endpoint | None = None
-    core: cores.Core | None = None
-    disk: Disk = field(default_factory=Disk)
-    life: int = 0
-    frozen: bool = False
-    queue: list = []
-    skew_ms: int = 0
+from .node import Node
 
 
 class World(Struct):
--- a/frostpost/tenant_config/shelf.py
+++ b/frostpost/tenant_config/shelf.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.virtual_synchrony.messages import (
+from frostpost.virtual_synchrony.config_messages import (
     ConfigBodyChunk,
     ConfigBodyRequest,
     ConfigVersionsReply,
--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -6,19 +6,22 @@
 
 
 class DirectoryRequest(Struct, frozen=True, array_like=True, tag=22):
-    pass
+    """Asks for the replicas that the receiver knows; also greets an agent that the sender knows."""
 
 
 class DirectoryReply(Struct, frozen=True, array_like=True, tag=23):
-    """places: the ring's daemons that the teller knows; charter: the founding voters, if it knows them."""
+    """endpoints: the replicas that the sender knows. charter: the founding voters, if it knows them."""
 
     endpoints: tuple[Endpoint, ...]
     charter: tuple[str, ...] = ()
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=24):
-    """A leaf asks for its lease and tells which routing it honours; sent_ms is on its own clock.
-    epoch: the ring's configuration whose places it knows. draining: runners that its own list shows as leaving."""
+    """An agent asks for its lease and tells which routing it honours.
+
+    sent_ms: on the agent's clock. version: of the routing. epoch: of the replicas' configuration whose endpoints it
+    knows. draining: runners that the platform's list shows it as draining.
+    """
 
     sent_ms: int
     version: int
@@ -27,7 +30,12 @@
 
 
 class LeaseReply(Struct, frozen=True, array_like=True, tag=25):
-    """lease_ms from sent_ms on the leaf's clock, 0 if the teller may grant none; sequencer: whom to ask."""
+    """The sequencer's answer; another replica names the sequencer that it knows, with no lease.
+
+    lease_ms: from `sent_ms` on the agent's clock, 0 if none may be granted. version: of the routing in force; honoured:
+    the newest that every agent with a running lease honours. leaves: how many agents hold a lease. draining: runners
+    that any agent told of.
+    """
 
     sent_ms: int
     lease_ms: int
@@ -42,13 +50,15 @@
 
 
 class OperationRequest(Struct, frozen=True, array_like=True, tag=26):
+    """An agent hands an operation in; the same number may come again and has one effect."""
+
     incarnation: int
     number: int
     payload: bytes
 
 
 class OperationReply(Struct, frozen=True, array_like=True, tag=27):
-    """fault is empty where the verdict stands."""
+    """The result of an operation; `fault` names why there is none, and is empty where `verdict` stands."""
 
     incarnation: int
     number: int
@@ -57,15 +67,21 @@
 
 
 class RoutingRequest(Struct, frozen=True, array_like=True, tag=28):
+    """Asks for a routing newer than this version."""
+
     version: int
 
 
 class RoutingUpdate(Struct, frozen=True, array_like=True, tag=29):
+    """A routing and its version; body: as it was committed."""
+
     version: int
     body: bytes
 
 
 class PutBodyRequest(Struct, frozen=True, array_like=True, tag=30):
+    """Asks a replica to keep the body of a turn."""
+
     incarnation: int
     number: int
     turn: str
@@ -73,25 +89,31 @@
 
 
 class PutBodyReply(Struct, frozen=True, array_like=True, tag=31):
+    """synced: whether the body is on the replica's disk; False if it could not be kept."""
+
     incarnation: int
     number: int
     synced: bool
 
 
 class GetBodiesRequest(Struct, frozen=True, array_like=True, tag=32):
+    """Asks for bodies of turns."""
+
     incarnation: int
     number: int
     turns: tuple[str, ...]
 
 
 class GetBodiesReply(Struct, frozen=True, array_like=True, tag=33):
+    """Bodies by turn; those that the replica lacks, and those past a bound in bytes, are left out."""
+
     incarnation: int
     number: int
     items: tuple[tuple[str, bytes], ...]
 
 
 class StatusRequest(Struct, frozen=True, array_like=True, tag=34):
-    pass
+    """An operator's tool asks for the daemon's status."""
 
 
 class StatusReply(Struct, frozen=True, array_like=True, tag=35):
@@ -101,13 +123,13 @@
 
 
 class BootstrapRequest(Struct, frozen=True, array_like=True, tag=40):
-    """A founder asks another seed which charter it keeps, or to keep this one if `names` isn't empty."""
+    """The founder asks another seed which bootstrap record it keeps, or to keep these voters if any are named."""
 
     names: tuple[str, ...] = ()
 
 
 class BootstrapReply(Struct, frozen=True, array_like=True, tag=41):
-    """The charter that a seed keeps on its disk; empty if it keeps none."""
+    """The founding voters that a seed keeps on its disk; empty if it keeps none."""
 
     names: tuple[str, ...] = ()
 
--- a/frostpost/virtual_synchrony/catch_up.py
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -2,11 +2,13 @@
 
 from . import delivery, primary_component
 from .events import SnapshotInstalled, SnapshotReceived, SnapshotRecord, SnapshotRequested
+from .members import member_names
 from .messages import EntriesReply, EntriesRequest
-from .state import increment_counter, member_names, write_record
+from .state import NEVER_MS, increment_counter, write_record
 
 
 def first_missing_index(synchrony):
+    """The first index that this member lacks of the primary's history; 0 if it lacks none."""
     primary = synchrony.primary
     if not primary.eligible:
         return 0
@@ -18,6 +20,7 @@
 
 
 def request_missing(synchrony, out):
+    """Ask a ready member, else the donor, for the missing entries or the rest of a snapshot."""
     first = first_missing_index(synchrony)
     if (
         not first
@@ -58,6 +61,7 @@
 
 
 def on_entries_request(synchrony, out, sender_name, message):
+    """Answer with entries of the log, or have a snapshot sent where the log begins later."""
     log, primary = synchrony.log, synchrony.primary
     if message.id != synchrony.configuration.id or primary.ready_record_number < 0:
         return
@@ -69,6 +73,7 @@
 
 
 def on_entries_reply(synchrony, out, sender_name, message):
+    """Take fetched entries into the log, or apply them where the role keeps none."""
     primary, log = synchrony.primary, synchrony.log
     if message.id != synchrony.configuration.id or not first_missing_index(synchrony):
         return
@@ -86,11 +91,12 @@
             if entry.index > synchrony.applied:
                 synchrony.pending_entries[entry.index] = entry
         delivery.apply_pending(synchrony, out)
-    primary.fetched_ms = -(1 << 40)
+    primary.fetched_ms = NEVER_MS
     request_missing(synchrony, out)
 
 
 def on_snapshot_chunk(synchrony, out, sender_name, message):
+    """Collect a snapshot; the next chunk is asked for at the pace of `refill_bytes_s`."""
     primary = synchrony.primary
     if message.id != synchrony.configuration.id or primary.loading_snapshot or not first_missing_index(synchrony):
         return
@@ -109,6 +115,7 @@
 
 
 def install_snapshot(synchrony, out, index, state):
+    """Replace the state and the log by a snapshot, once the shell has decoded its state."""
     log, primary = synchrony.log, synchrony.primary
     if index < synchrony.applied:
         return
--- a/frostpost/virtual_synchrony/delivery.py
+++ b/frostpost/virtual_synchrony/delivery.py
@@ -5,12 +5,14 @@
 
 
 def append_to_log(synchrony, out, entry):
+    """Append the next entry to the log; others are ignored."""
     if entry.index == synchrony.log.length + 1:
         synchrony.log.entries.append(entry)
         write_record(synchrony, out, EntryRecord(entry, synchrony.log.commit_index))
 
 
 def append_fetched_to_log(synchrony, out, entries):
+    """Append fetched entries, replacing those that another primary had left at their place."""
     log = synchrony.log
     for entry in entries:
         at = entry.index - log.snapshot_index - 1
@@ -23,6 +25,7 @@
 
 
 def queue_for_apply(synchrony, out, entry):
+    """A delivered entry counts in the primary: apply it once all before it are applied."""
     if entry.index > synchrony.applied:
         synchrony.pending_entries[entry.index] = entry
     synchrony.primary.open_committed = synchrony.primary.open_committed or entry.ordinal == 1
@@ -30,6 +33,11 @@
 
 
 def apply_pending(synchrony, out):
+    """Apply what follows the last applied entry, from the log or from pending entries.
+
+    Nothing is applied before OpenPrimary is delivered and the log is bound to the primary: a ready replica may else
+    lack entries in its log.
+    """
     log, primary = synchrony.log, synchrony.primary
     if not primary.open_committed or synchrony.apply_paused or (synchrony.has_log and primary.ready_record_number < 0):
         return
@@ -42,6 +50,7 @@
 
 
 def apply_entry(synchrony, out, entry):
+    """Apply one entry, and drop own operations that are done from the outbox."""
     synchrony.applied = entry.index
     synchrony.log.commit_index = max(synchrony.log.commit_index, min(entry.index, synchrony.log.length))
     out.answers.append(EntryApplied(entry))
@@ -54,6 +63,6 @@
 
 
 def mark_opened(synchrony):
+    """The primary is open: the outbox is submitted anew to its sequencer."""
     synchrony.primary.open_committed = synchrony.primary.opened = synchrony.peers_changed = True
-    synchrony.order.floor = min(synchrony.outbox, default=synchrony.last_number + 1)
-    synchrony.submitted = synchrony.order.floor - 1
+    synchrony.submitted = min(synchrony.outbox, default=synchrony.last_number + 1) - 1
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -9,8 +9,9 @@
 sequencer always.
 """
 
+from .members import sequencer_of
 from .messages import DiscoveryUpdate
-from .state import Peer, sequencer_of
+from .state import Peer
 
 REPEATS = 4
 REMIND_PERIODS = 10
@@ -45,7 +46,7 @@
     return [seed for seed in synchrony.seeds if seed not in known]
 
 
-def on_discovery_update(synchrony, sender_name, message):
+def on_discovery_update(synchrony, out, sender_name, message):
     """Take in what another replica knows of places, and whether it leaves."""
     peer = synchrony.peers[sender_name]
     if peer.draining != message.draining:
--- a/frostpost/virtual_synchrony/durable_log.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -1,7 +1,9 @@
+"""The log of a voter or learner as the protocol knows it, read back from its records."""
+
 from msgspec import Struct, msgpack
 
+from .configuration import ConfigurationId, DurableState, Entry
 from .events import ConfigurationRecord, EntryRecord, PromiseRecord, SetVoters, SnapshotRecord
-from .messages import ConfigurationId, DurableState, Entry
 
 NOWHERE = ConfigurationId(0, "", 0)
 decode_voters = msgpack.Decoder(SetVoters).decode
@@ -9,6 +11,13 @@
 
 
 class DurableLog(Struct):
+    """What the records on disk, and those on their way to it, say.
+
+    primary and base: the primary component that the log belongs to, which continues after index `base`. snapshot_index:
+    the last index that the snapshot covers; entries follow it. commit_index: entries up to it are committed. epoch: the
+    highest that was promised or begun.
+    """
+
     primary: ConfigurationId = NOWHERE
     base: int = 0
     snapshot_index: int = 0
@@ -21,10 +30,12 @@
 
     @property
     def length(self):
+        """Index of the last entry."""
         return self.snapshot_index + len(self.entries)
 
 
 def replay(records):
+    """The log that these records make, in order."""
     log = DurableLog()
     for record in records:
         replay_record(log, record)
@@ -32,6 +43,7 @@
 
 
 def replay_record(log, record):
+    """Take one record in."""
     match record:
         case PromiseRecord(incarnation, epoch):
             log.incarnation, log.epoch = max(log.incarnation, incarnation), max(log.epoch, epoch)
@@ -50,12 +62,14 @@
 
 
 def durable_state_of(log):
+    """What the log holds, as a recovery tells it; None if it never was part of a primary."""
     if log.primary == NOWHERE:
         return None
     return DurableState(log.primary, log.length, log.voters, unsettled_voters(log))
 
 
 def unsettled_voters(log):
+    """Sets of voters that uncommitted entries of the log ask for."""
     return voters_in(log.entries[max(0, log.commit_index - log.snapshot_index) :])
 
 
--- a/frostpost/virtual_synchrony/failure_detector.py
+++ b/frostpost/virtual_synchrony/failure_detector.py
@@ -1,9 +1,12 @@
+"""Heartbeats, and the members that this daemon wants for a configuration by what it and its peers hear."""
+
 from .durable_log import NOWHERE
+from .members import ROLE_ORDER, role_of
 from .messages import Heartbeat, InstallRequest
-from .state import ROLE_ORDER, role_of
 
 
 def is_available(synchrony, peer):
+    """Whether a peer may be a member: heard of late, healthy, not draining, not excluded."""
     return (
         synchrony.now_ms - peer.heard_ms < synchrony.bounds.detect_ms
         and not peer.unhealthy
@@ -19,6 +22,7 @@
 
 
 def reachability_graph(synchrony):
+    """Who hears whom, as far as this daemon knows: sets of members by member."""
     mine = {p.endpoint.member for p in synchrony.peers.values() if is_available(synchrony, p)}
     graph = {synchrony.me: mine}
     for peer in synchrony.peers.values():
@@ -69,6 +73,7 @@
 
 
 def send_heartbeats(synchrony, out):
+    """Send each peer what this member knows, and echo the peer's clock."""
     synchrony.heartbeat_ms = synchrony.now_ms
     hears = tuple(p.endpoint.member for p in synchrony.peers.values() if is_available(synchrony, p))
     for name, peer in synchrony.peers.items():
@@ -93,6 +98,7 @@
 
 
 def on_heartbeat(synchrony, out, sender_name, message):
+    """Take a peer's view in; extend the lease that it grants if both stand in the same configuration."""
     peer = synchrony.peers[sender_name]
     before = observed_health(synchrony, peer)
     peer.heard_ms, peer.sent_ms = synchrony.now_ms, message.sent_ms
@@ -109,34 +115,3 @@
     proposed_here = mine.proposer == synchrony.name and mine.incarnation == synchrony.me.incarnation
     if proposed_here and message.promised == mine and message.configuration != mine:
         out.sends.append((sender_name, InstallRequest(mine)))
-
-
-def holds_lease(synchrony, now_ms):
-    if not synchrony.primary.opened or synchrony.recovery is not None or synchrony.draining:
-        return False
-    if synchrony.applied < synchrony.primary.base + 1:
-        return False
-    present = {synchrony.name}
-    for name, peer in synchrony.peers.items():
-        if (
-            now_ms - peer.granted_ms < synchrony.bounds.lease_ms
-            and peer.endpoint.member in synchrony.configuration.members
-        ):
-            present.add(name)
-    voters = synchrony.voters or synchrony.bootstrap_voters
-    return sum(v in present for v in voters) * 2 > len(voters)
-
-
-def lease_remaining_ms(synchrony, now_ms):
-    """How long this daemon's own lease runs on; 0 if it has none."""
-    if not holds_lease(synchrony, now_ms):
-        return 0
-    voters = synchrony.voters or synchrony.bootstrap_voters
-    granted = sorted(
-        (
-            now_ms if v == synchrony.name else synchrony.peers[v].granted_ms if v in synchrony.peers else -(1 << 40)
-            for v in voters
-        ),
-        reverse=True,
-    )
-    return max(0, synchrony.bounds.lease_ms - (now_ms - granted[len(voters) // 2]))
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,22 +1,25 @@
+"""Agreement on the next configuration: proposals, promises, and the proposer's side of a recovery.
+
+A proposer asks all members that it wants to promise a configuration of a higher epoch, collects what they hold
+(RecoveryExchange), sends it to all (RecoveryPlan), and lets them install the configuration once all have completed the
+recovery. A member that doesn't answer in time is left out of the next proposal.
+"""
+
+from .configuration import ConfigurationId
 from .durable_log import durable_state_of, voters_in
+from .endpoints import Member
 from .events import PromiseRecord
 from .failure_detector import desired_members, is_serving
-from .messages import (
-    ConfigurationId,
-    InstallRequest,
-    Member,
-    ProposeRejection,
-    ProposeRequest,
-    RecoveryExchange,
-    RecoveryPlan,
-)
-from .state import Proposal, Recovery, elect_sequencer, increment_counter, write_record
-
-# A heartbeat last sent then is due: whom this daemon hears is told before it proposes.
-NEVER_MS = -(1 << 40)
+from .members import elect_sequencer
+from .messages import InstallRequest, ProposeRejection, ProposeRequest, RecoveryExchange, RecoveryPlan
+from .state import NEVER_MS, Proposal, Recovery, increment_counter, write_record
 
 
 def proposal_delay_ms(synchrony, desired):
+    """How long the wanted members must stay the same before this member proposes them.
+
+    Members wait longer the later they come in the order of members, so that mostly one proposes.
+    """
     rank = desired.index(synchrony.me)
     grown = set(desired) - set(synchrony.configuration.members)
     if are_all_known_present(synchrony, desired):
@@ -43,9 +46,11 @@
 
 
 def propose_if_due(synchrony, out):
+    """Propose the wanted members if they differ from the installed ones, or a recovery has taken too long."""
     desired = desired_members(synchrony)
     if desired != synchrony.desired_members:
         synchrony.desired_members, synchrony.desired_since_ms = desired, synchrony.now_ms
+        # A heartbeat is due: whom this daemon hears is told before it proposes.
         synchrony.heartbeat_ms = NEVER_MS
     settled = synchrony.recovery is None and synchrony.proposal is None
     if settled and set(desired) == set(synchrony.configuration.members) and not is_unjudged_sole_voter(synchrony):
@@ -59,11 +64,13 @@
 
 
 def highest_known_epoch(synchrony):
+    """The highest epoch that this member or a peer has promised, or that the log has seen."""
     seen = [p.promised.epoch for p in synchrony.peers.values()]
     return max([synchrony.promised.epoch, synchrony.log.epoch, *seen])
 
 
 def propose(synchrony, out, members):
+    """Propose a configuration of these members, in an epoch above all known ones."""
     increment_counter(synchrony, "proposals")
     id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.me.incarnation)
     proposal = Proposal(id, tuple(members), elect_sequencer(synchrony, members), synchrony.now_ms, synchrony.now_ms)
@@ -73,6 +80,11 @@
 
 
 def on_propose_request(synchrony, out, sender_name, message):
+    """Promise the proposed configuration, or reject it.
+
+    Rejected are epochs at or below the promised one, a second configuration of an epoch in which this member has
+    confirmed one, and proposals of outsiders that would split a serving primary.
+    """
     known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
         return send_exchange(synchrony, out)
@@ -108,6 +120,7 @@
 
 
 def promise(synchrony, out, sender_name, message):
+    """Bind this member to the proposal; the promise is on disk before the recovery is confirmed."""
     synchrony.promised = message.id
     synchrony.recovery = Recovery(
         message.id, sender_name, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
@@ -118,6 +131,7 @@
 
 
 def send_exchange(synchrony, out):
+    """Tell the proposer what this member holds."""
     order, id = synchrony.order, synchrony.recovery.id
     extra = tuple(sorted(o for o in order.pending if o > order.received_watermark))
     said = RecoveryExchange(
@@ -136,6 +150,7 @@
 
 
 def on_recovery_exchange(synchrony, out, sender_name, message):
+    """At the proposer: once all members have told what they hold, send the plan."""
     proposal = synchrony.proposal
     if proposal is None or proposal.id != message.id:
         return
@@ -146,6 +161,7 @@
 
 
 def send_plan(synchrony, out):
+    """Send the plan to the members that haven't completed the recovery."""
     proposal = synchrony.proposal
     plan = RecoveryPlan(proposal.id, dict(proposal.exchanges))
     for member in proposal.members:
@@ -154,6 +170,7 @@
 
 
 def on_recovery_complete(synchrony, out, sender_name, message):
+    """At the proposer: once all members have completed the recovery, let them install."""
     proposal = synchrony.proposal
     if proposal is None:
         if message.id == synchrony.configuration.id:
@@ -169,6 +186,7 @@
 
 
 def on_propose_rejection(synchrony, out, sender_name, message):
+    """Give the proposal up, and propose above the promised epoch next time."""
     peer = synchrony.peers.get(sender_name)
     if peer:
         peer.promised = max(peer.promised, message.promised)
@@ -179,6 +197,7 @@
 
 
 def check_proposal(synchrony, out):
+    """Send the proposal again, or after `proposal_ms` propose without the members that haven't answered."""
     proposal = synchrony.proposal
     if proposal is None:
         return
@@ -204,6 +223,7 @@
 
 
 def exclude_for_a_while(synchrony, member):
+    """Leave a member that kept a proposal waiting out of the wanted ones; each time for longer."""
     peer = synchrony.peers.get(member.name)
     if peer is None or peer.endpoint.member != member:
         return
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -1,11 +1,23 @@
+"""Total order in a configuration: operations go to the sequencer, entries to all, and are delivered once safe.
+
+An entry is safe once every member has acknowledged it; voters acknowledge what is synced. All messages are idempotent
+and sent again by timers, so that a lost one only delays.
+"""
+
+from .configuration import Entry
 from .delivery import append_to_log, queue_for_apply
 from .events import EntryDelivered, OperationNumbered, WindowFull
-from .messages import BatchAck, Entry, EntryBatch, SafeUpdate, SubmitRequest
+from .members import member_names, member_of, sequencer_of
+from .messages import BatchAck, EntryBatch, SafeUpdate, SubmitRequest
 from .primary_component import send_ready
-from .state import increment_counter, member_names, sequencer_of
+from .state import increment_counter
 
 
 def submit_operation(synchrony, out, payload, end=False):
+    """Take an operation of this daemon into the outbox, or refuse it while the window is full.
+
+    end: an operation that ends something is taken whatever the window holds.
+    """
     if not end and len(synchrony.outbox) >= synchrony.bounds.window:
         increment_counter(synchrony, "overfull")
         out.answers.append(WindowFull(len(synchrony.outbox)))
@@ -17,6 +29,7 @@
 
 
 def send_outbox(synchrony, out):
+    """Send the sequencer the operations of the outbox that it hasn't been sent."""
     if not synchrony.primary.opened or synchrony.recovery or not synchrony.outbox:
         return
     floor = first_open_number(synchrony)
@@ -34,15 +47,18 @@
     return next(iter(synchrony.outbox))
 
 
-def on_submit_request(synchrony, out, sender_name, sender, message):
+def on_submit_request(synchrony, out, sender_name, message):
+    """At the sequencer: order a member's operations, each once and in the order of their numbers."""
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery or not synchrony.primary.open_ordered:
         increment_counter(synchrony, "foreign")
         return
     if sequencer_of(synchrony) != synchrony.name:
         return
+    sender = member_of(synchrony, sender_name)
     seen = max(order.submitted_watermark.get(sender, 0), message.first_open - 1)
-    parked = order.out_of_order[sender] = {n: p for n, p in order.out_of_order.get(sender, {}).items() if n > seen}
+    waiting = order.out_of_order.get(sender, {})
+    parked = order.out_of_order[sender] = {number: payload for number, payload in waiting.items() if number > seen}
     for number, payload in enumerate(message.payloads, message.first):
         if seen < number <= seen + synchrony.bounds.window:
             parked[number] = payload
@@ -66,6 +82,7 @@
 
 
 def send_batch(synchrony, out, force=False):
+    """At the sequencer: send the next batch to all, if the last one is safe or `force` is set."""
     order = synchrony.order
     if synchrony.recovery or not order.unsent_entries or sequencer_of(synchrony) != synchrony.name:
         return
@@ -86,6 +103,7 @@
 
 
 def take_entries(synchrony, out, entries):
+    """Keep entries until they are delivered."""
     for entry in entries:
         if entry.ordinal > synchrony.order.delivered_watermark:
             synchrony.order.pending.setdefault(entry.ordinal, entry)
@@ -93,6 +111,7 @@
 
 
 def on_entry_batch(synchrony, out, sender_name, message):
+    """Keep the sequencer's entries, and deliver what its watermark shows to be safe."""
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         increment_counter(synchrony, "foreign")
@@ -103,6 +122,7 @@
 
 
 def advance_received_watermark(synchrony, out):
+    """Log the entries that follow without a gap, and acknowledge them once the log is synced."""
     order = synchrony.order
     ready = synchrony.has_log and synchrony.primary.ready_record_number >= 0
     while order.received_watermark + 1 in order.pending:
@@ -118,11 +138,13 @@
 
 
 def send_ack(synchrony, out, top):
+    """Tell the sequencer up to where this member has all entries."""
     if top and not synchrony.recovery:
         out.sends.append((sequencer_of(synchrony), BatchAck(synchrony.configuration.id, top)))
 
 
 def on_batch_ack(synchrony, out, sender_name, message):
+    """At the sequencer: tell all members up to where every one of them has acknowledged."""
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
@@ -138,7 +160,8 @@
         out.sends.append((name, SafeUpdate(synchrony.configuration.id, mark)))
 
 
-def on_safe_update(synchrony, out, message):
+def on_safe_update(synchrony, out, sender_name, message):
+    """Deliver what every member has acknowledged."""
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
     synchrony.order.safe_watermark = max(synchrony.order.safe_watermark, message.safe_watermark)
@@ -146,6 +169,7 @@
 
 
 def deliver_safe_entries(synchrony, out):
+    """Deliver entries up to the safe watermark; in a primary they are applied too."""
     order = synchrony.order
     while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
         order.delivered_watermark += 1
@@ -156,6 +180,7 @@
 
 
 def on_log_synced(synchrony, out, up_to):
+    """Count records as synced, become ready if the log is complete by that, and send acknowledgements due."""
     synchrony.synced_count = max(synchrony.synced_count, up_to)
     primary = synchrony.primary
     if primary.ready_record_number >= 0 and not primary.ready and synchrony.synced_count >= primary.ready_record_number:
@@ -169,6 +194,7 @@
 
 
 def resend_due(synchrony, out):
+    """Send again what has had no effect for `resend_ms`: readiness, the outbox, batches."""
     order = synchrony.order
     if synchrony.recovery:
         return
--- a/frostpost/virtual_synchrony/primary_component.py
+++ b/frostpost/virtual_synchrony/primary_component.py
@@ -3,15 +3,19 @@
 from msgspec import msgpack
 
 from . import delivery
+from .configuration import Entry
 from .durable_log import NOWHERE, pending_voters
 from .events import ConfigurationRecord, OpenPrimary
-from .messages import Entry, ReadyUpdate
-from .state import PrimaryState, has_quorums, member_names, role_of, sequencer_of, write_record
+from .members import member_names, role_of, sequencer_of
+from .messages import ReadyUpdate
+from .quorum import has_quorums
+from .state import PrimaryState, write_record
 
 encode = msgpack.Encoder().encode
 
 
 def recovered_watermark(plan, last):
+    """The ordinal up to which the members of a configuration hold all entries together."""
     said = [e for e in plan.values() if e.last_configuration == last]
     top, extras = max(e.received_watermark for e in said), {o for e in said for o in e.ordinals_above}
     while top + 1 in extras:
@@ -20,6 +24,7 @@
 
 
 def recovered_length(plan, name):
+    """The length that a member's log has after the recovery."""
     said = plan[name]
     if said.durable_state.primary != said.last_configuration:
         return said.durable_state.length
@@ -27,6 +32,12 @@
 
 
 def decide_primary(plan):
+    """Decide from all exchanges whether the new configuration is a primary, and from which index it goes on.
+
+    Called alike at every member when a configuration is installed. The longest log of the newest primary is the
+    donor's. The configuration is eligible if a majority of that log's voters, and of every set that an uncommitted
+    entry asks for, told of a log; without any log, if all founding voters are here.
+    """
     memories = {n: e.durable_state for n, e in plan.items() if e.durable_state}
     if not memories:
         voters = max((e.voters for e in plan.values()), key=len, default=())
@@ -44,6 +55,7 @@
 
 
 def prepare_primary(synchrony, out, plan):
+    """Find out whether this member's log continues into the primary, and become ready if it is complete."""
     primary, log = synchrony.primary, synchrony.log
     if not primary.eligible or not synchrony.has_log:
         return
@@ -55,6 +67,7 @@
 
 
 def become_ready(synchrony, out):
+    """Bind the log to the primary: cut what isn't part of it, add what has come meanwhile, and go on applying."""
     primary, log = synchrony.primary, synchrony.log
     voters = synchrony.voters or primary.voters
     log.primary, log.base, log.voters = synchrony.configuration.id, primary.base, voters
@@ -72,10 +85,12 @@
 
 
 def send_ready(synchrony, out):
+    """Tell the sequencer that this member's log is complete."""
     out.sends.append((sequencer_of(synchrony), ReadyUpdate(synchrony.configuration.id)))
 
 
 def on_ready_update(synchrony, out, sender_name, message):
+    """At the sequencer: order OpenPrimary once a majority of the voters is ready."""
     primary, order = synchrony.primary, synchrony.order
     if message.id != synchrony.configuration.id or not primary.eligible or synchrony.recovery:
         return
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -1,16 +1,27 @@
+"""A member's side of a recovery: entries handed on, the transitional configuration, the new configuration.
+
+Steps 3 to 6 of the paper's recovery algorithm: members from the same configuration exchange the entries that one of
+them lacks, confirm, deliver what is safe in the old configuration and the rest in the transitional one, and begin anew.
+"""
+
+from .configuration import Configuration
 from .durable_log import voters_in
 from .events import ConfigurationChanged, EntryDelivered
-from .messages import Configuration, Rebroadcast, RecoveryComplete
+from .members import sequencer_of
+from .messages import Rebroadcast, RecoveryComplete
 from .ordering import advance_received_watermark, queue_for_apply
 from .primary_component import decide_primary, prepare_primary
-from .state import OrderState, has_quorums, increment_counter, is_majority, sequencer_of
+from .quorum import has_quorums, is_majority
+from .state import OrderState, increment_counter
 
 
 def has_entry(exchange, ordinal):
+    """Whether the member that sent this exchange holds an entry."""
     return ordinal <= exchange.received_watermark or ordinal in exchange.ordinals_above
 
 
-def on_recovery_plan(synchrony, out, message):
+def on_recovery_plan(synchrony, out, sender_name, message):
+    """Work out which entries are wanted and who hands them on, then hand on this member's share."""
     recovery = synchrony.recovery
     if recovery is None or recovery.id != message.id:
         return
@@ -38,6 +49,7 @@
 
 
 def owed_ordinals(synchrony, said, union):
+    """The ordinals that this member hands on, by receiver: of each entry the first holder by name does."""
     mine: dict[str, list[int]] = {}
     for ordinal in sorted(union):
         holders = sorted(n for n, e in said.items() if has_entry(e, ordinal))
@@ -49,6 +61,7 @@
 
 
 def send_rebroadcasts(synchrony, out):
+    """Hand on the entries that others lack."""
     recovery, held = synchrony.recovery, synchrony.order.pending
     for name, ordinals in recovery.owed_ordinals.items():
         entries = [held[o] for o in ordinals if o in held]
@@ -58,7 +71,8 @@
             out.sends.append((name, Rebroadcast(recovery.id, part)))
 
 
-def on_rebroadcast(synchrony, out, message):
+def on_rebroadcast(synchrony, out, sender_name, message):
+    """Keep entries that another member hands on."""
     recovery = synchrony.recovery
     if recovery is None or recovery.id != message.id:
         return
@@ -69,6 +83,10 @@
 
 
 def complete_if_ready(synchrony, out):
+    """Confirm the recovery once all wanted entries are here and synced.
+
+    The obligations are taken over first: a member that has confirmed must deliver what the others may have delivered.
+    """
     recovery, order = synchrony.recovery, synchrony.order
     if recovery is None or recovery.plan is None or recovery.is_complete:
         return
@@ -88,16 +106,24 @@
 
 
 def send_complete(synchrony, out):
+    """Tell the proposer that this member has completed the recovery."""
     out.sends.append((synchrony.recovery.proposer, RecoveryComplete(synchrony.recovery.id)))
 
 
-def on_install_request(synchrony, out, message):
+def on_install_request(synchrony, out, sender_name, message):
+    """Install the configuration if this member has completed its recovery."""
     recovery = synchrony.recovery
     if recovery and recovery.id == message.id and recovery.is_complete:
         deliver_and_install(synchrony, out)
 
 
 def deliver_and_install(synchrony, out):
+    """Deliver the rest of the old configuration, then begin the new one.
+
+    Entries that some member knows to be safe are delivered in the old configuration. Of the others, after the
+    transitional configuration, those count in the primary that a majority of its voters is certain to keep; entries
+    behind a gap are delivered only from members that this one is obliged to.
+    """
     recovery, order = synchrony.recovery, synchrony.order
     group = [m.name for m in recovery.transitional_members]
     safe = max(recovery.plan[n].safe_watermark for n in group)
@@ -133,6 +159,7 @@
 
 
 def obligated(synchrony, entry):
+    """Whether an entry's sequencer is among the members whose entries must be delivered."""
     first = sequencer_of(synchrony)
     return any(m.name == first for m in synchrony.obligations)
 
@@ -148,6 +175,7 @@
 
 
 def begin_configuration(synchrony, out):
+    """Begin the promised configuration with an empty order, and decide whether it is a primary."""
     recovery = synchrony.recovery
     synchrony.configuration = Configuration(recovery.id, recovery.members, recovery.sequencer)
     synchrony.installed_ms, synchrony.peers_changed = synchrony.now_ms, True
@@ -164,6 +192,7 @@
 
 
 def resend_due(synchrony, out):
+    """Send again what the recovery waits for."""
     recovery = synchrony.recovery
     if recovery is None or synchrony.now_ms - recovery.sent_ms < synchrony.bounds.resend_ms:
         return
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -1,58 +1,49 @@
+"""The protocol's state at one member, its settings, and the few rules that every part of the protocol uses."""
+
 from msgspec import Struct, field
 
+from .bounds import Bounds
+from .configuration import Configuration, ConfigurationId, Entry
 from .durable_log import NOWHERE, DurableLog
+from .endpoints import Endpoint, Member
 from .events import Output, PromiseRecord
-from .messages import Configuration, ConfigurationId, Endpoint, Entry, Member, RecoveryExchange
-
-ROLE_ORDER = {"storage": 0, "core": 1, "edge": 2}
-
-
-class Bounds(Struct, frozen=True):
-    detect_ms: int = 500
-    proposal_ms: int = 500
-    lease_ms: int = 1200
-    window: int = 256
-    held: int = 4096
-    batch: int = 256
-    piece_bytes: int = 262144
-    rewrite_entries: int = 20000
-    refill_bytes_s: int = 16 << 20
-    slice_records: int = 2000
+from .messages import RecoveryExchange
 
-    @property
-    def heartbeat_ms(self):
-        return self.detect_ms // 5
+# Before any moment that a clock shows.
+NEVER_MS = -(1 << 40)
 
-    @property
-    def join_ms(self):
-        return self.detect_ms // 2
 
-    @property
-    def resend_ms(self):
-        return self.detect_ms // 5
+class Peer(Struct):
+    """What this member knows of another one, mostly from its heartbeats.
 
+    heard_ms: when the last heartbeat came; sent_ms: the sender's clock in it, which is echoed. granted_ms: the newest
+    own heartbeat that the peer has confirmed in this configuration, from which a lease counts. excluded_until_ms: it
+    isn't wanted as a member until then, since it kept a proposal waiting. past_incarnations: earlier lives, whose late
+    messages are ignored.
+    """
 
-class Peer(Struct):
     endpoint: Endpoint
-    heard_ms: int = -(1 << 40)
+    heard_ms: int = NEVER_MS
     reachable: frozenset[Member] = frozenset()
     configuration: ConfigurationId = NOWHERE
     promised: ConfigurationId = NOWHERE
     sent_ms: int = 0
-    granted_ms: int = -(1 << 40)
+    granted_ms: int = NEVER_MS
     unhealthy: bool = False
     ready: bool = False
     applied: int = 0
     serving: bool = False
     last_primary: ConfigurationId = NOWHERE
     draining: bool = False
-    excluded_until_ms: int = -(1 << 40)
+    excluded_until_ms: int = NEVER_MS
     exclusions: int = 0
     status: dict[str, int] = {}
     past_incarnations: frozenset[Member] = frozenset()
 
 
 class Proposal(Struct):
+    """A configuration that this member proposes. exchanges: by member name; plan_sent: whether all have come."""
+
     id: ConfigurationId
     members: tuple[Member, ...]
     sequencer: str
@@ -64,6 +55,13 @@
 
 
 class Recovery(Struct):
+    """The configuration that this member has promised, and how far the recovery into it is.
+
+    plan: the exchanges of all members, by name. transitional_members: those that come from the same configuration.
+    wanted_ordinals: entries that these must all hold; owed_ordinals: those that this member hands on, by receiver.
+    sync_target: the number of the record that must be on disk before this member confirms.
+    """
+
     id: ConfigurationId
     proposer: str
     members: tuple[Member, ...]
@@ -79,24 +77,38 @@
 
 
 class OrderState(Struct):
+    """The total order in the installed configuration. Ordinals count from 1; watermarks are ordinals.
+
+    pending: entries that aren't delivered, by ordinal. received_watermark: all up to it are here. safe_watermark: all
+    members have acknowledged up to it. The sequencer alone uses the rest: acks, by member name; sent_ms: when an entry
+    was last sent to it; submitted_watermark and out_of_order: numbers of operations by sender; unsent_entries: ordered
+    and not sent. early_messages: of the configuration that is being installed.
+    """
+
     pending: dict[int, Entry] = {}
     received_watermark: int = 0
-    acked: int = 0
     delivered_watermark: int = 0
     safe_watermark: int = 0
     next_ordinal: int = 1
     acks: dict[str, int] = {}
-    sent: dict[str, int] = {}
     sent_ms: dict[str, int] = {}
     submitted_watermark: dict[Member, int] = {}
     out_of_order: dict[Member, dict[int, bytes]] = {}
     unsent_entries: list[Entry] = []
     sent_watermark: int = 0
-    floor: int = 0
     early_messages: list[tuple[str, object]] = []
 
 
 class PrimaryState(Struct):
+    """The primary component as this member sees it in the installed configuration.
+
+    eligible: whether a majority of the voters is here, so that entries count. donor: the member with the longest log of
+    the newest primary, which ends at `base`. pending_voters: sets of voters that uncommitted entries ask for. ready:
+    this member's log holds all up to `base`, synced once record `ready_record_number` is. open_ordered, open_committed,
+    opened: how far the first entry, OpenPrimary, is: ordered by the sequencer, delivered, applied. The rest serves
+    catching up.
+    """
+
     eligible: bool = False
     donor: str = ""
     base: int = 0
@@ -109,7 +121,7 @@
     open_committed: bool = False
     opened: bool = False
     open_ordered: bool = False
-    fetched_ms: int = -(1 << 40)
+    fetched_ms: int = NEVER_MS
     loading_snapshot: bool = False
     chunks: bytearray = field(default_factory=bytearray)
     chunks_index: int = -1
@@ -117,6 +129,17 @@
 
 
 class Synchrony(Struct):
+    """All of the protocol's state at one member. Steps change it in place; nothing else does.
+
+    has_log: whether the role keeps a log (voters and learners). voters: in force as of the applied entries.
+    desired_members: those that the failure detector wants, since `desired_since_ms`. obligations: members whose entries
+    must be delivered in a transitional configuration. applied: index of the last applied entry; pending_entries:
+    delivered and not applied, by index. outbox: own operations by number that aren't applied; submitted: the highest
+    number sent. written_count and synced_count: records given to the disk, and on it; pending_acks: (record number,
+    watermark) pairs. replayed_messages: early ones, to be handled now. status: told with each heartbeat. apply_paused:
+    while a snapshot is encoded. peers_changed: since the last tick.
+    """
+
     endpoint: Endpoint
     bounds: Bounds
     seeds: tuple[str, ...]
@@ -129,8 +152,8 @@
     installed_ms: int = 0
     peers: dict[str, Peer] = {}
     now_ms: int = 0
-    heartbeat_ms: int = -(1 << 40)
-    discovery_ms: int = -(1 << 40)
+    heartbeat_ms: int = NEVER_MS
+    discovery_ms: int = NEVER_MS
     announced_endpoints: tuple[Endpoint, ...] = ()
     announced_periods: int = 0
     desired_members: tuple[Member, ...] = ()
@@ -156,58 +179,35 @@
     counts: dict[str, int] = {}
     status: dict[str, int] = {}
     peers_changed: bool = True
-    ticked_ms: int = -(1 << 40)
+    ticked_ms: int = NEVER_MS
     membership_differs: bool = True
 
     @property
     def me(self):
+        """This member."""
         return self.endpoint.member
 
     @property
     def name(self):
+        """This member's name."""
         return self.endpoint.member.name
 
 
 def increment_counter(synchrony, what, by=1):
+    """Add to a named counter."""
     synchrony.counts[what] = synchrony.counts.get(what, 0) + by
 
 
 def write_record(synchrony, out, record):
+    """Give a record to the disk, if this role keeps a log; -> how many were given so far."""
     if synchrony.has_log:
         out.writes.append(record)
         synchrony.written_count += 1
     return synchrony.written_count
 
 
-def member_names(configuration):
-    return [m.name for m in configuration.members]
-
-
-def role_of(synchrony, name):
-    if name == synchrony.name:
-        return synchrony.endpoint.role
-    peer = synchrony.peers.get(name)
-    return peer.endpoint.role if peer else "edge"
-
-
-def sequencer_of(synchrony):
-    return synchrony.configuration.sequencer
-
-
-def elect_sequencer(synchrony, members):
-    held = sorted(m.name for m in members)
-    return next((n for n in held if role_of(synchrony, n) == "core"), held[0])
-
-
-def is_majority(voters, present):
-    return len(voters) > 0 and sum(v in present for v in voters) * 2 > len(voters)
-
-
-def has_quorums(primary, present):
-    return all(is_majority(v, present) for v in (primary.voters, *primary.pending_voters))
-
-
 def begin_synchrony(endpoint, bounds, seeds, voters, log, now_ms):
+    """The state at a start with the log as read from disk: alone in a new configuration; -> (state, output)."""
     storage = endpoint.role == "storage"
     single = ConfigurationId(log.epoch + 1, endpoint.member.name, endpoint.member.incarnation)
     synchrony = Synchrony(
--- a/tests/encoded_messages.py
+++ b/tests/encoded_messages.py
@@ -15,7 +15,7 @@
 from frostpost.ledger.operations import Op
 from frostpost.program_ledger.words import CoppiceVerdict
 from frostpost.virtual_synchrony.events import Record
-from frostpost.virtual_synchrony.messages import Frame, Message
+from frostpost.virtual_synchrony.frames import Frame, Message
 
 RECORDED = Path(__file__).parent / "data" / "encoded_messages.json"
 UNIONS = {"message": Message, "record": Record, "operation": Op, "program result": CoppiceVerdict}
--- a/tests/fleet_simulator/leases.py
+++ b/tests/fleet_simulator/leases.py
@@ -2,7 +2,7 @@
 
 from frostpost.cluster import lease as leases
 from frostpost.cluster import serving
-from frostpost.virtual_synchrony.failure_detector import lease_remaining_ms
+from frostpost.virtual_synchrony.leases import lease_remaining_ms
 
 from .judge import in_touch
 from .notes import Broken
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -8,7 +8,7 @@
 from frostpost.simulator import world as worlds
 from frostpost.simulator.ledger import ledger as ledger_faults
 from frostpost.simulator.storm import ask, serves
-from frostpost.virtual_synchrony.state import Bounds
+from frostpost.virtual_synchrony.bounds import Bounds
 
 DOCUMENTS = 300
 CHANGE_MS = 5
--- a/tests/test_cluster_asking.py
+++ b/tests/test_cluster_asking.py
@@ -9,7 +9,7 @@
 from frostpost.program_ledger.words import Abort, Begin, End, Ended, LookRouting
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import LeaseReply, OperationReply, OperationRequest
-from frostpost.virtual_synchrony.messages import Frame
+from frostpost.virtual_synchrony.frames import Frame
 
 PLACES = (endpoint_of("s1", port=7), endpoint_of("s2", port=8))
 END = End("a", 3)
--- a/tests/test_cluster_founding.py
+++ b/tests/test_cluster_founding.py
@@ -17,7 +17,9 @@
     DirectoryReply,
     DirectoryRequest,
 )
-from frostpost.virtual_synchrony.messages import DiscoveryUpdate, Endpoint, Frame, Member
+from frostpost.virtual_synchrony.endpoints import Endpoint, Member
+from frostpost.virtual_synchrony.frames import Frame
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
 NAMES = ("s1", "s2", "s3")
 SEEDS = ("10.0.0.10:70", "10.0.0.9:70", "10.0.0.9:8")
--- a/tests/test_cluster_lease.py
+++ b/tests/test_cluster_lease.py
@@ -16,8 +16,11 @@
     RoutingRequest,
     RoutingUpdate,
 )
-from frostpost.virtual_synchrony.messages import Configuration, ConfigurationId, Endpoint, Frame, Member
-from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
+from frostpost.virtual_synchrony.bounds import Bounds
+from frostpost.virtual_synchrony.configuration import Configuration, ConfigurationId
+from frostpost.virtual_synchrony.endpoints import Endpoint, Member
+from frostpost.virtual_synchrony.frames import Frame
+from frostpost.virtual_synchrony.state import Peer, Synchrony
 
 LEASE_MS = 1200
 IDS = ConfigurationId(3, "s1", 1)
--- a/tests/test_cluster_ring.py
+++ b/tests/test_cluster_ring.py
@@ -12,8 +12,10 @@
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, LeaseRequest
+from frostpost.virtual_synchrony.configuration import ConfigurationId
 from frostpost.virtual_synchrony.events import ConfigurationRecord, PromiseRecord
-from frostpost.virtual_synchrony.messages import ConfigurationId, DiscoveryUpdate, Frame
+from frostpost.virtual_synchrony.frames import Frame
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 CHARTER = ("s1", "s2", "s3")
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_tenders.py
@@ -13,9 +13,11 @@
 from frostpost.ledger.results import Done
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.words import Retired
+from frostpost.virtual_synchrony.bounds import Bounds
+from frostpost.virtual_synchrony.configuration import Configuration, ConfigurationId
+from frostpost.virtual_synchrony.endpoints import Member
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.messages import Configuration, ConfigurationId, Member
-from frostpost.virtual_synchrony.state import Bounds, Peer, Synchrony
+from frostpost.virtual_synchrony.state import Peer, Synchrony
 
 ID = ConfigurationId(3, "s1", 1)
 AWAY_MS = 4800
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -166,7 +166,7 @@
 
     def __init__(self, disk):
         from frostpost.daemon.machine import Machine
-        from frostpost.virtual_synchrony.state import Bounds
+        from frostpost.virtual_synchrony.bounds import Bounds
 
         self.threads, self.synced, self.stalled, self.crashed, self.now_s = Threads(), 0, [], [], 0.0
         machine = Machine(seconds=lambda: self.now_s, in_thread=self.threads.run, files=model.files_of(disk))
--- a/tests/test_due_ticks.py
+++ b/tests/test_due_ticks.py
@@ -8,6 +8,7 @@
 from frostpost.daemon.ticker import Ticker
 from frostpost.simulator import play as plays
 from frostpost.simulator import world as worlds
+from frostpost.simulator.plants import changed
 from frostpost.virtual_synchrony import failure_detector, timers
 from frostpost.virtual_synchrony.events import TimerTick
 
@@ -139,13 +140,13 @@
     beaten = failure_detector.on_heartbeat
 
     def forgetful(synchrony, out, frm, message):
-        changed = synchrony.peers_changed
+        before = synchrony.peers_changed
         beaten(synchrony, out, frm, message)
-        synchrony.peers_changed = changed
+        synchrony.peers_changed = before
 
-    monkeypatch.setattr(failure_detector, "on_heartbeat", forgetful)
-    for seed in range(11, 17):
-        plays.play(seed, 0, 5, 0, gap_ms=1500)
+    with changed([(failure_detector, "on_heartbeat", forgetful)]):
+        for seed in range(11, 17):
+            plays.play(seed, 0, 5, 0, gap_ms=1500)
     assert slept.effects
 
 
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -25,7 +25,9 @@
     StatusReply,
     StatusRequest,
 )
-from frostpost.virtual_synchrony.messages import FRAME_VERSION, DiscoveryUpdate, Endpoint, Frame, Member
+from frostpost.virtual_synchrony.endpoints import Endpoint, Member
+from frostpost.virtual_synchrony.frames import FRAME_VERSION, Frame
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
 OPERATOR = Endpoint(Member("operator", 1), "operator", "", "o", 9, 0)
 ASK = Frame(FRAME_VERSION, OPERATOR, "", StatusRequest())
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -14,9 +14,10 @@
 from frostpost.simulator.ledger import ledger as ledger_faults
 from frostpost.simulator.storm import Work, ask, serves, watch
 from frostpost.virtual_synchrony import catch_up
-from frostpost.virtual_synchrony import failure_detector as watching
+from frostpost.virtual_synchrony import leases as protocol_leases
+from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.state import Bounds, is_majority
+from frostpost.virtual_synchrony.quorum import is_majority
 
 PATH = "templates/t"
 CHANGES = 500
@@ -181,7 +182,7 @@
 
 refill = catch_up.install_snapshot
 PLANTS = {
-    "a member serves before it is whole": (watching, "holds_lease", before_whole),
+    "a member serves before it is whole": (protocol_leases, "holds_lease", before_whole),
     "a snapshot is taken for a newer one": (catch_up, "install_snapshot", stale_state),
 }
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -6,8 +6,9 @@
 from frostpost.ledger.records import Duty, Runner
 from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
+from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
+from frostpost.virtual_synchrony.endpoints import Member
 from frostpost.virtual_synchrony.events import OpenPrimary
-from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 ID, ME = ConfigurationId(1, "s1", 1), Member("e1", 1)
 RUNNER = Runner("r1", "i", "127.0.0.1", 1, "pool", "a", 4)
@@ -111,7 +112,7 @@
 def test_the_version_before_reads_what_this_one_says():
     raw = msgpack.encode(Reserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),), 9))
     assert msgpack.decode(raw, type=OldReserve) == OldReserve("p", 1, 2, 3, ("a",), (("r", "i"),), (("t", 1),))
-    from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, Endpoint
+    from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint
 
     raw = msgpack.encode(Endpoint(ME, "edge", "a", "h", 1, 2, PROTOCOL_REVISION))
     assert msgpack.decode(raw, type=OldPlace) == OldPlace(ME, "edge", "a", "h", 1, 2)
@@ -121,7 +122,8 @@
     from pathlib import Path
 
     from frostpost.ledger.operations import Op
-    from frostpost.virtual_synchrony.messages import Frame, Heartbeat
+    from frostpost.virtual_synchrony.frames import Frame
+    from frostpost.virtual_synchrony.messages import Heartbeat
 
     types = {"frame": Frame, "op": Op, "state": Ledger}
     rows = (Path(__file__).parent / "traces" / "wire1.frames").read_text().split("\n")
@@ -146,7 +148,7 @@
 
 def test_the_doctor_tells_of_daemons_that_hold_the_rules_back():
     from frostpost.admin.doctor import of_daemon
-    from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION
+    from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION
 
     said = {
         "primary": True,
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -9,8 +9,9 @@
 from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
+from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
+from frostpost.virtual_synchrony.endpoints import Member
 from frostpost.virtual_synchrony.events import OpenPrimary
-from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 scenarios("features/ledger.feature")
 ID = ConfigurationId(1, "s1", 1)
--- a/tests/test_ledger_voters.py
+++ b/tests/test_ledger_voters.py
@@ -6,8 +6,9 @@
 from frostpost.ledger.operations import SWAP_RULES
 from frostpost.ledger.results import NotHeld, VotersSet
 from frostpost.ledger.state import Ledger
+from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
+from frostpost.virtual_synchrony.endpoints import Member
 from frostpost.virtual_synchrony.events import SetVoters
-from frostpost.virtual_synchrony.messages import ConfigurationId, Entry, Member
 
 ID = ConfigurationId(3, "s1", 1)
 VOTERS = ("s1", "s2", "s3")
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,7 +11,7 @@
 from frostpost.daemon.context import Hooks
 from frostpost.daemon.links import Links
 from frostpost.virtual_synchrony.agent_messages import DirectoryRequest
-from frostpost.virtual_synchrony.messages import Endpoint, Member
+from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
 ADDRESS = ("10.0.0.2", 7380)
 TO = "@10.0.0.2:7380"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,18 +3,13 @@
 import pytest
 
 from frostpost.virtual_synchrony import failure_detector, membership
+from frostpost.virtual_synchrony.bounds import Bounds
+from frostpost.virtual_synchrony.configuration import Configuration, ConfigurationId
 from frostpost.virtual_synchrony.durable_log import DurableLog
+from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 from frostpost.virtual_synchrony.events import MessageReceived, Output, TimerTick
-from frostpost.virtual_synchrony.messages import (
-    Configuration,
-    ConfigurationId,
-    Endpoint,
-    Heartbeat,
-    Member,
-    ProposeRejection,
-    ProposeRequest,
-)
-from frostpost.virtual_synchrony.state import Bounds, Peer, begin_synchrony
+from frostpost.virtual_synchrony.messages import Heartbeat, ProposeRejection, ProposeRequest
+from frostpost.virtual_synchrony.state import Peer, begin_synchrony
 from frostpost.virtual_synchrony.step import step
 
 PRIMARY, OUTSIDE = ConfigurationId(7, "s2", 1), ConfigurationId(9, "s1", 1)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -10,9 +10,12 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import world as worlds
+from frostpost.simulator.node import Node
 from frostpost.virtual_synchrony import discovery
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply
-from frostpost.virtual_synchrony.messages import PROTOCOL_REVISION, DiscoveryUpdate, Endpoint, Frame, Member
+from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
+from frostpost.virtual_synchrony.frames import Frame
+from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
 SEED = "@seed:1"
 MINUTE_MS = 60_000
@@ -62,7 +65,7 @@
 def test_change_is_told_to_everybody_several_times(monkeypatch):
     ring = Watched(monkeypatch)
     ring.play(20_000)
-    ring.world.nodes["s4"] = worlds.Node("s4", "storage", "a")
+    ring.world.nodes["s4"] = Node("s4", "storage", "a")
     worlds.start(ring.world, "s4")
     rows = ring.play(26_000, from_ms=20_000)
     for sender in ("s1", "s2", "s3"):
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -1,9 +1,9 @@
 from frostpost.simulator import world as worlds
 from frostpost.simulator.play import back
 from frostpost.virtual_synchrony.events import Output
+from frostpost.virtual_synchrony.members import sequencer_of
 from frostpost.virtual_synchrony.messages import SubmitRequest
 from frostpost.virtual_synchrony.ordering import on_submit_request
-from frostpost.virtual_synchrony.state import sequencer_of
 
 
 def test_all_members_follow_the_proposers_sequencer_even_if_roles_are_unknown():
@@ -34,9 +34,6 @@
     world = worlds.make(3, 2, 3, 2)
     worlds.run(world, 4000)
     synchrony = world.nodes["c1"].core.synchrony
-    sender = world.nodes["e1"].endpoint.member
     for floor, first in ((1, 2), (2, 2)):
-        on_submit_request(
-            synchrony, Output(), "e1", sender, SubmitRequest(synchrony.configuration.id, floor, first, (b"b",))
-        )
+        on_submit_request(synchrony, Output(), "e1", SubmitRequest(synchrony.configuration.id, floor, first, (b"b",)))
     assert [e.number for e in synchrony.order.unsent_entries] == [2]
--- a/tests/test_snapshot_days.py
+++ b/tests/test_snapshot_days.py
@@ -6,8 +6,8 @@
 from frostpost.cluster import replica
 from frostpost.daemon import snapshotting
 from frostpost.simulator import play as storms
+from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.events import EntryRecord, RewriteLog
-from frostpost.virtual_synchrony.state import Bounds
 
 LOG_ENTRIES = 12
 TINY = Bounds(rewrite_entries=3, piece_bytes=1500, batch=16, slice_records=3)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -14,8 +14,8 @@
 from frostpost.ledger.records import Mark
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.state import Account, Key, ProgramLedger, Turn
+from frostpost.virtual_synchrony.endpoints import Member
 from frostpost.virtual_synchrony.events import SnapshotReceived
-from frostpost.virtual_synchrony.messages import Member
 
 
 def ledger_of(turns):
