--- a/frostpost/cluster/leaf.py
+++ b/frostpost/cluster/agent.py
@@ -19,8 +19,8 @@
 from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
-from . import asking, directory, founding, lease, peers, status
-from .context import Leaf, now_ms
+from . import address_book, bootstrap, directory, lease_client, operation_client, status
+from .agent_context import Leaf, now_ms
 
 RING = "storage"
 TEND_S = 0.05
@@ -44,12 +44,12 @@
     leaf.extras["routing_from_body"] = front.routing_from_body
     leaf.extras["fetch_list"] = lambda: front.fetch_list(leaf)
     leaf.extras["stops"] = []
-    lease.session(leaf)
+    lease_client.session(leaf)
     status.begin(leaf)
     if settings.control:
-        founding.begin(leaf)
+        bootstrap.begin(leaf)
     if settings.data:
-        leaf.extras["peers"] = peers.open_(settings.data, machine)
+        leaf.extras["peers"] = address_book.open_(settings.data, machine)
     return leaf
 
 
@@ -60,58 +60,58 @@
         return
     match body:
         case LeaseReply():
-            if lease.granted(leaf, endpoint, body):
-                asking.send_all(leaf)
+            if lease_client.granted(leaf, endpoint, body):
+                operation_client.send_all(leaf)
             turn_store_client.granted(leaf)
             if leaf.ticker is not None:
-                leaf.ticker.wake(lease.due_ms(leaf) - now_ms(leaf))
+                leaf.ticker.wake(lease_client.due_ms(leaf) - now_ms(leaf))
         case OperationReply():
-            asking.told(leaf, body)
+            operation_client.told(leaf, body)
         case RoutingUpdate():
-            lease.routed(leaf, body)
+            lease_client.routed(leaf, body)
         case PutBodyReply() | GetBodiesReply():
             turn_store_client.received(leaf, endpoint.member.name, body)
         case BootstrapRequest():
-            founding.asked(leaf, endpoint, body)
+            bootstrap.asked(leaf, endpoint, body)
         case BootstrapReply():
-            founding.held(leaf, endpoint, body)
+            bootstrap.held(leaf, endpoint, body)
         case DirectoryReply():
-            lease.directed(leaf, body.endpoints)
+            lease_client.directed(leaf, body.endpoints)
             if endpoint.role == RING:
-                lease.greeted(leaf, endpoint)
+                lease_client.greeted(leaf, endpoint)
         case DirectoryRequest():
             if endpoint.role == RING:
-                founding.waits(leaf, endpoint.member.name)
+                bootstrap.waits(leaf, endpoint.member.name)
             elif not leaf.directory:
                 leaf.extras.setdefault("askers", {})[endpoint.member.name] = endpoint
                 return
             direct(leaf, endpoint)
         case DiscoveryUpdate():
-            lease.directed(leaf, [endpoint])
+            lease_client.directed(leaf, [endpoint])
             if body.endpoints or directory.is_news(leaf, endpoint):
-                leaf.links["send"](lease.address_of(endpoint), directory.tell(leaf, endpoint))
+                leaf.links["send"](lease_client.address_of(endpoint), directory.tell(leaf, endpoint))
             for asker in leaf.extras.pop("askers", {}).values():
                 direct(leaf, asker)
 
 
 def direct(leaf, endpoint):
     """Tell a daemon that asks where the ring's daemons are."""
-    leaf.links["send"](lease.address_of(endpoint), directory.current(leaf))
+    leaf.links["send"](lease_client.address_of(endpoint), directory.current(leaf))
 
 
 def tend(leaf):
-    lease.tend(leaf)
-    if leaf.extras.get("peers") and lease.lease_ok(leaf):
-        peers.keep_addresses(leaf.extras["peers"], [f"{p.host}:{p.port}" for p in leaf.directory.values()])
-    asking.tend(leaf)
-    founding.tend(leaf)
+    lease_client.tend(leaf)
+    if leaf.extras.get("peers") and lease_client.lease_ok(leaf):
+        address_book.keep_addresses(leaf.extras["peers"], [f"{p.host}:{p.port}" for p in leaf.directory.values()])
+    operation_client.tend(leaf)
+    bootstrap.tend(leaf)
 
 
 def due_in_ms(leaf):
     """How long `tend` will have nothing to do, unless something is asked meanwhile."""
-    if founding.pending(leaf):
+    if bootstrap.pending(leaf):
         return 0
-    asked_ms, lease_ms = asking.due_ms(leaf), lease.due_ms(leaf)
+    asked_ms, lease_ms = operation_client.due_ms(leaf), lease_client.due_ms(leaf)
     return (lease_ms if asked_ms is None else min(asked_ms, lease_ms)) - now_ms(leaf)
 
 
--- a/frostpost/cluster/greeting.py
+++ b/frostpost/cluster/announcements.py
@@ -4,7 +4,7 @@
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply
 from frostpost.virtual_synchrony.members import member_names
 
-from . import serving
+from . import agent_sessions
 
 # Agents whose lease ended up to this many lease times ago are greeted, once a lease time.
 LAPSED_LEASES = 50
@@ -28,7 +28,7 @@
 def greet_known(replica):
     """A leader that has just opened greets all agents that it knows, so that they need not look for it."""
     synchrony = replica.ctx.core.synchrony
-    if not serving.sequencing(replica.ctx) or replica.greeted == synchrony.configuration.id:
+    if not agent_sessions.sequencing(replica.ctx) or replica.greeted == synchrony.configuration.id:
         return
     replica.greeted = synchrony.configuration.id
     stored = {f"@{address}" for address in replica.leaves.addresses}
@@ -37,7 +37,7 @@
 
 def greet_lapsed(replica):
     """The leader greets agents whose lease ended of late: one that started anew may know no replica."""
-    if not serving.sequencing(replica.ctx):
+    if not agent_sessions.sequencing(replica.ctx):
         return
     now = clock_ms(replica.ctx)
     since_ms = now - LAPSED_LEASES * replica.settings.lease_ms
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -32,11 +32,11 @@
 def build(settings, front, reactor, machine, stop):
     """Assemble the daemon; -> its owner, what starts it and what makes it leave."""
     if settings.role == RING:
-        from . import ring
+        from . import replica_daemon
 
-        owner = ring.assemble(settings, reactor, machine, stop)
-        return owner, partial(ring.start, owner), partial(ring.leave, owner)
-    from .leaf import leave_leaf, make_leaf, start_leaf
+        owner = replica_daemon.assemble(settings, reactor, machine, stop)
+        return owner, partial(replica_daemon.start, owner), partial(replica_daemon.leave, owner)
+    from .agent import leave_leaf, make_leaf, start_leaf
 
     owner = make_leaf(settings, front, reactor, machine)
     return owner, partial(start_leaf, owner, front, stop), partial(leave_leaf, owner, stop)
--- a/frostpost/cluster/tracing.py
+++ b/frostpost/cluster/attempt_tracing.py
@@ -2,7 +2,7 @@
 
 from frostpost.daemon.news import say
 
-from .context import now_ms
+from .agent_context import now_ms
 
 
 def traced(leaf):
--- a/frostpost/cluster/founding.py
+++ b/frostpost/cluster/bootstrap.py
@@ -10,8 +10,8 @@
 from frostpost.virtual_synchrony.agent_messages import BootstrapReply, BootstrapRequest
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
-from .context import now_ms
-from .lease import NEVER
+from .agent_context import now_ms
+from .lease_client import NEVER
 
 STILL_MS = 700
 FEW_MS = 5000
--- a/frostpost/cluster/operating.py
+++ b/frostpost/cluster/control_client.py
@@ -19,9 +19,9 @@
 )
 from frostpost.proxy.failures import Unavailable
 
-from .asking import RETRY_MS, look
-from .context import now_ms
-from .lease import renew, session
+from .agent_context import now_ms
+from .lease_client import renew, session
+from .operation_client import RETRY_MS, look
 
 STEP_MS = 20
 REMEMBER_RATIO = 150
--- a/frostpost/cluster/directory.py
+++ b/frostpost/cluster/directory.py
@@ -5,7 +5,7 @@
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply
 from frostpost.virtual_synchrony.endpoints import Member
 
-from .context import now_ms
+from .agent_context import now_ms
 
 REPEAT_MS = 60_000
 
--- a/frostpost/cluster/lease.py
+++ b/frostpost/cluster/lease_client.py
@@ -5,7 +5,7 @@
 from frostpost.daemon.news import say
 from frostpost.virtual_synchrony.agent_messages import DirectoryRequest, LeaseRequest, RoutingRequest
 
-from .context import count, now_ms
+from .agent_context import count, now_ms
 
 RENEWS = 5
 SEEKS = 20
--- a/frostpost/cluster/asking.py
+++ b/frostpost/cluster/operation_client.py
@@ -8,9 +8,9 @@
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import OperationRequest
 
-from .context import count, now_ms
-from .lease import NEVER, lease_ok, ring_addresses, session
-from .tracing import handed_in, traced
+from .agent_context import count, now_ms
+from .attempt_tracing import handed_in, traced
+from .lease_client import NEVER, lease_ok, ring_addresses, session
 
 RETRY_MS = 500
 RESEND_MS = 300
--- a/frostpost/cluster/replica.py
+++ b/frostpost/cluster/replica_context.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.settings import VoterChanges as Pace
 from frostpost.virtual_synchrony.bounds import Bounds
 
-from . import serving, tenders
+from . import agent_sessions, voter_reconfiguration
 
 LOG_ENTRIES = 20000
 WINDOW = 2048
@@ -39,7 +39,7 @@
 
     def __init__(self, ctx, settings, stop):
         self.ctx, self.settings, self.stop = ctx, settings, stop
-        self.sessions, self.background = serving.Sessions(), tenders.VoterChanges()
+        self.sessions, self.background = agent_sessions.Sessions(), voter_reconfiguration.VoterChanges()
         self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
         self.turn_store, self.send, self.records, self.waiting, self.charter = None, None, [], True, ()
         self.leaving = False
--- a/frostpost/cluster/ring.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -25,8 +25,8 @@
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
-from . import greeting, peers, serving, status, tenders
-from .replica import ROLE, Crash, Replica, ring_settings
+from . import address_book, agent_sessions, announcements, status, voter_reconfiguration
+from .replica_context import ROLE, Crash, Replica, ring_settings
 
 LEAVE_S = 0.4
 HANDOVER_S = 0.05
@@ -46,8 +46,8 @@
     if fault:
         say(type(fault).__name__, path=fault.path, offset=fault.offset)
     ctx.disk = disks.Keeper(ctx, write_ahead_log)
-    replica.peers = peers.open_(settings.data, machine)
-    replica.leaves, replica.greeted = peers.open_(settings.data, machine, "leaves"), None
+    replica.peers = address_book.open_(settings.data, machine)
+    replica.leaves, replica.greeted = address_book.open_(settings.data, machine, "leaves"), None
     replica.turn_store = store.open_(
         settings.data,
         machine,
@@ -89,7 +89,7 @@
 def begin(replica, charter):
     ctx, settings = replica.ctx, replica.settings
     replica.waiting, replica.charter = False, charter
-    seeds = dict.fromkeys((*settings.seeds, *peers.known(replica.peers)))
+    seeds = dict.fromkeys((*settings.seeds, *address_book.known(replica.peers)))
     ctx.core, out = cores.begin(
         ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
     )
@@ -103,7 +103,7 @@
     loop(replica, lambda: repair(replica), 0.2)
     loop(replica, lambda: keep_addresses(replica), 1.0)
     loop(replica, lambda: tidy(replica), 10.0)
-    loop(replica, lambda: greeting.greet_lapsed(replica), settings.lease_ms / 1000)
+    loop(replica, lambda: announcements.greet_lapsed(replica), settings.lease_ms / 1000)
     say("started", name=settings.name, founding=list(charter))
 
 
@@ -137,17 +137,17 @@
 def watch(replica):
     """See whether the disk is well, and whether an opening was missed."""
     replica.ctx.disk.watch()
-    greeting.greet_known(replica)
+    announcements.greet_known(replica)
 
 
 def change_voters(replica):
-    return tenders.tend(replica.ctx, replica.background, replica.settings)
+    return voter_reconfiguration.tend(replica.ctx, replica.background, replica.settings)
 
 
 def applied(replica):
     """An operation was applied: tell the leaves of a new routing, and of an opening."""
-    serving.follow(replica.ctx, replica.sessions)
-    greeting.greet_known(replica)
+    agent_sessions.follow(replica.ctx, replica.sessions)
+    announcements.greet_known(replica)
 
 
 def repair(replica):
@@ -158,12 +158,12 @@
         if p.endpoint.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
     turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
-    ctx.core.synchrony.status = tenders.report(replica.turn_store, replica.leaving)
+    ctx.core.synchrony.status = voter_reconfiguration.report(replica.turn_store, replica.leaving)
 
 
 def keep_addresses(replica):
     """Keep on disk where the other daemons are."""
-    peers.keep(replica.peers, replica.ctx.core.synchrony)
+    address_book.keep(replica.peers, replica.ctx.core.synchrony)
     keep_leaves(replica)
 
 
@@ -172,11 +172,11 @@
     now = clock_ms(replica.ctx)
     recent = [s.address[1:] for s in replica.sessions.leaves.values() if s.until_ms > now]
     if recent:
-        peers.keep_addresses(replica.leaves, recent)
+        address_book.keep_addresses(replica.leaves, recent)
 
 
 def tidy(replica):
-    serving.forget(replica.sessions, clock_ms(replica.ctx))
+    agent_sessions.forget(replica.sessions, clock_ms(replica.ctx))
     store.expire(replica.turn_store, lambda turn: turn in replica.ctx.core.ledger.program_ledger.turns)
 
 
@@ -193,7 +193,7 @@
         return None
     if endpoint.role == ROLE:
         return heart.received(ctx, frame)
-    return serving.received(ctx, replica.sessions, endpoint, body)
+    return agent_sessions.received(ctx, replica.sessions, endpoint, body)
 
 
 def directed(replica, message):
@@ -216,14 +216,14 @@
     if replica.waiting:
         replica.reactor.callLater(LEAVE_S, replica.stop, 0)
         return
-    replica.ctx.core.synchrony.status = tenders.report(replica.turn_store, True)
+    replica.ctx.core.synchrony.status = voter_reconfiguration.report(replica.turn_store, True)
     until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // HANDOVER_SHARE
     leave_without_vote(replica, until_ms)
 
 
 def leave_without_vote(replica, until_ms):
     """Wait until this replica is no voter, where that is to be had in time."""
-    if clock_ms(replica.ctx) < until_ms and tenders.dispensable(replica.ctx, replica.settings):
+    if clock_ms(replica.ctx) < until_ms and voter_reconfiguration.dispensable(replica.ctx, replica.settings):
         replica.reactor.callLater(HANDOVER_S, leave_without_vote, replica, until_ms)
         return
     heart.feed(replica.ctx, DrainRequested(clock_ms(replica.ctx)))
--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -6,7 +6,7 @@
 
 from frostpost.proxy.words import Wire
 
-from .voter_rule import Tolerance
+from .voter_policy import Tolerance
 
 Address = tuple[str, int]
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -9,9 +9,9 @@
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
 from frostpost.virtual_synchrony.members import member_names, sequencer_of
 
-from . import serving
-from .context import now_ms
-from .lease import session
+from . import agent_sessions
+from .agent_context import now_ms
+from .lease_client import session
 
 DAEMONS = ("storage", "core", "edge")
 
@@ -117,12 +117,12 @@
         "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.incarnation},
         "members": member_names(synchrony.configuration),
         "sequencer": sequencer_of(synchrony),
-        "sequencing": serving.sequencing(ctx),
+        "sequencing": agent_sessions.sequencing(ctx),
         "primary_opened": synchrony.primary.opened,
         "recovering": synchrony.recovery is not None,
         "refilled": synchrony.primary.ready,
         "lease_left_ms": lease_remaining_ms(synchrony, now),
-        "voters": list(serving.voters_of(ctx)),
+        "voters": list(agent_sessions.voters_of(ctx)),
         "applied": synchrony.applied,
         "log_length": synchrony.log.length,
         "disk_unwell": bool(ctx.disk.unwell or synchrony.unhealthy),
@@ -132,7 +132,7 @@
             "accounts": len(program_ledger.accounts),
             "keys": len(program_ledger.keys),
         },
-        "routing": {"version": program_ledger.routing_version, "honoured": serving.honoured(ctx, sessions)},
+        "routing": {"version": program_ledger.routing_version, "honoured": agent_sessions.honoured(ctx, sessions)},
         "retiring": dict(program_ledger.retiring),
         "ring_counts": dict(synchrony.counts),
         "leaves": {
--- a/frostpost/cluster/tenders.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -12,8 +12,8 @@
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
 from frostpost.virtual_synchrony.members import member_names
 
-from .serving import sequencing, voters_of
-from .voter_rule import ReplicaView, Waits, next_voters, sound
+from .agent_sessions import sequencing, voters_of
+from .voter_policy import ReplicaView, Waits, next_voters, sound
 
 MISSING, COUNTED, LEAVING = "missing", "counted", "leaving"
 TO_NEWCOMER_SHARE = 4
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -11,8 +11,8 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.cluster.context import now_ms
-from frostpost.cluster.lease import lease_ok
+from frostpost.cluster.agent_context import now_ms
+from frostpost.cluster.lease_client import lease_ok
 from frostpost.daemon.news import say
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import ClientBounds
@@ -61,7 +61,7 @@
 
 
 def operating():
-    return import_module("frostpost.cluster.operating")
+    return import_module("frostpost.cluster.control_client")
 
 
 def allowed(leaf, body_bytes=0):
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -6,8 +6,8 @@
 from twisted.web.http import NO_BODY_CODES
 from zope.interface import implementer
 
-from frostpost.cluster.context import now_ms
-from frostpost.cluster.tracing import taken, traced
+from frostpost.cluster.agent_context import now_ms
+from frostpost.cluster.attempt_tracing import taken, traced
 from frostpost.daemon.news import say
 from frostpost.proxy import failures
 from frostpost.proxy.words import ClientBounds, Sink
--- a/frostpost/platform/readiness.py
+++ b/frostpost/platform/readiness.py
@@ -8,7 +8,7 @@
 
 
 def ready(leaf):
-    from frostpost.cluster.lease import lease_ok
+    from frostpost.cluster.lease_client import lease_ok
 
     return (
         not leaf.leaving and leaf.routing is not None and leaf.extras.get("list_seen", False) and bool(lease_ok(leaf))
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -1,6 +1,6 @@
 """One request to one runner and what was heard of its answer."""
 
-from frostpost.cluster.context import now_ms
+from frostpost.cluster.agent_context import now_ms
 
 from .sending import (
     BodyEnded,
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -3,8 +3,8 @@
 from msgspec import msgpack
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.cluster.asking import ask, tell
-from frostpost.cluster.context import now_ms
+from frostpost.cluster.agent_context import now_ms
+from frostpost.cluster.operation_client import ask, tell
 from frostpost.program_ledger.words import Claim, Claimed, Disclaim, Ended, KeyAnswered, KeyAtWork, Resolve
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/lookup.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.cluster.context import count, now_ms
+from frostpost.cluster.agent_context import count, now_ms
 
 from . import picking
 from .attempts import attempts_for, may_offer, record
--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
-from frostpost.cluster.context import now_ms
+from frostpost.cluster.agent_context import now_ms
 from frostpost.program_ledger.words import Candidate
 
 from .outcomes import Broken, Late, NotRun, NotSent
--- a/frostpost/proxy/pool.py
+++ b/frostpost/proxy/pool.py
@@ -5,8 +5,8 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
-from frostpost.cluster.context import count, now_ms
-from frostpost.cluster.lease import lease_ok
+from frostpost.cluster.agent_context import count, now_ms
+from frostpost.cluster.lease_client import lease_ok
 
 from .connection import Connection
 from .exchange import Exchange
--- a/frostpost/proxy/roster.py
+++ b/frostpost/proxy/roster.py
@@ -3,8 +3,8 @@
 from msgspec import structs
 from twisted.internet.defer import maybeDeferred
 
-from frostpost.cluster.context import count, now_ms
-from frostpost.cluster.lease import renew, session
+from frostpost.cluster.agent_context import count, now_ms
+from frostpost.cluster.lease_client import renew, session
 
 from .pool import close_pools, sweep
 
--- a/frostpost/proxy/run.py
+++ b/frostpost/proxy/run.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import Deferred
 
-from frostpost.cluster.context import now_ms
+from frostpost.cluster.agent_context import now_ms
 
 from . import picking, pool
 from .outcomes import Answer, Broken, ClientLeft, Late, NotSent, Whole
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -2,8 +2,8 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.cluster.context import count, now_ms
-from frostpost.cluster.lease import lease_ok
+from frostpost.cluster.agent_context import count, now_ms
+from frostpost.cluster.lease_client import lease_ok
 
 from .failures import BadRequest, Leaving, NoRoute, Overloaded, Unavailable
 from .keyed import keyed
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -3,7 +3,7 @@
 from msgspec import structs
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.cluster.context import count, now_ms
+from frostpost.cluster.agent_context import count, now_ms
 
 from . import picking, turn
 from .attempts import attempts_for, may_offer, record
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -3,8 +3,8 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
 
-from frostpost.cluster.asking import ask, tell
-from frostpost.cluster.context import now_ms
+from frostpost.cluster.agent_context import now_ms
+from frostpost.cluster.operation_client import ask, tell
 from frostpost.program_ledger.words import Abort, Begin, Begun, End, Ended, Move, NoPlace, NoTurn, TokensSpent
 from frostpost.turn_store.client import fetch, put
 from frostpost.turn_store.client import lasts as bodies_last
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -6,8 +6,8 @@
 from twisted.internet.defer import inlineCallbacks, succeed
 from twisted.internet.task import LoopingCall
 
-from frostpost.cluster import asking, lease
-from frostpost.cluster import leaf as leaves
+from frostpost.cluster import agent as leaves
+from frostpost.cluster import lease_client, operation_client
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.program_ledger.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
@@ -80,7 +80,7 @@
 
     def look():
         for leaf in leaves:
-            name, now = leaf.settings.name, lease.lease_ok(leaf)
+            name, now = leaf.settings.name, lease_client.lease_ok(leaf)
             if held.get(name) and not now:
                 gaps[name] = gaps.get(name, 0) + 1
             held[name] = now
@@ -161,11 +161,11 @@
         "",
         4000,
     )
-    ok = yield timed(load, reactor, load.begun_ms, asking.ask(leaf, begin, WAIT_MS), Begun)
+    ok = yield timed(load, reactor, load.begun_ms, operation_client.ask(leaf, begin, WAIT_MS), Begun)
     if not ok:
         return
     bodied = timed(load, reactor, load.put_ms, turn_store.put(leaf, this, load.body, WAIT_MS), None)
-    end = asking.tell(leaf, End(this, 360, RETENTION_MS, len(load.body)))
+    end = operation_client.tell(leaf, End(this, 360, RETENTION_MS, len(load.body)))
     ended = yield timed(load, reactor, load.ended_ms, end, Ended)
     yield bodied
     if ended:
@@ -177,7 +177,7 @@
     """Claim and resolve an idempotency key."""
     this = f"{leaf.settings.name}-{leaf.endpoint.member.incarnation:013x}-{number:010d}"
     claim = Claim(f"key-{this}", this, WINDOW_MS)
-    ok = yield timed(load, reactor, load.claimed_ms, asking.ask(leaf, claim, WAIT_MS), Claimed)
+    ok = yield timed(load, reactor, load.claimed_ms, operation_client.ask(leaf, claim, WAIT_MS), Claimed)
     if ok:
         resolve = Resolve(f"key-{this}", this, load.body[:400])
-        yield timed(load, reactor, load.ended_ms, asking.tell(leaf, resolve), Ended)
+        yield timed(load, reactor, load.ended_ms, operation_client.tell(leaf, resolve), Ended)
--- a/frostpost/testbed/scale_ring.py
+++ b/frostpost/testbed/scale_ring.py
@@ -8,7 +8,7 @@
 from twisted.internet.stdio import StandardIO
 from twisted.protocols.basic import LineReceiver
 
-from frostpost.cluster import ring, serving
+from frostpost.cluster import agent_sessions, replica_daemon
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon import news
 from frostpost.daemon.machine import Machine
@@ -38,7 +38,7 @@
         "cpu_s": cpu_s(),
         "memory_mb": round(memory_mb(), 1),
         "at_s": reactor.seconds(),
-        "sequencing": serving.sequencing(ctx),
+        "sequencing": agent_sessions.sequencing(ctx),
         "lag_ms": round(ctx.lag_ms, 1),
         "counts": dict(ctx.counts),
         "ordered": dict(ctx.core.synchrony.counts),
@@ -81,9 +81,9 @@
         if reactor.running:
             reactor.stop()
 
-    replica = ring.assemble(settings, reactor, Machine(), stop)
+    replica = replica_daemon.assemble(settings, reactor, Machine(), stop)
     replica.send = count_kinds(replica.ctx)
-    reactor.callWhenRunning(ring.start, replica)
+    reactor.callWhenRunning(replica_daemon.start, replica)
     reactor.callWhenRunning(StandardIO, Asked(replica))
     signal.alarm(600)
     reactor.run()
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.internet.task import deferLater
 
-from frostpost.cluster import lease, operating
+from frostpost.cluster import control_client, lease_client
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.program_ledger.words import Candidate
 
@@ -129,7 +129,7 @@
 def change_routing(seed, size):
     """-> milliseconds until all leaves with a lease honour a new routing of that many bytes, None if they don't."""
     begun_s = reactor.seconds()
-    result = yield operating.set_routing(seed, 0, 1, os.urandom(size), b"scale", CHANGE_MS)
+    result = yield control_client.set_routing(seed, 0, 1, os.urandom(size), b"scale", CHANGE_MS)
     return round((reactor.seconds() - begun_s) * 1000, 1) if result.is_ok() else None
 
 
@@ -147,7 +147,7 @@
     seed = leaves_.start_leaf(
         leaves_.leaf_settings("seed", "core", "127.77.1.1", port, seed_at, os.path.join(folder, "seed")), reactor, stop
     )
-    yield until(lambda: lease.lease_ok(seed), START_S, "the ring did not open")
+    yield until(lambda: lease_client.lease_ok(seed), START_S, "the ring did not open")
     leaves, gaps = [], {}
     for n in range(options.leaves):
         host = f"127.77.{2 + n // 250}.{1 + n % 250}"
@@ -155,7 +155,7 @@
             leaves_.start_leaf(leaves_.leaf_settings(f"leaf-{n}", "edge", host, port, seed_at), reactor, stop)
         )
         yield pause(1 / STARTS_PER_S)
-    yield until(lambda: all(map(lease.lease_ok, leaves)), START_S, "not all leaves have a lease")
+    yield until(lambda: all(map(lease_client.lease_ok, leaves)), START_S, "not all leaves have a lease")
     leaves_.watch(leaves, gaps)
     candidates = tuple(Candidate(f"runner-{n:06d}", 64) for n in range(options.candidates))
     load = leaves_.Load(options.rate, candidates, os.urandom(options.body))
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -4,7 +4,7 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
-from frostpost.cluster import lease
+from frostpost.cluster import lease_client
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, GetBodiesRequest, PutBodyReply, PutBodyRequest
 
@@ -86,7 +86,7 @@
     """Send a body to every replica that has not confirmed it, and again after a while."""
     later(leaf, job, "resend", RESEND_MS, lambda: send_puts(leaf, job))
     message = PutBodyRequest(leaf.endpoint.member.incarnation, job.number, job.turn, job.data)
-    for name, address in lease.ring_addresses(leaf).items():
+    for name, address in lease_client.ring_addresses(leaf).items():
         if name not in job.synced:
             leaf.links["send"](address, message)
 
@@ -112,7 +112,7 @@
 
 def ask_next(leaf, job):
     """Ask another replica for what is still wanted."""
-    names = sorted(lease.ring_addresses(leaf))
+    names = sorted(lease_client.ring_addresses(leaf))
     fresh = [name for name in names if name not in job.asked]
     again = [name for name in job.asked if name in names and name not in job.exhausted]
     if names and not fresh and not again:
@@ -129,7 +129,7 @@
     if name in job.asked:
         job.asked.remove(name)
     job.asked.append(name)
-    address = lease.ring_addresses(leaf).get(name)
+    address = lease_client.ring_addresses(leaf).get(name)
     if address is not None:
         leaf.links["send"](address, GetBodiesRequest(leaf.endpoint.member.incarnation, job.number, tuple(job.wanted)))
 
@@ -162,8 +162,8 @@
 
 def lasts(leaf, holders):
     """Whether these are a majority of the voters under a lease that runs now."""
-    voters = lease.voters(leaf)
-    return lease.lease_ok(leaf) and 2 * sum(voter in holders for voter in voters) > len(voters)
+    voters = lease_client.voters(leaf)
+    return lease_client.lease_ok(leaf) and 2 * sum(voter in holders for voter in voters) > len(voters)
 
 
 def count_holders(leaf, job):
@@ -197,7 +197,7 @@
 
 def answered(leaf, job):
     """Ask the next replica, or give up once all lack what is wanted."""
-    names = lease.ring_addresses(leaf).keys()
+    names = lease_client.ring_addresses(leaf).keys()
     if names <= job.exhausted:
         out_of_reach(leaf, job)
     elif not names <= set(job.asked):
--- a/tests/fleet_simulator/bearing.py
+++ b/tests/fleet_simulator/bearing.py
@@ -1,6 +1,6 @@
 """Which machines count as lost, how many more may be lost at once, and which of them a trouble falls on."""
 
-from frostpost.cluster import serving
+from frostpost.cluster import agent_sessions
 
 CATCH_UP_MS = 3000
 EVERYWHERE = ("storage power", "halves", "freeze many", "all down")
@@ -32,7 +32,7 @@
     if role == "core":
         return next((d for d in world.of("core") if d.host.address == world.notes.acknowledged_by), None)
     live = [d for d in world.of("storage") if d.owner is not None and d.owner.ctx.core is not None]
-    return next((d for d in live if d.host.alive and serving.sequencing(d.owner.ctx)), None)
+    return next((d for d in live if d.host.alive and agent_sessions.sequencing(d.owner.ctx)), None)
 
 
 def reader(world):
--- a/tests/fleet_simulator/cuts.py
+++ b/tests/fleet_simulator/cuts.py
@@ -29,7 +29,7 @@
 
 def leader(world):
     """The storage daemon that sequences, or None."""
-    from frostpost.cluster.serving import sequencing
+    from frostpost.cluster.agent_sessions import sequencing
 
     found = [d for d in world.of("storage") if d.host.alive and d.owner is not None and d.owner.ctx.core is not None]
     return next((daemon for daemon in found if sequencing(daemon.owner.ctx)), None)
--- a/tests/fleet_simulator/leases.py
+++ b/tests/fleet_simulator/leases.py
@@ -1,7 +1,7 @@
 """LEASE and READY: no daemon acts past its lease or on state older than was told as honoured, and none stays away."""
 
-from frostpost.cluster import lease as leases
-from frostpost.cluster import serving
+from frostpost.cluster import agent_sessions
+from frostpost.cluster import lease_client as leases
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
 
 from .judge import in_touch
@@ -53,7 +53,7 @@
             ctx = daemon.owner.ctx
             version = ctx.core.ledger.program_ledger.routing_version
             if (
-                serving.sequencing(ctx)
+                agent_sessions.sequencing(ctx)
                 and lease_remaining_ms(ctx.core.synchrony, int(self.world.now_ms()))
                 and version < self.honoured
             ):
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -3,7 +3,7 @@
 from msgspec import structs
 from twisted.internet.defer import succeed
 
-from frostpost.cluster import lease, operating, serving, tenders
+from frostpost.cluster import agent_sessions, control_client, lease_client, voter_reconfiguration
 from frostpost.platform import control, front, listing, routing
 from frostpost.platform.server import reply
 from frostpost.program_ledger import apply as ledger
@@ -45,7 +45,7 @@
 
 
 def lease_ignored():
-    return [(module, "lease_ok", lambda leaf: True) for module in (serve, pool, lease)]
+    return [(module, "lease_ok", lambda leaf: True) for module in (serve, pool, lease_client)]
 
 
 def chain_reversed():
@@ -118,20 +118,20 @@
     """A change is acknowledged before it is ordered."""
 
     def set_routing(leaf, base, version, body, digest, wait_ms):
-        operating.look(leaf, SetRouting(base, version, body, digest, wait_ms), 50)
-        return succeed(operating.Ok(version))
+        control_client.look(leaf, SetRouting(base, version, body, digest, wait_ms), 50)
+        return succeed(control_client.Ok(version))
 
-    return [(operating, "set_routing", set_routing)]
+    return [(control_client, "set_routing", set_routing)]
 
 
 def lease_stretched():
     """A leader grants leases from its own belief that it leads, and not from what a majority of the voters gave it."""
-    return [(serving, "lease_remaining_ms", lambda synchrony, now_ms: 2 * synchrony.bounds.lease_ms)]
+    return [(agent_sessions, "lease_remaining_ms", lambda synchrony, now_ms: 2 * synchrony.bounds.lease_ms)]
 
 
 def leases_not_waited_out():
     """A new leader tells a routing as honoured though leases of the one before it still run."""
-    kept = serving.honoured
+    kept = agent_sessions.honoured
 
     def honoured(ctx, sessions):
         installed_ms, ctx.core.synchrony.installed_ms = ctx.core.synchrony.installed_ms, -(1 << 40)
@@ -140,17 +140,17 @@
         finally:
             ctx.core.synchrony.installed_ms = installed_ms
 
-    return [(serving, "honoured", honoured)]
+    return [(agent_sessions, "honoured", honoured)]
 
 
 def released_early():
     """A replica that is emptied goes before its copies are counted, and before leases have run out."""
 
     def emptied(ctx, changes):
-        retiring, voters = ctx.core.ledger.program_ledger.retiring, tenders.voters_of(ctx)
+        retiring, voters = ctx.core.ledger.program_ledger.retiring, voter_reconfiguration.voters_of(ctx)
         return [name for name, state in retiring.items() if state == "in_service" and name not in voters]
 
-    return [(tenders, "emptied", emptied)]
+    return [(voter_reconfiguration, "emptied", emptied)]
 
 
 def fetched_in_rounds():
@@ -160,12 +160,12 @@
 
 def vote_kept():
     """A voter that ends in order takes its vote with it."""
-    kept = tenders.view
+    kept = voter_reconfiguration.view
 
     def view(ctx, changes, name, regions):
         return structs.replace(kept(ctx, changes, name, regions), leaving=False)
 
-    return [(tenders, "dispensable", lambda ctx, settings: False), (tenders, "view", view)]
+    return [(voter_reconfiguration, "dispensable", lambda ctx, settings: False), (voter_reconfiguration, "view", view)]
 
 
 def orders_forgotten():
@@ -193,16 +193,18 @@
 
 def read_from_leader():
     """The leader answers a read from its own state, unordered."""
-    kept = serving.asked
+    kept = agent_sessions.asked
 
     def asked(ctx, sessions, address, message):
-        op = serving.decode_op(message.payload)
+        op = agent_sessions.decode_op(message.payload)
         if not isinstance(op, LookRouting):
             return kept(ctx, sessions, address, message)
         verdict = settings.look_routing(ctx.core.ledger.program_ledger, 0, op)
-        return ctx.links["send"](address, OperationReply(message.incarnation, message.number, serving.encode(verdict)))
+        return ctx.links["send"](
+            address, OperationReply(message.incarnation, message.number, agent_sessions.encode(verdict))
+        )
 
-    return [(serving, "asked", asked)]
+    return [(agent_sessions, "asked", asked)]
 
 
 PLANTS = {
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -1,6 +1,6 @@
 """Steps of stories about copies: machines replaced, emptied and wiped, and what became of what was acknowledged."""
 
-from frostpost.cluster.serving import sequencing
+from frostpost.cluster.agent_sessions import sequencing
 from frostpost.daemon.heart import ask
 from frostpost.program_ledger.words import Begin, Candidate, End
 from frostpost.turn_store import store
--- a/tests/fleet_simulator/world.py
+++ b/tests/fleet_simulator/world.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from frostpost.cluster import leaf as assembly
-from frostpost.cluster import ring
+from frostpost.cluster import agent as assembly
+from frostpost.cluster import replica_daemon
 from frostpost.daemon.machine import Machine
 from frostpost.platform import listening, settings
 from frostpost.simulator import drives
@@ -211,8 +211,8 @@
 @contextmanager
 def silo_on(files):
     """The ring opens its turn_store on the real disk; here it is to be the simulated one."""
-    kept, ring.store = (
-        ring.store,
+    kept, replica_daemon.store = (
+        replica_daemon.store,
         SimpleNamespace(
             open_=lambda folder, machine, **more: store.open_(folder, machine, files=files, **more), expire=store.expire
         ),
@@ -220,7 +220,7 @@
     try:
         yield
     finally:
-        ring.store = kept
+        replica_daemon.store = kept
 
 
 def start(world, daemon):
@@ -248,8 +248,8 @@
     try:
         if daemon.role == "storage":
             with silo_on(files):
-                daemon.owner = ring.assemble(told, host, machine, stop)
-            host.enter(ring.start, daemon.owner)
+                daemon.owner = replica_daemon.assemble(told, host, machine, stop)
+            host.enter(replica_daemon.start, daemon.owner)
         else:
             front = listening.make_front()
             daemon.owner = assembly.make_leaf(told, front, host, machine)
@@ -290,7 +290,13 @@
     def stop(code):
         host.callLater(0, ended, world, daemon, life, code)
 
-    host.enter(*((ring.leave, daemon.owner) if daemon.role == "storage" else (assembly.leave_leaf, daemon.owner, stop)))
+    host.enter(
+        *(
+            (replica_daemon.leave, daemon.owner)
+            if daemon.role == "storage"
+            else (assembly.leave_leaf, daemon.owner, stop)
+        )
+    )
 
 
 def fronts(world, zone):
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -17,7 +17,7 @@
 from fleet_simulator import world as worlds
 from msgspec import Struct, msgpack
 
-from frostpost.cluster import replica as replicas
+from frostpost.cluster import replica_context as replicas
 from frostpost.simulator import drives
 
 RECORDED = Path(__file__).parent / "data" / "stored_disks.msgpack.gz"
--- a/tests/test_cluster_founding.py
+++ b/tests/test_cluster_bootstrap.py
@@ -1,13 +1,13 @@
 from random import Random
 
 import pytest
-from test_cluster_lease import endpoint_of
+from test_cluster_lease_client import endpoint_of
 from test_turn_store_drive import Threads, lose_unsynced
 from twisted.internet.task import Clock
 
-from frostpost.cluster import founding
-from frostpost.cluster import leaf as assembly
-from frostpost.cluster.context import Leaf
+from frostpost.cluster import agent as assembly
+from frostpost.cluster import bootstrap
+from frostpost.cluster.agent_context import Leaf
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
@@ -40,8 +40,8 @@
         self.kept = {seed: () for seed in SEEDS if seed != f"{address[0]}:{address[1]}"} if kept is None else kept
         self.silent = set()
         self.leaf.links["send"] = self.send
-        assembly.lease.session(self.leaf)
-        founding.begin(self.leaf)
+        assembly.lease_client.session(self.leaf)
+        bootstrap.begin(self.leaf)
 
     def send(self, to, body):
         """Other seeds keep what they are asked to, and answer."""
@@ -60,12 +60,12 @@
 
     def after(self, wait_s):
         self.clock.advance(wait_s)
-        founding.tend(self.leaf)
+        bootstrap.tend(self.leaf)
         return self.leaf.charter
 
 
-STILL_S = founding.STILL_MS / 1000 + 0.01
-FEW_S = founding.FEW_MS / 1000 + 0.01
+STILL_S = bootstrap.STILL_MS / 1000 + 0.01
+FEW_S = bootstrap.FEW_MS / 1000 + 0.01
 
 
 def test_lowest_seed_founds_with_all_that_wait_once_none_came_for_a_while():
--- a/tests/test_cluster_ring.py
+++ b/tests/test_cluster_replica_daemon.py
@@ -1,12 +1,12 @@
 from random import Random
 
 import pytest
-from test_cluster_lease import endpoint_of
+from test_cluster_lease_client import endpoint_of
 from test_turn_store_drive import Threads, files_of
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from frostpost.cluster import assembly, ring, serving
+from frostpost.cluster import agent_sessions, assembly, replica_daemon
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon import disk as disks
 from frostpost.daemon.machine import Machine
@@ -27,23 +27,23 @@
     machine = Machine(
         seconds=clock.seconds, in_thread=Threads().run, token=lambda size: "0a" * size, files=drives.files_of(drive)
     )
-    monkeypatch.setattr(ring, "listen", lambda ctx, hear: succeed(None))
-    monkeypatch.setattr(ring, "sender", lambda ctx: lambda to, body: out.append((to, body)))
-    opened = ring.store.open_
+    monkeypatch.setattr(replica_daemon, "listen", lambda ctx, hear: succeed(None))
+    monkeypatch.setattr(replica_daemon, "sender", lambda ctx: lambda to, body: out.append((to, body)))
+    opened = replica_daemon.store.open_
     monkeypatch.setattr(
-        ring.store, "open_", lambda data, machine, **named: opened(data, machine, files_of(drive), **named)
+        replica_daemon.store, "open_", lambda data, machine, **named: opened(data, machine, files_of(drive), **named)
     )
     if records:
         write_ahead_log, _, _ = disks.open_("/data", machine.files)
         write_ahead_logs.append(write_ahead_log, [disks.encode(r) for r in records])
     settings = DaemonSettings("s1", "storage", "z", "h", 1, seeds=("h:7", "h:8"), first_start=first_start, data="/data")
     stopped = []
-    replica = ring.assemble(settings, clock, machine, stopped.append)
+    replica = replica_daemon.assemble(settings, clock, machine, stopped.append)
     return replica, out, stopped
 
 
 def hear(replica, body, name="c1", role="core"):
-    ring.received(replica, Frame(1, endpoint_of(name, role), "", body))
+    replica_daemon.received(replica, Frame(1, endpoint_of(name, role), "", body))
 
 
 def hellos(out):
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("records, first_start", [((MEMORY,), True), ((MEMORY,), False), ((), False)])
 def test_begins_at_once_with_a_memory_or_at_a_later_start(monkeypatch, records, first_start):
     replica, out, _ = new_house(monkeypatch, records, first_start)
-    ring.start(replica)
+    replica_daemon.start(replica)
     assert not replica.waiting and replica.ctx.core.synchrony.bootstrap_voters == ()
     assert replica.ctx.core.synchrony.log.voters == (CHARTER if records else ())
     replica.reactor.advance(0.15)
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("records", [(), (PromiseRecord(5, 1),)])
 def test_waits_for_the_charter_at_a_first_start_without_a_memory(monkeypatch, records):
     replica, out, stopped = new_house(monkeypatch, records)
-    ring.start(replica)
+    replica_daemon.start(replica)
     assert replica.waiting and replica.ctx.core is None
     replica.reactor.advance(0.1)
     assert hellos(out) == ["@h:7", "@h:8"]
@@ -80,7 +80,7 @@
 
 def test_charter_heard_later_changes_nothing(monkeypatch):
     replica, _, _ = new_house(monkeypatch, first_start=False)
-    ring.start(replica)
+    replica_daemon.start(replica)
     core = replica.ctx.core
     hear(replica, DirectoryReply((), CHARTER))
     assert (
@@ -90,7 +90,7 @@
 
 def test_ring_runs_on_for_a_while_without_a_peer_and_grants_nothing(monkeypatch):
     replica, out, stopped = new_house(monkeypatch)
-    ring.start(replica)
+    replica_daemon.start(replica)
     hear(replica, DirectoryReply((endpoint_of("s2", port=9),), CHARTER))
     for _ in range(100):
         replica.reactor.advance(0.05)
@@ -100,12 +100,12 @@
 
 def test_sequencer_that_opens_greets_each_leaf_it_knows_once_a_configuration(monkeypatch):
     replica, out, _ = new_house(monkeypatch, (MEMORY,))
-    ring.start(replica)
+    replica_daemon.start(replica)
     replica.leaves.addresses = ("h:21",)
-    replica.sessions.leaves["e2"] = serving.LeafSeen("@h:22", 1, 0, 0)
+    replica.sessions.leaves["e2"] = agent_sessions.LeafSeen("@h:22", 1, 0, 0)
     replica.reactor.advance(0.1)
     assert [to for to, body in out if isinstance(body, DirectoryReply)] == []
-    monkeypatch.setattr(serving, "sequencing", lambda ctx: True)
+    monkeypatch.setattr(agent_sessions, "sequencing", lambda ctx: True)
     for _ in range(5):
         replica.reactor.advance(0.03)
     greeted = [(to, [p.member.name for p in body.endpoints]) for to, body in out if isinstance(body, DirectoryReply)]
@@ -114,15 +114,15 @@
 
 def test_leaves_heard_of_late_are_kept_on_disk_and_old_ones_forgotten(monkeypatch):
     replica, _, _ = new_house(monkeypatch, (MEMORY,))
-    ring.start(replica)
-    now = ring.clock_ms(replica.ctx)
+    replica_daemon.start(replica)
+    now = replica_daemon.clock_ms(replica.ctx)
     replica.sessions.leaves = {
-        "e1": serving.LeafSeen("@h:21", 1, 0, now + 5000),
-        "e2": serving.LeafSeen("@h:22", 1, 0, now),
+        "e1": agent_sessions.LeafSeen("@h:21", 1, 0, now + 5000),
+        "e2": agent_sessions.LeafSeen("@h:22", 1, 0, now),
     }
     replica.reactor.advance(1.1)
-    assert ring.peers.open_("/data", replica.machine, "leaves").addresses == ("h:21",)
-    serving.forget(replica.sessions, now + serving.FORGET_MS + 1)
+    assert replica_daemon.address_book.open_("/data", replica.machine, "leaves").addresses == ("h:21",)
+    agent_sessions.forget(replica.sessions, now + agent_sessions.FORGET_MS + 1)
     assert list(replica.sessions.leaves) == ["e1"]
 
 
@@ -133,7 +133,7 @@
     from msgspec import structs
 
     replica, _, _ = new_house(monkeypatch, (MEMORY,))
-    ring.start(replica)
+    replica_daemon.start(replica)
     settings = structs.replace(replica.settings, seeds=("h:9",))
     assembly.reread(replica, SimpleNamespace(reread=lambda: Ok(settings)))
     assert replica.ctx.core.synchrony.seeds == ("@h:9", "@h:7", "@h:8")
--- a/tests/test_cluster_voter_rule.py
+++ b/tests/test_cluster_voter_policy.py
@@ -5,8 +5,8 @@
 import pytest
 from msgspec import Struct, structs
 
-from frostpost.cluster import voter_rule
-from frostpost.cluster.voter_rule import ReplicaView, Tolerance, Waits, next_voters, slack, sound
+from frostpost.cluster import voter_policy
+from frostpost.cluster.voter_policy import ReplicaView, Tolerance, Waits, next_voters, slack, sound
 
 WAITS = Waits(to_newcomer_ms=1000, alone_ms=4000)
 JUST_AWAY, LONG_AWAY = 10, 5000
@@ -195,13 +195,13 @@
     yield from ((*voters, other) for other in others)
 
 
-def keeps_leavers(voters, others, tolerance, waits, may_swap, kept=voter_rule.steps):
+def keeps_leavers(voters, others, tolerance, waits, may_swap, kept=voter_policy.steps):
     """Who ends in order keeps its vote."""
     stay = [structs.replace(voter, leaving=False) for voter in voters]
     return kept(tuple(stay), others, tolerance, waits, may_swap)
 
 
-def waits_for_newcomers(voters, others, tolerance, waits, may_swap, kept=voter_rule.steps):
+def waits_for_newcomers(voters, others, tolerance, waits, may_swap, kept=voter_policy.steps):
     """Newcomers are never exchanged for those that are gone."""
     return kept(voters, [], tolerance, waits, may_swap)
 
@@ -213,7 +213,7 @@
 )
 def test_a_rule_with_a_planted_fault_leaves_no_majority_somewhere(plant, monkeypatch):
     for name, fault in plant.items():
-        monkeypatch.setattr(voter_rule, name, fault)
+        monkeypatch.setattr(voter_policy, name, fault)
     _, broken = walk(begun(4), Tolerance(1))
     assert broken is not None
 
--- a/tests/test_cluster_tenders.py
+++ b/tests/test_cluster_voter_reconfiguration.py
@@ -2,12 +2,12 @@
 
 import pytest
 from expression import Ok
-from test_cluster_lease import endpoint_of
+from test_cluster_lease_client import endpoint_of
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from frostpost.cluster import tenders
-from frostpost.cluster.voter_rule import Tolerance
+from frostpost.cluster import voter_reconfiguration
+from frostpost.cluster.voter_policy import Tolerance
 from frostpost.daemon.machine import Machine
 from frostpost.ledger.operations import SWAP_RULES, Look
 from frostpost.ledger.results import Done
@@ -49,7 +49,7 @@
 
 
 def wish(ctx, background=None, machines=1):
-    return tenders.wish(ctx, background or tenders.VoterChanges(), settings(machines))
+    return voter_reconfiguration.wish(ctx, background or voter_reconfiguration.VoterChanges(), settings(machines))
 
 
 def test_whole_member_is_added_and_one_at_a_time():
@@ -87,7 +87,7 @@
 
 
 def test_voter_away_is_removed_after_its_time_while_more_than_least_remain():
-    clock, background = Clock(), tenders.VoterChanges()
+    clock, background = Clock(), voter_reconfiguration.VoterChanges()
     ctx = new_ctx(VOTERS, (*VOTERS, "s4"), clock=clock)
     assert wish(ctx, background) is None
     clock.advance(AWAY_MS / 1000 - 0.01)
@@ -98,7 +98,7 @@
 
 
 def test_voter_that_came_back_counts_anew():
-    clock, background = Clock(), tenders.VoterChanges()
+    clock, background = Clock(), voter_reconfiguration.VoterChanges()
     away, back = new_ctx(VOTERS, (*VOTERS, "s4"), clock=clock), new_ctx((*VOTERS, "s4"), (*VOTERS, "s4"), clock=clock)
     wish(away, background)
     clock.advance(9)
@@ -122,21 +122,21 @@
 
 
 def test_a_newcomer_takes_the_place_of_a_voter_that_is_away_in_one_step():
-    clock, background = Clock(), tenders.VoterChanges()
+    clock, background = Clock(), voter_reconfiguration.VoterChanges()
     ctx = new_ctx(("s1", "s2", "s4"), VOTERS, clock=clock)
     assert wish(ctx, background) is None
-    clock.advance(AWAY_MS / tenders.TO_NEWCOMER_SHARE / 1000)
+    clock.advance(AWAY_MS / voter_reconfiguration.TO_NEWCOMER_SHARE / 1000)
     assert wish(ctx, background) == ("s1", "s2", "s4")
     ctx.core.synchrony.peers["s2"].status = WHOLE | {"missing": 1}
     assert wish(ctx, background) is None
 
 
 def test_before_all_know_of_exchanges_the_newcomer_is_added_first():
-    clock, background = Clock(), tenders.VoterChanges()
+    clock, background = Clock(), voter_reconfiguration.VoterChanges()
     ctx = new_ctx(("s1", "s2", "s4"), VOTERS, clock=clock)
     ctx.core.ledger.rules = SWAP_RULES - 1
     wish(ctx, background)
-    clock.advance(AWAY_MS / tenders.TO_NEWCOMER_SHARE / 1000)
+    clock.advance(AWAY_MS / voter_reconfiguration.TO_NEWCOMER_SHARE / 1000)
     assert wish(ctx, background) == ("s1", "s2", "s3", "s4")
 
 
@@ -149,38 +149,38 @@
     ctx.core.synchrony.peers["s4"].status = WHOLE | {"leaving": 1}
     assert wish(ctx) is None
     ctx.core.synchrony.status = WHOLE | {"leaving": 1}
-    assert wish(ctx) is None and not tenders.dispensable(ctx, settings())
-    assert tenders.dispensable(new_ctx(four, four), settings())
-    assert not tenders.dispensable(new_ctx(four, four), settings(machines=2))
+    assert wish(ctx) is None and not voter_reconfiguration.dispensable(ctx, settings())
+    assert voter_reconfiguration.dispensable(new_ctx(four, four), settings())
+    assert not voter_reconfiguration.dispensable(new_ctx(four, four), settings(machines=2))
 
 
 def test_emptied_is_one_in_service_that_is_no_voter_once_the_others_are_whole_since_its_mark():
-    ctx, background = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s2", "s4")), tenders.VoterChanges()
-    assert tenders.emptied(ctx, background) == []
+    ctx, background = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s2", "s4")), voter_reconfiguration.VoterChanges()
+    assert voter_reconfiguration.emptied(ctx, background) == []
     background.marks = {"s2": OPENED, "s4": OPENED}
-    assert tenders.emptied(ctx, background) == ["s4"]
+    assert voter_reconfiguration.emptied(ctx, background) == ["s4"]
     background.marks["s4"] = OPENED + 1
-    assert tenders.emptied(ctx, background) == []
+    assert voter_reconfiguration.emptied(ctx, background) == []
     background.marks["s4"] = OPENED
     ctx.core.synchrony.peers["s3"].status = WHOLE | {"missing": 1}
-    assert tenders.emptied(ctx, background) == []
+    assert voter_reconfiguration.emptied(ctx, background) == []
 
 
 def test_no_mark_is_set_while_a_lease_may_run_under_which_the_leaver_is_a_voter():
-    clock, background = Clock(), tenders.VoterChanges()
+    clock, background = Clock(), voter_reconfiguration.VoterChanges()
     four = (*VOTERS, "s4")
     before, after = new_ctx(four, four, ("s4",), clock), new_ctx(four, VOTERS, ("s4",), clock)
     lease_s = after.core.synchrony.bounds.lease_ms / 1000
-    tenders.observe(before, background)
+    voter_reconfiguration.observe(before, background)
     clock.advance(2 * lease_s)
-    assert tenders.unmarked(before, background) == []
-    tenders.observe(after, background)
+    assert voter_reconfiguration.unmarked(before, background) == []
+    voter_reconfiguration.observe(after, background)
     clock.advance(lease_s - 0.01)
-    assert tenders.unmarked(after, background) == []
+    assert voter_reconfiguration.unmarked(after, background) == []
     clock.advance(0.02)
-    assert tenders.unmarked(after, background) == ["s4"]
+    assert voter_reconfiguration.unmarked(after, background) == ["s4"]
     after.core.synchrony.installed_ms = int(clock.seconds() * 1000)
-    assert tenders.unmarked(after, background) == []
+    assert voter_reconfiguration.unmarked(after, background) == []
 
 
 def tended(ctx, background, monkeypatch):
@@ -191,22 +191,22 @@
         asked.append(op)
         return succeed(Ok(Done(OPENED) if isinstance(op, Look) else None))
 
-    monkeypatch.setattr(tenders, "ask", ask)
-    tenders.tend(ctx, background, settings())
+    monkeypatch.setattr(voter_reconfiguration, "ask", ask)
+    voter_reconfiguration.tend(ctx, background, settings())
     return asked
 
 
 def test_only_the_sequencer_changes_voters_and_it_names_what_it_saw(monkeypatch):
     four = (*VOTERS, "s4")
     ctx = new_ctx(four, VOTERS)
-    assert tended(ctx, tenders.VoterChanges(), monkeypatch) == [SetVoters(ID, VOTERS, four)]
-    assert tended(ctx, tenders.VoterChanges(busy=True), monkeypatch) == []
+    assert tended(ctx, voter_reconfiguration.VoterChanges(), monkeypatch) == [SetVoters(ID, VOTERS, four)]
+    assert tended(ctx, voter_reconfiguration.VoterChanges(busy=True), monkeypatch) == []
     ctx.core.synchrony.configuration = Configuration(ID, ctx.core.synchrony.configuration.members, "s2")
-    assert tended(ctx, tenders.VoterChanges(), monkeypatch) == []
+    assert tended(ctx, voter_reconfiguration.VoterChanges(), monkeypatch) == []
 
 
 def test_emptied_daemon_is_told_to_the_ledger_after_its_mark(monkeypatch):
-    clock, background = Clock(), tenders.VoterChanges()
+    clock, background = Clock(), voter_reconfiguration.VoterChanges()
     ctx = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s4",), clock=clock)
     assert tended(ctx, background, monkeypatch) == []
     clock.advance(ctx.core.synchrony.bounds.lease_ms / 1000)
@@ -215,7 +215,7 @@
 
 def test_time_away_before_another_daemon_sequenced_does_not_count(monkeypatch):
     """s0 leaves, s1 sequences; s0 returns and sequences; much later s0 leaves again."""
-    clock, background, voters = Clock(), tenders.VoterChanges(), ("s0", *VOTERS)
+    clock, background, voters = Clock(), voter_reconfiguration.VoterChanges(), ("s0", *VOTERS)
     without = new_ctx(VOTERS, voters, clock=clock)
     assert tended(without, background, monkeypatch) == []
     clock.advance(1)
--- a/tests/test_roster.py
+++ b/tests/test_discovery.py
@@ -5,8 +5,8 @@
 import pytest
 from twisted.internet.task import Clock
 
-from frostpost.cluster import leaf as agents
-from frostpost.cluster.context import Leaf
+from frostpost.cluster import agent as agents
+from frostpost.cluster.agent_context import Leaf
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import world as worlds
@@ -100,7 +100,7 @@
         machine = Machine(seconds=self.clock.seconds)
         self.leaf = Leaf(settings, self.clock, SimpleNamespace(member=Member("c1", 1)), machine)
         self.leaf.links["send"] = lambda to, body: self.out.append((to, body))
-        agents.lease.session(self.leaf)
+        agents.lease_client.session(self.leaf)
 
     def hear(self, name, endpoints=(), incarnation=1):
         """-> how many places the sender is told, None if it gets no answer."""
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -9,7 +9,7 @@
 import disk_model as model
 import pytest
 
-from frostpost.cluster import assembly, founding, peers, ring
+from frostpost.cluster import address_book, assembly, bootstrap, replica_daemon
 from frostpost.daemon import disk as keepers
 from frostpost.daemon import rewriting as rewritings
 from frostpost.daemon.context import Hooks
@@ -83,7 +83,7 @@
 def make_charter(disk, notes):
     log, _, _ = logs.open_(FOLDER, "charter", model.files_of(disk))
     notes.tried["charter"] = ("s1", "s2", "s3")
-    founding.write(log, ("s1", "s2", "s3"))
+    bootstrap.write(log, ("s1", "s2", "s3"))
     notes.lasting.update(notes.tried)
 
 
@@ -92,7 +92,7 @@
     leaf = SimpleNamespace(
         settings=SimpleNamespace(data=FOLDER), machine=SimpleNamespace(files=files), charter=(), extras={}
     )
-    founding.begin(leaf)
+    bootstrap.begin(leaf)
     return leaf
 
 
@@ -121,15 +121,15 @@
 
 def keep_addresses(disk, notes):
     machine = SimpleNamespace(files=model.files_of(disk))
-    held = peers.open_(FOLDER, machine)
+    held = address_book.open_(FOLDER, machine)
     for addresses in (["h:1"], ["h:1", "h:2"], ["h:2", "h:3"]):
         notes.tried[len(notes.tried)] = tuple(addresses)
-        logs.rewrite(held.write_ahead_log, [peers.msgpack.encode(addresses)])
+        logs.rewrite(held.write_ahead_log, [address_book.msgpack.encode(addresses)])
         notes.lasting = {"addresses": tuple(addresses)}
 
 
 def check_addresses(disk, notes):
-    held = peers.open_(FOLDER, SimpleNamespace(files=model.files_of(disk)))
+    held = address_book.open_(FOLDER, SimpleNamespace(files=model.files_of(disk)))
     after = list(notes.tried.values())
     lasting = notes.lasting.get("addresses", ())
     assert held.addresses in after[after.index(lasting) if lasting else 0 :] + ([] if lasting else [()])
@@ -353,7 +353,7 @@
     def assemble(settings, reactor, machine, stop):
         raise OSError(errno.ENOSPC, "full", "/data/log")
 
-    monkeypatch.setattr(ring, "assemble", assemble)
+    monkeypatch.setattr(replica_daemon, "assemble", assemble)
     monkeypatch.setattr(assembly, "say", lambda kind, **facts: told.append((kind, facts["error"], facts["path"])))
     assert assembly.run(SimpleNamespace(role="storage"), None) == os.EX_IOERR
     assert told == [("DiskError", "ENOSPC", "/data/log")]
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -7,15 +7,15 @@
 from fleet_simulator import stage as plays
 from fleet_simulator import world as worlds
 from msgspec import json
-from test_cluster_lease import endpoint_of, new_leaf, sent
-from test_cluster_ring import hellos, new_house
+from test_cluster_lease_client import endpoint_of, new_leaf, sent
+from test_cluster_replica_daemon import hellos, new_house
 from twisted.internet.task import Clock
 
 from frostpost.admin import arguments, commands, inner
 from frostpost.admin import fleet as fleets
 from frostpost.admin.remedies import findings_of
-from frostpost.cluster import asking, ring, status
-from frostpost.cluster import leaf as assembly
+from frostpost.cluster import agent as assembly
+from frostpost.cluster import operation_client, replica_daemon, status
 from frostpost.command import main
 from frostpost.program_ledger.words import End
 from frostpost.virtual_synchrony.agent_messages import (
@@ -58,7 +58,7 @@
     status.begin(leaf)
     clock.advance(2)
     assembly.received(leaf, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
-    asking.tell(leaf, End("a", 3))
+    operation_client.tell(leaf, End("a", 3))
     leaf.runners = {"r": SimpleNamespace(draining=True)}
     leaf.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
     assembly.received(leaf, ASK)
@@ -84,17 +84,19 @@
 
 def test_a_ring_daemon_answers_before_and_after_it_has_its_charter(monkeypatch, replies):
     replica, out, _ = new_house(monkeypatch)
-    ring.start(replica)
-    ring.received(replica, ASK)
+    replica_daemon.start(replica)
+    replica_daemon.received(replica, ASK)
     facts = facts_of(replies)
     assert facts["charter_waiting"] and facts["tolerated"] == 1 and "configuration" not in facts
-    ring.received(replica, Frame(FRAME_VERSION, endpoint_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3"))))
-    ring.received(replica, ASK)
+    replica_daemon.received(
+        replica, Frame(FRAME_VERSION, endpoint_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3")))
+    )
+    replica_daemon.received(replica, ASK)
     facts = facts_of(replies)
     assert facts["members"] == ["s1"] and not facts["primary_opened"] and facts["voters"] == ["s1", "s2", "s3"]
     out.clear()
-    ring.received(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
-    ring.received(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
+    replica_daemon.received(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
+    replica_daemon.received(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
     assert replies == [("@o:9", DirectoryReply((replica.ctx.endpoint,)))]
     assert not replica.sessions.leaves and "operator" not in replica.ctx.core.synchrony.peers and hellos(out) == []
 
@@ -111,7 +113,7 @@
                 or not daemon.host.alive
             ):
                 continue
-            receive = ring.received if daemon.role == "storage" else assembly.received
+            receive = replica_daemon.received if daemon.role == "storage" else assembly.received
             receive(daemon.owner, Frame(FRAME_VERSION, OPERATOR, "", body))
             place = daemon.owner.ctx.endpoint if daemon.role == "storage" else daemon.owner.endpoint
             answers |= {
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -6,7 +6,7 @@
 from fleet_simulator.crowd import MOST_TOKENS
 from test_turn_store_serving import Net, hold
 
-from frostpost.cluster import serving as sessions
+from frostpost.cluster import agent_sessions as sessions
 from frostpost.simulator import net as nets
 
 CATCH_UP_MS = 4000
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -25,11 +25,11 @@
 )
 # Arrows that still point upward or sideways, by module; this table only gets shorter.
 STILL_THERE = {
-    "cluster.asking": {"proxy"},
-    "cluster.leaf": {"proxy", "turn_store"},
-    "cluster.operating": {"proxy"},
-    "cluster.ring": {"background", "turn_store"},
-    "cluster.replica": {"turn_store"},
+    "cluster.operation_client": {"proxy"},
+    "cluster.agent": {"proxy", "turn_store"},
+    "cluster.control_client": {"proxy"},
+    "cluster.replica_daemon": {"background", "turn_store"},
+    "cluster.replica_context": {"turn_store"},
     "cluster.settings": {"proxy"},
     "cluster.status": {"turn_store"},
     "turn_store.client": {"cluster", "proxy"},
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from frostpost.cluster.context import Leaf
+from frostpost.cluster.agent_context import Leaf
 from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
 from frostpost.program_ledger import taken_changes
--- a/tests/test_platform_control_cuts.py
+++ b/tests/test_platform_control_cuts.py
@@ -9,7 +9,7 @@
 from fleet_simulator.notes import NEVER_MS
 from fleet_simulator.plants import planted
 
-from frostpost.cluster.lease import lease_ok
+from frostpost.cluster.lease_client import lease_ok
 from frostpost.platform.control import ANSWER_RATIO, SILENCE_MS
 
 CUT_MS = 20000
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from frostpost.cluster.context import Leaf
+from frostpost.cluster.agent_context import Leaf
 from frostpost.daemon.machine import Machine
 from frostpost.platform import front
 from frostpost.proxy import failures
--- a/tests/test_platform_many_changes.py
+++ b/tests/test_platform_many_changes.py
@@ -7,7 +7,7 @@
 from fleet_simulator.linearizability import linearizable
 from fleet_simulator.notes import NEVER_MS
 
-from frostpost.cluster import replica as replicas
+from frostpost.cluster import replica_context as replicas
 from frostpost.virtual_synchrony import recovery
 
 CHANGES = 500
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -3,12 +3,12 @@
 import pytest
 import yaml
 from msgspec import json, msgpack, structs
-from test_cluster_lease import new_leaf
+from test_cluster_lease_client import new_leaf
 from test_platform_front import Fleet
 from test_platform_settings import DOCUMENT
 from twisted.internet.task import Clock
 
-from frostpost.cluster import asking, tracing
+from frostpost.cluster import attempt_tracing, operation_client
 from frostpost.platform import main, settings
 from frostpost.program_ledger.words import End, Ended, LookRouting
 from frostpost.virtual_synchrony.agent_messages import OperationReply
@@ -17,7 +17,9 @@
 @pytest.fixture
 def lines(monkeypatch):
     out = []
-    monkeypatch.setattr(tracing, "say", lambda kind, **facts: out.append((kind, facts["attempt"], facts["at"], facts)))
+    monkeypatch.setattr(
+        attempt_tracing, "say", lambda kind, **facts: out.append((kind, facts["attempt"], facts["at"], facts))
+    )
     return out
 
 
@@ -25,9 +27,9 @@
 def test_operations_are_followed_only_where_the_settings_say_so(lines, trace):
     leaf, verdicts = new_leaf(Clock()), []
     leaf.settings = structs.replace(leaf.settings, trace=trace)
-    asking.look(leaf, LookRouting(), 100)
-    asking.tell(leaf, End("a", 3)).addCallback(verdicts.append)
-    asking.told(leaf, OperationReply(leaf.endpoint.member.incarnation, 2, msgpack.encode(Ended())))
+    operation_client.look(leaf, LookRouting(), 100)
+    operation_client.tell(leaf, End("a", 3)).addCallback(verdicts.append)
+    operation_client.told(leaf, OperationReply(leaf.endpoint.member.incarnation, 2, msgpack.encode(Ended())))
     assert verdicts[0].ok == Ended()
     assert [line[:3] for line in lines] == [("trace", "a", "handed in"), ("trace", "a", "decided")][: 2 * trace]
     assert not trace or (lines[1][3]["operation"], lines[1][3]["verdict"]) == ("End", "Ended")
--- a/tests/test_proxy_roster.py
+++ b/tests/test_proxy_roster.py
@@ -7,8 +7,8 @@
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock
 
-from frostpost.cluster.context import Leaf
-from frostpost.cluster.lease import session
+from frostpost.cluster.agent_context import Leaf
+from frostpost.cluster.lease_client import session
 from frostpost.daemon.machine import Machine
 from frostpost.proxy import roster
 from frostpost.proxy.words import Runner
--- a/tests/test_proxy_stage.py
+++ b/tests/test_proxy_stage.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from frostpost.cluster.context import Leaf
+from frostpost.cluster.agent_context import Leaf
 from frostpost.daemon.machine import Machine
 from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, End, Ended
 from frostpost.proxy import keyed, pool, serve, turn
--- a/tests/test_snapshot_days.py
+++ b/tests/test_snapshot_days.py
@@ -3,7 +3,7 @@
 import pytest
 from fleet_simulator.play import play
 
-from frostpost.cluster import replica
+from frostpost.cluster import replica_context
 from frostpost.daemon import snapshotting
 from frostpost.simulator import play as storms
 from frostpost.virtual_synchrony.bounds import Bounds
@@ -20,7 +20,7 @@
     def bounds(**named):
         return Bounds(**{**named, "rewrite_entries": LOG_ENTRIES, "slice_records": slice_records, "piece_bytes": 2000})
 
-    monkeypatch.setattr(replica, "Bounds", bounds)
+    monkeypatch.setattr(replica_context, "Bounds", bounds)
 
 
 @pytest.mark.parametrize("seed, closing", [(61, "power"), (62, "wipe"), (63, "kill")])
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -4,9 +4,9 @@
 
 import pytest
 from msgspec import Raw, msgpack
-from test_cluster_ring import MEMORY, new_house
+from test_cluster_replica_daemon import MEMORY, new_house
 
-from frostpost.cluster import ring
+from frostpost.cluster import replica_daemon
 from frostpost.daemon import heart, snapshotting
 from frostpost.daemon.core import Slice
 from frostpost.ledger import snapshots
@@ -69,7 +69,7 @@
 
 def test_the_event_loop_runs_between_two_slices(monkeypatch):
     house, _, _ = new_house(monkeypatch, (MEMORY,))
-    ring.start(house)
+    replica_daemon.start(house)
     ctx, slices = house.ctx, []
     received = SnapshotReceived(ctx.core.synchrony.configuration.id, 1, b"", "")
 
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -5,7 +5,7 @@
 from test_turn_store_drive import machine_of, outcome
 from twisted.internet.task import Clock
 
-from frostpost.cluster.context import Leaf
+from frostpost.cluster.agent_context import Leaf
 from frostpost.proxy.failures import Unavailable
 from frostpost.turn_store import cache, client
 from frostpost.virtual_synchrony.agent_messages import (
@@ -26,9 +26,9 @@
     made = Leaf(SimpleNamespace(), clock, SimpleNamespace(member=Member("e", 9)), machine_of(clock))
     made.extras = {"ring": dict(RING), "voters": tuple(RING), "sent": [], "lease": True}
     made.links["send"] = lambda to, body: made.extras["sent"].append((to, body))
-    monkeypatch.setattr(client.lease, "ring_addresses", lambda leaf: leaf.extras["ring"], raising=False)
-    monkeypatch.setattr(client.lease, "voters", lambda leaf: leaf.extras["voters"], raising=False)
-    monkeypatch.setattr(client.lease, "lease_ok", lambda leaf: leaf.extras["lease"], raising=False)
+    monkeypatch.setattr(client.lease_client, "ring_addresses", lambda leaf: leaf.extras["ring"], raising=False)
+    monkeypatch.setattr(client.lease_client, "voters", lambda leaf: leaf.extras["voters"], raising=False)
+    monkeypatch.setattr(client.lease_client, "lease_ok", lambda leaf: leaf.extras["lease"], raising=False)
     return made
 
 
