--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -20,7 +20,7 @@
 
     seeds_silent: list[str] = []
     ring: dict[str, dict] = {}
-    leaves: dict[str, dict] = {}
+    agents: dict[str, dict] = {}
     ring_silent: dict[str, str] = {}
     leaves_silent: dict[str, str] = {}
     zones: dict[str, str] = {}
@@ -36,7 +36,7 @@
         except DecodeError:
             continue
         read.add(address)
-        (fleet.ring if endpoint.role == "storage" else fleet.leaves)[endpoint.member.name] = facts
+        (fleet.ring if endpoint.role == "storage" else fleet.agents)[endpoint.member.name] = facts
         if endpoint.role == "storage":
             fleet.zones[endpoint.member.name] = endpoint.zone
     return read
@@ -90,7 +90,7 @@
     fleet.listed = leaves_listed(fleet)
     leaves = {name: seen["address"] for name, seen in fleet.listed.items()}
     take(fleet, ask(set(leaves.values()) - asked, StatusRequest(), StatusReply))
-    fleet.leaves_silent = {name: address for name, address in leaves.items() if name not in fleet.leaves}
+    fleet.leaves_silent = {name: address for name, address in leaves.items() if name not in fleet.agents}
     return fleet
 
 
@@ -150,7 +150,7 @@
     chief = chief_of(fleet)
     lines = [f"voters: {', '.join(chief['voters'])}" if chief else "no primary"]
     lines += table([ring_row(*one) for one in sorted(fleet.ring.items())])
-    lines += table([leaf_row(*one) for one in sorted(fleet.leaves.items())])
+    lines += table([leaf_row(*one) for one in sorted(fleet.agents.items())])
     silent = sorted((fleet.ring_silent | fleet.leaves_silent).items())
     return "\n".join([*lines, *(f"{name} at {address}: no answer" for name, address in silent)])
 
@@ -160,7 +160,7 @@
     addresses = {given: inner.resolved(given) for given in command.seed}
     fleet = gather([address for address in addresses.values() if address])
     fleet.seeds_silent += [given for given, address in addresses.items() if address is None]
-    if not fleet.ring and not fleet.leaves:
+    if not fleet.ring and not fleet.agents:
         print(f"Unreached: {', '.join(command.seed)}: no daemon answers there", file=sys.stderr)
         return UNREACHED
     if not command.doctor:
@@ -168,5 +168,5 @@
         return DONE
     findings = findings_of(fleet, chief_of(fleet))
     text = "\n".join(f"{f.problem} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
-    say(command, to_builtins(findings), text or f"{len(fleet.ring) + len(fleet.leaves)} daemons are in order")
+    say(command, to_builtins(findings), text or f"{len(fleet.ring) + len(fleet.agents)} daemons are in order")
     return FOUND if findings else DONE
--- a/frostpost/admin/remedies.py
+++ b/frostpost/admin/remedies.py
@@ -102,7 +102,7 @@
 
 def zones_of(fleet):
     """Return the zones that the fleet's daemons are in."""
-    told = [f["zone"] for f in (*fleet.ring.values(), *fleet.leaves.values())]
+    told = [f["zone"] for f in (*fleet.ring.values(), *fleet.agents.values())]
     return {zone for zone in (*fleet.zones.values(), *told) if zone}
 
 
@@ -157,7 +157,7 @@
 def leaf_daemons(fleet, chief):
     """Yield findings about edge and core daemons."""
     newest = max((f["routing"]["version"] for f in fleet.ring.values() if "routing" in f), default=0)
-    for name, facts in fleet.leaves.items():
+    for name, facts in fleet.agents.items():
         if facts["lease_left_ms"] <= 0:
             yield Finding(
                 "NoLease",
--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -16,7 +16,7 @@
 from frostpost.daemon.links import listen, sender
 from frostpost.daemon.news import say
 from frostpost.http_api.app import build
-from frostpost.http_api.http_client import agent
+from frostpost.http_api.http_client import http_agent
 from frostpost.http_api.lookups import wake
 from frostpost.tenant_config.shelf import Shelf
 from frostpost.virtual_synchrony.durable_log import replay
@@ -99,7 +99,7 @@
         "news": lambda frm, body: shelves.received(ctx, frm, body),
         "heard": lambda frm, vector: shelves.heard(ctx, frm, vector),
     }
-    ctx.agent = agent(ctx)[1]
+    ctx.http_agent = http_agent(ctx)[1]
     seeds = [f"@{s}" for s in settings.seeds]
     ctx.core, out = begin(endpoint, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
     ctx.core.synchrony.status = shelves.news(ctx)
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -40,7 +40,7 @@
         return
     ctx.list_ms = now + ctx.settings.background.list_ms
     try:
-        response = yield ctx.agent.get(ctx.settings.list, timeout=2, unbuffered=True, reactor=ctx.reactor)
+        response = yield ctx.http_agent.get(ctx.settings.list, timeout=2, unbuffered=True, reactor=ctx.reactor)
         raw = yield gather(response, ctx.settings.doors.config_bytes)
         if response.code == 429:
             said = (response.headers.getRawHeaders("retry-after") or ["1"])[0]
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -27,7 +27,7 @@
     """Ask one runner for its load and record its health; order a drain mark if it reports that it leaves."""
     health = ctx.runner_health.setdefault(runner.name, RunnerHealth())
     try:
-        response = yield ctx.agent.get(
+        response = yield ctx.http_agent.get(
             f"http://{runner.host}:{runner.port}/load",
             timeout=ctx.settings.background.load_ms / 1000,
             unbuffered=True,
--- a/frostpost/cluster/address_book.py
+++ b/frostpost/cluster/address_book.py
@@ -6,43 +6,43 @@
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 
-class Peers(Struct):
+class AddressBook(Struct):
     write_ahead_log: object
     machine: object
     addresses: tuple[str, ...] = ()
     writing: bool = False
 
 
-def open_(folder, machine, name="peers"):
+def open_address_book(folder, machine, name="peers"):
     write_ahead_log, payloads, _ = write_ahead_logs.open_(folder, name, machine.files)
-    return Peers(write_ahead_log, machine, tuple(msgpack.decode(payloads[-1])) if payloads else ())
+    return AddressBook(write_ahead_log, machine, tuple(msgpack.decode(payloads[-1])) if payloads else ())
 
 
-def known(peers):
+def known_addresses(book):
     """ "host:port" of those that were members last."""
-    return peers.addresses
+    return book.addresses
 
 
-def keep(peers, synchrony):
+def save_members(book, synchrony):
     """Called now and then: what the open primary's members are, if that changed."""
-    if peers.writing or not synchrony.primary.opened or synchrony.recovery:
+    if book.writing or not synchrony.primary.opened or synchrony.recovery:
         return
     others = [synchrony.peers[n].endpoint for n in member_names(synchrony.configuration) if n in synchrony.peers]
-    keep_addresses(peers, [f"{p.host}:{p.port}" for p in others])
+    save_addresses(book, [f"{p.host}:{p.port}" for p in others])
 
 
-def keep_addresses(peers, addresses):
+def save_addresses(book, addresses):
     addresses = tuple(sorted(addresses))
-    if peers.writing or addresses == peers.addresses or not addresses:
+    if book.writing or addresses == book.addresses or not addresses:
         return
-    peers.writing = True
-    job = peers.machine.in_thread(write_ahead_logs.rewrite, peers.write_ahead_log, [msgpack.encode(addresses)])
-    job.addCallbacks(kept, failed, (peers, addresses), None, (peers,))
+    book.writing = True
+    job = book.machine.in_thread(write_ahead_logs.rewrite, book.write_ahead_log, [msgpack.encode(addresses)])
+    job.addCallbacks(saved, failed, (book, addresses), None, (book,))
 
 
-def kept(_, peers, addresses):
-    peers.addresses, peers.writing = addresses, False
+def saved(_, book, addresses):
+    book.addresses, book.writing = addresses, False
 
 
-def failed(_, peers):
-    peers.writing = False
+def failed(_, book):
+    book.writing = False
--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -20,14 +20,14 @@
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
 from . import address_book, bootstrap, directory, lease_client, operation_client, status
-from .agent_context import Leaf, now_ms
+from .agent_context import AgentContext, now_ms
 
 RING = "storage"
 TEND_S = 0.05
 LISTEN_RATIO = 0.35
 
 
-def make_leaf(settings, front, reactor, machine):
+def make_agent(settings, front, reactor, machine):
     incarnation = 1 + int(machine.token(6), 16)
     endpoint = Endpoint(
         Member(settings.name, incarnation),
@@ -38,131 +38,131 @@
         0,
         PROTOCOL_REVISION,
     )
-    leaf = Leaf(settings, reactor, endpoint, machine)
-    leaf.wire = front.wire
-    leaf.links["send"] = sender(leaf)
-    leaf.extras["routing_from_body"] = front.routing_from_body
-    leaf.extras["fetch_list"] = lambda: front.fetch_list(leaf)
-    leaf.extras["stops"] = []
-    lease_client.session(leaf)
-    status.begin(leaf)
+    agent = AgentContext(settings, reactor, endpoint, machine)
+    agent.wire = front.wire
+    agent.links["send"] = sender(agent)
+    agent.extras["routing_from_body"] = front.routing_from_body
+    agent.extras["fetch_list"] = lambda: front.fetch_list(agent)
+    agent.extras["stops"] = []
+    lease_client.session_of(agent)
+    status.begin_status(agent)
     if settings.control:
-        bootstrap.begin(leaf)
+        bootstrap.open_bootstrap(agent)
     if settings.data:
-        leaf.extras["peers"] = address_book.open_(settings.data, machine)
-    return leaf
+        agent.extras["peers"] = address_book.open_address_book(settings.data, machine)
+    return agent
 
 
-def received(leaf, frame):
+def on_frame(agent, frame):
     """A frame from any daemon."""
     endpoint, body = frame.endpoint, frame.body
-    if status.leaf_answered(leaf, endpoint, body):
+    if status.answer_agent_status(agent, endpoint, body):
         return
     match body:
         case LeaseReply():
-            if lease_client.granted(leaf, endpoint, body):
-                operation_client.send_all(leaf)
-            turn_store_client.granted(leaf)
-            if leaf.ticker is not None:
-                leaf.ticker.wake(lease_client.due_ms(leaf) - now_ms(leaf))
+            if lease_client.on_lease_reply(agent, endpoint, body):
+                operation_client.resend_all(agent)
+            turn_store_client.granted(agent)
+            if agent.ticker is not None:
+                agent.ticker.wake(lease_client.due_ms(agent) - now_ms(agent))
         case OperationReply():
-            operation_client.told(leaf, body)
+            operation_client.on_operation_reply(agent, body)
         case RoutingUpdate():
-            lease_client.routed(leaf, body)
+            lease_client.on_routing_update(agent, body)
         case PutBodyReply() | GetBodiesReply():
-            turn_store_client.received(leaf, endpoint.member.name, body)
+            turn_store_client.received(agent, endpoint.member.name, body)
         case BootstrapRequest():
-            bootstrap.asked(leaf, endpoint, body)
+            bootstrap.on_bootstrap_request(agent, endpoint, body)
         case BootstrapReply():
-            bootstrap.held(leaf, endpoint, body)
+            bootstrap.on_bootstrap_reply(agent, endpoint, body)
         case DirectoryReply():
-            lease_client.directed(leaf, body.endpoints)
+            lease_client.on_directory(agent, body.endpoints)
             if endpoint.role == RING:
-                lease_client.greeted(leaf, endpoint)
+                lease_client.on_replica_greeting(agent, endpoint)
         case DirectoryRequest():
             if endpoint.role == RING:
-                bootstrap.waits(leaf, endpoint.member.name)
-            elif not leaf.directory:
-                leaf.extras.setdefault("askers", {})[endpoint.member.name] = endpoint
+                bootstrap.on_replica_waiting(agent, endpoint.member.name)
+            elif not agent.directory:
+                agent.extras.setdefault("askers", {})[endpoint.member.name] = endpoint
                 return
-            direct(leaf, endpoint)
+            send_directory(agent, endpoint)
         case DiscoveryUpdate():
-            lease_client.directed(leaf, [endpoint])
-            if body.endpoints or directory.is_news(leaf, endpoint):
-                leaf.links["send"](lease_client.address_of(endpoint), directory.tell(leaf, endpoint))
-            for asker in leaf.extras.pop("askers", {}).values():
-                direct(leaf, asker)
+            lease_client.on_directory(agent, [endpoint])
+            if body.endpoints or directory.is_update_due(agent, endpoint):
+                agent.links["send"](lease_client.address_of(endpoint), directory.make_directory(agent, endpoint))
+            for asker in agent.extras.pop("askers", {}).values():
+                send_directory(agent, asker)
 
 
-def direct(leaf, endpoint):
+def send_directory(agent, endpoint):
     """Tell a daemon that asks where the ring's daemons are."""
-    leaf.links["send"](lease_client.address_of(endpoint), directory.current(leaf))
+    agent.links["send"](lease_client.address_of(endpoint), directory.current(agent))
 
 
-def tend(leaf):
-    lease_client.tend(leaf)
-    if leaf.extras.get("peers") and lease_client.lease_ok(leaf):
-        address_book.keep_addresses(leaf.extras["peers"], [f"{p.host}:{p.port}" for p in leaf.directory.values()])
-    operation_client.tend(leaf)
-    bootstrap.tend(leaf)
+def run_due_work(agent):
+    lease_client.renew_if_due(agent)
+    if agent.extras.get("peers") and lease_client.holds_lease(agent):
+        address_book.save_addresses(agent.extras["peers"], [f"{p.host}:{p.port}" for p in agent.directory.values()])
+    operation_client.resend_due(agent)
+    bootstrap.advance(agent)
 
 
-def due_in_ms(leaf):
+def due_in_ms(agent):
     """How long `tend` will have nothing to do, unless something is asked meanwhile."""
-    if bootstrap.pending(leaf):
+    if bootstrap.is_pending(agent):
         return 0
-    asked_ms, lease_ms = operation_client.due_ms(leaf), lease_client.due_ms(leaf)
-    return (lease_ms if asked_ms is None else min(asked_ms, lease_ms)) - now_ms(leaf)
+    asked_ms, lease_ms = operation_client.due_ms(agent), lease_client.due_ms(agent)
+    return (lease_ms if asked_ms is None else min(asked_ms, lease_ms)) - now_ms(agent)
 
 
-def start_ticker(leaf, stop):
+def start_ticker(agent, stop):
     def broken(failure):
         say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         stop(70)
 
-    leaf.ticker = Ticker(leaf.reactor, TEND_S, lambda: tend(leaf), lambda: due_in_ms(leaf), broken)
-    leaf.ticker.start()
-    leaf.tasks.append(leaf.ticker)
+    agent.ticker = Ticker(agent.reactor, TEND_S, lambda: run_due_work(agent), lambda: due_in_ms(agent), broken)
+    agent.ticker.start()
+    agent.tasks.append(agent.ticker)
 
 
-def start_leaf(leaf, front, stop):
+def start_agent(agent, front, stop):
     def fallen(failure):
         say("ListenError", text=failure.getErrorMessage())
         stop(69)
 
     def up(ports):
-        leaf.extras["ports"] = ports
-        for address in leaf.extras["peers"].addresses if "peers" in leaf.extras else ():
-            leaf.links["send"](f"@{address}", DirectoryRequest())
-        start_ticker(leaf, stop)
-        if leaf.settings.front and leaf.settings.list_host:
+        agent.extras["ports"] = ports
+        for address in agent.extras["peers"].addresses if "peers" in agent.extras else ():
+            agent.links["send"](f"@{address}", DirectoryRequest())
+        start_ticker(agent, stop)
+        if agent.settings.front and agent.settings.list_host:
             from frostpost.proxy import roster
 
-            leaf.extras["stops"].append(roster.poll(leaf))
-        say("started", name=leaf.settings.name, role=leaf.settings.role)
+            agent.extras["stops"].append(roster.poll(agent))
+        say("started", name=agent.settings.name, role=agent.settings.role)
 
-    listen(leaf, received).addCallback(lambda _: front.listen(leaf)).addCallbacks(up, fallen)
+    listen(agent, on_frame).addCallback(lambda _: front.listen(agent)).addCallbacks(up, fallen)
 
 
-def leave_leaf(leaf, stop):
+def drain_agent(agent, stop):
     """Be unready, serve on until callers know, then end when nothing is under way."""
-    if leaf.leaving:
+    if agent.leaving:
         return
-    leaf.leaving = True
-    say("leaving", flights=leaf.flights)
-    grace_ms = leaf.settings.grace_ms
+    agent.leaving = True
+    say("leaving", flights=agent.flights)
+    grace_ms = agent.settings.grace_ms
 
     def last_call(_):
-        leaf.extras["last_call"] = True
-        for port in leaf.extras.get("ports", [])[:1]:
+        agent.extras["last_call"] = True
+        for port in agent.extras.get("ports", [])[:1]:
             port.stopListening()
-        if leaf.front is not None:
-            leaf.front.close_idle()
-        return until(leaf, lambda: leaf.flights == 0 and leaf.calls == 0, int(grace_ms * 0.55))
+        if agent.front is not None:
+            agent.front.close_idle()
+        return until(agent, lambda: agent.flights == 0 and agent.calls == 0, int(grace_ms * 0.55))
 
     def over(_):
-        say("left", flights=leaf.flights)
-        leaf.reactor.callLater(0.1, stop, 0)
+        say("left", flights=agent.flights)
+        agent.reactor.callLater(0.1, stop, 0)
 
-    wait_ms = int(grace_ms * LISTEN_RATIO) if leaf.settings.front else 100
-    until(leaf, lambda: False, wait_ms).addCallback(last_call).addCallback(over)
+    wait_ms = int(grace_ms * LISTEN_RATIO) if agent.settings.front else 100
+    until(agent, lambda: False, wait_ms).addCallback(last_call).addCallback(over)
--- a/frostpost/cluster/agent_context.py
+++ b/frostpost/cluster/agent_context.py
@@ -4,7 +4,7 @@
 from frostpost.daemon.machine import MACHINE
 
 
-class Leaf:
+class AgentContext:
     __slots__ = (
         "settings",
         "reactor",
@@ -26,32 +26,32 @@
         "flights",
         "calls",
         "hooks",
-        "asking",
+        "operations",
         "tasks",
-        "charter",
+        "bootstrap_voters",
         "life",
         "front",
         "lag_ms",
         "parts",
         "extras",
         "ticker",
-        "told",
+        "sent_directories",
     )
 
     def __init__(self, settings, reactor, endpoint, machine=MACHINE):
         self.settings, self.reactor, self.endpoint, self.machine = settings, reactor, endpoint, machine
-        self.links, self.directory, self.session, self.charter = {}, None, None, ()
+        self.links, self.directory, self.session, self.bootstrap_voters = {}, None, None, ()
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
         self.leaving, self.flights, self.calls, self.tasks = False, 0, 0, []
-        self.hooks, self.asking, self.ticker, self.told = Hooks(), None, None, {}
+        self.hooks, self.operations, self.ticker, self.sent_directories = Hooks(), None, None, {}
         self.life, self.front, self.lag_ms, self.parts, self.extras = None, None, 0.0, {}, {}
 
 
-def now_ms(leaf):
+def now_ms(agent):
     """Steady clock, whole milliseconds."""
-    return int(leaf.machine.seconds() * 1000)
+    return int(agent.machine.seconds() * 1000)
 
 
-def count(leaf, what, by=1):
-    leaf.counts[what] = leaf.counts.get(what, 0) + by
+def count(agent, what, by=1):
+    agent.counts[what] = agent.counts.get(what, 0) + by
--- a/frostpost/cluster/agent_sessions.py
+++ b/frostpost/cluster/agent_sessions.py
@@ -18,14 +18,14 @@
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
 from frostpost.virtual_synchrony.members import member_names, sequencer_of
 
-ASK_MS = 5000
-GRACE_RATIO = 0.5
-DRAIN_MS = 15000
-FORGET_MS = 600000
+OPERATION_TIMEOUT_MS = 5000
+ROUTING_GRACE_RATIO = 0.5
+DRAINING_RETENTION_MS = 15000
+SESSION_RETENTION_MS = 600000
 encode = msgpack.Encoder().encode
 
 
-class LeafSeen(Struct):
+class AgentSession(Struct):
     """until_ms: no lease granted to it runs longer, on this daemon's clock."""
 
     address: str
@@ -42,21 +42,21 @@
     until_ms: int
 
 
-class Sessions(Struct):
+class AgentSessions(Struct):
     """version_ms: when the routing in force here became so. draining: runners, and until when that is told.
 
     survey: the last one taken; None once an agent told of another version or boot, or got a lease anew.
     """
 
-    leaves: dict[str, LeafSeen] = {}
-    working: set[tuple[str, int, int]] = set()
+    agents: dict[str, AgentSession] = {}
+    operations_in_progress: set[tuple[str, int, int]] = set()
     version: int = 0
     version_ms: int = 0
     draining: dict[str, int] = {}
     survey: Survey | None = None
 
 
-def sequencing(ctx):
+def is_sequencer(ctx):
     synchrony = ctx.core.synchrony
     return synchrony.primary.opened and not synchrony.recovery and sequencer_of(synchrony) == synchrony.name
 
@@ -66,13 +66,13 @@
     return ctx.core.ledger.voters or synchrony.voters or synchrony.bootstrap_voters
 
 
-def meet(sessions, endpoint, version, now):
+def note_agent(sessions, endpoint, version, now):
     """Note an agent that speaks, also where this replica doesn't lead: it greets the agent when it comes to."""
-    seen = sessions.leaves.get(endpoint.member.name)
+    seen = sessions.agents.get(endpoint.member.name)
     address = f"@{endpoint.host}:{endpoint.port}"
     if seen is None or seen.incarnation != endpoint.member.incarnation:
-        seen = LeafSeen(address, endpoint.member.incarnation, version, now - 1)
-        sessions.leaves[endpoint.member.name], sessions.survey = seen, None
+        seen = AgentSession(address, endpoint.member.incarnation, version, now - 1)
+        sessions.agents[endpoint.member.name], sessions.survey = seen, None
     seen.address = address
     return seen
 
@@ -83,11 +83,11 @@
     return (synchrony.endpoint, *others)
 
 
-def renewed(ctx, sessions, endpoint, message):
+def on_lease_request(ctx, sessions, endpoint, message):
     """A leaf renews its lease; -> the LeaseReply."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
-    if not sequencing(ctx):
-        meet(sessions, endpoint, message.version, now)
+    if not is_sequencer(ctx):
+        note_agent(sessions, endpoint, message.version, now)
         opened = synchrony.primary.opened
         return LeaseReply(
             message.sent_ms,
@@ -96,12 +96,12 @@
             endpoints=member_endpoints(synchrony) if opened else (),
         )
     held = ctx.core.ledger.program_ledger.routing_version
-    follow(ctx, sessions)
-    seen = meet(sessions, endpoint, message.version, now)
+    announce_routing(ctx, sessions)
+    seen = note_agent(sessions, endpoint, message.version, now)
     if message.version > seen.version:
         seen.version, sessions.survey = message.version, None
     left_ms = lease_remaining_ms(synchrony, now)
-    graced = seen.until_ms > now and now - sessions.version_ms <= synchrony.bounds.lease_ms * GRACE_RATIO
+    graced = seen.until_ms > now and now - sessions.version_ms <= synchrony.bounds.lease_ms * ROUTING_GRACE_RATIO
     lease_ms = left_ms if seen.version >= held or graced else 0
     if seen.until_ms <= now < now + lease_ms:
         sessions.survey = None
@@ -114,43 +114,43 @@
         synchrony.name,
         tuple(voters_of(ctx)),
         held,
-        honoured(ctx, sessions),
+        honoured_version(ctx, sessions),
         epoch,
         endpoints,
         survey_of(sessions, now).count,
-        drained(sessions, message.draining, now),
+        merge_draining(sessions, message.draining, now),
     )
 
 
-def forget(sessions, now):
+def forget_lapsed(sessions, now):
     """Leaves whose lease ended long ago."""
-    for name in [n for n, s in sessions.leaves.items() if s.until_ms + FORGET_MS < now]:
-        del sessions.leaves[name]
+    for name in [n for n, s in sessions.agents.items() if s.until_ms + SESSION_RETENTION_MS < now]:
+        del sessions.agents[name]
 
 
-def drained(sessions, told, now):
+def merge_draining(sessions, told, now):
     """What any leaf's own list shows as leaving is told to all."""
-    sessions.draining.update((runner, now + DRAIN_MS) for runner in told)
+    sessions.draining.update((runner, now + DRAINING_RETENTION_MS) for runner in told)
     for runner in [r for r, until_ms in sessions.draining.items() if until_ms <= now]:
         del sessions.draining[runner]
     return tuple(sessions.draining)
 
 
-def follow(ctx, sessions):
+def announce_routing(ctx, sessions):
     """Spread a routing that has just come in force to all leaves."""
     program_ledger = ctx.core.ledger.program_ledger
     if program_ledger.routing_version == sessions.version:
         return
     sessions.version, sessions.version_ms = program_ledger.routing_version, clock_ms(ctx)
-    if sequencing(ctx):
-        for seen in sessions.leaves.values():
+    if is_sequencer(ctx):
+        for seen in sessions.agents.values():
             if seen.until_ms > clock_ms(ctx):
                 ctx.links["send"](
                     seen.address, RoutingUpdate(program_ledger.routing_version, program_ledger.routing_body)
                 )
 
 
-def honoured(ctx, sessions):
+def honoured_version(ctx, sessions):
     """The newest version that every leaf with a running lease honours; older sequencers' leases are waited out."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if now - synchrony.installed_ms < synchrony.bounds.lease_ms:
@@ -162,21 +162,21 @@
     """The survey that holds now: a new one is taken only if an agent changed or a lease may have ended."""
     survey = sessions.survey
     if survey is None or now >= survey.until_ms:
-        running = [seen for seen in sessions.leaves.values() if seen.until_ms > now]
+        running = [seen for seen in sessions.agents.values() if seen.until_ms > now]
         versions = frozenset(seen.version for seen in running)
         until_ms = min((seen.until_ms for seen in running), default=now)
         survey = sessions.survey = Survey(len(running), versions, until_ms)
     return survey
 
 
-def received(ctx, sessions, endpoint, body):
+def on_agent_message(ctx, sessions, endpoint, body):
     """A frame of a leaf; -> whether it was one of these messages."""
     address = f"@{endpoint.host}:{endpoint.port}"
     match body:
         case LeaseRequest():
-            ctx.links["send"](address, renewed(ctx, sessions, endpoint, body))
+            ctx.links["send"](address, on_lease_request(ctx, sessions, endpoint, body))
         case OperationRequest():
-            asked(ctx, sessions, address, body)
+            on_operation_request(ctx, sessions, address, body)
         case RoutingRequest():
             program_ledger = ctx.core.ledger.program_ledger
             if program_ledger.routing_version > body.version:
@@ -190,23 +190,23 @@
     return True
 
 
-def asked(ctx, sessions, address, message):
+def on_operation_request(ctx, sessions, address, message):
     mark = (address, message.incarnation, message.number)
-    if mark in sessions.working:
+    if mark in sessions.operations_in_progress:
         return
     try:
         op = decode_op(message.payload)
     except DecodeError:
         ctx.links["send"](address, OperationReply(message.incarnation, message.number, b"", "Unreadable"))
         return
-    sessions.working.add(mark)
+    sessions.operations_in_progress.add(mark)
 
     def decided(result):
-        sessions.working.discard(mark)
+        sessions.operations_in_progress.discard(mark)
         if result.is_ok():
             told = OperationReply(message.incarnation, message.number, encode(result.ok))
         else:
             told = OperationReply(message.incarnation, message.number, b"", type(result.error).__name__)
         ctx.links["send"](address, told)
 
-    ask(ctx, op, ASK_MS).addCallback(decided)
+    ask(ctx, op, OPERATION_TIMEOUT_MS).addCallback(decided)
--- a/frostpost/cluster/announcements.py
+++ b/frostpost/cluster/announcements.py
@@ -10,7 +10,7 @@
 LAPSED_LEASES = 50
 
 
-def configuration_places(synchrony):
+def configuration_endpoints(synchrony):
     """Where the members of the configuration are."""
     others = [
         synchrony.peers[name].endpoint for name in member_names(synchrony.configuration) if name in synchrony.peers
@@ -18,27 +18,27 @@
     return (synchrony.endpoint, *others)
 
 
-def greet(replica, addresses):
+def announce(replica, addresses):
     """Tell the agents at some addresses where the replicas are."""
-    endpoints = configuration_places(replica.ctx.core.synchrony)
+    endpoints = configuration_endpoints(replica.ctx.core.synchrony)
     for address in sorted(addresses):
         replica.send(address, DirectoryReply(endpoints))
 
 
-def greet_known(replica):
+def announce_opening(replica):
     """A leader that has just opened greets all agents that it knows, so that they need not look for it."""
     synchrony = replica.ctx.core.synchrony
-    if not agent_sessions.sequencing(replica.ctx) or replica.greeted == synchrony.configuration.id:
+    if not agent_sessions.is_sequencer(replica.ctx) or replica.announced_configuration == synchrony.configuration.id:
         return
-    replica.greeted = synchrony.configuration.id
-    stored = {f"@{address}" for address in replica.leaves.addresses}
-    greet(replica, stored | {seen.address for seen in replica.sessions.leaves.values()})
+    replica.announced_configuration = synchrony.configuration.id
+    stored = {f"@{address}" for address in replica.agent_addresses.addresses}
+    announce(replica, stored | {seen.address for seen in replica.sessions.agents.values()})
 
 
-def greet_lapsed(replica):
+def announce_to_lapsed(replica):
     """The leader greets agents whose lease ended of late: one that started anew may know no replica."""
-    if not agent_sessions.sequencing(replica.ctx):
+    if not agent_sessions.is_sequencer(replica.ctx):
         return
     now = clock_ms(replica.ctx)
     since_ms = now - LAPSED_LEASES * replica.settings.lease_ms
-    greet(replica, {s.address for s in replica.sessions.leaves.values() if since_ms < s.until_ms <= now})
+    announce(replica, {s.address for s in replica.sessions.agents.values() if since_ms < s.until_ms <= now})
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -11,38 +11,38 @@
 RING = "storage"
 
 
-def reread(leaf, front):
+def reload_settings(agent, front):
     result = front.reread()
     if result.is_ok():
-        leaf.settings = result.ok
+        agent.settings = result.ok
         if result.ok.role == RING:
-            ring_seeds(leaf)
+            update_seeds(agent)
         say("settings", seeds=list(result.ok.seeds))
     else:
         say(type(result.error).__name__, path=result.error.path)
 
 
-def ring_seeds(replica):
+def update_seeds(replica):
     """A storage daemon reports to the seeds that its settings name now."""
     if not replica.waiting:
         synchrony = replica.ctx.core.synchrony
         synchrony.seeds = tuple(dict.fromkeys((*(f"@{s}" for s in replica.settings.seeds), *synchrony.seeds)))
 
 
-def build(settings, front, reactor, machine, stop):
+def build_daemon(settings, front, reactor, machine, stop):
     """Assemble the daemon; -> its owner, what starts it and what makes it leave."""
     if settings.role == RING:
         from . import replica_daemon
 
         owner = replica_daemon.assemble(settings, reactor, machine, stop)
-        return owner, partial(replica_daemon.start, owner), partial(replica_daemon.leave, owner)
-    from .agent import leave_leaf, make_leaf, start_leaf
+        return owner, partial(replica_daemon.start, owner), partial(replica_daemon.drain, owner)
+    from .agent import drain_agent, make_agent, start_agent
 
-    owner = make_leaf(settings, front, reactor, machine)
-    return owner, partial(start_leaf, owner, front, stop), partial(leave_leaf, owner, stop)
+    owner = make_agent(settings, front, reactor, machine)
+    return owner, partial(start_agent, owner, front, stop), partial(drain_agent, owner, stop)
 
 
-def run(settings, front, started=lambda: None):
+def run_daemon(settings, front, started=lambda: None):
     """Run one daemon until it is told to stop; started() is called once it runs. -> its exit status."""
     from twisted.internet import reactor
 
@@ -55,7 +55,7 @@
             reactor.stop()
 
     try:
-        owner, start, leave = build(settings, front, reactor, machine, stop)
+        owner, start, leave = build_daemon(settings, front, reactor, machine, stop)
     except OSError as error:
         say("DiskError", type=type(error).__name__, error=errorcode.get(error.errno, ""), path=error.filename or "")
         return EX_IOERR
@@ -63,7 +63,7 @@
 
     def signals():
         signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
-        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reread, owner, front))
+        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_settings, owner, front))
 
     reactor.callWhenRunning(started)
     reactor.addSystemEventTrigger("after", "startup", signals)
--- a/frostpost/cluster/attempt_tracing.py
+++ b/frostpost/cluster/attempt_tracing.py
@@ -5,13 +5,13 @@
 from .agent_context import now_ms
 
 
-def traced(leaf):
-    return getattr(leaf.settings, "trace", False)
+def is_traced(agent):
+    return getattr(agent.settings, "trace", False)
 
 
-def handed_in(leaf, op, answer):
+def trace_operation(agent, op, answer):
     """Say that an operation is handed in, and its verdict when it comes; the answer stays what it is."""
-    attempt, from_ms = getattr(op, "attempt", None), now_ms(leaf)
+    attempt, from_ms = getattr(op, "attempt", None), now_ms(agent)
     if attempt is None:
         return
     operation = type(op).__name__
@@ -25,16 +25,16 @@
             at="decided",
             operation=operation,
             verdict=type(verdict).__name__,
-            took_ms=now_ms(leaf) - from_ms,
+            took_ms=now_ms(agent) - from_ms,
         )
         return result
 
     answer.addCallback(decided)
 
 
-def taken(leaf, call, request):
+def trace_request(agent, call, request):
     """Say that a client's request is taken, and how it was answered when that is over."""
-    from_ms, ended = now_ms(leaf), request.on_over
+    from_ms, ended = now_ms(agent), request.on_over
     say("trace", attempt=call.attempt, at="taken", host=call.host, program=call.program, key=call.key)
 
     def over(lost):
@@ -44,7 +44,7 @@
             at="answered",
             status=request.code if request.startedWriting else 0,
             lost=lost,
-            took_ms=now_ms(leaf) - from_ms,
+            took_ms=now_ms(agent) - from_ms,
         )
         ended(lost)
 
--- a/frostpost/cluster/bootstrap.py
+++ b/frostpost/cluster/bootstrap.py
@@ -11,16 +11,16 @@
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from .agent_context import now_ms
-from .lease_client import NEVER
+from .lease_client import NEVER_MS
 
-STILL_MS = 700
-FEW_MS = 5000
-ASK_MS = STILL_MS // 5
-COPIES = 2
+SETTLED_MS = 700
+TOO_FEW_WAIT_MS = 5000
+REQUEST_INTERVAL_MS = SETTLED_MS // 5
+RECORD_COPIES = 2
 encode, decode = msgpack.encode, msgpack.decode
 
 
-class Founding(Struct):
+class Bootstrap(Struct):
     """waiting: storage daemons on empty disks at a first start, with when each was first heard.
 
     kept: the charter that this seed keeps for the founder. heard: by other seed, what it said to keep when asked.
@@ -29,158 +29,162 @@
 
     write_ahead_log: object = None
     kept_log: object = None
-    kept: tuple[str, ...] = ()
-    waiting: dict[str, int] = {}
+    kept_voters: tuple[str, ...] = ()
+    waiting_replicas: dict[str, int] = {}
     writing: bool = False
-    heard: dict[str, tuple[str, ...]] = {}
-    proposed: tuple[str, ...] = ()
-    taken: set[str] = set()
-    asked_ms: int = NEVER
+    told_by_seed: dict[str, tuple[str, ...]] = {}
+    proposed_voters: tuple[str, ...] = ()
+    confirmed_seeds: set[str] = set()
+    requested_ms: int = NEVER_MS
 
 
-def begin(leaf):
+def open_bootstrap(agent):
     """Read the charter of this daemon's disk, and the one that it keeps for the founder."""
-    if not leaf.settings.data:
+    if not agent.settings.data:
         return
-    write_ahead_log, charter, intact = read(leaf, "charter")
-    kept_log, kept, kept_intact = read(leaf, "kept-charter")
+    write_ahead_log, charter, intact = open_record(agent, "charter")
+    kept_log, kept, kept_intact = open_record(agent, "kept-charter")
     if intact:
-        leaf.charter = charter
-        leaf.extras["founding"] = Founding(write_ahead_log, kept_log if kept_intact else None, kept)
+        agent.bootstrap_voters = charter
+        agent.extras["founding"] = Bootstrap(write_ahead_log, kept_log if kept_intact else None, kept)
 
 
-def read(leaf, name):
+def open_record(agent, name):
     """-> (log, the charter in it, whether it is intact)"""
-    log, payloads, fault = write_ahead_logs.open_(leaf.settings.data, name, leaf.machine.files)
+    log, payloads, fault = write_ahead_logs.open_(agent.settings.data, name, agent.machine.files)
     if fault:
         say(type(fault).__name__, path=fault.path, offset=fault.offset)
     intact = not isinstance(fault, write_ahead_logs.Corrupt)
     return log, tuple(decode(payloads[-1])) if payloads and intact else (), intact
 
 
-def founder(leaf):
+def is_founder(agent):
     """Whether this daemon is the one that may make the charter."""
-    own = f"{leaf.settings.host}:{leaf.settings.port}"
-    first = min(leaf.settings.seeds, key=lambda s: [int(p) for p in s.replace(":", ".").split(".")], default="")
-    return leaf.settings.first_start and own == first
+    own = f"{agent.settings.host}:{agent.settings.port}"
+    first = min(agent.settings.seeds, key=lambda s: [int(p) for p in s.replace(":", ".").split(".")], default="")
+    return agent.settings.first_start and own == first
 
 
-def waits(leaf, name):
+def on_replica_waiting(agent, name):
     """A storage daemon at its first start asks for the charter."""
-    founding = leaf.extras.get("founding")
-    if founding is not None:
-        founding.waiting.setdefault(name, now_ms(leaf))
+    bootstrap = agent.extras.get("founding")
+    if bootstrap is not None:
+        bootstrap.waiting_replicas.setdefault(name, now_ms(agent))
 
 
-def pending(leaf):
+def is_pending(agent):
     """Whether this daemon has a charter to make."""
-    founding = leaf.extras.get("founding")
-    return founding is not None and not leaf.charter and not founding.writing and founder(leaf)
+    bootstrap = agent.extras.get("founding")
+    return bootstrap is not None and not agent.bootstrap_voters and not bootstrap.writing and is_founder(agent)
 
 
-def tend(leaf):
+def advance(agent):
     """Make the charter once the storage daemons have stopped coming and all other seeds keep it."""
-    if not pending(leaf):
+    if not is_pending(agent):
         return
-    founding = leaf.extras["founding"]
-    if not founding.proposed:
-        founding.proposed = chosen(leaf, founding)
-    if not founding.proposed:
+    bootstrap = agent.extras["founding"]
+    if not bootstrap.proposed_voters:
+        bootstrap.proposed_voters = choose_voters(agent, bootstrap)
+    if not bootstrap.proposed_voters:
         return
-    lacking = [seed for seed in others(leaf) if seed not in founding.taken]
+    lacking = [seed for seed in other_seeds(agent) if seed not in bootstrap.confirmed_seeds]
     if lacking:
-        ask(leaf, lacking, founding.proposed)
+        request_copies(agent, lacking, bootstrap.proposed_voters)
         return
-    names, founding.writing = founding.proposed, True
-    leaf.machine.in_thread(write, founding.write_ahead_log, names).addCallbacks(
-        written, failed, (leaf, names), None, (leaf,)
+    names, bootstrap.writing = bootstrap.proposed_voters, True
+    agent.machine.in_thread(write_record, bootstrap.write_ahead_log, names).addCallbacks(
+        written, failed, (agent, names), None, (agent,)
     )
 
 
-def others(leaf):
+def other_seeds(agent):
     """The inner addresses of the other seeds."""
-    own = f"{leaf.settings.host}:{leaf.settings.port}"
-    return [seed for seed in dict.fromkeys(leaf.settings.seeds) if seed != own]
+    own = f"{agent.settings.host}:{agent.settings.port}"
+    return [seed for seed in dict.fromkeys(agent.settings.seeds) if seed != own]
 
 
-def chosen(leaf, founding):
+def choose_voters(agent, bootstrap):
     """The charter to propose: what another seed keeps, or those that wait; empty while that can't be told.
 
     Nothing is proposed before all other seeds have answered: a founder whose disk was lost finds the charter with any
     one of them.
     """
-    waiting, now = founding.waiting, now_ms(leaf)
-    if not waiting or now - max(waiting.values()) < STILL_MS:
+    waiting, now = bootstrap.waiting_replicas, now_ms(agent)
+    if not waiting or now - max(waiting.values()) < SETTLED_MS:
         return ()
-    few = len(waiting) < leaf.settings.least_replicas
-    if few and now - min(waiting.values()) < FEW_MS:
+    few = len(waiting) < agent.settings.least_replicas
+    if few and now - min(waiting.values()) < TOO_FEW_WAIT_MS:
         return ()
-    silent = [seed for seed in others(leaf) if seed not in founding.heard]
+    silent = [seed for seed in other_seeds(agent) if seed not in bootstrap.told_by_seed]
     if silent:
-        ask(leaf, silent, ())
+        request_copies(agent, silent, ())
         return ()
-    kept = [names for names in founding.heard.values() if names]
+    kept = [names for names in bootstrap.told_by_seed.values() if names]
     return min(kept, default=tuple(sorted(waiting)))
 
 
-def ask(leaf, seeds, names):
+def request_copies(agent, seeds, names):
     """Ask other seeds what they keep, or to keep these names; again and again until they answer."""
-    founding, now = leaf.extras["founding"], now_ms(leaf)
-    if now - founding.asked_ms < ASK_MS and founding.asked_ms != NEVER:
+    bootstrap, now = agent.extras["founding"], now_ms(agent)
+    if now - bootstrap.requested_ms < REQUEST_INTERVAL_MS and bootstrap.requested_ms != NEVER_MS:
         return
-    founding.asked_ms = now
+    bootstrap.requested_ms = now
     for seed in seeds:
-        leaf.links["send"](f"@{seed}", BootstrapRequest(names))
+        agent.links["send"](f"@{seed}", BootstrapRequest(names))
 
 
-def asked(leaf, endpoint, message):
+def on_bootstrap_request(agent, endpoint, message):
     """Another seed asks what this one keeps, or to keep a charter."""
-    founding = leaf.extras.get("founding")
-    if founding is None or founding.kept_log is None or founding.writing:
+    bootstrap = agent.extras.get("founding")
+    if bootstrap is None or bootstrap.kept_log is None or bootstrap.writing:
         return
 
     def answer(_=None):
-        leaf.links["send"](f"@{endpoint.host}:{endpoint.port}", BootstrapReply(founding.kept or leaf.charter))
+        agent.links["send"](
+            f"@{endpoint.host}:{endpoint.port}", BootstrapReply(bootstrap.kept_voters or agent.bootstrap_voters)
+        )
 
     def kept(_):
-        founding.kept, founding.writing = message.names, False
+        bootstrap.kept_voters, bootstrap.writing = message.names, False
         answer()
 
-    if not message.names or message.names == founding.kept:
+    if not message.names or message.names == bootstrap.kept_voters:
         return answer()
-    founding.writing = True
-    leaf.machine.in_thread(write, founding.kept_log, message.names).addCallbacks(kept, failed, None, None, (leaf,))
+    bootstrap.writing = True
+    agent.machine.in_thread(write_record, bootstrap.kept_log, message.names).addCallbacks(
+        kept, failed, None, None, (agent,)
+    )
     return None
 
 
-def held(leaf, endpoint, message):
+def on_bootstrap_reply(agent, endpoint, message):
     """Another seed tells what it keeps."""
-    founding, seed = leaf.extras.get("founding"), f"{endpoint.host}:{endpoint.port}"
-    if founding is None or not pending(leaf) or seed not in others(leaf):
+    bootstrap, seed = agent.extras.get("founding"), f"{endpoint.host}:{endpoint.port}"
+    if bootstrap is None or not is_pending(agent) or seed not in other_seeds(agent):
         return
-    answered = founding.taken if founding.proposed else founding.heard
+    answered = bootstrap.confirmed_seeds if bootstrap.proposed_voters else bootstrap.told_by_seed
     before = len(answered)
-    if not founding.proposed:
-        founding.heard[seed] = message.names
-    elif message.names == founding.proposed:
-        founding.taken.add(seed)
-    if before < len(answered) == len(others(leaf)):
-        founding.asked_ms = NEVER
-        tend(leaf)
+    if not bootstrap.proposed_voters:
+        bootstrap.told_by_seed[seed] = message.names
+    elif message.names == bootstrap.proposed_voters:
+        bootstrap.confirmed_seeds.add(seed)
+    if before < len(answered) == len(other_seeds(agent)):
+        bootstrap.requested_ms = NEVER_MS
+        advance(agent)
 
 
-def write(write_ahead_log, names):
+def write_record(write_ahead_log, names):
     """Each copy is synced before the next is written: the later one proves that the first was there."""
-    for _ in range(COPIES):
+    for _ in range(RECORD_COPIES):
         write_ahead_logs.append(write_ahead_log, [encode(names)])
         write_ahead_logs.sync(write_ahead_log)
 
 
-def written(_, leaf, names):
-    leaf.charter, leaf.extras["founding"].writing = names, False
+def written(_, agent, names):
+    agent.bootstrap_voters, agent.extras["founding"].writing = names, False
     say("charter", voters=list(names))
 
 
-def failed(failure, leaf):
-    leaf.extras["founding"].writing = False
+def failed(failure, agent):
+    agent.extras["founding"].writing = False
     say("DiskError", type=failure.type.__name__)
--- a/frostpost/cluster/control_client.py
+++ b/frostpost/cluster/control_client.py
@@ -20,68 +20,68 @@
 from frostpost.proxy.failures import Unavailable
 
 from .agent_context import now_ms
-from .lease_client import renew, session
-from .operation_client import RETRY_MS, look
+from .lease_client import send_lease_requests, session_of
+from .operation_client import RETRY_MS, call_replicas_unleased
 
 STEP_MS = 20
 REMEMBER_RATIO = 150
 
 
-def pause(leaf, wait_ms):
+def sleep(agent, wait_ms):
     woken = Deferred()
-    leaf.reactor.callLater(wait_ms / 1000, woken.callback, None)
+    agent.reactor.callLater(wait_ms / 1000, woken.callback, None)
     return woken
 
 
 @inlineCallbacks
-def set_routing(leaf, base, version, body, digest, wait_ms):
+def set_routing(agent, base, version, body, digest, wait_ms):
     """Replace the routing `base` -> Result[version, RoutingMoved | RoutingForgotten | Unavailable].
 
     digest: tells this change from others of its number; one that was taken before is Ok again. Ok comes once every
     daemon with a running lease honours this version or a later one. After Unavailable the change may still be taken.
     """
-    until_ms = now_ms(leaf) + wait_ms
-    change = SetRouting(base, version, body, digest, leaf.settings.ack_ms * REMEMBER_RATIO)
-    result = yield look(leaf, change, wait_ms)
+    until_ms = now_ms(agent) + wait_ms
+    change = SetRouting(base, version, body, digest, agent.settings.ack_ms * REMEMBER_RATIO)
+    result = yield call_replicas_unleased(agent, change, wait_ms)
     if result.is_error():
         return result
     if not isinstance(result.ok, RoutingSet):
         refused = isinstance(result.ok, (RoutingMoved, RoutingForgotten))
         return Error(result.ok if refused else Unavailable(RETRY_MS, "verdict"))
-    result = yield honoured(leaf, version, until_ms - now_ms(leaf))
+    result = yield wait_until_honoured(agent, version, until_ms - now_ms(agent))
     return result
 
 
 @inlineCallbacks
-def honoured(leaf, version, wait_ms):
+def wait_until_honoured(agent, version, wait_ms):
     """Wait until every daemon with a running lease honours a version that was taken -> Result[version, Unavailable]."""
-    until_ms = now_ms(leaf) + wait_ms
-    while session(leaf).honoured < version:
-        if now_ms(leaf) >= until_ms:
+    until_ms = now_ms(agent) + wait_ms
+    while session_of(agent).honoured_version < version:
+        if now_ms(agent) >= until_ms:
             return Error(Unavailable(RETRY_MS, "not honoured everywhere yet"))
-        renew(leaf)
-        yield pause(leaf, STEP_MS)
+        send_lease_requests(agent)
+        yield sleep(agent, STEP_MS)
     return Ok(version)
 
 
 @inlineCallbacks
-def verdict_of(leaf, op, kind, wait_ms):
-    result = yield look(leaf, op, wait_ms)
+def result_of(agent, op, kind, wait_ms):
+    result = yield call_replicas_unleased(agent, op, wait_ms)
     if result.is_ok() and kind is not None and not isinstance(result.ok, kind):
         return Error(Unavailable(RETRY_MS, "verdict"))
     return result
 
 
-def look_routing(leaf, wait_ms, version=0, digest=b""):
+def read_routing(agent, wait_ms, version=0, digest=b""):
     """-> Deferred[Result[RoutingHeld, Unavailable]], as the ring's order has it now, with what became of a change."""
-    return verdict_of(leaf, LookRouting(version, digest), RoutingHeld, wait_ms)
+    return result_of(agent, LookRouting(version, digest), RoutingHeld, wait_ms)
 
 
-def retire(leaf, name, wait_ms):
+def retire(agent, name, wait_ms):
     """-> Deferred[Result[RetireState, Unavailable]]: empty a storage daemon."""
-    return verdict_of(leaf, Retire(name, True, leaf.settings.least_replicas), None, wait_ms)
+    return result_of(agent, Retire(name, True, agent.settings.least_replicas), None, wait_ms)
 
 
-def look_retired(leaf, name, wait_ms):
+def read_retirement(agent, name, wait_ms):
     """-> Deferred[Result[RetireState, Unavailable]]: how far the emptying of a storage daemon is."""
-    return verdict_of(leaf, LookRetired(name), None, wait_ms)
+    return result_of(agent, LookRetired(name), None, wait_ms)
--- a/frostpost/cluster/directory.py
+++ b/frostpost/cluster/directory.py
@@ -10,7 +10,7 @@
 REPEAT_MS = 60_000
 
 
-class Told(Struct, frozen=True):
+class SentDirectory(Struct, frozen=True):
     """What one replica was told last, and when."""
 
     member: Member
@@ -18,21 +18,21 @@
     at_ms: int
 
 
-def current(leaf):
+def current(agent):
     """The directory as this daemon knows it now."""
-    return DirectoryReply(tuple(leaf.directory.values()), leaf.charter)
+    return DirectoryReply(tuple(agent.directory.values()), agent.bootstrap_voters)
 
 
-def tell(leaf, endpoint):
+def make_directory(agent, endpoint):
     """The directory for the replica at that place; it is noted as told."""
-    message = current(leaf)
-    leaf.told[endpoint.member.name] = Told(endpoint.member, message, now_ms(leaf))
+    message = current(agent)
+    agent.sent_directories[endpoint.member.name] = SentDirectory(endpoint.member, message, now_ms(agent))
     return message
 
 
-def is_news(leaf, endpoint):
+def is_update_due(agent, endpoint):
     """Whether the replica at that place lacks something of the directory, or was told long ago."""
-    told = leaf.told.get(endpoint.member.name)
-    if told is None or told.member != endpoint.member or now_ms(leaf) - told.at_ms >= REPEAT_MS:
+    told = agent.sent_directories.get(endpoint.member.name)
+    if told is None or told.member != endpoint.member or now_ms(agent) - told.at_ms >= REPEAT_MS:
         return True
-    return told.directory != current(leaf)
+    return told.directory != current(agent)
--- a/frostpost/cluster/lease_client.py
+++ b/frostpost/cluster/lease_client.py
@@ -7,185 +7,189 @@
 
 from .agent_context import count, now_ms
 
-RENEWS = 5
-SEEKS = 20
+RENEWALS_PER_LEASE = 5
+SEARCHES_PER_LEASE = 20
 # One renewal in so many goes to all replicas, which forget agents that they do not hear for long.
 INTRODUCE_EVERY = 256
-NEVER = -(1 << 40)
+NEVER_MS = -(1 << 40)
 
 
 class Session(Struct):
     """sequencer: name of the ring's daemon that granted last. until_ms: end of the lease, on this daemon's clock."""
 
     sequencer: str = ""
-    until_ms: int = NEVER
-    heard_ms: int = NEVER
-    renewed_ms: int = NEVER
+    until_ms: int = NEVER_MS
+    heard_ms: int = NEVER_MS
+    renewed_ms: int = NEVER_MS
     renewals: int = 0
-    greeted_ms: int = NEVER
-    asked_ms: int = NEVER
+    directory_requested_ms: int = NEVER_MS
+    routing_requested_ms: int = NEVER_MS
     epoch: int = 0
     voters: tuple[str, ...] = ()
-    version: int = 0
-    honoured: int = 0
-    held: int = 0
-    leaves: int = 1
+    latest_routing_version: int = 0
+    honoured_version: int = 0
+    routing_version: int = 0
+    agent_count: int = 1
 
 
-def session(leaf):
-    if leaf.session is None:
-        leaf.session, leaf.directory = Session(), {}
-    return leaf.session
+def session_of(agent):
+    if agent.session is None:
+        agent.session, agent.directory = Session(), {}
+    return agent.session
 
 
-def lease_ok(leaf):
+def holds_lease(agent):
     """Whether this daemon may act now."""
-    return leaf.session is not None and now_ms(leaf) < leaf.session.until_ms
+    return agent.session is not None and now_ms(agent) < agent.session.until_ms
 
 
-def voters(leaf):
+def voters_of(agent):
     """Names of the voters as the last grant told them."""
-    return session(leaf).voters
+    return session_of(agent).voters
 
 
-def ring_addresses(leaf):
+def replica_addresses(agent):
     """Name -> "@host:port" of the ring's daemons."""
-    session(leaf)
-    return {name: address_of(endpoint) for name, endpoint in leaf.directory.items()}
+    session_of(agent)
+    return {name: address_of(endpoint) for name, endpoint in agent.directory.items()}
 
 
 def address_of(endpoint):
     return f"@{endpoint.host}:{endpoint.port}"
 
 
-def tend(leaf):
+def renew_if_due(agent):
     """Called every few ten ms: renew the lease, look for the ring where there is none."""
-    held, now = session(leaf), now_ms(leaf)
-    every_ms, seek_ms = leaf.settings.lease_ms // RENEWS, leaf.settings.lease_ms // SEEKS
-    lost = now - held.heard_ms > 2 * every_ms
-    if now - held.renewed_ms >= (seek_ms if lost else every_ms):
-        renew(leaf)
-    if lost and now - held.greeted_ms >= (seek_ms if not leaf.directory else 4 * every_ms):
-        held.greeted_ms = now
-        for seed in leaf.settings.seeds:
-            leaf.links["send"](f"@{seed}", DirectoryRequest())
-
-
-def renewal(leaf):
+    session, now = session_of(agent), now_ms(agent)
+    every_ms, seek_ms = agent.settings.lease_ms // RENEWALS_PER_LEASE, agent.settings.lease_ms // SEARCHES_PER_LEASE
+    lost = now - session.heard_ms > 2 * every_ms
+    if now - session.renewed_ms >= (seek_ms if lost else every_ms):
+        send_lease_requests(agent)
+    if lost and now - session.directory_requested_ms >= (seek_ms if not agent.directory else 4 * every_ms):
+        session.directory_requested_ms = now
+        for seed in agent.settings.seeds:
+            agent.links["send"](f"@{seed}", DirectoryRequest())
+
+
+def lease_request(agent):
     """The request for a lease as of now."""
-    held = session(leaf)
-    return LeaseRequest(now_ms(leaf), held.held, held.epoch, tuple(leaf.extras.get("list_draining", ())))
+    session = session_of(agent)
+    return LeaseRequest(
+        now_ms(agent), session.routing_version, session.epoch, tuple(agent.extras.get("list_draining", ()))
+    )
 
 
-def due_ms(leaf):
+def due_ms(agent):
     """When `tend` has something to do next, on this daemon's clock."""
-    held = session(leaf)
-    every_ms, seek_ms = leaf.settings.lease_ms // RENEWS, leaf.settings.lease_ms // SEEKS
-    lost_ms = held.heard_ms + 2 * every_ms + 1
-    if now_ms(leaf) < lost_ms:
-        return min(held.renewed_ms + every_ms, lost_ms)
-    return min(held.renewed_ms + seek_ms, held.greeted_ms + (4 * every_ms if leaf.directory else seek_ms))
-
-
-def renew(leaf):
-    held, now = session(leaf), now_ms(leaf)
-    held.renewed_ms, held.renewals = now, held.renewals + 1
-    message = renewal(leaf)
-    lost = now - held.heard_ms > 2 * (leaf.settings.lease_ms // RENEWS)
-    everywhere = lost or held.renewals % INTRODUCE_EVERY == 0
-    for name, address in ring_addresses(leaf).items():
-        if everywhere or name == held.sequencer:
-            leaf.links["send"](address, message)
-
-
-def search(leaf):
+    session = session_of(agent)
+    every_ms, seek_ms = agent.settings.lease_ms // RENEWALS_PER_LEASE, agent.settings.lease_ms // SEARCHES_PER_LEASE
+    lost_ms = session.heard_ms + 2 * every_ms + 1
+    if now_ms(agent) < lost_ms:
+        return min(session.renewed_ms + every_ms, lost_ms)
+    return min(
+        session.renewed_ms + seek_ms, session.directory_requested_ms + (4 * every_ms if agent.directory else seek_ms)
+    )
+
+
+def send_lease_requests(agent):
+    session, now = session_of(agent), now_ms(agent)
+    session.renewed_ms, session.renewals = now, session.renewals + 1
+    message = lease_request(agent)
+    lost = now - session.heard_ms > 2 * (agent.settings.lease_ms // RENEWALS_PER_LEASE)
+    everywhere = lost or session.renewals % INTRODUCE_EVERY == 0
+    for name, address in replica_addresses(agent).items():
+        if everywhere or name == session.sequencer:
+            agent.links["send"](address, message)
+
+
+def look_for_sequencer(agent):
     """The sequencer has no lease to give: ask all of the ring, now and then at the pace of a search."""
-    held = session(leaf)
-    held.heard_ms = NEVER
-    if now_ms(leaf) - held.renewed_ms >= leaf.settings.lease_ms // SEEKS:
-        renew(leaf)
-    if leaf.ticker is not None:
-        leaf.ticker.wake(due_ms(leaf) - now_ms(leaf))
+    session = session_of(agent)
+    session.heard_ms = NEVER_MS
+    if now_ms(agent) - session.renewed_ms >= agent.settings.lease_ms // SEARCHES_PER_LEASE:
+        send_lease_requests(agent)
+    if agent.ticker is not None:
+        agent.ticker.wake(due_ms(agent) - now_ms(agent))
 
 
-def greeted(leaf, endpoint):
+def on_replica_greeting(agent, endpoint):
     """A daemon of the ring speaks unasked: one that isn't the known sequencer may have come to be it."""
-    held = session(leaf)
-    if not lease_ok(leaf):
-        renew(leaf)
-    elif endpoint.member.name != held.sequencer:
-        leaf.links["send"](address_of(endpoint), renewal(leaf))
+    session = session_of(agent)
+    if not holds_lease(agent):
+        send_lease_requests(agent)
+    elif endpoint.member.name != session.sequencer:
+        agent.links["send"](address_of(endpoint), lease_request(agent))
 
 
-def directed(leaf, endpoints):
+def on_directory(agent, endpoints):
     """Places of the ring's daemons, told by any daemon."""
-    session(leaf)
-    known = set(leaf.directory)
+    session_of(agent)
+    known = set(agent.directory)
     for endpoint in endpoints:
         if endpoint.role == "storage":
-            leaf.directory[endpoint.member.name] = endpoint
-    if set(leaf.directory) - known and not lease_ok(leaf):
-        renew(leaf)
+            agent.directory[endpoint.member.name] = endpoint
+    if set(agent.directory) - known and not holds_lease(agent):
+        send_lease_requests(agent)
 
 
-def redirected(leaf, endpoint, leader):
+def on_redirect(agent, endpoint, leader):
     """A replica that doesn't lead names the leader that it knows, if any; -> whether the leader changed."""
-    held = session(leaf)
-    from_leader = endpoint.member.name == held.sequencer
-    if leader and leader != held.sequencer and (from_leader or not lease_ok(leaf)):
-        held.sequencer = leader
+    session = session_of(agent)
+    from_leader = endpoint.member.name == session.sequencer
+    if leader and leader != session.sequencer and (from_leader or not holds_lease(agent)):
+        session.sequencer = leader
         return True
     if from_leader:
-        search(leaf)
+        look_for_sequencer(agent)
     return False
 
 
-def introduce(leaf, endpoints, leader):
+def introduce_agent(agent, endpoints, leader):
     """Make this daemon known to replicas that it hasn't spoken to, so that each greets it when it comes to lead."""
     for endpoint in endpoints:
-        if leaf.directory.get(endpoint.member.name) != endpoint and endpoint.member.name != leader:
-            leaf.links["send"](address_of(endpoint), renewal(leaf))
+        if agent.directory.get(endpoint.member.name) != endpoint and endpoint.member.name != leader:
+            agent.links["send"](address_of(endpoint), lease_request(agent))
 
 
-def granted(leaf, endpoint, grant):
+def on_lease_reply(agent, endpoint, grant):
     """-> whether the sequencer changed."""
-    held, now = session(leaf), now_ms(leaf)
+    session, now = session_of(agent), now_ms(agent)
     if grant.sequencer != endpoint.member.name:
-        directed(leaf, grant.endpoints)
-        return redirected(leaf, endpoint, grant.sequencer)
-    if grant.epoch < held.epoch:
+        on_directory(agent, grant.endpoints)
+        return on_redirect(agent, endpoint, grant.sequencer)
+    if grant.epoch < session.epoch:
         return False
-    if grant.lease_ms <= 0 and grant.version <= held.held:
-        search(leaf)
+    if grant.lease_ms <= 0 and grant.version <= session.routing_version:
+        look_for_sequencer(agent)
         return False
-    moved = held.sequencer != endpoint.member.name or held.epoch != grant.epoch
-    held.sequencer, held.heard_ms = endpoint.member.name, now
+    moved = session.sequencer != endpoint.member.name or session.epoch != grant.epoch
+    session.sequencer, session.heard_ms = endpoint.member.name, now
     if grant.lease_ms > 0:
-        held.until_ms = max(held.until_ms, grant.sent_ms + grant.lease_ms)
-    held.voters, held.version = grant.voters, grant.version
+        session.until_ms = max(session.until_ms, grant.sent_ms + grant.lease_ms)
+    session.voters, session.latest_routing_version = grant.voters, grant.version
     # What every running lease has honoured stays so: no later lease is granted on an older routing.
-    held.honoured = max(held.honoured, grant.honoured)
-    held.leaves = max(1, grant.leaves)
-    if grant.draining and "drained" in leaf.extras:
-        leaf.extras["drained"](grant.draining)
+    session.honoured_version = max(session.honoured_version, grant.honoured)
+    session.agent_count = max(1, grant.agent_count)
+    if grant.draining and "drained" in agent.extras:
+        agent.extras["drained"](grant.draining)
     if grant.endpoints:
-        introduce(leaf, grant.endpoints, held.sequencer)
-        leaf.directory = {p.member.name: p for p in grant.endpoints}
-        held.epoch = grant.epoch
-    if grant.version > held.held and now - held.asked_ms >= 100:
-        held.asked_ms = now
-        leaf.links["send"](address_of(endpoint), RoutingRequest(held.held))
+        introduce_agent(agent, grant.endpoints, session.sequencer)
+        agent.directory = {p.member.name: p for p in grant.endpoints}
+        session.epoch = grant.epoch
+    if grant.version > session.routing_version and now - session.routing_requested_ms >= 100:
+        session.routing_requested_ms = now
+        agent.links["send"](address_of(endpoint), RoutingRequest(session.routing_version))
     if moved:
-        say("session", sequencer=held.sequencer, epoch=grant.epoch)
+        say("session", sequencer=session.sequencer, epoch=grant.epoch)
     return moved
 
 
-def routed(leaf, message):
+def on_routing_update(agent, message):
     """Take a newer routing in and tell the sequencer at once."""
-    held = session(leaf)
-    if message.version <= held.held:
+    session = session_of(agent)
+    if message.version <= session.routing_version:
         return
-    routing = leaf.extras["routing_from_body"](message.body)
-    leaf.routing, leaf.routing_body, held.held = routing, message.body, message.version
-    count(leaf, "routings")
-    renew(leaf)
+    routing = agent.extras["routing_from_body"](message.body)
+    agent.routing, agent.routing_body, session.routing_version = routing, message.body, message.version
+    count(agent, "routings")
+    send_lease_requests(agent)
--- a/frostpost/cluster/operation_client.py
+++ b/frostpost/cluster/operation_client.py
@@ -9,8 +9,8 @@
 from frostpost.virtual_synchrony.agent_messages import OperationRequest
 
 from .agent_context import count, now_ms
-from .attempt_tracing import handed_in, traced
-from .lease_client import NEVER, lease_ok, ring_addresses, session
+from .attempt_tracing import is_traced, trace_operation
+from .lease_client import NEVER_MS, holds_lease, replica_addresses, session_of
 
 RETRY_MS = 500
 RESEND_MS = 300
@@ -18,102 +18,104 @@
 decode = msgpack.Decoder(CoppiceVerdict).decode
 
 
-class Asked(Struct):
+class PendingOperation(Struct):
     number: int
     payload: bytes
-    must: bool
+    until_decided: bool
     until_ms: int
     answer: Deferred
-    sent_ms: int = NEVER
+    sent_ms: int = NEVER_MS
 
 
-class Asking(Struct):
+class OperationClient(Struct):
     number: int = 0
-    open: dict[int, Asked] = {}
+    open: dict[int, PendingOperation] = {}
 
 
-def asking(leaf):
-    if leaf.asking is None:
-        leaf.asking = Asking()
-    return leaf.asking
+def client_of(agent):
+    if agent.operations is None:
+        agent.operations = OperationClient()
+    return agent.operations
 
 
-def hand_in(leaf, op, wait_ms, must):
-    state, now = asking(leaf), now_ms(leaf)
+def submit(agent, op, wait_ms, until_decided):
+    state, now = client_of(agent), now_ms(agent)
     state.number += 1
-    asked = Asked(state.number, encode(op), must, now + int(wait_ms), Deferred())
-    state.open[asked.number] = asked
-    if traced(leaf):
-        handed_in(leaf, op, asked.answer)
-    send(leaf, asked)
-    if leaf.ticker is not None:
-        leaf.ticker.wake(due_ms_of(asked) - now)
-    return asked.answer
+    pending = PendingOperation(state.number, encode(op), until_decided, now + int(wait_ms), Deferred())
+    state.open[pending.number] = pending
+    if is_traced(agent):
+        trace_operation(agent, op, pending.answer)
+    send(agent, pending)
+    if agent.ticker is not None:
+        agent.ticker.wake(due_ms_of(pending) - now)
+    return pending.answer
 
 
-def ask(leaf, op, wait_ms):
+def call_replicas(agent, op, wait_ms):
     """-> Deferred[Result[verdict, Unavailable]]; after an Error it isn't known whether the operation was ordered."""
-    if not lease_ok(leaf):
+    if not holds_lease(agent):
         answer = Deferred()
         answer.callback(Error(Unavailable(RETRY_MS, "lease")))
         return answer
-    return hand_in(leaf, op, wait_ms, False)
+    return submit(agent, op, wait_ms, False)
 
 
-def tell(leaf, op):
+def submit_until_decided(agent, op):
     """Hand an end in until it is decided; never turned away."""
-    return hand_in(leaf, op, 0, True)
+    return submit(agent, op, 0, True)
 
 
-def look(leaf, op, wait_ms):
+def call_replicas_unleased(agent, op, wait_ms):
     """As `ask`, for control: waits for a ring if there is none right now."""
-    return hand_in(leaf, op, wait_ms, False)
+    return submit(agent, op, wait_ms, False)
 
 
-def send(leaf, asked):
-    held = session(leaf)
-    address = ring_addresses(leaf).get(held.sequencer)
+def send(agent, pending):
+    held = session_of(agent)
+    address = replica_addresses(agent).get(held.sequencer)
     if address is not None:
-        asked.sent_ms = now_ms(leaf)
-        leaf.links["send"](address, OperationRequest(leaf.endpoint.member.incarnation, asked.number, asked.payload))
+        pending.sent_ms = now_ms(agent)
+        agent.links["send"](
+            address, OperationRequest(agent.endpoint.member.incarnation, pending.number, pending.payload)
+        )
 
 
-def send_all(leaf):
+def resend_all(agent):
     """The sequencer changed: hand in again what is open."""
-    for asked in list(asking(leaf).open.values()):
-        send(leaf, asked)
+    for pending in list(client_of(agent).open.values()):
+        send(agent, pending)
 
 
-def told(leaf, message):
-    state = asking(leaf)
-    asked = state.open.get(message.number)
-    if asked is None or message.incarnation != leaf.endpoint.member.incarnation:
+def on_operation_reply(agent, message):
+    state = client_of(agent)
+    pending = state.open.get(message.number)
+    if pending is None or message.incarnation != agent.endpoint.member.incarnation:
         return
     if message.fault:
-        count(leaf, f"ring/{message.fault}")
+        count(agent, f"ring/{message.fault}")
         return
     del state.open[message.number]
-    asked.answer.callback(Ok(decode(message.verdict)))
+    pending.answer.callback(Ok(decode(message.verdict)))
 
 
-def due_ms_of(asked):
+def due_ms_of(pending):
     """When something is to be done about one that is open."""
-    resend_ms = asked.sent_ms + RESEND_MS
-    return resend_ms if asked.must else min(resend_ms, asked.until_ms)
+    resend_ms = pending.sent_ms + RESEND_MS
+    return resend_ms if pending.until_decided else min(resend_ms, pending.until_ms)
 
 
-def due_ms(leaf):
+def due_ms(agent):
     """When `tend` has something to do next, on this daemon's clock; None if nothing is open."""
-    return min(map(due_ms_of, asking(leaf).open.values()), default=None)
+    return min(map(due_ms_of, client_of(agent).open.values()), default=None)
 
 
-def tend(leaf):
+def resend_due(agent):
     """Send again what is undecided, and give up what has waited long enough."""
-    state, now = asking(leaf), now_ms(leaf)
-    for asked in list(state.open.values()):
-        if now >= asked.until_ms and not asked.must:
-            state.open.pop(asked.number, None)
-            count(leaf, "undecided")
-            asked.answer.callback(Error(Unavailable(RETRY_MS, "undecided")))
-        elif now - asked.sent_ms >= RESEND_MS:
-            send(leaf, asked)
+    state, now = client_of(agent), now_ms(agent)
+    for pending in list(state.open.values()):
+        if now >= pending.until_ms and not pending.until_decided:
+            state.open.pop(pending.number, None)
+            count(agent, "undecided")
+            pending.answer.callback(Error(Unavailable(RETRY_MS, "undecided")))
+        elif now - pending.sent_ms >= RESEND_MS:
+            send(agent, pending)
--- a/frostpost/cluster/replica_context.py
+++ b/frostpost/cluster/replica_context.py
@@ -13,15 +13,15 @@
 ROLE = "storage"
 
 
-class Replica:
+class ReplicaContext:
     """What a storage daemon holds beside its context."""
 
     __slots__ = (
         "background",
-        "charter",
+        "bootstrap_voters",
         "ctx",
-        "greeted",
-        "leaves",
+        "announced_configuration",
+        "agent_addresses",
         "leaving",
         "machine",
         "peers",
@@ -39,9 +39,9 @@
 
     def __init__(self, ctx, settings, stop):
         self.ctx, self.settings, self.stop = ctx, settings, stop
-        self.sessions, self.background = agent_sessions.Sessions(), voter_reconfiguration.VoterChanges()
+        self.sessions, self.background = agent_sessions.AgentSessions(), voter_reconfiguration.VoterChanges()
         self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
-        self.turn_store, self.send, self.records, self.waiting, self.charter = None, None, [], True, ()
+        self.turn_store, self.send, self.records, self.waiting, self.bootstrap_voters = None, None, [], True, ()
         self.leaving = False
         self.seeking = None
 
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -26,7 +26,7 @@
 from frostpost.write_ahead_log import disk as write_ahead_logs
 
 from . import address_book, agent_sessions, announcements, status, voter_reconfiguration
-from .replica_context import ROLE, Crash, Replica, ring_settings
+from .replica_context import ROLE, Crash, ReplicaContext, ring_settings
 
 LEAVE_S = 0.4
 HANDOVER_S = 0.05
@@ -40,22 +40,25 @@
         Member(settings.name, incarnation), ROLE, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
     )
     ctx = Context(ring_settings(settings), reactor, endpoint, machine)
-    replica = Replica(ctx, settings, stop)
+    replica = ReplicaContext(ctx, settings, stop)
     ctx.life = Crash(stop)
     write_ahead_log, replica.records, fault = disks.open_(settings.data, machine.files)
     if fault:
         say(type(fault).__name__, path=fault.path, offset=fault.offset)
     ctx.disk = disks.Keeper(ctx, write_ahead_log)
-    replica.peers = address_book.open_(settings.data, machine)
-    replica.leaves, replica.greeted = address_book.open_(settings.data, machine, "leaves"), None
+    replica.peers = address_book.open_address_book(settings.data, machine)
+    replica.agent_addresses, replica.announced_configuration = (
+        address_book.open_address_book(settings.data, machine, "leaves"),
+        None,
+    )
     replica.turn_store = store.open_(
         settings.data,
         machine,
-        tell=lambda lost: told_by_disk(replica, lost),
+        tell=lambda lost: on_store_failure(replica, lost),
         disk_bytes=settings.disk_mb * 600000 or 1 << 30,
     )
     ctx.links = {
-        "applied": lambda: applied(replica),
+        "applied": lambda: on_applied(replica),
         "news": lambda sender_name, body: None,
         "heard": lambda sender_name, news: None,
     }
@@ -63,7 +66,7 @@
     return replica
 
 
-def told_by_disk(replica, lost):
+def on_store_failure(replica, lost):
     say(type(lost).__name__, what="turn_store")
     if isinstance(lost, write_ahead_logs.SyncLostError):
         replica.stop(70)
@@ -71,14 +74,14 @@
 
 def start(replica):
     """Listen and begin: at once with a memory or at a later start, else with the charter."""
-    listen(replica.ctx, lambda ctx, frame: received(replica, frame)).addErrback(fallen(replica))
+    listen(replica.ctx, lambda ctx, frame: on_frame(replica, frame)).addErrback(on_listen_failure(replica))
     log = replay(replica.records)
     if log.primary != NOWHERE or not replica.settings.first_start:
-        begin(replica, ())
-    replica.seeking = loop(replica, lambda: seek_charter(replica), 0.1)
+        begin_serving(replica, ())
+    replica.seeking = run_every(replica, lambda: request_bootstrap(replica), 0.1)
 
 
-def fallen(replica):
+def on_listen_failure(replica):
     def failed(failure):
         say("ListenError", text=failure.getErrorMessage())
         replica.stop(69)
@@ -86,28 +89,28 @@
     return failed
 
 
-def begin(replica, charter):
+def begin_serving(replica, charter):
     ctx, settings = replica.ctx, replica.settings
-    replica.waiting, replica.charter = False, charter
-    seeds = dict.fromkeys((*settings.seeds, *address_book.known(replica.peers)))
+    replica.waiting, replica.bootstrap_voters = False, charter
+    seeds = dict.fromkeys((*settings.seeds, *address_book.known_addresses(replica.peers)))
     ctx.core, out = cores.begin(
         ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
     )
     replica.records = []
     ctx.disk.write(out.writes)
-    heart.start_ticker(ctx, broken(replica))
+    heart.start_ticker(ctx, on_job_failure(replica))
     replica.tasks.append(ctx.ticker)
-    loop(replica, lambda: watch(replica), 0.1)
-    loop(replica, lambda: change_voters(replica), 0.1)
-    loop(replica, lambda: tick_ledger(ctx), settings.tick_ms / 1000)
-    loop(replica, lambda: repair(replica), 0.2)
-    loop(replica, lambda: keep_addresses(replica), 1.0)
-    loop(replica, lambda: tidy(replica), 10.0)
-    loop(replica, lambda: announcements.greet_lapsed(replica), settings.lease_ms / 1000)
+    run_every(replica, lambda: check_disk_and_opening(replica), 0.1)
+    run_every(replica, lambda: change_voters(replica), 0.1)
+    run_every(replica, lambda: tick_ledger(ctx), settings.tick_ms / 1000)
+    run_every(replica, lambda: repair(replica), 0.2)
+    run_every(replica, lambda: save_addresses(replica), 1.0)
+    run_every(replica, lambda: expire(replica), 10.0)
+    run_every(replica, lambda: announcements.announce_to_lapsed(replica), settings.lease_ms / 1000)
     say("started", name=settings.name, founding=list(charter))
 
 
-def broken(replica):
+def on_job_failure(replica):
     """What ends this daemon when one of its jobs fails."""
 
     def failed(failure):
@@ -117,15 +120,15 @@
     return failed
 
 
-def loop(replica, job, every_s):
+def run_every(replica, job, every_s):
     task = LoopingCall(job)
     task.clock = replica.reactor
-    task.start(every_s, now=False).addErrback(broken(replica))
+    task.start(every_s, now=False).addErrback(on_job_failure(replica))
     replica.tasks.append(task)
     return task
 
 
-def seek_charter(replica):
+def request_bootstrap(replica):
     """Ask the seeds for the charter, until this daemon has begun."""
     if not replica.waiting:
         replica.seeking.stop()
@@ -134,20 +137,20 @@
         replica.ctx.links["send"](f"@{seed}", DirectoryRequest())
 
 
-def watch(replica):
+def check_disk_and_opening(replica):
     """See whether the disk is well, and whether an opening was missed."""
     replica.ctx.disk.watch()
-    announcements.greet_known(replica)
+    announcements.announce_opening(replica)
 
 
 def change_voters(replica):
-    return voter_reconfiguration.tend(replica.ctx, replica.background, replica.settings)
+    return voter_reconfiguration.reconfigure(replica.ctx, replica.background, replica.settings)
 
 
-def applied(replica):
+def on_applied(replica):
     """An operation was applied: tell the leaves of a new routing, and of an opening."""
-    agent_sessions.follow(replica.ctx, replica.sessions)
-    announcements.greet_known(replica)
+    agent_sessions.announce_routing(replica.ctx, replica.sessions)
+    announcements.announce_opening(replica)
 
 
 def repair(replica):
@@ -158,49 +161,49 @@
         if p.endpoint.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
     turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
-    ctx.core.synchrony.status = voter_reconfiguration.report(replica.turn_store, replica.leaving)
+    ctx.core.synchrony.status = voter_reconfiguration.status_report(replica.turn_store, replica.leaving)
 
 
-def keep_addresses(replica):
+def save_addresses(replica):
     """Keep on disk where the other daemons are."""
-    address_book.keep(replica.peers, replica.ctx.core.synchrony)
-    keep_leaves(replica)
+    address_book.save_members(replica.peers, replica.ctx.core.synchrony)
+    save_agent_addresses(replica)
 
 
-def keep_leaves(replica):
+def save_agent_addresses(replica):
     """Addresses of leaves heard of late, by the sequencer as renewals come, by the others from what it greets."""
     now = clock_ms(replica.ctx)
-    recent = [s.address[1:] for s in replica.sessions.leaves.values() if s.until_ms > now]
+    recent = [s.address[1:] for s in replica.sessions.agents.values() if s.until_ms > now]
     if recent:
-        address_book.keep_addresses(replica.leaves, recent)
+        address_book.save_addresses(replica.agent_addresses, recent)
 
 
-def tidy(replica):
-    agent_sessions.forget(replica.sessions, clock_ms(replica.ctx))
+def expire(replica):
+    agent_sessions.forget_lapsed(replica.sessions, clock_ms(replica.ctx))
     store.expire(replica.turn_store, lambda turn: turn in replica.ctx.core.ledger.program_ledger.turns)
 
 
-def received(replica, frame):
+def on_frame(replica, frame):
     """A frame from any daemon."""
     endpoint, body, ctx = frame.endpoint, frame.body, replica.ctx
-    if status.ring_answered(replica, endpoint, body):
+    if status.answer_replica_status(replica, endpoint, body):
         return None
     if isinstance(body, DirectoryReply):
-        return directed(replica, body)
+        return on_directory(replica, body)
     if isinstance(body, (PutBodyRequest, GetBodiesRequest, GetBodiesReply, PutBodyReply)):
         return turn_stores.received(replica, f"@{endpoint.host}:{endpoint.port}", body)
     if replica.waiting:
         return None
     if endpoint.role == ROLE:
         return heart.received(ctx, frame)
-    return agent_sessions.received(ctx, replica.sessions, endpoint, body)
+    return agent_sessions.on_agent_message(ctx, replica.sessions, endpoint, body)
 
 
-def directed(replica, message):
+def on_directory(replica, message):
     """A seed tells the ring's daemons that it knows, and the charter."""
     if replica.waiting:
-        if message.charter:
-            begin(replica, message.charter)
+        if message.bootstrap_voters:
+            begin_serving(replica, message.bootstrap_voters)
         return
     ctx = replica.ctx
     for endpoint in message.endpoints:
@@ -208,7 +211,7 @@
             heart.feed(ctx, MessageReceived(clock_ms(ctx), endpoint, DiscoveryUpdate((), False)))
 
 
-def leave(replica):
+def drain(replica):
     """Give the vote up if the others do without it, leave the configuration in order, then end."""
     if replica.leaving:
         return
@@ -216,15 +219,15 @@
     if replica.waiting:
         replica.reactor.callLater(LEAVE_S, replica.stop, 0)
         return
-    replica.ctx.core.synchrony.status = voter_reconfiguration.report(replica.turn_store, True)
+    replica.ctx.core.synchrony.status = voter_reconfiguration.status_report(replica.turn_store, True)
     until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // HANDOVER_SHARE
-    leave_without_vote(replica, until_ms)
+    drain_without_vote(replica, until_ms)
 
 
-def leave_without_vote(replica, until_ms):
+def drain_without_vote(replica, until_ms):
     """Wait until this replica is no voter, where that is to be had in time."""
-    if clock_ms(replica.ctx) < until_ms and voter_reconfiguration.dispensable(replica.ctx, replica.settings):
-        replica.reactor.callLater(HANDOVER_S, leave_without_vote, replica, until_ms)
+    if clock_ms(replica.ctx) < until_ms and voter_reconfiguration.is_dispensable_voter(replica.ctx, replica.settings):
+        replica.reactor.callLater(HANDOVER_S, drain_without_vote, replica, until_ms)
         return
     heart.feed(replica.ctx, DrainRequested(clock_ms(replica.ctx)))
     replica.reactor.callLater(LEAVE_S, replica.stop, 0)
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -11,16 +11,16 @@
 
 from . import agent_sessions
 from .agent_context import now_ms
-from .lease_client import session
+from .lease_client import session_of
 
 DAEMONS = ("storage", "core", "edge")
 
 
-def begin(leaf):
-    leaf.extras["started_ms"] = now_ms(leaf)
+def begin_status(agent):
+    agent.extras["started_ms"] = now_ms(agent)
 
 
-def answered(ctx, endpoint, body, facts, directory):
+def answer_operator(ctx, endpoint, body, facts, directory):
     """Answer an operator over a connection of its own: status or places; -> whether the frame ends here."""
     if endpoint.role in DAEMONS and not isinstance(body, StatusRequest):
         return False
@@ -32,19 +32,19 @@
     return True
 
 
-def leaf_answered(leaf, endpoint, body):
-    return answered(
-        leaf,
+def answer_agent_status(agent, endpoint, body):
+    return answer_operator(
+        agent,
         endpoint,
         body,
-        lambda: leaf_facts(leaf),
-        lambda: DirectoryReply(tuple(leaf.directory.values()), leaf.charter),
+        lambda: agent_facts(agent),
+        lambda: DirectoryReply(tuple(agent.directory.values()), agent.bootstrap_voters),
     )
 
 
-def ring_answered(replica, endpoint, body):
-    return answered(
-        replica.ctx, endpoint, body, lambda: ring_facts(replica), lambda: DirectoryReply(ring_endpoints(replica.ctx))
+def answer_replica_status(replica, endpoint, body):
+    return answer_operator(
+        replica.ctx, endpoint, body, lambda: replica_facts(replica), lambda: DirectoryReply(ring_endpoints(replica.ctx))
     )
 
 
@@ -54,7 +54,7 @@
     return (ctx.endpoint, *(peer.endpoint for peer in ctx.core.synchrony.peers.values()))
 
 
-def common(endpoint, uptime_ms, counts):
+def common_facts(endpoint, uptime_ms, counts):
     return {
         "name": endpoint.member.name,
         "role": endpoint.role,
@@ -65,39 +65,43 @@
     }
 
 
-def leaf_facts(leaf):
-    held, now, runners = session(leaf), now_ms(leaf), leaf.runners
-    resting = [i for i, load in leaf.loads.items() if i in runners and load.resting_until_ms > now]
-    return common(leaf.endpoint, now - leaf.extras.get("started_ms", now), leaf.counts) | {
+def agent_facts(agent):
+    held, now, runners = session_of(agent), now_ms(agent), agent.runners
+    resting = [i for i, load in agent.loads.items() if i in runners and load.resting_until_ms > now]
+    return common_facts(agent.endpoint, now - agent.extras.get("started_ms", now), agent.counts) | {
         "sequencer": held.sequencer,
         "lease_left_ms": max(0, held.until_ms - now),
         "epoch": held.epoch,
-        "routing": {"held": held.held, "known": held.version, "honoured": held.honoured},
+        "routing": {
+            "held": held.routing_version,
+            "known": held.latest_routing_version,
+            "honoured": held.honoured_version,
+        },
         "voters": list(held.voters),
-        "ring": sorted(leaf.directory),
-        "charter": list(leaf.charter),
-        "open_asks": 0 if leaf.asking is None else len(leaf.asking.open),
-        "flights": leaf.flights,
-        "calls": leaf.calls,
-        "leaving": leaf.leaving,
+        "ring": sorted(agent.directory),
+        "charter": list(agent.bootstrap_voters),
+        "open_asks": 0 if agent.operations is None else len(agent.operations.open),
+        "flights": agent.flights,
+        "calls": agent.calls,
+        "leaving": agent.leaving,
         "runners": {
             "known": len(runners),
             "draining": sum(r.draining for r in runners.values()),
             "resting": len(resting),
         },
         "list": {
-            "wanted": leaf.settings.front is not None,
-            "address": f"{leaf.settings.list_host}:{leaf.settings.list_port}" if leaf.settings.list_host else "",
-            "fetched": bool(leaf.extras.get("list_seen")),
+            "wanted": agent.settings.front is not None,
+            "address": f"{agent.settings.list_host}:{agent.settings.list_port}" if agent.settings.list_host else "",
+            "fetched": bool(agent.extras.get("list_seen")),
         },
     }
 
 
-def ring_facts(replica):
+def replica_facts(replica):
     ctx = replica.ctx
-    facts = common(ctx.endpoint, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
+    facts = common_facts(ctx.endpoint, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
         "charter_waiting": replica.waiting,
-        "charter": list(replica.charter),
+        "charter": list(replica.bootstrap_voters),
         "tolerated": replica.settings.tolerated,
         "disk_unwell": bool(ctx.disk.unwell),
         "turn_store": {
@@ -117,7 +121,7 @@
         "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.incarnation},
         "members": member_names(synchrony.configuration),
         "sequencer": sequencer_of(synchrony),
-        "sequencing": agent_sessions.sequencing(ctx),
+        "sequencing": agent_sessions.is_sequencer(ctx),
         "primary_opened": synchrony.primary.opened,
         "recovering": synchrony.recovery is not None,
         "refilled": synchrony.primary.ready,
@@ -132,7 +136,10 @@
             "accounts": len(program_ledger.accounts),
             "keys": len(program_ledger.keys),
         },
-        "routing": {"version": program_ledger.routing_version, "honoured": agent_sessions.honoured(ctx, sessions)},
+        "routing": {
+            "version": program_ledger.routing_version,
+            "honoured": agent_sessions.honoured_version(ctx, sessions),
+        },
         "retiring": dict(program_ledger.retiring),
         "ring_counts": dict(synchrony.counts),
         "leaves": {
@@ -141,6 +148,6 @@
                 "version": seen.version,
                 "lease_left_ms": seen.until_ms - now if seen.until_ms else None,
             }
-            for name, seen in sessions.leaves.items()
+            for name, seen in sessions.agents.items()
         },
     }
--- a/frostpost/cluster/voter_policy.py
+++ b/frostpost/cluster/voter_policy.py
@@ -26,20 +26,20 @@
     zone: str = ""
     region: str = ""
     present: bool = True
-    whole: bool = True
-    leaving: bool = False
-    emptying: bool = False
+    complete: bool = True
+    draining: bool = False
+    retiring: bool = False
     away_ms: int = 0
 
 
-class Waits(Struct, frozen=True):
+class AbsenceLimits(Struct, frozen=True):
     """How long a voter is away before it gives way: to a whole newcomer, and without one."""
 
     to_newcomer_ms: int
     alone_ms: int
 
 
-def most_lost(replicas, tolerance):
+def largest_loss(replicas, tolerance):
     """How many of these a loss inside the tolerance takes at the most."""
     by_zone = Counter(r.zone for r in replicas).most_common(tolerance.zones) if tolerance.zones else ()
     by_region = Counter(r.region for r in replicas).most_common(tolerance.regions) if tolerance.regions else ()
@@ -47,23 +47,23 @@
     return max(machines, sum(n for _, n in by_zone), sum(n for _, n in by_region))
 
 
-def slack(replicas, tolerance):
+def majority_margin(replicas, tolerance):
     """Above 0 if what the worst loss leaves is a majority; by how much, in halves of a voter."""
-    return 2 * (len(replicas) - most_lost(replicas, tolerance)) - len(replicas)
+    return 2 * (len(replicas) - largest_loss(replicas, tolerance)) - len(replicas)
 
 
-def sound(replicas, tolerance):
-    return slack(replicas, tolerance) > 0
+def tolerates_loss(replicas, tolerance):
+    return majority_margin(replicas, tolerance) > 0
 
 
-def quorum_whole(voters):
-    return 2 * sum(r.present and r.whole for r in voters) > len(voters)
+def has_complete_quorum(voters):
+    return 2 * sum(r.present and r.complete for r in voters) > len(voters)
 
 
-def safe(before, after, tolerance):
+def is_safe_step(before, after, tolerance):
     """Whether the step may be made: held by quorums of both sets, and no sound set becomes unsound by it."""
-    kept = sound(after, tolerance) or slack(after, tolerance) >= slack(before, tolerance)
-    return bool(after) and kept and quorum_whole(before) and quorum_whole(after)
+    kept = tolerates_loss(after, tolerance) or majority_margin(after, tolerance) >= majority_margin(before, tolerance)
+    return bool(after) and kept and has_complete_quorum(before) and has_complete_quorum(after)
 
 
 def next_voters(voters, others, tolerance, waits, may_swap=True):
@@ -71,44 +71,44 @@
 
     voters: views of the replicas that vote. others: present ones that don't.
     """
-    for after in steps(tuple(voters), others, tolerance, waits, may_swap):
-        if safe(voters, after, tolerance):
+    for after in candidate_sets(tuple(voters), others, tolerance, waits, may_swap):
+        if is_safe_step(voters, after, tolerance):
             return tuple(sorted(r.name for r in after))
     return None
 
 
-def steps(voters, others, tolerance, waits, may_swap):
+def candidate_sets(voters, others, tolerance, waits, may_swap):
     """Candidates for the next set, the best first."""
-    fresh = [r for r in others if r.whole and not (r.leaving or r.emptying)]
-    fresh.sort(key=lambda r: -slack((*voters, r), tolerance))
+    fresh = [r for r in others if r.complete and not (r.draining or r.retiring)]
+    fresh.sort(key=lambda r: -majority_margin((*voters, r), tolerance))
     away = [r for r in voters if not r.present]
     late = [r for r in away if r.away_ms >= min(waits.to_newcomer_ms, waits.alone_ms)]
     for newcomer in fresh if may_swap else ():
         yield from ((*without(voters, r), newcomer) for r in late)
     if not away or not may_swap:
         yield from ((*voters, newcomer) for newcomer in fresh)
-    yield from departures(voters, away, tolerance, waits)
-    yield from spreads(voters, tolerance)
+    yield from sets_without_leaver(voters, away, tolerance, waits)
+    yield from sets_spread_wider(voters, tolerance)
 
 
-def departures(voters, away, tolerance, waits):
+def sets_without_leaver(voters, away, tolerance, waits):
     """Sets without a voter that is to go or has been gone for long, where what remains is sound."""
-    leaving = [r for r in voters if r.leaving and r.present]
-    emptying = [r for r in voters if r.emptying and all(o.present and o.whole for o in without(voters, r))]
+    leaving = [r for r in voters if r.draining and r.present]
+    emptying = [r for r in voters if r.retiring and all(o.present and o.complete for o in without(voters, r))]
     gone = [r for r in away if r.away_ms >= waits.alone_ms]
     for leaver in (*leaving, *emptying, *gone):
         rest = without(voters, leaver)
-        if sound(rest, tolerance):
+        if tolerates_loss(rest, tolerance):
             yield rest
 
 
-def spreads(voters, tolerance):
+def sets_spread_wider(voters, tolerance):
     """Sets without one of too many voters of a zone or region."""
-    if sound(voters, tolerance):
+    if tolerates_loss(voters, tolerance):
         return
     for voter in voters:
         rest = without(voters, voter)
-        if slack(rest, tolerance) > slack(voters, tolerance):
+        if majority_margin(rest, tolerance) > majority_margin(voters, tolerance):
             yield rest
 
 
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -12,12 +12,12 @@
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
 from frostpost.virtual_synchrony.members import member_names
 
-from .agent_sessions import sequencing, voters_of
-from .voter_policy import ReplicaView, Waits, next_voters, sound
+from .agent_sessions import is_sequencer, voters_of
+from .voter_policy import AbsenceLimits, ReplicaView, next_voters, tolerates_loss
 
 MISSING, COUNTED, LEAVING = "missing", "counted", "leaving"
 TO_NEWCOMER_SHARE = 4
-ASK_MS = 2000
+OPERATION_TIMEOUT_MS = 2000
 
 
 class VoterChanges(Struct):
@@ -36,12 +36,12 @@
     left: bool = False
 
 
-def report(turn_store, leaving):
+def status_report(turn_store, leaving):
     """What a replica tells the others of its copies, with each heartbeat."""
     return {MISSING: turn_store.missing, COUNTED: turn_store.counted, **({LEAVING: 1} if leaving else {})}
 
 
-def news_of(ctx, name):
+def reported_status(ctx, name):
     """What a member of this configuration told last of its copies; empty if it holds no full ledger in it."""
     synchrony = ctx.core.synchrony
     if name == synchrony.name:
@@ -52,13 +52,13 @@
     return peer.status
 
 
-def whole(ctx, name, since=0):
+def is_complete(ctx, name, since=0):
     """Whether a member holds the whole ledger and every body, as counted in this configuration and after `since`."""
-    news, opened = news_of(ctx, name), ctx.core.synchrony.primary.base + 1
+    news, opened = reported_status(ctx, name), ctx.core.synchrony.primary.base + 1
     return news.get(MISSING, 1) == 0 and news.get(COUNTED, -1) >= max(since, opened)
 
 
-def view(ctx, changes, name, regions):
+def replica_view(ctx, changes, name, regions):
     """A replica as the rule for voters sees it."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     peer = synchrony.peers.get(name)
@@ -70,14 +70,14 @@
         zone,
         regions.get(zone, ""),
         present=present,
-        whole=present and whole(ctx, name),
-        leaving=bool(news_of(ctx, name).get(LEAVING)),
-        emptying=name in ctx.core.ledger.program_ledger.retiring,
+        complete=present and is_complete(ctx, name),
+        draining=bool(reported_status(ctx, name).get(LEAVING)),
+        retiring=name in ctx.core.ledger.program_ledger.retiring,
         away_ms=now - changes.away.get(name, now),
     )
 
 
-def observe(ctx, changes):
+def observe_voters(ctx, changes):
     """Take in since when voters are away, and since when the set in force is."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     voters, present = tuple(voters_of(ctx)), member_names(synchrony.configuration)
@@ -87,24 +87,24 @@
         changes.epoch = synchrony.configuration.id.epoch
 
 
-def wish(ctx, changes, settings):
+def next_voter_set(ctx, changes, settings):
     """The voters after one safe change, or None if they are right."""
-    observe(ctx, changes)
-    voters = [view(ctx, changes, n, settings.regions) for n in changes.voters]
+    observe_voters(ctx, changes)
+    voters = [replica_view(ctx, changes, n, settings.regions) for n in changes.voters]
     present = member_names(ctx.core.synchrony.configuration)
-    others = [view(ctx, changes, n, settings.regions) for n in present if n not in changes.voters]
-    waits = Waits(settings.catch_up_ms // TO_NEWCOMER_SHARE, settings.catch_up_ms)
+    others = [replica_view(ctx, changes, n, settings.regions) for n in present if n not in changes.voters]
+    waits = AbsenceLimits(settings.catch_up_ms // TO_NEWCOMER_SHARE, settings.catch_up_ms)
     return next_voters(voters, others, settings.tolerance, waits, ctx.core.ledger.rules >= SWAP_RULES)
 
 
-def staying(ctx):
+def remaining_members(ctx):
     """Members that aren't emptied."""
     return [
         n for n in member_names(ctx.core.synchrony.configuration) if n not in ctx.core.ledger.program_ledger.retiring
     ]
 
 
-def emptied(ctx, changes):
+def releasable_replicas(ctx, changes):
     """Replicas asked to leave that are no voters, whose copies nobody counts and the others all have."""
     retiring = ctx.core.ledger.program_ledger.retiring
     return [
@@ -113,11 +113,11 @@
         if state == "in_service"
         and n in changes.marks
         and n not in voters_of(ctx)
-        and all(whole(ctx, other, changes.marks[n]) for other in staying(ctx))
+        and all(is_complete(ctx, other, changes.marks[n]) for other in remaining_members(ctx))
     ]
 
 
-def unmarked(ctx, changes):
+def replicas_to_mark(ctx, changes):
     """Replicas asked to leave that no daemon with a running lease takes for a voter any more."""
     synchrony, voters = ctx.core.synchrony, voters_of(ctx)
     since_ms = max(changes.voters_ms, synchrony.installed_ms)
@@ -127,18 +127,18 @@
     return [n for n, state in retiring.items() if state == "in_service" and n not in voters and n not in changes.marks]
 
 
-def dispensable(ctx, settings):
+def is_dispensable_voter(ctx, settings):
     """Whether this replica is a voter, and a sound set of voters remains without it."""
     name, voters = ctx.core.synchrony.name, voters_of(ctx)
-    rest = [view(ctx, VoterChanges(), n, settings.regions) for n in voters if n != name]
-    return ctx.core.synchrony.primary.opened and name in voters and sound(rest, settings.tolerance)
+    rest = [replica_view(ctx, VoterChanges(), n, settings.regions) for n in voters if n != name]
+    return ctx.core.synchrony.primary.opened and name in voters and tolerates_loss(rest, settings.tolerance)
 
 
 @inlineCallbacks
-def tend(ctx, changes, settings):
+def reconfigure(ctx, changes, settings):
     """Called several times a second in every replica."""
-    leave_emptied(ctx, changes)
-    if not sequencing(ctx):
+    leave_if_released(ctx, changes)
+    if not is_sequencer(ctx):
         changes.away, changes.voters, changes.marks = {}, (), {}
         return
     if changes.busy:
@@ -146,12 +146,12 @@
     changes.busy = True
     try:
         yield change_voters(ctx, changes, settings)
-        yield release_emptied(ctx, changes)
+        yield release_retired(ctx, changes)
     finally:
         changes.busy = False
 
 
-def leave_emptied(ctx, changes):
+def leave_if_released(ctx, changes):
     """A replica that was let go leaves the configuration."""
     synchrony = ctx.core.synchrony
     if ctx.core.ledger.program_ledger.retiring.get(synchrony.name) == "completed" and not changes.left:
@@ -162,21 +162,21 @@
 
 @inlineCallbacks
 def change_voters(ctx, changes, settings):
-    while (after := wish(ctx, changes, settings)) is not None and sequencing(ctx):
+    while (after := next_voter_set(ctx, changes, settings)) is not None and is_sequencer(ctx):
         before = tuple(ctx.core.ledger.voters)
-        result = yield ask(ctx, SetVoters(ctx.core.synchrony.configuration.id, before, after), ASK_MS)
+        result = yield ask(ctx, SetVoters(ctx.core.synchrony.configuration.id, before, after), OPERATION_TIMEOUT_MS)
         say("voters", before=list(before), after=list(after), decided=result.is_ok())
         if not result.is_ok() or tuple(ctx.core.ledger.voters) != after:
             return
-        yield ask(ctx, Look(), ASK_MS)
+        yield ask(ctx, Look(), OPERATION_TIMEOUT_MS)
 
 
 @inlineCallbacks
-def release_emptied(ctx, changes):
+def release_retired(ctx, changes):
     """Release replicas whose copies the others hold: first a mark in the order, then a count after it, then the end."""
-    for name in unmarked(ctx, changes):
-        epoch, result = changes.epoch, (yield ask(ctx, Look(), ASK_MS))
+    for name in replicas_to_mark(ctx, changes):
+        epoch, result = changes.epoch, (yield ask(ctx, Look(), OPERATION_TIMEOUT_MS))
         if result.is_ok() and isinstance(result.ok, Done) and changes.epoch == epoch:
             changes.marks[name] = result.ok.index
-    for name in emptied(ctx, changes):
-        yield ask(ctx, Retired(name), ASK_MS)
+    for name in releasable_replicas(ctx, changes):
+        yield ask(ctx, Retired(name), OPERATION_TIMEOUT_MS)
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -41,7 +41,7 @@
         "bodies",
         "tasks",
         "hooks",
-        "agent",
+        "http_agent",
         "retries",
         "life",
         "list_ms",
@@ -62,7 +62,7 @@
 
     def __init__(self, settings, reactor, endpoint, machine=MACHINE):
         self.settings, self.reactor, self.endpoint, self.machine = settings, reactor, endpoint, machine
-        self.core, self.shelf, self.disk, self.bodies, self.agent, self.life = (None,) * 6
+        self.core, self.shelf, self.disk, self.bodies, self.http_agent, self.life = (None,) * 6
         self.inputs, self.asking, self.tasks = deque(), deque(), []
         self.stepping = self.slicing = self.leaving = self.stamping = False
         self.waiters, self.links, self.routes, self.runner_health = {}, {}, {}, {}
--- a/frostpost/http_api/forward.py
+++ b/frostpost/http_api/forward.py
@@ -13,7 +13,7 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import lease_ok
 
-from .http_client import agent
+from .http_client import http_agent
 
 SAID_BYTES = 4096
 
@@ -171,7 +171,7 @@
     attempt.ended = ended
     stall_ms = min(deadline_ms, ctx.settings.doors.stall_ms)
     base = f"http://{runner.host}:{runner.port}"
-    pool, client = agent(ctx, most=1, persistent=True)
+    pool, client = http_agent(ctx, most=1, persistent=True)
 
     def over(reason):
         if not ended.called:
--- a/frostpost/http_api/http_client.py
+++ b/frostpost/http_api/http_client.py
@@ -40,7 +40,7 @@
         return self.endpoint.connect(protocolFactory)
 
 
-def agent(ctx, most=1 << 60, persistent=False):
+def http_agent(ctx, most=1 << 60, persistent=False):
     """Return (pool, client) of an HTTP client without retries of its own."""
     pool = HTTPConnectionPool(ctx.reactor, persistent=persistent)
     pool.retryAutomatically, pool.maxPersistentPerHost = False, 1
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.agent_context import now_ms
-from frostpost.cluster.lease_client import lease_ok
+from frostpost.cluster.lease_client import holds_lease
 from frostpost.daemon.news import say
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import ClientBounds
@@ -60,20 +60,20 @@
     error: object
 
 
-def operating():
+def control_client():
     return import_module("frostpost.cluster.control_client")
 
 
-def allowed(leaf, body_bytes=0):
+def allowed(agent, body_bytes=0):
     """What a call that has just come may wait."""
-    now = now_ms(leaf)
-    contact = CONTACT_RATIO if lease_ok(leaf) else OUT_OF_TOUCH_RATIO
+    now = now_ms(agent)
+    contact = CONTACT_RATIO if holds_lease(agent) else OUT_OF_TOUCH_RATIO
     answer_ms = int(SILENCE_MS * ANSWER_RATIO) + body_bytes // BYTES_PER_MS
     return Allowed(now + int(SILENCE_MS * contact), now + answer_ms)
 
 
-def remaining_ms(leaf, until_ms):
-    return max(0, until_ms - now_ms(leaf))
+def remaining_ms(agent, until_ms):
+    return max(0, until_ms - now_ms(agent))
 
 
 def say_no(request, status, fault):
@@ -120,41 +120,43 @@
 
 
 @inlineCallbacks
-def settle(leaf, change, until):
+def settle(agent, change, until):
     """Take a change in, or find it taken -> Result[version, Refused]."""
-    held = yield operating().look_routing(leaf, remaining_ms(leaf, until.contact_ms), change.issue, change.digest)
+    held = yield control_client().read_routing(
+        agent, remaining_ms(agent, until.contact_ms), change.issue, change.digest
+    )
     if held.is_error():
         return Error(Refused(503, held.error))
     held = held.ok
     if held.uncertain:
         return Error(Refused(503, Unavailable(RETRY_MS, "may have been taken too long ago to be known")))
     if held.taken:
-        result = yield operating().honoured(leaf, change.issue, remaining_ms(leaf, until.answer_ms))
+        result = yield control_client().wait_until_honoured(agent, change.issue, remaining_ms(agent, until.answer_ms))
         return result.map_error(lambda error: Refused(503, error))
     body = judged(change, held)
     if body.is_error():
         return body
-    result = yield operating().set_routing(
-        leaf, change.base, change.issue, body.ok, change.digest, remaining_ms(leaf, until.answer_ms)
+    result = yield control_client().set_routing(
+        agent, change.base, change.issue, body.ok, change.digest, remaining_ms(agent, until.answer_ms)
     )
     return result.map_error(refused)
 
 
 def refused(error):
     """How a caller is told why the ledger didn't take its change."""
-    if isinstance(error, operating().RoutingMoved):
+    if isinstance(error, control_client().RoutingMoved):
         return Refused(412, Moved(error.version))
     return Refused(503, error)
 
 
 @inlineCallbacks
-def change_routing(leaf, request, kind):
-    until = allowed(leaf, len(request.body))
+def change_routing(agent, request, kind):
+    until = allowed(agent, len(request.body))
     change = asked(request, kind)
     if change.is_error():
         say_no(request, 400, change.error)
         return
-    result = yield settle(leaf, change.ok, until)
+    result = yield settle(agent, change.ok, until)
     if result.is_ok():
         reply(request, 200, json.encode({"issue": change.ok.issue}), [JSON])
     elif result.error.status == 503:
@@ -164,8 +166,8 @@
 
 
 @inlineCallbacks
-def query(leaf, request):
-    looked = yield operating().look_routing(leaf, remaining_ms(leaf, allowed(leaf).contact_ms))
+def query(agent, request):
+    looked = yield control_client().read_routing(agent, remaining_ms(agent, allowed(agent).contact_ms))
     if looked.is_error():
         unavailable(request, looked.error)
     else:
@@ -173,8 +175,8 @@
 
 
 @inlineCallbacks
-def retire(leaf, request, name, ask):
-    result = yield ask(leaf, name, remaining_ms(leaf, allowed(leaf).contact_ms))
+def retire(agent, request, name, ask):
+    result = yield ask(agent, name, remaining_ms(agent, allowed(agent).contact_ms))
     if result.is_error():
         unavailable(request, result.error)
         return
@@ -182,24 +184,24 @@
     reply(request, RETIRE_STATUS.get(state, 404), json.encode({"state": state}), [JSON])
 
 
-def call_for(leaf, request):
+def call_for(agent, request):
     """The call that a method and a path name, or None."""
     if not request.path.startswith(ROOT):
         return None
     what, _, node = request.path[len(ROOT) :].decode("latin-1").partition("/")
     calls = {
-        ("POST", "Configuration.Replace", False): lambda: change_routing(leaf, request, "replace"),
-        ("POST", "Configuration.Modify", False): lambda: change_routing(leaf, request, "modify"),
-        ("GET", "Configuration.Query", False): lambda: query(leaf, request),
-        ("POST", "Retire.Initiate", True): lambda: retire(leaf, request, node, operating().retire),
-        ("GET", "Retire.Query", True): lambda: retire(leaf, request, node, operating().look_retired),
+        ("POST", "Configuration.Replace", False): lambda: change_routing(agent, request, "replace"),
+        ("POST", "Configuration.Modify", False): lambda: change_routing(agent, request, "modify"),
+        ("GET", "Configuration.Query", False): lambda: query(agent, request),
+        ("POST", "Retire.Initiate", True): lambda: retire(agent, request, node, control_client().retire),
+        ("GET", "Retire.Query", True): lambda: retire(agent, request, node, control_client().read_retirement),
     }
     return calls.get((request.method.decode("latin-1"), what, bool(node)))
 
 
-def handler(leaf):
+def handler(agent):
     def handle(request):
-        call = call_for(leaf, request)
+        call = call_for(agent, request)
         if call is None:
             reply(request, 404)
             return
@@ -219,6 +221,6 @@
     return handle
 
 
-def server(leaf):
+def server(agent):
     """The server of the control address."""
-    return Server(leaf.reactor, handler(leaf), lambda: BOUNDS, MOST_CHANNELS)
+    return Server(agent.reactor, handler(agent), lambda: BOUNDS, MOST_CHANNELS)
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -7,7 +7,7 @@
 from zope.interface import implementer
 
 from frostpost.cluster.agent_context import now_ms
-from frostpost.cluster.attempt_tracing import taken, traced
+from frostpost.cluster.attempt_tracing import is_traced, trace_request
 from frostpost.daemon.news import say
 from frostpost.proxy import failures
 from frostpost.proxy.words import ClientBounds, Sink
@@ -40,7 +40,7 @@
     """The way of one answer to its client; a body that is whole within one turn of the reactor gets a length."""
 
     __slots__ = (
-        "leaf",
+        "agent",
         "request",
         "status",
         "headers",
@@ -54,12 +54,12 @@
         "resumed",
     )
 
-    def __init__(self, leaf, request):
-        self.leaf, self.request, self.status, self.headers = leaf, request, 0, ()
+    def __init__(self, agent, request):
+        self.agent, self.request, self.status, self.headers = agent, request, 0, ()
         self.begun = self.over = False
         self.held, self.flushing, self.length = b"", None, None
         self.gone_ = self.paused = self.resumed = None
-        leaf.calls += 1
+        agent.calls += 1
         request.on_over = self.ended
 
     def sink(self):
@@ -76,7 +76,7 @@
         )
 
     def ended(self, lost):
-        self.leaf.calls -= 1
+        self.agent.calls -= 1
         seen, self.over = self.over, True
         self.stop_flushing()
         if lost and not seen and self.gone_ is not None:
@@ -92,7 +92,7 @@
         request.setResponseCode(self.status)
         for name, value in self.headers:
             request.responseHeaders.addRawHeader(name, value)
-        if self.leaf.leaving:
+        if self.agent.leaving:
             close_after(request)
         held, self.held = self.held, b""
         request.write(held)
@@ -120,7 +120,7 @@
         else:
             self.held += piece
             if self.flushing is None:
-                self.flushing = self.leaf.reactor.callLater(0, self.flush)
+                self.flushing = self.agent.reactor.callLater(0, self.flush)
 
     def flush(self):
         self.flushing = None
@@ -159,7 +159,7 @@
         if self.begun and not framed:
             transport.abortConnection()
             return
-        self.leaf.reactor.callLater(CUT_S, transport.abortConnection)
+        self.agent.reactor.callLater(CUT_S, transport.abortConnection)
         self.request.channel.loseConnection()
 
     def failed(self, failure):
@@ -174,7 +174,7 @@
         headers, retry_ms = [(b"Content-Type", b"application/json")], retry_ms_of(failure)
         if retry_ms is not None:
             headers.append((b"Retry-After", b"%g" % (retry_ms / 1000)))
-        close = self.leaf.leaving or isinstance(failure, failures.Leaving)
+        close = self.agent.leaving or isinstance(failure, failures.Leaving)
         reply(self.request, STATUS.get(type(failure), 502), json.encode(failure), headers, close)
 
     def gone(self):
@@ -211,17 +211,17 @@
         pass
 
 
-def handler(leaf, serve):
+def handler(agent, serve):
     """handle(request) that passes every request to serve(leaf, call, sink)."""
 
     def handle(request):
-        waited_ms = int((leaf.reactor.seconds() - request.started_s) * 1000)
-        answer, result = Answer(leaf, request), call_of(request, now_ms(leaf) - waited_ms)
+        waited_ms = int((agent.reactor.seconds() - request.started_s) * 1000)
+        answer, result = Answer(agent, request), call_of(request, now_ms(agent) - waited_ms)
         if result.is_error():
             answer.failed(result.error)
             return
-        if traced(leaf):
-            taken(leaf, result.ok, request)
+        if is_traced(agent):
+            trace_request(agent, result.ok, request)
 
         def broken(failure):
             say(
@@ -232,17 +232,16 @@
             )
             answer.failed(failures.Unknown("internal"))
 
-        maybeDeferred(serve, leaf, result.ok, answer.sink()).addErrback(broken)
+        maybeDeferred(serve, agent, result.ok, answer.sink()).addErrback(broken)
 
     return handle
 
 
-def bounds_of(leaf):
-    return ClientBounds() if leaf.routing is None else leaf.routing.bounds
+def bounds_of(agent):
+    return ClientBounds() if agent.routing is None else agent.routing.bounds
 
 
-def server(leaf, serve):
+def server(agent, serve):
     """The server of the front address."""
-    return Server(
-        leaf.reactor, handler(leaf, serve), lambda: bounds_of(leaf), max(64, int(leaf.settings.max_fds * CHANNEL_SHARE))
-    )
+    most_channels = max(64, int(agent.settings.max_fds * CHANNEL_SHARE))
+    return Server(agent.reactor, handler(agent, serve), lambda: bounds_of(agent), most_channels)
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -10,35 +10,35 @@
 BACKLOG = 1024
 
 
-def open_ports(leaf, serve=None):
+def open_ports(agent, serve=None):
     """Listen on every address that the settings name; the front's server becomes `leaf.front`."""
-    settings, ports = leaf.settings, []
+    settings, ports = agent.settings, []
 
     def listen(address, server):
-        ports.append(leaf.reactor.listenTCP(address[1], server, backlog=BACKLOG, interface=address[0]))
+        ports.append(agent.reactor.listenTCP(address[1], server, backlog=BACKLOG, interface=address[0]))
 
     if settings.front:
         if serve is None:
             from frostpost.proxy.serve import serve
         from . import front
 
-        leaf.front = front.server(leaf, serve)
-        listen(settings.front, leaf.front)
+        agent.front = front.server(agent, serve)
+        listen(settings.front, agent.front)
     if settings.readiness:
         from . import readiness
 
-        listen(settings.readiness, readiness.server(leaf))
+        listen(settings.readiness, readiness.server(agent))
     if settings.control:
         from . import control
 
-        listen(settings.control, control.server(leaf))
+        listen(settings.control, control.server(agent))
     return ports
 
 
-def fetch_list(leaf):
+def fetch_list(agent):
     from .listing import fetch_list as fetch
 
-    return fetch(leaf)
+    return fetch(agent)
 
 
 def routing_from_body(body):
@@ -50,7 +50,7 @@
 def make_front(path=None, role=None):
     """The platform's `Front`."""
     return Front(
-        listen=lambda leaf: maybeDeferred(open_ports, leaf),
+        listen=lambda agent: maybeDeferred(open_ports, agent),
         wire=wire(),
         fetch_list=fetch_list,
         routing_from_body=routing_from_body,
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -65,13 +65,13 @@
     return [runner for entry in entries if (runner := runner_of(entry)) is not None], token or None
 
 
-def agent_of(leaf):
-    agent = leaf.extras.get("list_agent")
-    if agent is None:
-        pool = HTTPConnectionPool(leaf.reactor, persistent=True)
+def agent_of(agent):
+    http_agent = agent.extras.get("list_agent")
+    if http_agent is None:
+        pool = HTTPConnectionPool(agent.reactor, persistent=True)
         pool.maxPersistentPerHost, pool.cachedConnectionTimeout = 1, KEPT_S
-        agent = leaf.extras["list_agent"] = Agent(leaf.reactor, connectTimeout=PAGE_S, pool=pool)
-    return agent
+        http_agent = agent.extras["list_agent"] = Agent(agent.reactor, connectTimeout=PAGE_S, pool=pool)
+    return http_agent
 
 
 def retry_ms_of(response):
@@ -83,13 +83,13 @@
 
 
 @inlineCallbacks
-def fetch_page(leaf, token):
-    settings = leaf.settings
+def fetch_page(agent, token):
+    settings = agent.settings
     url = f"http://{settings.list_host}:{settings.list_port}/instances"
     if token:
         url += f"?page-token={quote(str(token), safe='')}"
-    response = yield agent_of(leaf).request(b"GET", url.encode()).addTimeout(PAGE_S, leaf.reactor)
-    body = yield gather(response, PAGE_BYTES, until_close=True).addTimeout(PAGE_S, leaf.reactor)
+    response = yield agent_of(agent).request(b"GET", url.encode()).addTimeout(PAGE_S, agent.reactor)
+    body = yield gather(response, PAGE_BYTES, until_close=True).addTimeout(PAGE_S, agent.reactor)
     if response.code == 429:
         raise ListRefusedError(retry_ms_of(response))
     if response.code != 200:
@@ -98,15 +98,15 @@
 
 
 @inlineCallbacks
-def fetch_list(leaf):
+def fetch_list(agent):
     """Deferred[list[Runner]], all pages; fails with ListRefusedError, ListBrokenError or a connection's own error."""
     found, token = {}, None
     for page in range(MOST_PAGES):
-        runners, token = yield fetch_page(leaf, token)
+        runners, token = yield fetch_page(agent, token)
         for runner in runners:
             if runner.id not in found or runner.draining:
                 found[runner.id] = runner
         if token is None:
-            leaf.extras["list_seen"], leaf.extras["list_pages"] = True, page + 1
+            agent.extras["list_seen"], agent.extras["list_pages"] = True, page + 1
             return list(found.values())
     raise ListBrokenError(200)
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -73,13 +73,13 @@
     if check:
         print(json.format(json.encode(result.ok), indent=2).decode())
         return 0
-    from frostpost.cluster.assembly import run
+    from frostpost.cluster.assembly import run_daemon
     from frostpost.daemon.news import begin
 
     from .listening import make_front
 
     begin()
-    return run(result.ok, make_front(path, role), started=start_collecting)
+    return run_daemon(result.ok, make_front(path, role), started=start_collecting)
 
 
 if __name__ == "__main__":
--- a/frostpost/platform/readiness.py
+++ b/frostpost/platform/readiness.py
@@ -7,21 +7,24 @@
 PATH, BOUNDS = b"/frostpost/readiness", ClientBounds(body_bytes=1024)
 
 
-def ready(leaf):
-    from frostpost.cluster.lease_client import lease_ok
+def ready(agent):
+    from frostpost.cluster.lease_client import holds_lease
 
     return (
-        not leaf.leaving and leaf.routing is not None and leaf.extras.get("list_seen", False) and bool(lease_ok(leaf))
+        not agent.leaving
+        and agent.routing is not None
+        and agent.extras.get("list_seen", False)
+        and bool(holds_lease(agent))
     )
 
 
-def server(leaf):
+def server(agent):
     """The server of the readiness address."""
 
     def handle(request):
         if request.path != PATH:
             reply(request, 404)
         else:
-            reply(request, 200 if ready(leaf) else 503)
+            reply(request, 200 if ready(agent) else 503)
 
-    return Server(leaf.reactor, handle, lambda: BOUNDS, 64)
+    return Server(agent.reactor, handle, lambda: BOUNDS, 64)
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -75,7 +75,7 @@
         """The exchange is over; read its body to the end, for a moment, to keep the connection."""
         self.exchange = None
         if self.drainer is None and self.parser is not None:
-            self.drainer = self.pool.leaf.reactor.callLater(DRAIN_S, self.drop)
+            self.drainer = self.pool.agent.reactor.callLater(DRAIN_S, self.drop)
 
     def pause(self):
         """Read no more for now."""
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -45,11 +45,11 @@
     listener: head(RunnerHead), data(bytes), done(outcome); done comes once and last, unless the request is given up.
     """
 
-    __slots__ = ("body", "call", "connection", "head", "leaf", "listener", "runner", "state", "until_ms")
+    __slots__ = ("body", "call", "connection", "head", "agent", "listener", "runner", "state", "until_ms")
 
-    def __init__(self, leaf, runner, call, body, until_ms, listener):
+    def __init__(self, agent, runner, call, body, until_ms, listener):
         """Wait for a connection to the runner, until until_ms."""
-        self.leaf, self.runner, self.call, self.body = leaf, runner, call, body
+        self.agent, self.runner, self.call, self.body = agent, runner, call, body
         self.until_ms, self.listener = until_ms, listener
         self.connection, self.head, self.state = None, None, QUEUED
 
@@ -75,8 +75,8 @@
 
     def write_to(self, connection):
         """Write the request."""
-        left_ms = self.until_ms - now_ms(self.leaf)
-        data = request_bytes(self.leaf.wire, self.runner, self.call, self.body, left_ms)
+        left_ms = self.until_ms - now_ms(self.agent)
+        data = request_bytes(self.agent.wire, self.runner, self.call, self.body, left_ms)
         self.connection = connection
         self.feed(Wrote(connection.exchanges == 0))
         connection.start(self, data, self.call.method == b"HEAD")
@@ -87,7 +87,7 @@
 
     def heard_head(self, status, fields):
         """The head of an answer came on its connection."""
-        head = self.head = self.leaf.wire.read_head(status, fields)
+        head = self.head = self.agent.wire.read_head(status, fields)
         self.connection.learn(head)
         self.feed(HeadRead(head))
 
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -4,7 +4,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.agent_context import now_ms
-from frostpost.cluster.operation_client import ask, tell
+from frostpost.cluster.operation_client import call_replicas, submit_until_decided
 from frostpost.program_ledger.words import Claim, Claimed, Disclaim, Ended, KeyAnswered, KeyAtWork, Resolve
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
@@ -25,52 +25,52 @@
     return Answer(*msgpack.decode(data, type=tuple[int, list[tuple[bytes, bytes]], bytes]))
 
 
-def ask_ms(leaf, route, until_ms):
+def ask_ms(agent, route, until_ms):
     """How long a request waits for a verdict before it runs."""
-    return max(1, min(until_ms - now_ms(leaf), max(200, route.aim_ms // 4)))
+    return max(1, min(until_ms - now_ms(agent), max(200, route.aim_ms // 4)))
 
 
 @inlineCallbacks
-def keyed(leaf, route, service, call, sink, until_ms, watch):
+def keyed(agent, route, service, call, sink, until_ms, watch):
     """Serve an idempotent request."""
     if not call.key:
-        return hand_over(leaf, BadRequest("no key"), sink)
+        return hand_over(agent, BadRequest("no key"), sink)
     key = f"{call.host}|{call.key}"
-    window_ms = leaf.settings.key_window_ms + WINDOW_TICKS * leaf.settings.tick_ms
+    window_ms = agent.settings.key_window_ms + WINDOW_TICKS * agent.settings.tick_ms
     claim = Claim(key, call.attempt, window_ms)
-    result = yield ask(leaf, claim, ask_ms(leaf, route, until_ms))
+    result = yield call_replicas(agent, claim, ask_ms(agent, route, until_ms))
     verdict = result.ok if result.is_ok() else None
     if isinstance(verdict, KeyAtWork):
-        return hand_over(leaf, AtWork(), sink)
+        return hand_over(agent, AtWork(), sink)
     if isinstance(verdict, KeyAnswered):
-        return hand_over(leaf, unpack(verdict.answer), sink)
+        return hand_over(agent, unpack(verdict.answer), sink)
     if not isinstance(verdict, Claimed):
-        tell(leaf, Disclaim(key, call.attempt))
-        return hand_over(leaf, Unavailable(retry_ms(route), "claim"), sink)
-    outcome = yield settle(leaf, route, service, call, until_ms, service.dedupes, None)
+        submit_until_decided(agent, Disclaim(key, call.attempt))
+        return hand_over(agent, Unavailable(retry_ms(route), "claim"), sink)
+    outcome = yield settle(agent, route, service, call, until_ms, service.dedupes, None)
     if isinstance(outcome, Answer):
-        outcome = yield resolve(leaf, key, call, outcome, until_ms)
-        return hand_over(leaf, outcome, sink)
-    hand_over(leaf, outcome, sink)
+        outcome = yield resolve(agent, key, call, outcome, until_ms)
+        return hand_over(agent, outcome, sink)
+    hand_over(agent, outcome, sink)
     if outcome.promised:
-        yield disclaim(leaf, key, call)
+        yield disclaim(agent, key, call)
 
 
 @inlineCallbacks
-def resolve(leaf, key, call, whole, until_ms):
+def resolve(agent, key, call, whole, until_ms):
     """The answer once it lasts under this attempt's claim, else a failure without a promise."""
     resolved = Resolve(key, call.attempt, pack(whole))
-    result = yield ask(leaf, resolved, lasting_ms(leaf, until_ms))
+    result = yield call_replicas(agent, resolved, lasting_ms(agent, until_ms))
     if result.is_ok():
         return whole if isinstance(result.ok, Ended) else Unknown("claim lost")
-    tell(leaf, resolved)
+    submit_until_decided(agent, resolved)
     return Unknown("not resolved")
 
 
 @inlineCallbacks
-def disclaim(leaf, key, call):
+def disclaim(agent, key, call):
     """Withdraw a claim under which nothing ran."""
     operation = Disclaim(key, call.attempt)
-    result = yield ask(leaf, operation, DISCLAIM_MS)
+    result = yield call_replicas(agent, operation, DISCLAIM_MS)
     if not result.is_ok():
-        tell(leaf, operation)
+        submit_until_decided(agent, operation)
--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/lookup.py
@@ -18,32 +18,32 @@
     return max(50, min(route.aim_ms // 4, 1000))
 
 
-def hold_until_ms(leaf, route, until_ms):
+def hold_until_ms(agent, route, until_ms):
     """How long a request may wait for a place."""
-    return min(until_ms, now_ms(leaf) + route.aim_ms // 4)
+    return min(until_ms, now_ms(agent) + route.aim_ms // 4)
 
 
-def lasting_ms(leaf, until_ms):
+def lasting_ms(agent, until_ms):
     """How long an answer that came whole may wait for the ledger; not much past its time, when its client is gone."""
-    return max(LEAST_LASTING_MS, until_ms - now_ms(leaf))
+    return max(LEAST_LASTING_MS, until_ms - now_ms(agent))
 
 
 @inlineCallbacks
-def settle(leaf, route, service, call, until_ms, repeatable, watch):
+def settle(agent, route, service, call, until_ms, repeatable, watch):
     """Deferred Answer, ClientLeft or a failure; only a failure with a promise means that nothing ran."""
     attempts = attempts_for(route, repeatable)
-    hold_ms, least_ms = hold_until_ms(leaf, route, until_ms), route.aim_ms // 10
+    hold_ms, least_ms = hold_until_ms(agent, route, until_ms), route.aim_ms // 10
     maybe, whole, why = None, None, ""
     while may_offer(attempts):
-        if until_ms - now_ms(leaf) < max(1, least_ms):
+        if until_ms - now_ms(agent) < max(1, least_ms):
             break
-        runner = yield picking.place(leaf, route, service, attempts.picked, call.attempt, hold_ms)
+        runner = yield picking.place(agent, route, service, attempts.picked, call.attempt, hold_ms)
         if runner is None:
             break
         if watch is not None and watch.left:
             return ClientLeft()
         attempts.picked.append(runner.id)
-        outcome = yield run_once(leaf, runner, call, call.body, until_ms, watch)
+        outcome = yield run_once(agent, runner, call, call.body, until_ms, watch)
         record(attempts, outcome)
         if isinstance(outcome, NotSent):
             why = outcome.why
@@ -53,7 +53,7 @@
                 break
             continue
         if isinstance(outcome, NotRun):
-            count(leaf, "turned_away")
+            count(agent, "turned_away")
             continue
         if (
             isinstance(outcome, ClientLeft)
@@ -76,19 +76,19 @@
 
 
 @inlineCallbacks
-def lookup(leaf, route, service, call, sink, until_ms, watch):
+def lookup(agent, route, service, call, sink, until_ms, watch):
     """Serve a safe or an unsafe request."""
-    outcome = yield settle(leaf, route, service, call, until_ms, route.kind == "safe", watch)
-    hand_over(leaf, outcome, sink)
+    outcome = yield settle(agent, route, service, call, until_ms, route.kind == "safe", watch)
+    hand_over(agent, outcome, sink)
 
 
-def hand_over(leaf, outcome, sink):
+def hand_over(agent, outcome, sink):
     """Give the client of a request its outcome, where it has not left."""
     if isinstance(outcome, ClientLeft) or sink.gone():
-        return count(leaf, "client_left")
+        return count(agent, "client_left")
     if isinstance(outcome, Answer):
         return answer(sink, outcome)
-    count(leaf, type(outcome).__name__)
+    count(agent, type(outcome).__name__)
     sink.failed(outcome)
 
 
--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -38,41 +38,41 @@
     placed: Deferred
 
 
-def load_of(leaf, runner_id):
+def load_of(agent, runner_id):
     """What is known of a runner's load."""
-    load = leaf.loads.get(runner_id)
+    load = agent.loads.get(runner_id)
     if load is None:
-        load = leaf.loads[runner_id] = Load()
+        load = agent.loads[runner_id] = Load()
     return load
 
 
-def by_service(leaf):
+def by_service(agent):
     """Runners of each service; leaf.runners is replaced as a whole, never changed in place."""
-    held = leaf.extras.get("by_service")
-    if held is None or held[0] is not leaf.runners:
+    held = agent.extras.get("by_service")
+    if held is None or held[0] is not agent.runners:
         index = {}
-        for runner in leaf.runners.values():
+        for runner in agent.runners.values():
             if not runner.draining:
                 index.setdefault(runner.service, []).append(runner)
-        held = leaf.extras["by_service"] = (leaf.runners, index)
+        held = agent.extras["by_service"] = (agent.runners, index)
     return held[1]
 
 
-def usable(leaf, service, tried=()):
+def usable(agent, service, tried=()):
     """Runners of a service that are not draining, tried or resting; never more than half of them rest."""
-    known = by_service(leaf).get(service.name, ())
-    now = now_ms(leaf)
-    resting = [r for r in known if r.id in leaf.loads and leaf.loads[r.id].resting_until_ms > now]
+    known = by_service(agent).get(service.name, ())
+    now = now_ms(agent)
+    resting = [r for r in known if r.id in agent.loads and agent.loads[r.id].resting_until_ms > now]
     if len(resting) > len(known) // 2:
-        resting.sort(key=lambda r: -leaf.loads[r.id].resting_until_ms)
+        resting.sort(key=lambda r: -agent.loads[r.id].resting_until_ms)
         resting = resting[: len(known) // 2]
     out = {r.id for r in resting}
     return [r for r in known if r.id not in out and r.id not in tried]
 
 
-def occupied(leaf, runner, now):
+def occupied(agent, runner, now):
     """How many slots of a runner are taken, as far as this daemon knows."""
-    load = leaf.loads.get(runner.id)
+    load = agent.loads.get(runner.id)
     if load is None:
         return 0.0
     age = now - load.told_ms
@@ -84,12 +84,12 @@
     return max(1, runner.slots or service.slots)
 
 
-def pick(leaf, service, tried=(), salt=""):
+def pick(agent, service, tried=(), salt=""):
     """The least loaded runner that has room, or None."""
-    now, zone = now_ms(leaf), getattr(leaf.settings, "zone", "")
+    now, zone = now_ms(agent), getattr(agent.settings, "zone", "")
     best, lowest = None, None
-    for runner in usable(leaf, service, tried):
-        slots, busy = slots_of(service, runner), occupied(leaf, runner, now)
+    for runner in usable(agent, service, tried):
+        slots, busy = slots_of(service, runner), occupied(agent, runner, now)
         if busy >= slots + max(1, slots // 4):
             continue
         cost = (busy / slots + (FAR if runner.zone != zone else 0.0), crc32((runner.id + salt).encode()))
@@ -98,47 +98,47 @@
     return best
 
 
-def candidates(leaf, service, tried=()):
+def candidates(agent, service, tried=()):
     """What the ledger may choose from."""
-    return tuple(Candidate(r.id, slots_of(service, r)) for r in usable(leaf, service, tried))
+    return tuple(Candidate(r.id, slots_of(service, r)) for r in usable(agent, service, tried))
 
 
-def place(leaf, route, service, tried, salt, until_ms):
+def place(agent, route, service, tried, salt, until_ms):
     """A runner with room, at once or inside the time; requests of a higher rank come first."""
-    queue = leaf.extras.setdefault("queues", {}).setdefault(service.name, [])
+    queue = agent.extras.setdefault("queues", {}).setdefault(service.name, [])
     if not queue:
-        runner = pick(leaf, service, tried, salt)
-        if runner is not None or until_ms <= now_ms(leaf):
+        runner = pick(agent, service, tried, salt)
+        if runner is not None or until_ms <= now_ms(agent):
             return succeed(runner)
-        leaf.reactor.callLater(TICK_S, serve_queue, leaf, service, queue)
-    number = leaf.extras["waiter"] = leaf.extras.get("waiter", 0) + 1
+        agent.reactor.callLater(TICK_S, serve_queue, agent, service, queue)
+    number = agent.extras["waiter"] = agent.extras.get("waiter", 0) + 1
     waiter = Waiter(route.rank, number, until_ms, tuple(tried), salt, Deferred())
     queue.append(waiter)
     return waiter.placed
 
 
-def serve_queue(leaf, service, queue):
+def serve_queue(agent, service, queue):
     """Place waiting requests, the most urgent first, and end the wait of those whose time is up."""
-    now = now_ms(leaf)
+    now = now_ms(agent)
     for waiter in sorted(queue, key=lambda w: (w.rank, w.number)):
-        runner = pick(leaf, service, waiter.tried, waiter.salt)
+        runner = pick(agent, service, waiter.tried, waiter.salt)
         if runner is not None or waiter.until_ms <= now:
             queue.remove(waiter)
             waiter.placed.callback(runner)
     if queue:
-        leaf.reactor.callLater(TICK_S, serve_queue, leaf, service, queue)
+        agent.reactor.callLater(TICK_S, serve_queue, agent, service, queue)
 
 
-def sent(leaf, runner):
+def sent(agent, runner):
     """Count a request that is being sent to a runner."""
-    load_of(leaf, runner.id).own += 1
+    load_of(agent, runner.id).own += 1
 
 
-def ended(leaf, runner, outcome, head):
+def ended(agent, runner, outcome, head):
     """Learn from how a send ended; head is None when none came."""
-    load = load_of(leaf, runner.id)
+    load = load_of(agent, runner.id)
     load.own -= 1
-    now = now_ms(leaf)
+    now = now_ms(agent)
     if head is not None and head.load is not None:
         load.others, load.told_ms = max(0, head.load[0] + head.load[1] - load.own - 1), now
     elif isinstance(outcome, NotRun) and outcome.status != 421:
--- a/frostpost/proxy/pool.py
+++ b/frostpost/proxy/pool.py
@@ -6,7 +6,7 @@
 from twisted.internet.protocol import Factory
 
 from frostpost.cluster.agent_context import count, now_ms
-from frostpost.cluster.lease_client import lease_ok
+from frostpost.cluster.lease_client import holds_lease
 
 from .connection import Connection
 from .exchange import Exchange
@@ -14,19 +14,19 @@
 WAITING = 64
 
 
-def setting(leaf, name, otherwise):
+def setting(agent, name, otherwise):
     """A setting that stand-ins may lack."""
-    return getattr(leaf.settings, name, otherwise)
+    return getattr(agent.settings, name, otherwise)
 
 
 class Pool:
     """The connections of this daemon to one runner, and the exchanges that wait for one."""
 
-    __slots__ = ("leaf", "runner", "idle", "open", "opening", "waiting", "closing")
+    __slots__ = ("agent", "runner", "idle", "open", "opening", "waiting", "closing")
 
-    def __init__(self, leaf, runner):
+    def __init__(self, agent, runner):
         """Open nothing yet."""
-        self.leaf, self.runner, self.idle, self.waiting = leaf, runner, [], deque()
+        self.agent, self.runner, self.idle, self.waiting = agent, runner, [], deque()
         self.open, self.opening, self.closing = 0, 0, False
 
     def freed(self, connection):
@@ -38,12 +38,12 @@
         if keep_ms > 0:
             keep_ms = keep_ms - 500 if keep_ms >= 2000 else keep_ms // 2
         else:
-            keep_ms = setting(self.leaf, "idle_ms", 10_000)
-        connection.idle_until_ms = now_ms(self.leaf) + keep_ms
+            keep_ms = setting(self.agent, "idle_ms", 10_000)
+        connection.idle_until_ms = now_ms(self.agent) + keep_ms
         connection.resume()
         self.idle.append(connection)
         if self.waiting:
-            self.leaf.reactor.callLater(0, self.serve_waiting)
+            self.agent.reactor.callLater(0, self.serve_waiting)
 
     def closed(self, connection):
         """A connection is gone."""
@@ -54,7 +54,7 @@
 
     def take_idle(self):
         """A connection that rests and is good, or None."""
-        now = now_ms(self.leaf)
+        now = now_ms(self.agent)
         while self.idle:
             connection = self.idle.pop()
             if connection.idle_until_ms > now and not connection.stale():
@@ -73,15 +73,18 @@
                 break
             write(self, self.waiting.popleft(), connection)
         wanted = sum(1 for exchange in self.waiting if not exchange.over)
-        while self.opening < wanted and self.open + self.opening < most_connections(self.leaf, self.runner):
+        while self.opening < wanted and self.open + self.opening < most_connections(self.agent, self.runner):
             self.connect()
 
     def connect(self):
         """Open one more connection."""
         self.opening += 1
-        count(self.leaf, "connects")
+        count(self.agent, "connects")
         endpoint = TCP4ClientEndpoint(
-            self.leaf.reactor, self.runner.host, self.runner.port, timeout=setting(self.leaf, "connect_ms", 1000) / 1000
+            self.agent.reactor,
+            self.runner.host,
+            self.runner.port,
+            timeout=setting(self.agent, "connect_ms", 1000) / 1000,
         )
         factory = Factory.forProtocol(lambda: Connection(self))
         factory.noisy = False
@@ -111,41 +114,41 @@
             exchange.not_sent("gone")
 
 
-def most_connections(leaf, runner):
+def most_connections(agent, runner):
     """How many connections this daemon may hold to a runner."""
-    service = leaf.routing.services.get(runner.service) if leaf.routing is not None else None
-    share = setting(leaf, "connection_share", 0.5)
+    service = agent.routing.services.get(runner.service) if agent.routing is not None else None
+    share = setting(agent, "connection_share", 0.5)
     return max(2, int(service.max_connections * share)) if service is not None else 2
 
 
-def may_send(leaf, exchange):
+def may_send(agent, exchange):
     """Why nothing may be sent now, or empty."""
-    runner = leaf.runners.get(exchange.runner.id)
+    runner = agent.runners.get(exchange.runner.id)
     if runner is None or runner.draining or (runner.host, runner.port) != (exchange.runner.host, exchange.runner.port):
         return "gone"
-    if exchange.until_ms <= now_ms(leaf):
+    if exchange.until_ms <= now_ms(agent):
         return "late"
-    return "" if lease_ok(leaf) else "lease"
+    return "" if holds_lease(agent) else "lease"
 
 
 def write(pool, exchange, connection):
     """Write a request, if it may be sent at this moment; else it ends as not sent."""
-    why = may_send(pool.leaf, exchange)
+    why = may_send(pool.agent, exchange)
     if why:
         pool.freed(connection)
         return exchange.not_sent(why)
     exchange.write_to(connection)
 
 
-def send(leaf, runner, call, body, left_ms, listener):
+def send(agent, runner, call, body, left_ms, listener):
     """Send a call to one runner over a connection that is or gets free; see Exchange."""
-    exchange = Exchange(leaf, runner, call, body, now_ms(leaf) + left_ms, listener)
-    pool = leaf.pools.get(runner.id)
+    exchange = Exchange(agent, runner, call, body, now_ms(agent) + left_ms, listener)
+    pool = agent.pools.get(runner.id)
     if pool is None:
-        pool = leaf.pools[runner.id] = Pool(leaf, runner)
-    why = may_send(leaf, exchange)
+        pool = agent.pools[runner.id] = Pool(agent, runner)
+    why = may_send(agent, exchange)
     if why or pool.closing or len(pool.waiting) >= WAITING:
-        leaf.reactor.callLater(0, exchange.not_sent, why or "full")
+        agent.reactor.callLater(0, exchange.not_sent, why or "full")
         return exchange
     connection = pool.take_idle()
     if connection is not None:
@@ -156,18 +159,18 @@
     return exchange
 
 
-def close_pools(leaf, runner_ids):
+def close_pools(agent, runner_ids):
     """Close the connections to runners that are leaving or gone."""
     for runner_id in runner_ids:
-        pool = leaf.pools.pop(runner_id, None)
+        pool = agent.pools.pop(runner_id, None)
         if pool is not None:
             pool.close()
 
 
-def sweep(leaf):
+def sweep(agent):
     """Close connections whose time has passed."""
-    now = now_ms(leaf)
-    for pool in leaf.pools.values():
+    now = now_ms(agent)
+    for pool in agent.pools.values():
         for connection in [c for c in pool.idle if c.idle_until_ms <= now]:
             pool.idle.remove(connection)
             connection.drop()
--- a/frostpost/proxy/routing.py
+++ b/frostpost/proxy/routing.py
@@ -11,20 +11,20 @@
     return index
 
 
-def current_index(leaf):
+def current_index(agent):
     """The index of the routing in force."""
-    held = leaf.extras.get("route_index")
-    if held is None or held[0] is not leaf.routing:
-        held = leaf.extras["route_index"] = (leaf.routing, build_index(leaf.routing))
+    held = agent.extras.get("route_index")
+    if held is None or held[0] is not agent.routing:
+        held = agent.extras["route_index"] = (agent.routing, build_index(agent.routing))
     return held[1]
 
 
-def find_route(leaf, host, path):
+def find_route(agent, host, path):
     """The host's route with the longest prefix that begins the path, or None."""
-    if leaf.routing is None:
+    if agent.routing is None:
         return None
     host = host.lower()
-    index = current_index(leaf)
+    index = current_index(agent)
     prefixes = index.get(host)
     if prefixes is None:
         prefixes = index.get(host.rpartition(":")[0])
--- a/frostpost/proxy/run.py
+++ b/frostpost/proxy/run.py
@@ -45,7 +45,7 @@
     """A listener of one exchange. A 2xx answer goes to on_head and on_data if there are any, else it is held back."""
 
     __slots__ = (
-        "leaf",
+        "agent",
         "runner",
         "watch",
         "on_head",
@@ -59,20 +59,20 @@
         "streams",
     )
 
-    def __init__(self, leaf, runner, watch, on_head, on_data):
+    def __init__(self, agent, runner, watch, on_head, on_data):
         """Belong to one runner; nothing is sent yet."""
-        self.leaf, self.runner, self.watch, self.on_head, self.on_data = leaf, runner, watch, on_head, on_data
+        self.agent, self.runner, self.watch, self.on_head, self.on_data = agent, runner, watch, on_head, on_data
         self.handle, self.timer, self.ended, self.answer_head = None, None, Deferred(), None
         self.chunks, self.size, self.streams = [], 0, False
 
     def start(self, call, body, until_ms):
         """Send the call; the Deferred fires with its outcome."""
-        left_ms = until_ms - now_ms(self.leaf)
-        picking.sent(self.leaf, self.runner)
+        left_ms = until_ms - now_ms(self.agent)
+        picking.sent(self.agent, self.runner)
         if self.watch is not None:
             self.watch.run = self
-        self.timer = self.leaf.reactor.callLater(max(0, left_ms) / 1000, self.stop, Late(), "late")
-        self.handle = pool.send(self.leaf, self.runner, call, body, left_ms, self)
+        self.timer = self.agent.reactor.callLater(max(0, left_ms) / 1000, self.stop, Late(), "late")
+        self.handle = pool.send(self.agent, self.runner, call, body, left_ms, self)
         return self.ended
 
     def head(self, head):
@@ -126,10 +126,10 @@
         if self.watch is not None:
             self.watch.run = None
         head = self.handle.head if self.handle is not None else None
-        picking.ended(self.leaf, self.runner, outcome, head)
+        picking.ended(self.agent, self.runner, outcome, head)
         self.ended.callback(outcome)
 
 
-def run_once(leaf, runner, call, body, until_ms, watch=None, on_head=None, on_data=None):
+def run_once(agent, runner, call, body, until_ms, watch=None, on_head=None, on_data=None):
     """Deferred outcome of sending a call to a runner."""
-    return Run(leaf, runner, watch, on_head, on_data).start(call, body, until_ms)
+    return Run(agent, runner, watch, on_head, on_data).start(call, body, until_ms)
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.agent_context import count, now_ms
-from frostpost.cluster.lease_client import lease_ok
+from frostpost.cluster.lease_client import holds_lease
 
 from .failures import BadRequest, Leaving, NoRoute, Overloaded, Unavailable
 from .keyed import keyed
@@ -16,22 +16,22 @@
 WAYS = {"safe": lookup, "unsafe": lookup, "idempotent": keyed, "streaming": stream}
 
 
-def admit(leaf, call):
+def admit(agent, call):
     """(route, service, until_ms) of a call, or why it isn't taken."""
-    if leaf.leaving and leaf.extras.get("last_call"):
+    if agent.leaving and agent.extras.get("last_call"):
         return Leaving()
-    if leaf.routing is None or not lease_ok(leaf):
+    if agent.routing is None or not holds_lease(agent):
         return Unavailable(RETRY_MS, "lease")
     if not clean(call):
         return BadRequest("header")
-    route = find_route(leaf, call.host, call.uri.partition(b"?")[0].decode("latin-1"))
+    route = find_route(agent, call.host, call.uri.partition(b"?")[0].decode("latin-1"))
     if route is None:
         return NoRoute()
-    service = pick_service(leaf.routing, route, call.attempt)
+    service = pick_service(agent.routing, route, call.attempt)
     if service is None or route.kind not in WAYS:
         return Unavailable(RETRY_MS, "service")
     until_ms = min(call.deadline_ms, call.started_ms + route.timeout_ms)
-    if until_ms <= now_ms(leaf):
+    if until_ms <= now_ms(agent):
         return Overloaded(retry_ms(route))
     return route, service, until_ms
 
@@ -45,15 +45,15 @@
 
 
 @inlineCallbacks
-def serve(leaf, call, sink):
+def serve(agent, call, sink):
     """Serve a call; the Deferred fires once the sink has been told all."""
-    count(leaf, "requests")
-    admitted = admit(leaf, call)
+    count(agent, "requests")
+    admitted = admit(agent, call)
     if not isinstance(admitted, tuple):
-        return hand_over(leaf, admitted, sink)
+        return hand_over(agent, admitted, sink)
     route, service, until_ms = admitted
-    leaf.flights += 1
+    agent.flights += 1
     try:
-        yield WAYS[route.kind](leaf, route, service, call, sink, until_ms, Watch(sink))
+        yield WAYS[route.kind](agent, route, service, call, sink, until_ms, Watch(sink))
     finally:
-        leaf.flights -= 1
+        agent.flights -= 1
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -86,39 +86,39 @@
 
 
 @inlineCallbacks
-def stream(leaf, route, service, call, sink, until_ms, watch):
+def stream(agent, route, service, call, sink, until_ms, watch):
     """Serve a request of a streaming route."""
-    if until_ms - now_ms(leaf) < max(1, route.aim_ms // 10):
+    if until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
         return sink.failed(Overloaded(retry_ms(route)))
     ordered, runner, body = turn.ordered(route, call), None, call.body
     if ordered:
-        placed = yield turn.begin(leaf, route, service, call, until_ms)
+        placed = yield turn.begin(agent, route, service, call, until_ms)
         if not isinstance(placed, turn.Placed):
-            count(leaf, type(placed).__name__)
+            count(agent, type(placed).__name__)
             return None if watch.left else sink.failed(placed)
         runner, body = placed.runner, placed.body
     state = Stream(call, sink, watch, route.retained)
-    outcome = yield send_on(leaf, route, service, state, ordered, runner, body, until_ms)
-    yield finish(leaf, route, service, state, ordered, outcome, until_ms)
+    outcome = yield send_on(agent, route, service, state, ordered, runner, body, until_ms)
+    yield finish(agent, route, service, state, ordered, outcome, until_ms)
 
 
 @inlineCallbacks
-def send_on(leaf, route, service, state, ordered, runner, body, until_ms):
+def send_on(agent, route, service, state, ordered, runner, body, until_ms):
     """Send to one runner after another while that is allowed; the last outcome, or a failure with a promise."""
     attempts, call = attempts_for(route, route.resumable), state.call
     tried = attempts.picked
-    hold_ms, outcome = hold_until_ms(leaf, route, until_ms), None
+    hold_ms, outcome = hold_until_ms(agent, route, until_ms), None
     if ordered and runner is None:
-        runner = yield next_runner(leaf, route, service, state, ordered, tried, hold_ms, until_ms)
+        runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
     while True:
         if runner is None and not ordered:
-            runner = yield next_runner(leaf, route, service, state, ordered, tried, hold_ms, until_ms)
+            runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
         if not hasattr(runner, "id"):
             return outcome if state.maybe else runner
         if state.watch.left:
             return ClientLeft()
         tried.append(runner.id)
-        outcome = yield run_once(leaf, runner, call, body, until_ms, state.watch, state.head, state.heard)
+        outcome = yield run_once(agent, runner, call, body, until_ms, state.watch, state.head, state.heard)
         record(attempts, outcome)
         if isinstance(outcome, NotSent):
             if outcome.why in ("left", "late"):
@@ -131,9 +131,9 @@
                 return outcome
             state.joined = state.passed > 0
             call = structs.replace(state.call, last_event=state.last_id)
-        if not may_offer(attempts) or until_ms - now_ms(leaf) < max(1, route.aim_ms // 10):
+        if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
             return outcome
-        runner = yield next_runner(leaf, route, service, state, ordered, tried, hold_ms, until_ms)
+        runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
 
 
 def may_resume(route, state, outcome):
@@ -144,21 +144,21 @@
 
 
 @inlineCallbacks
-def next_runner(leaf, route, service, state, ordered, tried, hold_ms, until_ms):
+def next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms):
     """A runner, or the failure when there is none; the ledger moves only what no runner may have run."""
     if ordered and not state.maybe:
-        name = yield turn.move(leaf, route, service, state.call, tried, until_ms)
+        name = yield turn.move(agent, route, service, state.call, tried, until_ms)
         if not isinstance(name, str):
             return name
-        return leaf.runners.get(name) or Overloaded(retry_ms(route))
+        return agent.runners.get(name) or Overloaded(retry_ms(route))
     if state.maybe:
-        hold_ms = hold_until_ms(leaf, route, until_ms)
-    runner = yield picking.place(leaf, route, service, tried, state.call.attempt, hold_ms)
+        hold_ms = hold_until_ms(agent, route, until_ms)
+    runner = yield picking.place(agent, route, service, tried, state.call.attempt, hold_ms)
     return runner or Overloaded(retry_ms(route))
 
 
 @inlineCallbacks
-def finish(leaf, route, service, state, ordered, outcome, until_ms):
+def finish(agent, route, service, state, ordered, outcome, until_ms):
     """Close the attempt in the ledger and the answer at the client, in that order where it is whole."""
     sink, call, tokens = state.sink, state.call, state.passed * service.event_tokens
     if isinstance(outcome, Whole) and not state.spliced:
@@ -167,19 +167,19 @@
         lasts = True
         if ordered:
             data = b"".join([call.body, *(part + b"\n" for part in state.data)]) if state.keeps else b""
-            lasts = yield turn.close(leaf, route, call, tokens, data, until_ms)
-        count(leaf, "streams" if lasts else "streams_unkept")
+            lasts = yield turn.close(agent, route, call, tokens, data, until_ms)
+        count(agent, "streams" if lasts else "streams_unkept")
         return sink.end() if lasts else sink.cut()
     if ordered and state.maybe:
-        turn.broke_off(leaf, call, tokens)
+        turn.broke_off(agent, call, tokens)
     elif ordered:
-        turn.abort(leaf, call)
+        turn.abort(agent, call)
     if state.watch.left or isinstance(outcome, ClientLeft):
-        return count(leaf, "client_left")
+        return count(agent, "client_left")
     if state.headed:
-        count(leaf, "streams_cut")
+        count(agent, "streams_cut")
         return sink.cut()
-    count(leaf, type(outcome).__name__)
+    count(agent, type(outcome).__name__)
     if isinstance(outcome, Answer) and not (ordered and outcome.status in PROMISES):
         return answer(sink, outcome)
     if state.maybe:
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -43,8 +43,8 @@
     return SimpleNamespace(
         wire=None,
         routing_from_body=lambda body: body,
-        fetch_list=lambda leaf: succeed([]),
-        listen=lambda leaf: succeed([]),
+        fetch_list=lambda agent: succeed([]),
+        listen=lambda agent: succeed([]),
         close_idle=lambda: None,
     )
 
@@ -66,12 +66,12 @@
     )
 
 
-def start_leaf(settings, reactor, stop):
+def start_agent(settings, reactor, stop):
     """Start a leaf without an HTTP front."""
-    leaf = leaves.make_leaf(settings, hollow_front(), reactor, Machine())
-    count_kinds(leaf)
-    leaves.start_leaf(leaf, hollow_front(), stop)
-    return leaf
+    agent = leaves.make_agent(settings, hollow_front(), reactor, Machine())
+    count_kinds(agent)
+    leaves.start_agent(agent, hollow_front(), stop)
+    return agent
 
 
 def watch(leaves, gaps):
@@ -79,8 +79,8 @@
     held = {}
 
     def look():
-        for leaf in leaves:
-            name, now = leaf.settings.name, lease_client.lease_ok(leaf)
+        for agent in leaves:
+            name, now = agent.settings.name, lease_client.holds_lease(agent)
             if held.get(name) and not now:
                 gaps[name] = gaps.get(name, 0) + 1
             held[name] = now
@@ -102,10 +102,10 @@
             if load.under_way >= MOST_UNDER_WAY:
                 note(load, "unstarted")
                 continue
-            leaf = leaves[load.started // 2 % len(leaves)]
+            agent = leaves[load.started // 2 % len(leaves)]
             way = turn if load.started % 2 else keyed
             load.under_way += 1
-            way(leaf, load, reactor, load.started).addErrback(broken, load).addBoth(lambda _: finished(load))
+            way(agent, load, reactor, load.started).addErrback(broken, load).addBoth(lambda _: finished(load))
 
     task = LoopingCall(start_due)
     task.start(FEED_S)
@@ -141,13 +141,13 @@
 
 
 @inlineCallbacks
-def turn(leaf, load, reactor, number):
+def turn(agent, load, reactor, number):
     """A turn that follows the leaf's last; a chain that is as long as the target's is left for a new one."""
-    name = leaf.settings.name
+    name = agent.settings.name
     chain = load.chains.pop(name, [])
     if len(chain) >= TURNS:
         chain = []
-    this = f"{name}-{leaf.endpoint.member.incarnation:013x}-{number:010d}"
+    this = f"{name}-{agent.endpoint.member.incarnation:013x}-{number:010d}"
     program = chain[0] if chain else this
     begin = Begin(
         this,
@@ -161,11 +161,11 @@
         "",
         4000,
     )
-    ok = yield timed(load, reactor, load.begun_ms, operation_client.ask(leaf, begin, WAIT_MS), Begun)
+    ok = yield timed(load, reactor, load.begun_ms, operation_client.call_replicas(agent, begin, WAIT_MS), Begun)
     if not ok:
         return
-    bodied = timed(load, reactor, load.put_ms, turn_store.put(leaf, this, load.body, WAIT_MS), None)
-    end = operation_client.tell(leaf, End(this, 360, RETENTION_MS, len(load.body)))
+    bodied = timed(load, reactor, load.put_ms, turn_store.put(agent, this, load.body, WAIT_MS), None)
+    end = operation_client.submit_until_decided(agent, End(this, 360, RETENTION_MS, len(load.body)))
     ended = yield timed(load, reactor, load.ended_ms, end, Ended)
     yield bodied
     if ended:
@@ -173,11 +173,11 @@
 
 
 @inlineCallbacks
-def keyed(leaf, load, reactor, number):
+def keyed(agent, load, reactor, number):
     """Claim and resolve an idempotency key."""
-    this = f"{leaf.settings.name}-{leaf.endpoint.member.incarnation:013x}-{number:010d}"
+    this = f"{agent.settings.name}-{agent.endpoint.member.incarnation:013x}-{number:010d}"
     claim = Claim(f"key-{this}", this, WINDOW_MS)
-    ok = yield timed(load, reactor, load.claimed_ms, operation_client.ask(leaf, claim, WAIT_MS), Claimed)
+    ok = yield timed(load, reactor, load.claimed_ms, operation_client.call_replicas(agent, claim, WAIT_MS), Claimed)
     if ok:
         resolve = Resolve(f"key-{this}", this, load.body[:400])
-        yield timed(load, reactor, load.ended_ms, operation_client.tell(leaf, resolve), Ended)
+        yield timed(load, reactor, load.ended_ms, operation_client.submit_until_decided(agent, resolve), Ended)
--- a/frostpost/testbed/scale_ring.py
+++ b/frostpost/testbed/scale_ring.py
@@ -38,14 +38,14 @@
         "cpu_s": cpu_s(),
         "memory_mb": round(memory_mb(), 1),
         "at_s": reactor.seconds(),
-        "sequencing": agent_sessions.sequencing(ctx),
+        "sequencing": agent_sessions.is_sequencer(ctx),
         "lag_ms": round(ctx.lag_ms, 1),
         "counts": dict(ctx.counts),
         "ordered": dict(ctx.core.synchrony.counts),
         "syncs": ctx.disk.syncs,
         "silo_syncs": replica.turn_store.syncs,
         "epoch": ctx.core.synchrony.configuration.id.epoch,
-        "sessions": len(replica.sessions.leaves),
+        "sessions": len(replica.sessions.agents),
         "ledger": ledger(replica, whole),
     }
 
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -96,8 +96,8 @@
 def sums(leaves):
     """Return the leaves' counters added up."""
     total = Counter()
-    for leaf in leaves:
-        total.update(leaf.counts)
+    for agent in leaves:
+        total.update(agent.counts)
     return total
 
 
@@ -144,18 +144,18 @@
         report["error"] = f"a leaf stopped: {code}"
         reactor.stop()
 
-    seed = leaves_.start_leaf(
+    seed = leaves_.start_agent(
         leaves_.leaf_settings("seed", "core", "127.77.1.1", port, seed_at, os.path.join(folder, "seed")), reactor, stop
     )
-    yield until(lambda: lease_client.lease_ok(seed), START_S, "the ring did not open")
+    yield until(lambda: lease_client.holds_lease(seed), START_S, "the ring did not open")
     leaves, gaps = [], {}
     for n in range(options.leaves):
         host = f"127.77.{2 + n // 250}.{1 + n % 250}"
         leaves.append(
-            leaves_.start_leaf(leaves_.leaf_settings(f"leaf-{n}", "edge", host, port, seed_at), reactor, stop)
+            leaves_.start_agent(leaves_.leaf_settings(f"leaf-{n}", "edge", host, port, seed_at), reactor, stop)
         )
         yield pause(1 / STARTS_PER_S)
-    yield until(lambda: all(map(lease_client.lease_ok, leaves)), START_S, "not all leaves have a lease")
+    yield until(lambda: all(map(lease_client.holds_lease, leaves)), START_S, "not all leaves have a lease")
     leaves_.watch(leaves, gaps)
     candidates = tuple(Candidate(f"runner-{n:06d}", 64) for n in range(options.candidates))
     load = leaves_.Load(options.rate, candidates, os.urandom(options.body))
@@ -183,7 +183,7 @@
         candidates=options.candidates,
         load_average=os.getloadavg()[0],
         rings=[ring_report(b, a) for b, a in zip(before, after, strict=True)],
-        leaf={
+        agent={
             "per_s": per_leaf(counts, counts_after, seconds, options.leaves),
             "cpu_cores": round(used_s / seconds / options.leaves, 6),
             "process_cpu_cores": round(used_s / seconds, 4),
--- a/frostpost/turn_store/cache.py
+++ b/frostpost/turn_store/cache.py
@@ -16,11 +16,11 @@
     used_bytes: int = 0
 
 
-def cache_of(leaf):
+def cache_of(agent):
     """Return an agent's cache; it is made at first use."""
-    if leaf.cache is None:
-        leaf.cache = Cache(getattr(leaf.settings, "cache_bytes", CACHE_BYTES), OrderedDict())
-    return leaf.cache
+    if agent.cache is None:
+        agent.cache = Cache(getattr(agent.settings, "cache_bytes", CACHE_BYTES), OrderedDict())
+    return agent.cache
 
 
 def cached(cache, turn):
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -55,45 +55,45 @@
     fetches: dict[int, Fetch] = {}
 
 
-def putting(leaf):
+def putting(agent):
     """Return an agent's puts and fetches; made at first use."""
-    if not isinstance(leaf.putting, Putting):
-        leaf.putting = Putting()
-    return leaf.putting
+    if not isinstance(agent.putting, Putting):
+        agent.putting = Putting()
+    return agent.putting
 
 
-def put(leaf, turn, data, wait_ms):
+def put(agent, turn, data, wait_ms):
     """-> Deferred[Result[Synced, Unavailable]]: Ok once a majority of the voters has synced the body.
 
     The voters are those of a lease that runs at that moment.
     """
-    state = putting(leaf)
+    state = putting(agent)
     state.number += 1
     job = Put(state.number, turn, data, Deferred(lambda _: drop(state.puts, job)))
     state.puts[job.number] = job
     later(
-        leaf,
+        agent,
         job,
         "end",
         wait_ms,
         lambda: end(state.puts, job, Error(Unavailable(RETRY_MS, "body not synced by a majority of the voters"))),
     )
-    send_puts(leaf, job)
+    send_puts(agent, job)
     return job.result
 
 
-def send_puts(leaf, job):
+def send_puts(agent, job):
     """Send a body to every replica that has not confirmed it, and again after a while."""
-    later(leaf, job, "resend", RESEND_MS, lambda: send_puts(leaf, job))
-    message = PutBodyRequest(leaf.endpoint.member.incarnation, job.number, job.turn, job.data)
-    for name, address in lease_client.ring_addresses(leaf).items():
+    later(agent, job, "resend", RESEND_MS, lambda: send_puts(agent, job))
+    message = PutBodyRequest(agent.endpoint.member.incarnation, job.number, job.turn, job.data)
+    for name, address in lease_client.replica_addresses(agent).items():
         if name not in job.synced:
-            leaf.links["send"](address, message)
+            agent.links["send"](address, message)
 
 
-def fetch(leaf, turns, wait_ms):
+def fetch(agent, turns, wait_ms):
     """-> Deferred[Result[tuple[bytes, ...], Unavailable]], in the order asked for."""
-    cache, found = cache_of(leaf), {}
+    cache, found = cache_of(agent), {}
     for turn in turns:
         data = cached(cache, turn)
         if data is not None:
@@ -101,115 +101,115 @@
     wanted = {turn: None for turn in turns if turn not in found}
     if not wanted:
         return succeed(Ok(tuple(found[turn] for turn in turns)))
-    state = putting(leaf)
+    state = putting(agent)
     state.number += 1
     job = Fetch(state.number, tuple(turns), found, wanted, Deferred(lambda _: drop(state.fetches, job)))
     state.fetches[job.number] = job
-    later(leaf, job, "end", wait_ms, lambda: out_of_reach(leaf, job))
-    ask_next(leaf, job)
+    later(agent, job, "end", wait_ms, lambda: out_of_reach(agent, job))
+    ask_next(agent, job)
     return job.result
 
 
-def ask_next(leaf, job):
+def ask_next(agent, job):
     """Ask another replica for what is still wanted."""
-    names = sorted(lease_client.ring_addresses(leaf))
+    names = sorted(lease_client.replica_addresses(agent))
     fresh = [name for name in names if name not in job.asked]
     again = [name for name in job.asked if name in names and name not in job.exhausted]
     if names and not fresh and not again:
-        out_of_reach(leaf, job)
+        out_of_reach(agent, job)
         return
     wait_ms = ASK_OTHER_MS if len(fresh) > 1 or not names else ASK_AGAIN_MS
-    later(leaf, job, "other", wait_ms, lambda: ask_next(leaf, job))
+    later(agent, job, "other", wait_ms, lambda: ask_next(agent, job))
     if names:
-        ask(leaf, job, fresh[job.number % len(fresh)] if fresh else again[0])
+        ask(agent, job, fresh[job.number % len(fresh)] if fresh else again[0])
 
 
-def ask(leaf, job, name):
+def ask(agent, job, name):
     """Ask one replica for what is still wanted."""
     if name in job.asked:
         job.asked.remove(name)
     job.asked.append(name)
-    address = lease_client.ring_addresses(leaf).get(name)
+    address = lease_client.replica_addresses(agent).get(name)
     if address is not None:
-        leaf.links["send"](address, GetBodiesRequest(leaf.endpoint.member.incarnation, job.number, tuple(job.wanted)))
+        agent.links["send"](address, GetBodiesRequest(agent.endpoint.member.incarnation, job.number, tuple(job.wanted)))
 
 
-def out_of_reach(leaf, job):
+def out_of_reach(agent, job):
     """End a fetch whose bodies no replica has."""
-    end(putting(leaf).fetches, job, Error(Unavailable(RETRY_MS, "bodies out of reach")))
+    end(putting(agent).fetches, job, Error(Unavailable(RETRY_MS, "bodies out of reach")))
 
 
-def received(leaf, name, body):
+def received(agent, name, body):
     """Takes PutBodyReply and GetBodiesReply from the ring daemon of that name; -> whether it was one of them."""
     if not isinstance(body, (PutBodyReply, GetBodiesReply)):
         return False
-    state = putting(leaf)
-    if body.incarnation == leaf.endpoint.member.incarnation:
+    state = putting(agent)
+    if body.incarnation == agent.endpoint.member.incarnation:
         if isinstance(body, PutBodyReply) and body.number in state.puts:
-            done(leaf, state.puts[body.number], name, body.synced)
+            done(agent, state.puts[body.number], name, body.synced)
         elif isinstance(body, GetBodiesReply) and body.number in state.fetches:
-            got(leaf, state.fetches[body.number], name, body.items)
+            got(agent, state.fetches[body.number], name, body.items)
     return True
 
 
-def done(leaf, job, name, synced):
+def done(agent, job, name, synced):
     """Count a replica's confirmation; a majority of the voters ends the put."""
     if not synced:
         return
     job.synced.add(name)
-    count_holders(leaf, job)
+    count_holders(agent, job)
 
 
-def lasts(leaf, holders):
+def lasts(agent, holders):
     """Whether these are a majority of the voters under a lease that runs now."""
-    voters = lease_client.voters(leaf)
-    return lease_client.lease_ok(leaf) and 2 * sum(voter in holders for voter in voters) > len(voters)
+    voters = lease_client.voters_of(agent)
+    return lease_client.holds_lease(agent) and 2 * sum(voter in holders for voter in voters) > len(voters)
 
 
-def count_holders(leaf, job):
+def count_holders(agent, job):
     """End a put, and keep its body, once a majority of the voters has it on disk."""
-    if lasts(leaf, job.synced):
-        remember(cache_of(leaf), job.turn, job.data)
-        end(putting(leaf).puts, job, Ok(Synced(frozenset(job.synced))))
+    if lasts(agent, job.synced):
+        remember(cache_of(agent), job.turn, job.data)
+        end(putting(agent).puts, job, Ok(Synced(frozenset(job.synced))))
 
 
-def granted(leaf):
+def granted(agent):
     """A lease was granted, maybe with other voters: what is put already is counted anew."""
-    for job in list(putting(leaf).puts.values()):
-        count_holders(leaf, job)
+    for job in list(putting(agent).puts.values()):
+        count_holders(agent, job)
 
 
-def got(leaf, job, name, items):
+def got(agent, job, name, items):
     """Take in the bodies that a replica sent."""
     for turn, data in items:
         if turn in job.wanted:
             del job.wanted[turn]
             job.found[turn] = data
-            remember(cache_of(leaf), turn, data)
+            remember(cache_of(agent), turn, data)
     if not job.wanted:
-        end(putting(leaf).fetches, job, Ok(tuple(job.found[turn] for turn in job.turns)))
+        end(putting(agent).fetches, job, Ok(tuple(job.found[turn] for turn in job.turns)))
     elif cut_short(items):
-        ask(leaf, job, name)
+        ask(agent, job, name)
     elif name not in job.exhausted:
         job.exhausted.add(name)
-        answered(leaf, job)
+        answered(agent, job)
 
 
-def answered(leaf, job):
+def answered(agent, job):
     """Ask the next replica, or give up once all lack what is wanted."""
-    names = lease_client.ring_addresses(leaf).keys()
+    names = lease_client.replica_addresses(agent).keys()
     if names <= job.exhausted:
-        out_of_reach(leaf, job)
+        out_of_reach(agent, job)
     elif not names <= set(job.asked):
-        ask_next(leaf, job)
+        ask_next(agent, job)
 
 
-def later(leaf, job, what, wait_ms, call):
+def later(agent, job, what, wait_ms, call):
     """Start a timer of a job in place of the one of the same name."""
     timer = job.timers.pop(what, None)
     if timer is not None and timer.active():
         timer.cancel()
-    job.timers[what] = leaf.reactor.callLater(max(0, wait_ms) / 1000, call)
+    job.timers[what] = agent.reactor.callLater(max(0, wait_ms) / 1000, call)
 
 
 def drop(jobs, job):
--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -13,7 +13,7 @@
     """endpoints: the replicas that the sender knows. charter: the founding voters, if it knows them."""
 
     endpoints: tuple[Endpoint, ...]
-    charter: tuple[str, ...] = ()
+    bootstrap_voters: tuple[str, ...] = ()
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=24):
@@ -45,7 +45,7 @@
     honoured: int = 0
     epoch: int = 0
     endpoints: tuple[Endpoint, ...] = ()
-    leaves: int = 0
+    agent_count: int = 0
     draining: tuple[str, ...] = ()
 
 
--- a/tests/fleet_simulator/bearing.py
+++ b/tests/fleet_simulator/bearing.py
@@ -32,7 +32,7 @@
     if role == "core":
         return next((d for d in world.of("core") if d.host.address == world.notes.acknowledged_by), None)
     live = [d for d in world.of("storage") if d.owner is not None and d.owner.ctx.core is not None]
-    return next((d for d in live if d.host.alive and agent_sessions.sequencing(d.owner.ctx)), None)
+    return next((d for d in live if d.host.alive and agent_sessions.is_sequencer(d.owner.ctx)), None)
 
 
 def reader(world):
--- a/tests/fleet_simulator/cuts.py
+++ b/tests/fleet_simulator/cuts.py
@@ -29,10 +29,10 @@
 
 def leader(world):
     """The storage daemon that sequences, or None."""
-    from frostpost.cluster.agent_sessions import sequencing
+    from frostpost.cluster.agent_sessions import is_sequencer
 
     found = [d for d in world.of("storage") if d.host.alive and d.owner is not None and d.owner.ctx.core is not None]
-    return next((daemon for daemon in found if sequencing(daemon.owner.ctx)), None)
+    return next((daemon for daemon in found if is_sequencer(daemon.owner.ctx)), None)
 
 
 def replacement(world, issue, base):
--- a/tests/fleet_simulator/leases.py
+++ b/tests/fleet_simulator/leases.py
@@ -34,16 +34,17 @@
 
     def note_honoured(self):
         """The newest routing that any daemon may have acknowledged to an operator."""
-        told = [leases.session(d.owner).honoured for d in self.agents()]
+        told = [leases.session_of(d.owner).honoured_version for d in self.agents()]
         self.honoured = max([self.honoured, *told])
 
     def old_agents(self):
         for daemon in self.agents():
-            held = leases.session(daemon.owner)
-            if leases.lease_ok(daemon.owner) and held.held < self.honoured:
+            held = leases.session_of(daemon.owner)
+            if leases.holds_lease(daemon.owner) and held.routing_version < self.honoured:
                 yield Broken(
                     "LEASE",
-                    f"{daemon.name} serves by {held.held} at {round(self.world.now_ms())}, {self.honoured} is honoured",
+                    f"{daemon.name} serves by {held.routing_version} at {round(self.world.now_ms())}, "
+                    f"{self.honoured} is honoured",
                 )
 
     def old_leaders(self):
@@ -53,7 +54,7 @@
             ctx = daemon.owner.ctx
             version = ctx.core.ledger.program_ledger.routing_version
             if (
-                agent_sessions.sequencing(ctx)
+                agent_sessions.is_sequencer(ctx)
                 and lease_remaining_ms(ctx.core.synchrony, int(self.world.now_ms()))
                 and version < self.honoured
             ):
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -20,11 +20,11 @@
 
 
 def end_unawaited():
-    def close(leaf, route, call, tokens, data, until_ms):
+    def close(agent, route, call, tokens, data, until_ms):
         keep_ms = route.keep_ms if route.retained else 0
-        turn.tell(leaf, End(call.attempt, tokens, keep_ms=keep_ms, size=len(data)))
+        turn.submit_until_decided(agent, End(call.attempt, tokens, keep_ms=keep_ms, size=len(data)))
         if keep_ms:
-            turn.put(leaf, call.attempt, data, 5000)
+            turn.put(agent, call.attempt, data, 5000)
         return succeed(True)
 
     return [(turn, "close", close)]
@@ -45,14 +45,14 @@
 
 
 def lease_ignored():
-    return [(module, "lease_ok", lambda leaf: True) for module in (serve, pool, lease_client)]
+    return [(module, "holds_lease", lambda agent: True) for module in (serve, pool, lease_client)]
 
 
 def chain_reversed():
     kept = turn.fetch
 
-    def fetch(leaf, turns, wait_ms):
-        return kept(leaf, tuple(reversed(turns)), wait_ms)
+    def fetch(agent, turns, wait_ms):
+        return kept(agent, tuple(reversed(turns)), wait_ms)
 
     return [(turn, "fetch", fetch)]
 
@@ -117,8 +117,8 @@
 def unordered_ack():
     """A change is acknowledged before it is ordered."""
 
-    def set_routing(leaf, base, version, body, digest, wait_ms):
-        control_client.look(leaf, SetRouting(base, version, body, digest, wait_ms), 50)
+    def set_routing(agent, base, version, body, digest, wait_ms):
+        control_client.call_replicas_unleased(agent, SetRouting(base, version, body, digest, wait_ms), 50)
         return succeed(control_client.Ok(version))
 
     return [(control_client, "set_routing", set_routing)]
@@ -131,7 +131,7 @@
 
 def leases_not_waited_out():
     """A new leader tells a routing as honoured though leases of the one before it still run."""
-    kept = agent_sessions.honoured
+    kept = agent_sessions.honoured_version
 
     def honoured(ctx, sessions):
         installed_ms, ctx.core.synchrony.installed_ms = ctx.core.synchrony.installed_ms, -(1 << 40)
@@ -140,7 +140,7 @@
         finally:
             ctx.core.synchrony.installed_ms = installed_ms
 
-    return [(agent_sessions, "honoured", honoured)]
+    return [(agent_sessions, "honoured_version", honoured)]
 
 
 def released_early():
@@ -150,7 +150,7 @@
         retiring, voters = ctx.core.ledger.program_ledger.retiring, voter_reconfiguration.voters_of(ctx)
         return [name for name, state in retiring.items() if state == "in_service" and name not in voters]
 
-    return [(voter_reconfiguration, "emptied", emptied)]
+    return [(voter_reconfiguration, "releasable_replicas", emptied)]
 
 
 def fetched_in_rounds():
@@ -160,12 +160,15 @@
 
 def vote_kept():
     """A voter that ends in order takes its vote with it."""
-    kept = voter_reconfiguration.view
+    kept = voter_reconfiguration.replica_view
 
     def view(ctx, changes, name, regions):
         return structs.replace(kept(ctx, changes, name, regions), leaving=False)
 
-    return [(voter_reconfiguration, "dispensable", lambda ctx, settings: False), (voter_reconfiguration, "view", view)]
+    return [
+        (voter_reconfiguration, "is_dispensable_voter", lambda ctx, settings: False),
+        (voter_reconfiguration, "replica_view", view),
+    ]
 
 
 def orders_forgotten():
@@ -184,8 +187,8 @@
 def read_from_copy():
     """A control daemon tells the configuration that it holds itself."""
 
-    def query(leaf, request):
-        reply(request, 200, routing.document_of(leaf.routing_body))
+    def query(agent, request):
+        reply(request, 200, routing.document_of(agent.routing_body))
         return succeed(None)
 
     return [(control, "query", query)]
@@ -193,7 +196,7 @@
 
 def read_from_leader():
     """The leader answers a read from its own state, unordered."""
-    kept = agent_sessions.asked
+    kept = agent_sessions.on_operation_request
 
     def asked(ctx, sessions, address, message):
         op = agent_sessions.decode_op(message.payload)
@@ -204,7 +207,7 @@
             address, OperationReply(message.incarnation, message.number, agent_sessions.encode(verdict))
         )
 
-    return [(agent_sessions, "asked", asked)]
+    return [(agent_sessions, "on_operation_request", asked)]
 
 
 PLANTS = {
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -1,6 +1,6 @@
 """Steps of stories about copies: machines replaced, emptied and wiped, and what became of what was acknowledged."""
 
-from frostpost.cluster.agent_sessions import sequencing
+from frostpost.cluster.agent_sessions import is_sequencer
 from frostpost.daemon.heart import ask
 from frostpost.program_ledger.words import Begin, Candidate, End
 from frostpost.turn_store import store
@@ -130,7 +130,7 @@
 
 def sequencer_of(world):
     """The storage machine that orders."""
-    return next(d for d in world.of("storage") if d.owner is not None and sequencing(d.owner.ctx))
+    return next(d for d in world.of("storage") if d.owner is not None and is_sequencer(d.owner.ctx))
 
 
 def fill(world, count, keep_ms, data=b"b" * 3000):
--- a/tests/fleet_simulator/works.py
+++ b/tests/fleet_simulator/works.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from frostpost.cluster.assembly import reread
+from frostpost.cluster.assembly import reload_settings
 from frostpost.platform import settings
 
 from . import bearing, returns
@@ -133,7 +133,7 @@
         if daemon.host.alive and daemon.owner is not None and random.random() < 0.3:
             told = settings.from_document(worlds.document_of(world, daemon))
             front = SimpleNamespace(reread=lambda told=told: told)
-            world.later(random.uniform(0, 1000), daemon.host.enter, reread, daemon.owner, front)
+            world.later(random.uniform(0, 1000), daemon.host.enter, reload_settings, daemon.owner, front)
 
 
 def replace_planned(world, random):
--- a/tests/fleet_simulator/world.py
+++ b/tests/fleet_simulator/world.py
@@ -252,8 +252,8 @@
             host.enter(replica_daemon.start, daemon.owner)
         else:
             front = listening.make_front()
-            daemon.owner = assembly.make_leaf(told, front, host, machine)
-            host.enter(assembly.start_leaf, daemon.owner, front, stop)
+            daemon.owner = assembly.make_agent(told, front, host, machine)
+            host.enter(assembly.start_agent, daemon.owner, front, stop)
     except OSError as fault:
         ended(world, daemon, life, type(fault).__name__)
 
@@ -292,9 +292,9 @@
 
     host.enter(
         *(
-            (replica_daemon.leave, daemon.owner)
+            (replica_daemon.drain, daemon.owner)
             if daemon.role == "storage"
-            else (assembly.leave_leaf, daemon.owner, stop)
+            else (assembly.drain_agent, daemon.owner, stop)
         )
     )
 
--- a/tests/test_cluster_bootstrap.py
+++ b/tests/test_cluster_bootstrap.py
@@ -7,7 +7,7 @@
 
 from frostpost.cluster import agent as assembly
 from frostpost.cluster import bootstrap
-from frostpost.cluster.agent_context import Leaf
+from frostpost.cluster.agent_context import AgentContext
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
@@ -36,12 +36,12 @@
             "c1", "core", "z", *address, seeds=SEEDS, first_start=first_start, data="/data", tolerated=tolerated
         )
         machine = Machine(seconds=self.clock.seconds, in_thread=self.threads.run, files=drives.files_of(self.drive))
-        self.leaf = Leaf(settings, self.clock, endpoint_of("c1", "core"), machine)
+        self.agent = AgentContext(settings, self.clock, endpoint_of("c1", "core"), machine)
         self.kept = {seed: () for seed in SEEDS if seed != f"{address[0]}:{address[1]}"} if kept is None else kept
         self.silent = set()
-        self.leaf.links["send"] = self.send
-        assembly.lease_client.session(self.leaf)
-        bootstrap.begin(self.leaf)
+        self.agent.links["send"] = self.send
+        assembly.lease_client.session_of(self.agent)
+        bootstrap.open_bootstrap(self.agent)
 
     def send(self, to, body):
         """Other seeds keep what they are asked to, and answer."""
@@ -52,20 +52,20 @@
             self.kept[seed] = body.names or self.kept[seed]
             host, port = seed.split(":")
             endpoint = Endpoint(Member(seed, 1), "core", "z", host, int(port), 0)
-            assembly.received(self.leaf, Frame(1, endpoint, "", BootstrapReply(self.kept[seed])))
+            assembly.on_frame(self.agent, Frame(1, endpoint, "", BootstrapReply(self.kept[seed])))
 
     def hello(self, *names, role="storage"):
         for name in names:
-            assembly.received(self.leaf, Frame(1, endpoint_of(name, role), "", DirectoryRequest()))
+            assembly.on_frame(self.agent, Frame(1, endpoint_of(name, role), "", DirectoryRequest()))
 
     def after(self, wait_s):
         self.clock.advance(wait_s)
-        bootstrap.tend(self.leaf)
-        return self.leaf.charter
+        bootstrap.advance(self.agent)
+        return self.agent.bootstrap_voters
 
 
-STILL_S = bootstrap.STILL_MS / 1000 + 0.01
-FEW_S = bootstrap.FEW_MS / 1000 + 0.01
+STILL_S = bootstrap.SETTLED_MS / 1000 + 0.01
+FEW_S = bootstrap.TOO_FEW_WAIT_MS / 1000 + 0.01
 
 
 def test_lowest_seed_founds_with_all_that_wait_once_none_came_for_a_while():
@@ -90,7 +90,7 @@
 def test_only_storage_daemons_that_ask_are_counted():
     core = Core()
     core.hello("e1", "e2", "c2", role="edge")
-    assembly.received(core.leaf, Frame(1, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
+    assembly.on_frame(core.agent, Frame(1, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
     assert core.after(FEW_S) == ()
 
 
@@ -131,10 +131,10 @@
     made = core.after(STILL_S)
     lose_unsynced(core.drive)
     again = Core(drive=core.drive, clock=core.clock)
-    assert again.leaf.charter == made
+    assert again.agent.bootstrap_voters == made
     again.hello("s7", "s8", "s9")
     assert again.after(STILL_S) == made
-    assert Core(SECOND, first_start=False, drive=core.drive).leaf.charter == made
+    assert Core(SECOND, first_start=False, drive=core.drive).agent.bootstrap_voters == made
 
 
 def test_loss_of_power_before_the_sync_leaves_no_charter():
@@ -143,17 +143,17 @@
     core.hello("s1", "s2", "s3")
     core.after(STILL_S)
     lose_unsynced(core.drive)
-    assert Core(drive=core.drive).leaf.charter == ()
+    assert Core(drive=core.drive).agent.bootstrap_voters == ()
 
 
 def test_charter_whose_sync_failed_is_not_handed_out_and_tried_again():
     core = Core()
     core.drive.broken = {"sync": 1}
     core.hello("s1", "s2", "s3")
-    assert core.after(STILL_S) == () and core.leaf.extras["founding"].writing is False
+    assert core.after(STILL_S) == () and core.agent.extras["founding"].writing is False
     assert core.after(STILL_S) == ("s1", "s2", "s3")
     lose_unsynced(core.drive)
-    assert Core(drive=core.drive).leaf.charter == ("s1", "s2", "s3")
+    assert Core(drive=core.drive).agent.bootstrap_voters == ("s1", "s2", "s3")
 
 
 def test_no_charter_is_proposed_before_all_other_seeds_have_answered():
@@ -163,7 +163,10 @@
     core.hello("s1", "s2", "s3")
     assert core.after(STILL_S) == core.after(FEW_S) == () and core.kept[other] == ()
     core.silent = set()
-    assert core.after(STILL_S) == ("s1", "s2", "s3") and core.kept[other] == core.kept[silent] == core.leaf.charter
+    assert (
+        core.after(STILL_S) == ("s1", "s2", "s3")
+        and core.kept[other] == core.kept[silent] == core.agent.bootstrap_voters
+    )
 
 
 def test_no_charter_is_handed_out_before_all_other_seeds_keep_it():
@@ -171,13 +174,13 @@
     late = next(iter(core.kept))
     core.hello("s1", "s2", "s3")
     sent = core.send
-    core.leaf.links["send"] = lambda to, body: (
+    core.agent.links["send"] = lambda to, body: (
         None if to == f"@{late}" and body == BootstrapRequest(NAMES) else sent(to, body)
     )
     assert core.after(STILL_S) == core.after(FEW_S) == ()
     core.hello("s4")
     assert core.out[-1] == DirectoryReply((), ())
-    core.leaf.links["send"] = sent
+    core.agent.links["send"] = sent
     assert core.after(STILL_S) == NAMES == core.kept[late]
 
 
@@ -195,11 +198,11 @@
 def test_a_seed_keeps_a_charter_over_a_loss_of_power_but_does_not_hand_it_out():
     core = Core(SECOND)
     asker = Endpoint(Member("c1", 1), "core", "z", *FIRST, 0)
-    assembly.received(core.leaf, Frame(1, asker, "", BootstrapRequest()))
-    assembly.received(core.leaf, Frame(1, asker, "", BootstrapRequest(NAMES)))
+    assembly.on_frame(core.agent, Frame(1, asker, "", BootstrapRequest()))
+    assembly.on_frame(core.agent, Frame(1, asker, "", BootstrapRequest(NAMES)))
     assert core.out == [BootstrapReply(()), BootstrapReply(NAMES)]
     lose_unsynced(core.drive)
     again = Core(SECOND, drive=core.drive)
-    assembly.received(again.leaf, Frame(1, asker, "", BootstrapRequest()))
+    assembly.on_frame(again.agent, Frame(1, asker, "", BootstrapRequest()))
     again.hello("s1")
     assert again.out == [BootstrapReply(NAMES), DirectoryReply((), ())]
--- a/tests/test_cluster_replica_daemon.py
+++ b/tests/test_cluster_replica_daemon.py
@@ -43,7 +43,7 @@
 
 
 def hear(replica, body, name="c1", role="core"):
-    replica_daemon.received(replica, Frame(1, endpoint_of(name, role), "", body))
+    replica_daemon.on_frame(replica, Frame(1, endpoint_of(name, role), "", body))
 
 
 def hellos(out):
@@ -72,7 +72,11 @@
     hear(replica, LeaseRequest(0, 0), "e1", "edge")
     assert replica.waiting and replica.ctx.core is None and stopped == []
     hear(replica, DirectoryReply((), CHARTER))
-    assert not replica.waiting and replica.ctx.core.synchrony.bootstrap_voters == CHARTER and replica.charter == CHARTER
+    assert (
+        not replica.waiting
+        and replica.ctx.core.synchrony.bootstrap_voters == CHARTER
+        and replica.bootstrap_voters == CHARTER
+    )
     out.clear()
     replica.reactor.advance(0.1)
     assert hellos(out) == []
@@ -84,7 +88,9 @@
     core = replica.ctx.core
     hear(replica, DirectoryReply((), CHARTER))
     assert (
-        replica.charter == () and core.synchrony.bootstrap_voters == () and replica.ctx.core.synchrony is core.synchrony
+        replica.bootstrap_voters == ()
+        and core.synchrony.bootstrap_voters == ()
+        and replica.ctx.core.synchrony is core.synchrony
     )
 
 
@@ -101,11 +107,11 @@
 def test_sequencer_that_opens_greets_each_leaf_it_knows_once_a_configuration(monkeypatch):
     replica, out, _ = new_house(monkeypatch, (MEMORY,))
     replica_daemon.start(replica)
-    replica.leaves.addresses = ("h:21",)
-    replica.sessions.leaves["e2"] = agent_sessions.LeafSeen("@h:22", 1, 0, 0)
+    replica.agent_addresses.addresses = ("h:21",)
+    replica.sessions.agents["e2"] = agent_sessions.AgentSession("@h:22", 1, 0, 0)
     replica.reactor.advance(0.1)
     assert [to for to, body in out if isinstance(body, DirectoryReply)] == []
-    monkeypatch.setattr(agent_sessions, "sequencing", lambda ctx: True)
+    monkeypatch.setattr(agent_sessions, "is_sequencer", lambda ctx: True)
     for _ in range(5):
         replica.reactor.advance(0.03)
     greeted = [(to, [p.member.name for p in body.endpoints]) for to, body in out if isinstance(body, DirectoryReply)]
@@ -116,14 +122,14 @@
     replica, _, _ = new_house(monkeypatch, (MEMORY,))
     replica_daemon.start(replica)
     now = replica_daemon.clock_ms(replica.ctx)
-    replica.sessions.leaves = {
-        "e1": agent_sessions.LeafSeen("@h:21", 1, 0, now + 5000),
-        "e2": agent_sessions.LeafSeen("@h:22", 1, 0, now),
+    replica.sessions.agents = {
+        "e1": agent_sessions.AgentSession("@h:21", 1, 0, now + 5000),
+        "e2": agent_sessions.AgentSession("@h:22", 1, 0, now),
     }
     replica.reactor.advance(1.1)
-    assert replica_daemon.address_book.open_("/data", replica.machine, "leaves").addresses == ("h:21",)
-    agent_sessions.forget(replica.sessions, now + agent_sessions.FORGET_MS + 1)
-    assert list(replica.sessions.leaves) == ["e1"]
+    assert replica_daemon.address_book.open_address_book("/data", replica.machine, "leaves").addresses == ("h:21",)
+    agent_sessions.forget_lapsed(replica.sessions, now + agent_sessions.SESSION_RETENTION_MS + 1)
+    assert list(replica.sessions.agents) == ["e1"]
 
 
 def test_settings_read_again_bring_new_seeds_to_a_running_storage_daemon(monkeypatch):
@@ -135,5 +141,5 @@
     replica, _, _ = new_house(monkeypatch, (MEMORY,))
     replica_daemon.start(replica)
     settings = structs.replace(replica.settings, seeds=("h:9",))
-    assembly.reread(replica, SimpleNamespace(reread=lambda: Ok(settings)))
+    assembly.reload_settings(replica, SimpleNamespace(reread=lambda: Ok(settings)))
     assert replica.ctx.core.synchrony.seeds == ("@h:9", "@h:7", "@h:8")
--- a/tests/test_cluster_voter_policy.py
+++ b/tests/test_cluster_voter_policy.py
@@ -6,9 +6,16 @@
 from msgspec import Struct, structs
 
 from frostpost.cluster import voter_policy
-from frostpost.cluster.voter_policy import ReplicaView, Tolerance, Waits, next_voters, slack, sound
+from frostpost.cluster.voter_policy import (
+    AbsenceLimits,
+    ReplicaView,
+    Tolerance,
+    majority_margin,
+    next_voters,
+    tolerates_loss,
+)
 
-WAITS = Waits(to_newcomer_ms=1000, alone_ms=4000)
+WAITS = AbsenceLimits(to_newcomer_ms=1000, alone_ms=4000)
 JUST_AWAY, LONG_AWAY = 10, 5000
 MOST_JOINS = 3
 
@@ -52,8 +59,8 @@
         found.name,
         found.zone,
         present=present,
-        whole=present and found.whole,
-        leaving=found.status == "ending",
+        complete=present and found.whole,
+        draining=found.status == "ending",
         away_ms=found.away_ms,
     )
 
@@ -129,7 +136,7 @@
     one_at_a_time = all(m.status != "ending" for m in state.machines)
     for found in spare if one_at_a_time else ():
         rest = [v for v in views(state, state.voters) if v.name != found.name]
-        if not state.lost and len(spare) > 2 * tolerance.machines + 1 and sound(rest, tolerance):
+        if not state.lost and len(spare) > 2 * tolerance.machines + 1 and tolerates_loss(rest, tolerance):
             yield changed(state, found.name, status="ending")
     for found in state.machines:
         if found.status == "ending" and (found.name not in state.voters or wished(state, tolerance) is None):
@@ -195,20 +202,24 @@
     yield from ((*voters, other) for other in others)
 
 
-def keeps_leavers(voters, others, tolerance, waits, may_swap, kept=voter_policy.steps):
+def keeps_leavers(voters, others, tolerance, waits, may_swap, kept=voter_policy.candidate_sets):
     """Who ends in order keeps its vote."""
-    stay = [structs.replace(voter, leaving=False) for voter in voters]
+    stay = [structs.replace(voter, draining=False) for voter in voters]
     return kept(tuple(stay), others, tolerance, waits, may_swap)
 
 
-def waits_for_newcomers(voters, others, tolerance, waits, may_swap, kept=voter_policy.steps):
+def waits_for_newcomers(voters, others, tolerance, waits, may_swap, kept=voter_policy.candidate_sets):
     """Newcomers are never exchanged for those that are gone."""
     return kept(voters, [], tolerance, waits, may_swap)
 
 
 @pytest.mark.parametrize(
     "plant",
-    [{"steps": unfilled_steps, "safe": always}, {"steps": keeps_leavers}, {"steps": waits_for_newcomers}],
+    [
+        {"candidate_sets": unfilled_steps, "is_safe_step": always},
+        {"candidate_sets": keeps_leavers},
+        {"candidate_sets": waits_for_newcomers},
+    ],
     ids=["unfilled", "leavers", "newcomers"],
 )
 def test_a_rule_with_a_planted_fault_leaves_no_majority_somewhere(plant, monkeypatch):
@@ -240,13 +251,13 @@
     ],
 )
 def test_sound_sets_leave_a_majority_of_themselves(zones, tolerance, expected):
-    assert sound(replicas(zones), tolerance) is expected
+    assert tolerates_loss(replicas(zones), tolerance) is expected
 
 
 def test_every_loss_of_zones_leaves_a_majority_of_a_sound_set():
     for zones in ("abc", "aabbc", "aabbcc", "aabbccd", "abcde", "aabcde"):
         for most in (1, 2):
-            if not sound(replicas(zones), Tolerance(0, zones=most)):
+            if not tolerates_loss(replicas(zones), Tolerance(0, zones=most)):
                 continue
             for lost in combinations(sorted(set(zones)), most):
                 assert 2 * sum(zone not in lost for zone in zones) > len(zones)
@@ -264,7 +275,7 @@
 
 def test_too_many_voters_of_a_zone_give_way_once_another_zone_has_one():
     voters = replicas("aab")
-    assert slack(voters, Tolerance(0, zones=1)) < 0
+    assert majority_margin(voters, Tolerance(0, zones=1)) < 0
     first = next_voters(voters, [ReplicaView("c9", "c")], Tolerance(0, zones=1), WAITS)
     assert first == ("a0", "a1", "b2", "c9")
     then = next_voters([*voters, ReplicaView("c9", "c")], [], Tolerance(0, zones=1), WAITS)
@@ -273,7 +284,7 @@
 
 def test_the_newcomer_of_another_zone_does_not_take_the_place_of_a_lost_one():
     voters = replicas("abc")
-    voters[1] = structs.replace(voters[1], present=False, whole=False, away_ms=LONG_AWAY)
+    voters[1] = structs.replace(voters[1], present=False, complete=False, away_ms=LONG_AWAY)
     tolerance = Tolerance(0, zones=1)
     assert next_voters(voters, [ReplicaView("a9", "a")], tolerance, WAITS) is None
     assert next_voters(voters, [ReplicaView("b9", "b"), ReplicaView("a9", "a")], tolerance, WAITS) == ("a0", "b9", "c2")
