--- a/tests/test_cluster_voter_reconfiguration.py
+++ b/tests/test_cluster_voter_reconfiguration.py
@@ -49,7 +49,9 @@
 
 
 def wish(ctx, background=None, machines=1):
-    return voter_reconfiguration.wish(ctx, background or voter_reconfiguration.VoterChanges(), settings(machines))
+    return voter_reconfiguration.next_voter_set(
+        ctx, background or voter_reconfiguration.VoterChanges(), settings(machines)
+    )
 
 
 def test_whole_member_is_added_and_one_at_a_time():
@@ -149,21 +151,21 @@
     ctx.core.synchrony.peers["s4"].status = WHOLE | {"leaving": 1}
     assert wish(ctx) is None
     ctx.core.synchrony.status = WHOLE | {"leaving": 1}
-    assert wish(ctx) is None and not voter_reconfiguration.dispensable(ctx, settings())
-    assert voter_reconfiguration.dispensable(new_ctx(four, four), settings())
-    assert not voter_reconfiguration.dispensable(new_ctx(four, four), settings(machines=2))
+    assert wish(ctx) is None and not voter_reconfiguration.is_dispensable_voter(ctx, settings())
+    assert voter_reconfiguration.is_dispensable_voter(new_ctx(four, four), settings())
+    assert not voter_reconfiguration.is_dispensable_voter(new_ctx(four, four), settings(machines=2))
 
 
 def test_emptied_is_one_in_service_that_is_no_voter_once_the_others_are_whole_since_its_mark():
     ctx, background = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s2", "s4")), voter_reconfiguration.VoterChanges()
-    assert voter_reconfiguration.emptied(ctx, background) == []
+    assert voter_reconfiguration.releasable_replicas(ctx, background) == []
     background.marks = {"s2": OPENED, "s4": OPENED}
-    assert voter_reconfiguration.emptied(ctx, background) == ["s4"]
+    assert voter_reconfiguration.releasable_replicas(ctx, background) == ["s4"]
     background.marks["s4"] = OPENED + 1
-    assert voter_reconfiguration.emptied(ctx, background) == []
+    assert voter_reconfiguration.releasable_replicas(ctx, background) == []
     background.marks["s4"] = OPENED
     ctx.core.synchrony.peers["s3"].status = WHOLE | {"missing": 1}
-    assert voter_reconfiguration.emptied(ctx, background) == []
+    assert voter_reconfiguration.releasable_replicas(ctx, background) == []
 
 
 def test_no_mark_is_set_while_a_lease_may_run_under_which_the_leaver_is_a_voter():
@@ -171,16 +173,16 @@
     four = (*VOTERS, "s4")
     before, after = new_ctx(four, four, ("s4",), clock), new_ctx(four, VOTERS, ("s4",), clock)
     lease_s = after.core.synchrony.bounds.lease_ms / 1000
-    voter_reconfiguration.observe(before, background)
+    voter_reconfiguration.observe_voters(before, background)
     clock.advance(2 * lease_s)
-    assert voter_reconfiguration.unmarked(before, background) == []
-    voter_reconfiguration.observe(after, background)
+    assert voter_reconfiguration.replicas_to_mark(before, background) == []
+    voter_reconfiguration.observe_voters(after, background)
     clock.advance(lease_s - 0.01)
-    assert voter_reconfiguration.unmarked(after, background) == []
+    assert voter_reconfiguration.replicas_to_mark(after, background) == []
     clock.advance(0.02)
-    assert voter_reconfiguration.unmarked(after, background) == ["s4"]
+    assert voter_reconfiguration.replicas_to_mark(after, background) == ["s4"]
     after.core.synchrony.installed_ms = int(clock.seconds() * 1000)
-    assert voter_reconfiguration.unmarked(after, background) == []
+    assert voter_reconfiguration.replicas_to_mark(after, background) == []
 
 
 def tended(ctx, background, monkeypatch):
@@ -192,7 +194,7 @@
         return succeed(Ok(Done(OPENED) if isinstance(op, Look) else None))
 
     monkeypatch.setattr(voter_reconfiguration, "ask", ask)
-    voter_reconfiguration.tend(ctx, background, settings())
+    voter_reconfiguration.reconfigure(ctx, background, settings())
     return asked
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from frostpost.cluster import agent as agents
-from frostpost.cluster.agent_context import Leaf
+from frostpost.cluster.agent_context import AgentContext
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import world as worlds
@@ -98,16 +98,16 @@
         self.clock, self.out = Clock(), []
         settings = DaemonSettings("c1", "core", "z", "h", 7, seeds=("h:7",))
         machine = Machine(seconds=self.clock.seconds)
-        self.leaf = Leaf(settings, self.clock, SimpleNamespace(member=Member("c1", 1)), machine)
-        self.leaf.links["send"] = lambda to, body: self.out.append((to, body))
-        agents.lease_client.session(self.leaf)
+        self.agent = AgentContext(settings, self.clock, SimpleNamespace(member=Member("c1", 1)), machine)
+        self.agent.links["send"] = lambda to, body: self.out.append((to, body))
+        agents.lease_client.session_of(self.agent)
 
     def hear(self, name, endpoints=(), incarnation=1):
         """-> how many places the sender is told, None if it gets no answer."""
         self.out.clear()
         endpoint = endpoint_of(name, incarnation)
-        agents.received(
-            self.leaf, Frame(1, endpoint, "", DiscoveryUpdate(tuple(endpoint_of(p) for p in endpoints), False))
+        agents.on_frame(
+            self.agent, Frame(1, endpoint, "", DiscoveryUpdate(tuple(endpoint_of(p) for p in endpoints), False))
         )
         told = [body for to, body in self.out if isinstance(body, DirectoryReply) and to == f"@{name}:7"]
         return len(told[-1].endpoints) if told else None
@@ -134,7 +134,7 @@
     assert seed.hear("s1") == 1
     assert seed.hear("s1", incarnation=2) == 1
     assert seed.hear("s1", incarnation=2) is None
-    seed.leaf.charter = ("s1",)
+    seed.agent.bootstrap_voters = ("s1",)
     assert seed.hear("s1", incarnation=2) == 1
     seed.clock.advance(MINUTE_MS / 1000)
     assert seed.hear("s1", incarnation=2) == 1
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -83,24 +83,24 @@
 def make_charter(disk, notes):
     log, _, _ = logs.open_(FOLDER, "charter", model.files_of(disk))
     notes.tried["charter"] = ("s1", "s2", "s3")
-    bootstrap.write(log, ("s1", "s2", "s3"))
+    bootstrap.write_record(log, ("s1", "s2", "s3"))
     notes.lasting.update(notes.tried)
 
 
 def read_charter(disk):
     files = model.files_of(disk)
-    leaf = SimpleNamespace(
-        settings=SimpleNamespace(data=FOLDER), machine=SimpleNamespace(files=files), charter=(), extras={}
+    agent = SimpleNamespace(
+        settings=SimpleNamespace(data=FOLDER), machine=SimpleNamespace(files=files), bootstrap_voters=(), extras={}
     )
-    bootstrap.begin(leaf)
-    return leaf
+    bootstrap.open_bootstrap(agent)
+    return agent
 
 
 def check_charter(disk, notes):
-    leaf = read_charter(disk)
-    assert "founding" in leaf.extras
-    assert leaf.charter in ((), notes.tried.get("charter", ()))
-    assert leaf.charter == notes.lasting.get("charter", leaf.charter)
+    agent = read_charter(disk)
+    assert "founding" in agent.extras
+    assert agent.bootstrap_voters in ((), notes.tried.get("charter", ()))
+    assert agent.bootstrap_voters == notes.lasting.get("charter", agent.bootstrap_voters)
 
 
 def test_a_charter_that_was_told_lasts_and_half_a_charter_is_none():
@@ -115,13 +115,13 @@
     data = bytearray(model.content(inode))
     data[offset] ^= 0x5A
     inode.durable, inode.pending = bytes(data), []
-    leaf = read_charter(disk)
-    assert leaf.charter == ("s1", "s2", "s3") or "founding" not in leaf.extras
+    agent = read_charter(disk)
+    assert agent.bootstrap_voters == ("s1", "s2", "s3") or "founding" not in agent.extras
 
 
 def keep_addresses(disk, notes):
     machine = SimpleNamespace(files=model.files_of(disk))
-    held = address_book.open_(FOLDER, machine)
+    held = address_book.open_address_book(FOLDER, machine)
     for addresses in (["h:1"], ["h:1", "h:2"], ["h:2", "h:3"]):
         notes.tried[len(notes.tried)] = tuple(addresses)
         logs.rewrite(held.write_ahead_log, [address_book.msgpack.encode(addresses)])
@@ -129,7 +129,7 @@
 
 
 def check_addresses(disk, notes):
-    held = address_book.open_(FOLDER, SimpleNamespace(files=model.files_of(disk)))
+    held = address_book.open_address_book(FOLDER, SimpleNamespace(files=model.files_of(disk)))
     after = list(notes.tried.values())
     lasting = notes.lasting.get("addresses", ())
     assert held.addresses in after[after.index(lasting) if lasting else 0 :] + ([] if lasting else [()])
@@ -355,5 +355,5 @@
 
     monkeypatch.setattr(replica_daemon, "assemble", assemble)
     monkeypatch.setattr(assembly, "say", lambda kind, **facts: told.append((kind, facts["error"], facts["path"])))
-    assert assembly.run(SimpleNamespace(role="storage"), None) == os.EX_IOERR
+    assert assembly.run_daemon(SimpleNamespace(role="storage"), None) == os.EX_IOERR
     assert told == [("DiskError", "ENOSPC", "/data/log")]
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -73,16 +73,16 @@
             for pair in ((here, daemon.host.address), (daemon.host.address, here)):
                 (self.world.net.cuts.add if on else self.world.net.cuts.discard)(pair)
 
-    def ours(self, leaf):
-        return leaf is self.edge.owner
+    def ours(self, agent):
+        return agent is self.edge.owner
 
     def writes(self, path):
         """Whether an exchange of the edge for this path is about to be written."""
-        return lambda exchange, _: self.ours(exchange.leaf) and exchange.call.uri.decode().startswith(path)
+        return lambda exchange, _: self.ours(exchange.agent) and exchange.call.uri.decode().startswith(path)
 
     def hands_in(self, kind):
         """Whether the edge is about to hand such an operation in."""
-        return lambda leaf, op, *_: self.ours(leaf) and isinstance(op, kind)
+        return lambda agent, op, *_: self.ours(agent) and isinstance(op, kind)
 
     def ask(self, path, zone="z0", **more):
         """One try of a client."""
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("kind", [Claim, Resolve])
 def test_a_key_is_run_and_resolved_once_though_its_daemon_stood_still(monkeypatch, kind, stop_ms, act_first):
     story = Story()
-    story.stop_between(monkeypatch, operation_client, "hand_in", story.hands_in(kind), stop_ms, act_first)
+    story.stop_between(monkeypatch, operation_client, "submit", story.hands_in(kind), stop_ms, act_first)
     story.ask(KEYED, **MORE[KEYED])
     story.run(300)
     assert story.stopped_ms
@@ -162,7 +162,7 @@
     story.crowd.turn("z1", "p", 20 * MOST_TOKENS, "").addCallback(done.append)
     story.run(3000)
     before = done[0].try_id
-    story.stop_between(monkeypatch, operation_client, "hand_in", story.hands_in(kind), stop_ms, act_first)
+    story.stop_between(monkeypatch, operation_client, "submit", story.hands_in(kind), stop_ms, act_first)
     turn = {"previous": before, "budget": 4 * MOST_TOKENS, "most": MOST_TOKENS}
     request = story.ask(TURN, **turn)
     story.run(1000)
@@ -180,7 +180,9 @@
 @pytest.mark.parametrize("path", [KEYED, TURN])
 def test_a_verdict_that_is_heard_after_the_lease_starts_no_run(monkeypatch, path, stop_ms, act_first, cut):
     story = Story()
-    story.stop_between(monkeypatch, operation_client, "told", lambda leaf, _: story.ours(leaf), stop_ms, act_first, cut)
+    story.stop_between(
+        monkeypatch, operation_client, "on_operation_reply", lambda agent, _: story.ours(agent), stop_ms, act_first, cut
+    )
     request = story.ask(path, **MORE[path])
     request.left_ms = 20000
     story.run(stop_ms + 100)
@@ -215,8 +217,10 @@
 def test_a_daemon_that_ignores_its_lease_is_caught(monkeypatch):
     story = Story()
     for owner in (pool, operation_client, lease_client):
-        monkeypatch.setattr(owner, "lease_ok", lambda leaf: True)
-    story.stop_between(monkeypatch, operation_client, "told", lambda leaf, _: story.ours(leaf), LEASE_LOST_MS)
+        monkeypatch.setattr(owner, "holds_lease", lambda agent: True)
+    story.stop_between(
+        monkeypatch, operation_client, "on_operation_reply", lambda agent, _: story.ours(agent), LEASE_LOST_MS
+    )
     request = story.ask(KEYED, **MORE[KEYED])
     request.left_ms = 20000
     story.run(LEASE_LOST_MS + 8000)
--- a/tests/test_fleet_simulator_cuts.py
+++ b/tests/test_fleet_simulator_cuts.py
@@ -14,7 +14,7 @@
 from fleet_simulator.shapes import SHAPES
 
 from frostpost.cluster import agent_sessions
-from frostpost.cluster.lease_client import lease_ok
+from frostpost.cluster.lease_client import holds_lease
 
 LONG_MS, DETECT_MS, LEASE_MS, CONTACT_MS, STEP_MS = 20000, 500, 1200, 3000, 20
 # Detection, a proposal, its exchange and the first grants.
@@ -53,7 +53,7 @@
         one = len({s.configuration.id for s in synchronies}) == 1
         members = all(len(s.configuration.members) == len(live) for s in synchronies)
         edges = all(plays.ready(self.world, d) for d in self.world.of("edge"))
-        return one and members and edges and any(agent_sessions.sequencing(d.owner.ctx) for d in live)
+        return one and members and edges and any(agent_sessions.is_sequencer(d.owner.ctx) for d in live)
 
     def gap_ms(self, for_ms, away):
         """The longest time that none but the machines in `away` led, while the day goes on."""
@@ -61,7 +61,7 @@
         while self.world.now_ms() < until_ms:
             self.run(STEP_MS)
             here = [d for d in self.world.of("storage") if d not in away and d.owner is not None and d.owner.ctx.core]
-            if any(agent_sessions.sequencing(d.owner.ctx) for d in here):
+            if any(agent_sessions.is_sequencer(d.owner.ctx) for d in here):
                 had_ms = self.world.now_ms()
             longest_ms = max(longest_ms, self.world.now_ms() - had_ms)
         return longest_ms
@@ -141,7 +141,7 @@
     else:
         isolate(day, found)
     day.run(LEASE_MS + 100)
-    assert found.role == "storage" or not lease_ok(found.owner)
+    assert found.role == "storage" or not holds_lease(found.owner)
     judge_return(day, started_ms, [found], day.gap_ms(LONG_MS - LEASE_MS - 90, [found]))
 
 
--- a/tests/test_fleet_simulator_founding.py
+++ b/tests/test_fleet_simulator_founding.py
@@ -18,7 +18,7 @@
 
 
 def charters(world):
-    found = {d.owner.charter for d in world.daemons.values() if d.owner is not None and d.host.alive}
+    found = {d.owner.bootstrap_voters for d in world.daemons.values() if d.owner is not None and d.host.alive}
     return found - {()}
 
 
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -7,7 +7,7 @@
 from fleet_simulator import stage as plays
 from fleet_simulator import world as worlds
 from msgspec import json
-from test_cluster_lease_client import endpoint_of, new_leaf, sent
+from test_cluster_lease_client import endpoint_of, new_agent, sent
 from test_cluster_replica_daemon import hellos, new_house
 from twisted.internet.task import Clock
 
@@ -54,14 +54,14 @@
 
 def test_leaf_tells_its_facts(replies):
     clock = Clock()
-    leaf = new_leaf(clock)
-    status.begin(leaf)
+    agent = new_agent(clock)
+    status.begin_status(agent)
     clock.advance(2)
-    assembly.received(leaf, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
-    operation_client.tell(leaf, End("a", 3))
-    leaf.runners = {"r": SimpleNamespace(draining=True)}
-    leaf.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
-    assembly.received(leaf, ASK)
+    assembly.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
+    operation_client.submit_until_decided(agent, End("a", 3))
+    agent.runners = {"r": SimpleNamespace(draining=True)}
+    agent.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
+    assembly.on_frame(agent, ASK)
     facts = facts_of(replies)
     assert (facts["name"], facts["role"], facts["uptime_ms"], facts["lease_left_ms"]) == ("e1", "edge", 2000, 0)
     assert (facts["ring"], facts["open_asks"]) == (["s1"], 1)
@@ -69,36 +69,36 @@
 
 
 def test_a_leaf_keeps_nothing_of_an_operator(replies):
-    leaf = new_leaf(Clock())
+    agent = new_agent(Clock())
     for body in (DirectoryRequest(), DiscoveryUpdate((endpoint_of("s9"),), False), LeaseRequest(0, 0)):
-        assembly.received(leaf, Frame(FRAME_VERSION, OPERATOR, "", body))
-    assert replies == [("@o:9", DirectoryReply((), ()))] and sent(leaf) == []
-    assert leaf.extras.get("askers") is None and not leaf.directory
+        assembly.on_frame(agent, Frame(FRAME_VERSION, OPERATOR, "", body))
+    assert replies == [("@o:9", DirectoryReply((), ()))] and sent(agent) == []
+    assert agent.extras.get("askers") is None and not agent.directory
 
 
 def test_a_leaf_still_notes_a_leaf_that_asks():
-    leaf = new_leaf(Clock())
-    assembly.received(leaf, Frame(FRAME_VERSION, endpoint_of("e2", "edge"), "", DirectoryRequest()))
-    assert set(leaf.extras["askers"]) == {"e2"}
+    agent = new_agent(Clock())
+    assembly.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("e2", "edge"), "", DirectoryRequest()))
+    assert set(agent.extras["askers"]) == {"e2"}
 
 
 def test_a_ring_daemon_answers_before_and_after_it_has_its_charter(monkeypatch, replies):
     replica, out, _ = new_house(monkeypatch)
     replica_daemon.start(replica)
-    replica_daemon.received(replica, ASK)
+    replica_daemon.on_frame(replica, ASK)
     facts = facts_of(replies)
     assert facts["charter_waiting"] and facts["tolerated"] == 1 and "configuration" not in facts
-    replica_daemon.received(
+    replica_daemon.on_frame(
         replica, Frame(FRAME_VERSION, endpoint_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3")))
     )
-    replica_daemon.received(replica, ASK)
+    replica_daemon.on_frame(replica, ASK)
     facts = facts_of(replies)
     assert facts["members"] == ["s1"] and not facts["primary_opened"] and facts["voters"] == ["s1", "s2", "s3"]
     out.clear()
-    replica_daemon.received(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
-    replica_daemon.received(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
+    replica_daemon.on_frame(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
+    replica_daemon.on_frame(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
     assert replies == [("@o:9", DirectoryReply((replica.ctx.endpoint,)))]
-    assert not replica.sessions.leaves and "operator" not in replica.ctx.core.synchrony.peers and hellos(out) == []
+    assert not replica.sessions.agents and "operator" not in replica.ctx.core.synchrony.peers and hellos(out) == []
 
 
 def asker(world, replies):
@@ -113,7 +113,7 @@
                 or not daemon.host.alive
             ):
                 continue
-            receive = replica_daemon.received if daemon.role == "storage" else assembly.received
+            receive = replica_daemon.on_frame if daemon.role == "storage" else assembly.on_frame
             receive(daemon.owner, Frame(FRAME_VERSION, OPERATOR, "", body))
             place = daemon.owner.ctx.endpoint if daemon.role == "storage" else daemon.owner.endpoint
             answers |= {
@@ -145,19 +145,19 @@
     fleet, findings = looked(world, replies)
     assert findings == []
     assert set(fleet.ring) == {d.name for d in world.of("storage")}
-    assert set(fleet.leaves) == {d.name for d in world.of("core", "edge")}
+    assert set(fleet.agents) == {d.name for d in world.of("core", "edge")}
     text = fleets.text_of(fleet)
     assert all(name in text for name in world.daemons) and "sequencer" in text
     chief = fleets.chief_of(fleet)["name"]
-    killed, leaf = next(d for d in world.of("storage") if d.name != chief), world.of("edge")[0]
-    for daemon in (killed, leaf):
+    killed, agent = next(d for d in world.of("storage") if d.name != chief), world.of("edge")[0]
+    for daemon in (killed, agent):
         worlds.kill(world, daemon)
     world.run(world.now_ms() + 3000)
     fleet, findings = looked(world, replies)
     assert {(f.problem, f.where) for f in findings} == {
         ("VoterAway", killed.name),
         ("Silent", killed.name),
-        ("Silent", leaf.name),
+        ("Silent", agent.name),
     }
     assert all(f.cause and f.remedy for f in findings)
     assert f"{killed.name} at {killed.host.address}:{worlds.INNER}: no answer" in fleets.text_of(fleet)
@@ -183,7 +183,7 @@
     } | changes
 
 
-def leaf_facts(**changes):
+def agent_facts(**changes):
     return {
         "name": "e1",
         "zone": "a",
@@ -193,10 +193,10 @@
     } | changes
 
 
-def fleet_of(first, leaf=None, others=(), zones="abc"):
+def fleet_of(first, agent=None, others=(), zones="abc"):
     daemons = {"s1": first} | {n: chief(name=n, sequencing=False) for n in ("s2", "s3")} | dict(others)
     return fleets.Fleet(
-        ring=daemons, leaves={"e1": leaf or leaf_facts()}, zones=dict(zip(("s1", "s2", "s3"), zones, strict=True))
+        ring=daemons, agents={"e1": agent or agent_facts()}, zones=dict(zip(("s1", "s2", "s3"), zones, strict=True))
     )
 
 
@@ -227,13 +227,13 @@
             {("RetiringStuck", "s3"), ("BodiesMissing", "s2")},
         ),
         (fleet_of(chief(retiring={"s3": "completed"})), {("RetiredStays", "s3")}),
-        (fleet_of(chief(), leaf_facts(lease_left_ms=0)), {("NoLease", "e1")}),
-        (fleet_of(chief(), leaf_facts(routing={"held": 6, "known": 7, "honoured": 6})), {("RoutingLag", "e1")}),
+        (fleet_of(chief(), agent_facts(lease_left_ms=0)), {("NoLease", "e1")}),
+        (fleet_of(chief(), agent_facts(routing={"held": 6, "known": 7, "honoured": 6})), {("RoutingLag", "e1")}),
         (
-            fleet_of(chief(), leaf_facts(list={"wanted": True, "address": "", "fetched": False})),
+            fleet_of(chief(), agent_facts(list={"wanted": True, "address": "", "fetched": False})),
             {("ListNeverFetched", "e1")},
         ),
-        (fleet_of(chief(), leaf_facts(list={"wanted": False, "address": "", "fetched": False})), set()),
+        (fleet_of(chief(), agent_facts(list={"wanted": False, "address": "", "fetched": False})), set()),
     ],
 )
 def test_each_fault_is_found_alone(fleet, faults):
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -22,7 +22,7 @@
 
 def sequenced(world):
     return any(
-        sessions.sequencing(d.owner.ctx)
+        sessions.is_sequencer(d.owner.ctx)
         for d in world.of("storage")
         if d.host.alive and d.owner is not None and d.owner.ctx.core is not None
     )
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from frostpost.cluster.agent_context import Leaf
+from frostpost.cluster.agent_context import AgentContext
 from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
 from frostpost.program_ledger import taken_changes
@@ -39,12 +39,12 @@
     def body(self):
         return self.ledger.routing_body
 
-    def look_routing(self, leaf, wait_ms, version=0, digest=b""):
+    def read_routing(self, agent, wait_ms, version=0, digest=b""):
         self.calls.append(wait_ms)
         look = LookRouting(version, digest)
         return succeed(Error(Unavailable(250)) if self.down else Ok(act(self.ledger, 0, (), (), look)))
 
-    def set_routing(self, leaf, base, version, body, digest, wait_ms):
+    def set_routing(self, agent, base, version, body, digest, wait_ms):
         self.calls.append(wait_ms)
         race, self.race = self.race, None
         if race is not None:
@@ -52,28 +52,28 @@
         verdict = act(self.ledger, 0, (), (), SetRouting(base, version, body, digest, 1000))
         return succeed(Ok(version) if isinstance(verdict, RoutingSet) else Error(verdict))
 
-    def honoured(self, leaf, version, wait_ms):
+    def wait_until_honoured(self, agent, version, wait_ms):
         self.waited.append(version)
         return succeed(Ok(version))
 
-    def retire(self, leaf, name, wait_ms):
+    def retire(self, agent, name, wait_ms):
         return succeed(
             Error(Unavailable(100)) if self.down else Ok(SimpleNamespace(state=self.states.get(name, "unknown")))
         )
 
-    look_retired = retire
+    read_retirement = retire
 
 
 @pytest.fixture
 def ring(monkeypatch):
     found = Ring()
-    monkeypatch.setattr(control, "operating", lambda: found)
+    monkeypatch.setattr(control, "control_client", lambda: found)
     return found
 
 
 def ask(method, what, document=None, base=None, raw=None):
     clock = Clock()
-    channel = control.server(Leaf(None, clock, "a", Machine(seconds=clock.seconds))).buildProtocol(None)
+    channel = control.server(AgentContext(None, clock, "a", Machine(seconds=clock.seconds))).buildProtocol(None)
     transport = StringTransport()
     channel.makeConnection(transport)
     body = raw if raw is not None else b"" if document is None else json.dumps(document).encode()
--- a/tests/test_platform_control_cuts.py
+++ b/tests/test_platform_control_cuts.py
@@ -9,7 +9,7 @@
 from fleet_simulator.notes import NEVER_MS
 from fleet_simulator.plants import planted
 
-from frostpost.cluster.lease_client import lease_ok
+from frostpost.cluster.lease_client import holds_lease
 from frostpost.platform.control import ANSWER_RATIO, SILENCE_MS
 
 CUT_MS = 20000
@@ -142,7 +142,7 @@
     world.later(1000, worlds.kill, world, restarted, power)
     world.later(1500, worlds.start, world, restarted)
     world.run(from_ms + 1500 + world.notes.sheet["contact"])
-    assert lease_ok(restarted.owner)
+    assert holds_lease(restarted.owner)
     assert role != "edge" or plays.ready(world, restarted)
 
 
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from frostpost.cluster.agent_context import Leaf
+from frostpost.cluster.agent_context import AgentContext
 from frostpost.daemon.machine import Machine
 from frostpost.platform import front
 from frostpost.proxy import failures
@@ -29,9 +29,9 @@
     def __init__(self, **bounds):
         self.clock, self.calls = Clock(), []
         self.clock.advance(100)
-        self.leaf = Leaf(SimpleNamespace(max_fds=1000), self.clock, "a", Machine(seconds=self.clock.seconds))
-        self.leaf.routing = Routing(1, (), {}, ClientBounds(**bounds))
-        self.server = front.server(self.leaf, lambda leaf, call, sink: self.calls.append((call, sink)))
+        self.agent = AgentContext(SimpleNamespace(max_fds=1000), self.clock, "a", Machine(seconds=self.clock.seconds))
+        self.agent.routing = Routing(1, (), {}, ClientBounds(**bounds))
+        self.server = front.server(self.agent, lambda agent, call, sink: self.calls.append((call, sink)))
         self.transport, self.channel = Wire(), self.server.buildProtocol(None)
         self.channel.makeConnection(self.transport)
 
@@ -92,19 +92,19 @@
 def test_what_cannot_be_read_is_a_bad_request(head):
     fleet = Fleet()
     fleet.ask(head + b"\r\n")
-    assert fleet.calls == [] and fleet.said().startswith(b"HTTP/1.1 400 ") and fleet.leaf.calls == 0
+    assert fleet.calls == [] and fleet.said().startswith(b"HTTP/1.1 400 ") and fleet.agent.calls == 0
 
 
 def test_a_whole_answer_has_a_length_and_only_the_headers_given():
     fleet = Fleet()
     _, sink = fleet.ask()
-    assert fleet.leaf.calls == 1
+    assert fleet.agent.calls == 1
     sink.head(200, [(b"X-Odd", b"1"), (b"X-Odd", b"2")])
     sink.data(b"ab")
     sink.data(b"c")
     sink.end()
     assert fleet.said() == b"HTTP/1.1 200 OK\r\nX-Odd: 1\r\nX-Odd: 2\r\nContent-Length: 3\r\n\r\nabc"
-    assert fleet.leaf.calls == 0 and not fleet.transport.disconnecting
+    assert fleet.agent.calls == 0 and not fleet.transport.disconnecting
     assert len(fleet.calls) == 1 and fleet.ask() and len(fleet.calls) == 2
 
 
@@ -174,15 +174,15 @@
     sink.failed(failures.Unknown())
     assert fleet.transport.disconnecting and not fleet.said().endswith(b"0\r\n\r\n")
     other = Fleet()
-    other.server.handle = front.handler(other.leaf, lambda *_: 1 / 0)
+    other.server.handle = front.handler(other.agent, lambda *_: 1 / 0)
     other.ask()
-    assert other.said().startswith(b"HTTP/1.1 502 ") and other.leaf.calls == 0
+    assert other.said().startswith(b"HTTP/1.1 502 ") and other.agent.calls == 0
 
 
 def test_answers_of_a_leaving_daemon_end_their_connection():
     fleet = Fleet()
     _, sink = fleet.ask()
-    fleet.leaf.leaving = True
+    fleet.agent.leaving = True
     sink.head(200, [])
     sink.end()
     assert b"Connection: close\r\n" in fleet.said() and fleet.transport.disconnecting
@@ -197,7 +197,7 @@
     fleet.channel.pauseProducing()
     fleet.channel.resumeProducing()
     fleet.channel.connectionLost(SimpleNamespace(value=None))
-    assert seen == ["pause", "resume", "gone"] and sink.gone() and fleet.leaf.calls == 0
+    assert seen == ["pause", "resume", "gone"] and sink.gone() and fleet.agent.calls == 0
     sink.head(200, [])
     sink.data(b"x")
     sink.end()
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -20,9 +20,9 @@
 
     def __init__(self, patch, **route):
         self.stage = Stage([a_route(**{"kind": "unsafe", "attempts": 1, **route})], [a_runner("r1")], patch)
-        leaf = self.stage.leaf
-        leaf.wire, leaf.settings.max_fds = wire(), 1000
-        self.server = front.server(leaf, serve.serve)
+        agent = self.stage.agent
+        agent.wire, agent.settings.max_fds = wire(), 1000
+        self.server = front.server(agent, serve.serve)
         self.client()
 
     def client(self):
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -3,7 +3,7 @@
 import pytest
 import yaml
 from msgspec import json, msgpack, structs
-from test_cluster_lease_client import new_leaf
+from test_cluster_lease_client import new_agent
 from test_platform_front import Fleet
 from test_platform_settings import DOCUMENT
 from twisted.internet.task import Clock
@@ -25,11 +25,13 @@
 
 @pytest.mark.parametrize("trace", [False, True])
 def test_operations_are_followed_only_where_the_settings_say_so(lines, trace):
-    leaf, verdicts = new_leaf(Clock()), []
-    leaf.settings = structs.replace(leaf.settings, trace=trace)
-    operation_client.look(leaf, LookRouting(), 100)
-    operation_client.tell(leaf, End("a", 3)).addCallback(verdicts.append)
-    operation_client.told(leaf, OperationReply(leaf.endpoint.member.incarnation, 2, msgpack.encode(Ended())))
+    agent, verdicts = new_agent(Clock()), []
+    agent.settings = structs.replace(agent.settings, trace=trace)
+    operation_client.call_replicas_unleased(agent, LookRouting(), 100)
+    operation_client.submit_until_decided(agent, End("a", 3)).addCallback(verdicts.append)
+    operation_client.on_operation_reply(
+        agent, OperationReply(agent.endpoint.member.incarnation, 2, msgpack.encode(Ended()))
+    )
     assert verdicts[0].ok == Ended()
     assert [line[:3] for line in lines] == [("trace", "a", "handed in"), ("trace", "a", "decided")][: 2 * trace]
     assert not trace or (lines[1][3]["operation"], lines[1][3]["verdict"]) == ("End", "Ended")
@@ -38,11 +40,11 @@
 @pytest.mark.parametrize("trace", [False, True])
 def test_requests_are_followed_only_where_the_settings_say_so(lines, trace):
     fleet = Fleet()
-    fleet.leaf.settings.trace = trace
+    fleet.agent.settings.trace = trace
     _, sink = fleet.ask()
     sink.head(200, [])
     sink.end()
-    assert fleet.said().startswith(b"HTTP/1.1 200") and fleet.leaf.calls == 0
+    assert fleet.said().startswith(b"HTTP/1.1 200") and fleet.agent.calls == 0
     assert [line[:3] for line in lines] == [("trace", "a1", "taken"), ("trace", "a1", "answered")][: 2 * trace]
     assert not trace or (lines[1][3]["status"], lines[1][3]["lost"]) == (200, False)
 
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -46,7 +46,7 @@
 
 def test_a_keyed_request_of_a_service_with_its_own_record_keeps_to_its_attempts(monkeypatch):
     stage = Stage([a_route(kind="idempotent", attempts=1, weights=(("t", 1),))], [], monkeypatch)
-    stage.leaf.runners = {name: a_runner(name, service="t") for name in ("r1", "r2")}
+    stage.agent.runners = {name: a_runner(name, service="t") for name in ("r1", "r2")}
     stage.serve(key="k")
     lose(stage.connect())
     assert opened(stage) == 1 and [type(item) for item in stage.seen] == [failures.Unknown]
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -41,9 +41,9 @@
     s.verdicts[Disclaim] = Deferred()
     s.serve(key="k")
     s.connect().dataReceived(REFUSED)
-    assert kinds(s.seen) == [failures.Overloaded] and s.asked[-1] == Disclaim("h|k", "a1") and s.leaf.flights == 1
+    assert kinds(s.seen) == [failures.Overloaded] and s.asked[-1] == Disclaim("h|k", "a1") and s.agent.flights == 1
     s.verdicts[Disclaim].callback(Ok(Ended()))
-    assert s.leaf.flights == 0 and len(s.seen) == 1
+    assert s.agent.flights == 0 and len(s.seen) == 1
 
 
 @pytest.mark.parametrize("kind, operation", [("idempotent", Resolve), ("streaming", End)])
@@ -52,7 +52,9 @@
     s.waits = {}
     kept = s.ask
     for module in ("keyed", "turn"):
-        monkeypatch.setattr(f"frostpost.proxy.{module}.ask", lambda leaf, op, ms: noted(s, kept, leaf, op, ms))
+        monkeypatch.setattr(
+            f"frostpost.proxy.{module}.call_replicas", lambda agent, op, ms: noted(s, kept, agent, op, ms)
+        )
     s.serve(key="k", deadline_ms=1000)
     wire = s.connect()
     s.reactor.advance(0.99)
@@ -60,9 +62,9 @@
     assert 10 <= s.waits[operation] < 250
 
 
-def noted(s, kept, leaf, op, ms):
+def noted(s, kept, agent, op, ms):
     s.waits[type(op)] = ms
-    return kept(leaf, op, ms)
+    return kept(agent, op, ms)
 
 
 @pytest.mark.parametrize(
@@ -84,7 +86,7 @@
     elif change == "time":
         s.reactor.advance(1.1)
     else:
-        s.leaf.runners = {}
+        s.agent.runners = {}
     asked.callback(Ok(verdict))
     for _ in range(30):
         s.reactor.advance(0.02)
--- a/tests/test_proxy_lookup.py
+++ b/tests/test_proxy_lookup.py
@@ -114,7 +114,7 @@
     if change == "lease":
         s.lease = False
     else:
-        roster.take_list(s.leaf, [] if change == "gone" else [a_runner("r1", draining=True)])
+        roster.take_list(s.agent, [] if change == "gone" else [a_runner("r1", draining=True)])
     wire = s.connect()
     s.reactor.advance(1)
     assert wire.transport.value() == b""
@@ -146,9 +146,9 @@
     s.serve(headers=[(b"a", b"b\r\nc: d")])
     s.lease = False
     s.serve(host="other")
-    s.leaf.leaving = True
+    s.agent.leaving = True
     s.serve()
-    s.leaf.extras["last_call"] = True
+    s.agent.extras["last_call"] = True
     s.serve()
     assert [type(x) for x in s.seen] == [
         failures.NoRoute,
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -23,41 +23,41 @@
 
 def test_the_longest_prefix_of_the_host_wins():
     stage = Stage([a_route(prefix="/a/"), a_route(name="long", prefix="/a/b/"), a_route(host="other", prefix="/")])
-    assert find_route(stage.leaf, "H:80", "/a/b/c").name == "long"
-    assert find_route(stage.leaf, "h", "/a/bc").prefix == "/a/"
-    assert find_route(stage.leaf, "h", "/b/c") is None
-    assert find_route(stage.leaf, "none", "/a/") is None
+    assert find_route(stage.agent, "H:80", "/a/b/c").name == "long"
+    assert find_route(stage.agent, "h", "/a/bc").prefix == "/a/"
+    assert find_route(stage.agent, "h", "/b/c") is None
+    assert find_route(stage.agent, "none", "/a/") is None
 
 
 def test_services_are_picked_by_weight_and_the_same_way_again():
     route = a_route(weights=(("s", 1), ("t", 3)))
     stage = Stage([route])
-    names = [pick_service(stage.leaf.routing, route, f"a{i}").name for i in range(400)]
-    assert names == [pick_service(stage.leaf.routing, route, f"a{i}").name for i in range(400)]
+    names = [pick_service(stage.agent.routing, route, f"a{i}").name for i in range(400)]
+    assert names == [pick_service(stage.agent.routing, route, f"a{i}").name for i in range(400)]
     assert 240 < names.count("t") < 360
 
 
 def test_the_least_loaded_runner_is_picked_and_full_ones_are_not():
     stage = Stage([a_route()], [a_runner("r1", slots=1), a_runner("r2", slots=4)])
-    leaf, service = stage.leaf, stage.leaf.routing.services["s"]
-    sent(leaf, leaf.runners["r1"])
-    assert pick(leaf, service).id == "r2"
-    sent(leaf, leaf.runners["r1"])
-    assert pick(leaf, service, tried=("r2",)) is None
+    agent, service = stage.agent, stage.agent.routing.services["s"]
+    sent(agent, agent.runners["r1"])
+    assert pick(agent, service).id == "r2"
+    sent(agent, agent.runners["r1"])
+    assert pick(agent, service, tried=("r2",)) is None
 
 
 def test_failing_runners_rest_but_never_more_than_half():
     stage = Stage([a_route()], [a_runner(f"r{i}") for i in range(4)] + [a_runner("d", draining=True)])
-    leaf, service = stage.leaf, stage.leaf.routing.services["s"]
+    agent, service = stage.agent, stage.agent.routing.services["s"]
     for i in range(3):
-        sent(leaf, leaf.runners[f"r{i}"])
-        ended(leaf, leaf.runners[f"r{i}"], Broken("x"), None)
-    assert len(usable(leaf, service)) == 2
-    assert "r3" in [c.runner for c in candidates(leaf, service)]
-    assert "d" not in [c.runner for c in candidates(leaf, service)]
-    sent(leaf, leaf.runners["r3"])
-    ended(leaf, leaf.runners["r3"], NotSent("lease"), None)
-    assert leaf.loads["r3"].resting_until_ms == 0
+        sent(agent, agent.runners[f"r{i}"])
+        ended(agent, agent.runners[f"r{i}"], Broken("x"), None)
+    assert len(usable(agent, service)) == 2
+    assert "r3" in [c.runner for c in candidates(agent, service)]
+    assert "d" not in [c.runner for c in candidates(agent, service)]
+    sent(agent, agent.runners["r3"])
+    ended(agent, agent.runners["r3"], NotSent("lease"), None)
+    assert agent.loads["r3"].resting_until_ms == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_proxy_roster.py
+++ b/tests/test_proxy_roster.py
@@ -7,8 +7,8 @@
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock
 
-from frostpost.cluster.agent_context import Leaf
-from frostpost.cluster.lease_client import session
+from frostpost.cluster.agent_context import AgentContext
+from frostpost.cluster.lease_client import session_of
 from frostpost.daemon.machine import Machine
 from frostpost.proxy import roster
 from frostpost.proxy.words import Runner
@@ -25,42 +25,42 @@
         **dict(dict(list_ms=1200, drain_ms=3000, list_rate_per_s=44.0, lease_ms=1200, idle_ms=1000), **more)
     )
     place = Endpoint(Member("e1", 1), "edge", "z", "h", 1, 0)
-    leaf = Leaf(settings, clock, place, Machine(seconds=clock.seconds, token=lambda _: "ffff"))
-    leaf.links["send"] = lambda to, body: leaf.extras.setdefault("sent", []).append(body)
-    leaf.directory, leaf.extras["reads"] = {}, []
-    session(leaf).sequencer = "s1"
-    leaf.directory = {"s1": Endpoint(Member("s1", 1), "storage", "z", "h", 2, 0)}
+    agent = AgentContext(settings, clock, place, Machine(seconds=clock.seconds, token=lambda _: "ffff"))
+    agent.links["send"] = lambda to, body: agent.extras.setdefault("sent", []).append(body)
+    agent.directory, agent.extras["reads"] = {}, []
+    session_of(agent).sequencer = "s1"
+    agent.directory = {"s1": Endpoint(Member("s1", 1), "storage", "z", "h", 2, 0)}
 
     def fetch():
-        leaf.extras["reads"].append(clock.seconds())
+        agent.extras["reads"].append(clock.seconds())
         return lists()
 
-    leaf.extras["fetch_list"] = fetch
-    return leaf, clock
+    agent.extras["fetch_list"] = fetch
+    return agent, clock
 
 
 def test_what_another_daemons_list_shows_as_leaving_gets_nothing_though_ones_own_list_lags():
-    leaf, clock = a_leaf(lambda: succeed([a_runner("r1"), a_runner("r2")]))
-    stop = roster.poll(leaf)
-    leaf.extras["drained"](("r1", "unknown"))
-    assert leaf.runners["r1"].draining and not leaf.runners["r2"].draining
+    agent, clock = a_leaf(lambda: succeed([a_runner("r1"), a_runner("r2")]))
+    stop = roster.poll(agent)
+    agent.extras["drained"](("r1", "unknown"))
+    assert agent.runners["r1"].draining and not agent.runners["r2"].draining
     clock.advance(3)
-    assert len(leaf.extras["reads"]) > 1 and leaf.runners["r1"].draining
+    assert len(agent.extras["reads"]) > 1 and agent.runners["r1"].draining
     clock.advance(20)
     clock.advance(3)
-    assert not leaf.runners["r1"].draining
+    assert not agent.runners["r1"].draining
     stop()
 
 
 def test_a_runner_seen_leaving_is_told_at_once_and_told_ones_are_not_told_on():
     shown = [[a_runner("r1"), a_runner("r2")]]
-    leaf, clock = a_leaf(lambda: succeed(shown[-1]))
-    stop = roster.poll(leaf)
-    leaf.extras["drained"](("r2",))
-    assert leaf.extras.get("sent", []) == []
+    agent, clock = a_leaf(lambda: succeed(shown[-1]))
+    stop = roster.poll(agent)
+    agent.extras["drained"](("r2",))
+    assert agent.extras.get("sent", []) == []
     shown.append([a_runner("r1", draining=True), a_runner("r2")])
     clock.advance(1.3)
-    assert [m.draining for m in leaf.extras["sent"]] == [("r1",)]
+    assert [m.draining for m in agent.extras["sent"]] == [("r1",)]
     stop()
 
 
@@ -69,17 +69,17 @@
     [(1, 1, 44.0, 1200), (3, 1, 44.0, 1200), (8, 1, 44.0, 2400), (66, 2, 44.0, 6000), (66, 2, 440.0, 2400)],
 )
 def test_all_daemons_together_read_no_more_than_half_of_the_lists_rate(leaves, pages, rate, wanted_ms):
-    leaf, _ = a_leaf(lambda: succeed([]), list_rate_per_s=rate)
-    session(leaf).leaves, leaf.extras["list_pages"] = leaves, pages
-    assert roster.interval_ms(leaf) == wanted_ms
+    agent, _ = a_leaf(lambda: succeed([]), list_rate_per_s=rate)
+    session_of(agent).agent_count, agent.extras["list_pages"] = leaves, pages
+    assert roster.interval_ms(agent) == wanted_ms
     assert leaves * pages * 1000 / wanted_ms <= max(rate / 2, leaves * pages / 1.2)
 
 
 def test_a_list_that_is_down_is_tried_again_within_half_of_the_drain_bound():
-    leaf, clock = a_leaf(lambda: fail(OSError()))
-    stop = roster.poll(leaf)
+    agent, clock = a_leaf(lambda: fail(OSError()))
+    stop = roster.poll(agent)
     for _ in range(200):
         clock.advance(0.05)
-    reads = leaf.extras["reads"]
+    reads = agent.extras["reads"]
     assert max(b - a for a, b in pairwise(reads)) <= 1.55
     stop()
--- a/tests/test_proxy_stage.py
+++ b/tests/test_proxy_stage.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from frostpost.cluster.agent_context import Leaf
+from frostpost.cluster.agent_context import AgentContext
 from frostpost.daemon.machine import Machine
 from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, End, Ended
 from frostpost.proxy import keyed, pool, serve, turn
@@ -72,34 +72,34 @@
         settings = SimpleNamespace(
             key_window_ms=1000, tick_ms=500, lease_ms=1200, list_ms=1000, connection_share=0.5, zone="z"
         )
-        leaf = self.leaf = Leaf(settings, self.reactor, None, Machine(seconds=self.reactor.seconds))
-        leaf.routing = Routing(
+        agent = self.agent = AgentContext(settings, self.reactor, None, Machine(seconds=self.reactor.seconds))
+        agent.routing = Routing(
             1, tuple(routes), {"s": Service("s", 8, event_tokens=2), "t": Service("t", 8, dedupes=True)}
         )
-        leaf.runners = {runner.id: runner for runner in runners}
-        leaf.wire = Wire(request_headers, read_head)
+        agent.runners = {runner.id: runner for runner in runners}
+        agent.wire = Wire(request_headers, read_head)
         self.told, self.asked, self.puts, self.seen = [], [], [], []
         self.verdicts, self.chain, self.lease, self.gone, self.voters = {}, {}, True, None, HOLDERS
         self.wires = []
         if patch is not None:
             for module in (keyed, turn):
-                patch.setattr(module, "ask", self.ask)
-                patch.setattr(module, "tell", lambda leaf, op: self.told.append(op))
+                patch.setattr(module, "call_replicas", self.ask)
+                patch.setattr(module, "submit_until_decided", lambda agent, op: self.told.append(op))
             patch.setattr(turn, "put", self.put)
-            patch.setattr(turn, "bodies_last", lambda leaf, holders: holders <= self.voters)
+            patch.setattr(turn, "bodies_last", lambda agent, holders: holders <= self.voters)
             patch.setattr(
                 turn,
                 "fetch",
-                lambda leaf, turns, wait_ms: succeed(
+                lambda agent, turns, wait_ms: succeed(
                     Ok(tuple(self.chain[t] for t in turns))
                     if all(t in self.chain for t in turns)
                     else Error(Unavailable(100))
                 ),
             )
             for module in (pool, serve):
-                patch.setattr(module, "lease_ok", lambda leaf: self.lease)
+                patch.setattr(module, "holds_lease", lambda agent: self.lease)
 
-    def ask(self, leaf, op, wait_ms):
+    def ask(self, agent, op, wait_ms):
         self.asked.append(op)
         verdict = self.verdicts.get(type(op))
         if verdict is None:
@@ -110,7 +110,7 @@
             return verdict
         return succeed(Error(verdict) if isinstance(verdict, Unavailable) else Ok(verdict))
 
-    def put(self, leaf, name, data, wait_ms):
+    def put(self, agent, name, data, wait_ms):
         self.puts.append((name, data))
         verdict = self.verdicts.get("put", Ok(Synced(HOLDERS)))
         verdict = verdict.pop(0) if isinstance(verdict, list) else verdict
@@ -144,7 +144,7 @@
             on_pause=lambda f: None,
             on_resume=lambda f: None,
         )
-        return serve.serve(self.leaf, call, sink)
+        return serve.serve(self.agent, call, sink)
 
     def connect(self):
         """Let the newest asked connection come up."""
--- a/tests/test_proxy_strikes.py
+++ b/tests/test_proxy_strikes.py
@@ -62,10 +62,10 @@
         self.kind, self.runs = kind, Counter()
         service = dict(kind.route.get("weights", (("s", 1),))).popitem()[0]
         stage = self.stage = Stage([a_route(**kind.route)], [], patch)
-        stage.leaf.runners = {r.id: a_runner(r.id, service=service) for r in RUNNERS}
+        stage.agent.runners = {r.id: a_runner(r.id, service=service) for r in RUNNERS}
         stage.verdicts[Move] = Begun("r2", ())
         for name in ("r2", "r3"):
-            load_of(stage.leaf, name).own = 1
+            load_of(stage.agent, name).own = 1
         self.clients = {}
 
     def ask(self, attempt):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,12 +25,12 @@
 @pytest.mark.xdist_group("scale")
 def test_a_leaf_costs_the_same_beside_more_leaves_and_what_leaves_hand_in_is_decided():
     few, many = scale_run(leaves=8, rate=40, seconds=1, warm=0.3), scale_run(leaves=24, seconds=1, warm=0.3)
-    renews = [report["leaf"]["per_s"]["kind/LeaseRequest"] for report in (few, many)]
+    renews = [report["agent"]["per_s"]["kind/LeaseRequest"] for report in (few, many)]
     grants = [sequencer(report)["per_s"]["kind/LeaseReply"] / (report["leaves"] + 1) for report in (few, many)]
     beats = [sequencer(report)["per_s"]["kind/Heartbeat"] for report in (few, many)]
     assert 0 < renews[1] < 1.5 * renews[0] and renews[1] <= 6
     assert 0 < grants[1] < 1.5 * grants[0] and 0 < beats[1] < 1.5 * beats[0]
-    idle = many["leaf"]["per_s"]
+    idle = many["agent"]["per_s"]
     assert idle["wire/sent"] <= 6 and idle["wire/heard"] <= 6
     assert idle["wire/sent_bytes"] + idle["wire/heard_bytes"] < 1000
     assert sequencer(many)["sessions"] == 25
