--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -10,11 +10,11 @@
 from frostpost.background.runners import poll_all
 from frostpost.background.ticking import tick_ledger
 from frostpost.daemon import disk as disks
-from frostpost.daemon.context import Context, Hooks, clock_ms
+from frostpost.daemon.context import Context, TestHooks, clock_ms
 from frostpost.daemon.core import begin
-from frostpost.daemon.heart import TICK_MS, beat
-from frostpost.daemon.links import listen, sender
-from frostpost.daemon.news import say
+from frostpost.daemon.event_loop import TICK_MS, beat
+from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.structured_log import log_event
 from frostpost.http_api.app import build
 from frostpost.http_api.http_client import http_agent
 from frostpost.http_api.lookups import wake
@@ -29,9 +29,9 @@
         return
     try:
         with open(ctx.settings.hooks, "rb") as file:
-            ctx.hooks = json.decode(file.read(), type=Hooks)
+            ctx.hooks = json.decode(file.read(), type=TestHooks)
     except (OSError, DecodeError):
-        ctx.hooks = Hooks()
+        ctx.hooks = TestHooks()
 
 
 def loops(ctx):
@@ -53,7 +53,7 @@
         loop.clock = ctx.reactor
 
         def broken(failure, job=job):
-            say(
+            log_event(
                 "Internal",
                 job=getattr(job, "__name__", "job"),
                 type=failure.type.__name__,
@@ -79,14 +79,14 @@
     )
     ctx = Context(settings, reactor, endpoint, machine)
     ctx.shelf = Shelf(f"{settings.name}.{incarnation}")
-    records, ctx.disk = [], disks.Diskless()
+    records, ctx.disk = [], disks.NoLogWriter()
     if settings.role == "storage":
-        write_ahead_log, records, error = disks.open_(settings.data, machine.files)
-        ctx.disk = disks.Keeper(ctx, write_ahead_log)
+        write_ahead_log, records, error = disks.open_log(settings.data, machine.files)
+        ctx.disk = disks.LogWriter(ctx, write_ahead_log)
         error = shelves.load(ctx, settings.data) or error
         if error:
             ctx.corrupt = f"{type(error).__name__} at {error.offset} in {error.path}"
-            say(type(error).__name__, path=error.path, offset=error.offset)
+            log_event(type(error).__name__, path=error.path, offset=error.offset)
 
     def applied():
         wake(ctx)
--- a/frostpost/app/serve.py
+++ b/frostpost/app/serve.py
@@ -6,10 +6,10 @@
 import cappa
 
 from frostpost.daemon import settings as checked
-from frostpost.daemon.life import Hand, make
+from frostpost.daemon.lifecycle import DaemonProcess, make
 from frostpost.daemon.machine import Machine
-from frostpost.daemon.news import begin as begin_news
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
+from frostpost.daemon.structured_log import start_logging as begin_news
 
 from .arguments import Serve
 from .assembly import assemble, raise_
@@ -25,11 +25,11 @@
 
     reactor.seconds = Machine().seconds
     ctx, site = assemble(settings, reactor, Machine())
-    hand = Hand(ctx, lambda: reactor.running and reactor.stop())
+    hand = DaemonProcess(ctx, lambda: reactor.running and reactor.stop())
     ctx.life = make(hand)
 
     def fallen(failure):
-        say("ListenError", text=failure.getErrorMessage())
+        log_event("ListenError", text=failure.getErrorMessage())
         hand.status = 69
         hand.stop()
 
--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -7,10 +7,10 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
-from frostpost.daemon.heart import ask
-from frostpost.daemon.news import say
-from frostpost.ledger import duties
+from frostpost.daemon.core import holds_lease
+from frostpost.daemon.event_loop import submit
+from frostpost.daemon.structured_log import log_event
+from frostpost.ledger import singleton_roles
 from frostpost.ledger.operations import Fire, SetConfig
 from frostpost.ledger.results import ConfigSet
 
@@ -42,13 +42,13 @@
     ask_ms = ctx.settings.doors.ask_ms
     since_s = ctx.core.ledger.fired.get(path)
     if since_s is None:
-        yield ask(ctx, Fire(fence, path, now_s, None), ask_ms)
+        yield submit(ctx, Fire(fence, path, now_s, None), ask_ms)
         return
     at_s, document = amended(tenant, since_s, now_s)
     if document is None:
         return
     if document == tenant:
-        yield ask(ctx, Fire(fence, path, at_s, None), ask_ms)
+        yield submit(ctx, Fire(fence, path, at_s, None), ask_ms)
         return
     base = f"templates/{tenant['template']}"
     item = yield shelves.put(ctx, json.encode(document))
@@ -56,16 +56,16 @@
         path, item.digest, item.size, version, item.source, item.number, ((base, ctx.documents[base][0]),)
     )
     if (yield shelves.spread(ctx, item)):
-        result = yield ask(ctx, Fire(fence, path, at_s, change), ask_ms)
+        result = yield submit(ctx, Fire(fence, path, at_s, change), ask_ms)
         if result.is_ok() and isinstance(result.ok, ConfigSet):
-            say("CalendarFired", path=path, version=result.ok.version, at_s=at_s)
+            log_event("CalendarFired", path=path, version=result.ok.version, at_s=at_s)
 
 
 @inlineCallbacks
 def calendars(ctx):
     """Look through all tenants' calendars, if this daemon holds that duty."""
-    fence = duties.held(ctx.core.ledger, "calendars", ctx.endpoint.member)
-    if not fence or not lease_ok(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.core.ledger.config_index:
+    fence = singleton_roles.held(ctx.core.ledger, "calendars", ctx.endpoint.member)
+    if not fence or not holds_lease(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.core.ledger.config_index:
         return
     for path in [p for p, (_, d) in ctx.documents.items() if d.get("calendars")]:
         if path in ctx.documents:
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -5,12 +5,12 @@
 
 from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms, count
-from frostpost.daemon.core import lease_ok
-from frostpost.daemon.heart import ask
-from frostpost.daemon.news import say
-from frostpost.ledger import duties
+from frostpost.daemon.core import holds_lease
+from frostpost.daemon.event_loop import submit
+from frostpost.daemon.structured_log import log_event
+from frostpost.ledger import singleton_roles
+from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Runners
-from frostpost.ledger.records import Runner
 
 
 class Row(Struct):
@@ -34,9 +34,9 @@
 @inlineCallbacks
 def list_(ctx):
     """Fetch the list if this daemon holds that duty, and order it if it changed."""
-    fence = duties.held(ctx.core.ledger, "list", ctx.endpoint.member)
+    fence = singleton_roles.held(ctx.core.ledger, "list", ctx.endpoint.member)
     now = clock_ms(ctx)
-    if not fence or not ctx.settings.list or now < ctx.list_ms or not lease_ok(ctx.core, now):
+    if not fence or not ctx.settings.list or now < ctx.list_ms or not holds_lease(ctx.core, now):
         return
     ctx.list_ms = now + ctx.settings.background.list_ms
     try:
@@ -62,5 +62,5 @@
     held = ctx.core.ledger.runners
     if {r.name: r for r in entries} != held:
         count(ctx, "list_changes")
-        say("RunnerList", runners=len(entries))
-        yield ask(ctx, Runners(fence, entries), ctx.settings.doors.ask_ms)
+        log_event("RunnerList", runners=len(entries))
+        yield submit(ctx, Runners(fence, entries), ctx.settings.doors.ask_ms)
--- a/frostpost/background/meters.py
+++ b/frostpost/background/meters.py
@@ -4,7 +4,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
+from frostpost.daemon.core import holds_lease
 
 
 class Meters:
@@ -19,7 +19,7 @@
         """Yield the current metrics."""
         ctx, synchrony = self.ctx, self.ctx.core.synchrony
         gauges = {
-            "serving": int(lease_ok(ctx.core, clock_ms(ctx))),
+            "serving": int(holds_lease(ctx.core, clock_ms(ctx))),
             "flights": ctx.flights,
             "lag_ms": ctx.lag_ms,
             "applied_index": synchrony.applied,
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -5,8 +5,8 @@
 
 from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms, count
-from frostpost.daemon.core import lease_ok
-from frostpost.daemon.heart import ask
+from frostpost.daemon.core import holds_lease
+from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Drain
 from frostpost.placement.judge import RunnerHealth
 
@@ -47,10 +47,10 @@
     health.instance, health.load, health.room = report.instance, report.load, report.room
     health.prefixes, health.heard_ms = frozenset(report.prefixes), clock_ms(ctx)
     health.leaving = report.leaving
-    if report.leaving and lease_ok(ctx.core, clock_ms(ctx)):
+    if report.leaving and holds_lease(ctx.core, clock_ms(ctx)):
         key = f"{runner.name}/{runner.instance}"
         if key not in ctx.core.ledger.leaving:
-            ask(ctx, Drain(runner.name, True), ctx.settings.doors.ask_ms)
+            submit(ctx, Drain(runner.name, True), ctx.settings.doors.ask_ms)
 
 
 def poll_all(ctx):
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -4,9 +4,9 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.heart import tick
-from frostpost.daemon.news import say
-from frostpost.daemon.waiting import until
+from frostpost.daemon.event_loop import tick
+from frostpost.daemon.polling import poll_until
+from frostpost.daemon.structured_log import log_event
 from frostpost.tenant_config import shelf as shelves
 from frostpost.tenant_config.stamp import stamp
 from frostpost.virtual_synchrony.config_messages import (
@@ -16,7 +16,7 @@
     ConfigVersionsRequest,
 )
 from frostpost.virtual_synchrony.quorum import is_majority
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(shelves.Store).decode
@@ -34,7 +34,7 @@
 
 def load(ctx, folder):
     """Read the bodies from disk; return the error found there, or None."""
-    write_ahead_log, payloads, error = write_ahead_logs.open_(folder, "bodies", ctx.machine.files)
+    write_ahead_log, payloads, error = write_ahead_logs.open_log(folder, "bodies", ctx.machine.files)
     ctx.bodies = Bodies(write_ahead_log)
     for payload in payloads:
         store = decode(payload)
@@ -100,7 +100,7 @@
 
     def failed(failure):
         bodies.busy = False
-        say("DiskError", type=failure.type.__name__, file="bodies")
+        log_event("DiskError", type=failure.type.__name__, file="bodies")
         ctx.disk.turn(True)
         bodies.queue = batch + bodies.queue
         ctx.reactor.callLater(1, flush, ctx)
@@ -131,7 +131,7 @@
             holders.add(ctx.endpoint.member.name)
         return is_majority(ctx.core.ledger.voters, holders)
 
-    return until(ctx, held, ctx.settings.doors.ack_ms)
+    return poll_until(ctx, held, ctx.settings.doors.ack_ms)
 
 
 def received(ctx, sender_name, body):
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -1,19 +1,19 @@
 """Advance the ledger's clock."""
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
-from frostpost.daemon.heart import ask
-from frostpost.ledger import duties
+from frostpost.daemon.core import holds_lease
+from frostpost.daemon.event_loop import submit
+from frostpost.ledger import singleton_roles
 from frostpost.ledger.operations import Tick
 
 
 def tick_ledger(ctx):
     """Order the milliseconds since the last tick, if this daemon holds that duty."""
-    fence = duties.held(ctx.core.ledger, "ticks", ctx.endpoint.member)
+    fence = singleton_roles.held(ctx.core.ledger, "ticks", ctx.endpoint.member)
     now = clock_ms(ctx)
-    if not fence or not lease_ok(ctx.core, now):
+    if not fence or not holds_lease(ctx.core, now):
         ctx.tick_ms = 0
         return
     last_ms, ctx.tick_ms = ctx.tick_ms, now
     if last_ms:
-        ask(ctx, Tick(fence, min(now - last_ms, 3 * ctx.settings.background.tick_ms)), ctx.settings.doors.ask_ms)
+        submit(ctx, Tick(fence, min(now - last_ms, 3 * ctx.settings.background.tick_ms)), ctx.settings.doors.ask_ms)
--- a/frostpost/cluster/address_book.py
+++ b/frostpost/cluster/address_book.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.virtual_synchrony.members import member_names
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
 
 class AddressBook(Struct):
@@ -14,7 +14,7 @@
 
 
 def open_address_book(folder, machine, name="peers"):
-    write_ahead_log, payloads, _ = write_ahead_logs.open_(folder, name, machine.files)
+    write_ahead_log, payloads, _ = write_ahead_logs.open_log(folder, name, machine.files)
     return AddressBook(write_ahead_log, machine, tuple(msgpack.decode(payloads[-1])) if payloads else ())
 
 
--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -1,9 +1,9 @@
 """An edge or core daemon put together, from its settings to its end."""
 
-from frostpost.daemon.links import listen, sender
-from frostpost.daemon.news import say
+from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.polling import poll_until
+from frostpost.daemon.structured_log import log_event
 from frostpost.daemon.ticker import Ticker
-from frostpost.daemon.waiting import until
 from frostpost.turn_store import client as turn_store_client
 from frostpost.virtual_synchrony.agent_messages import (
     BootstrapReply,
@@ -62,7 +62,7 @@
         case LeaseReply():
             if lease_client.on_lease_reply(agent, endpoint, body):
                 operation_client.resend_all(agent)
-            turn_store_client.granted(agent)
+            turn_store_client.recount_holders(agent)
             if agent.ticker is not None:
                 agent.ticker.wake(lease_client.due_ms(agent) - now_ms(agent))
         case OperationReply():
@@ -70,7 +70,7 @@
         case RoutingUpdate():
             lease_client.on_routing_update(agent, body)
         case PutBodyReply() | GetBodiesReply():
-            turn_store_client.received(agent, endpoint.member.name, body)
+            turn_store_client.on_reply(agent, endpoint.member.name, body)
         case BootstrapRequest():
             bootstrap.on_bootstrap_request(agent, endpoint, body)
         case BootstrapReply():
@@ -117,7 +117,7 @@
 
 def start_ticker(agent, stop):
     def broken(failure):
-        say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
+        log_event("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         stop(70)
 
     agent.ticker = Ticker(agent.reactor, TEND_S, lambda: run_due_work(agent), lambda: due_in_ms(agent), broken)
@@ -127,7 +127,7 @@
 
 def start_agent(agent, front, stop):
     def fallen(failure):
-        say("ListenError", text=failure.getErrorMessage())
+        log_event("ListenError", text=failure.getErrorMessage())
         stop(69)
 
     def up(ports):
@@ -139,7 +139,7 @@
             from frostpost.proxy import roster
 
             agent.extras["stops"].append(roster.poll(agent))
-        say("started", name=agent.settings.name, role=agent.settings.role)
+        log_event("started", name=agent.settings.name, role=agent.settings.role)
 
     listen(agent, on_frame).addCallback(lambda _: front.listen(agent)).addCallbacks(up, fallen)
 
@@ -149,7 +149,7 @@
     if agent.leaving:
         return
     agent.leaving = True
-    say("leaving", flights=agent.flights)
+    log_event("leaving", flights=agent.flights)
     grace_ms = agent.settings.grace_ms
 
     def last_call(_):
@@ -158,11 +158,11 @@
             port.stopListening()
         if agent.front is not None:
             agent.front.close_idle()
-        return until(agent, lambda: agent.flights == 0 and agent.calls == 0, int(grace_ms * 0.55))
+        return poll_until(agent, lambda: agent.flights == 0 and agent.calls == 0, int(grace_ms * 0.55))
 
     def over(_):
-        say("left", flights=agent.flights)
+        log_event("left", flights=agent.flights)
         agent.reactor.callLater(0.1, stop, 0)
 
     wait_ms = int(grace_ms * LISTEN_RATIO) if agent.settings.front else 100
-    until(agent, lambda: False, wait_ms).addCallback(last_call).addCallback(over)
+    poll_until(agent, lambda: False, wait_ms).addCallback(last_call).addCallback(over)
--- a/frostpost/cluster/agent_context.py
+++ b/frostpost/cluster/agent_context.py
@@ -1,6 +1,6 @@
 """The one context object of a daemon that is no member of the ring: an edge or a core daemon."""
 
-from frostpost.daemon.context import Hooks
+from frostpost.daemon.context import TestHooks
 from frostpost.daemon.machine import MACHINE
 
 
@@ -44,7 +44,7 @@
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
         self.leaving, self.flights, self.calls, self.tasks = False, 0, 0, []
-        self.hooks, self.operations, self.ticker, self.sent_directories = Hooks(), None, None, {}
+        self.hooks, self.operations, self.ticker, self.sent_directories = TestHooks(), None, None, {}
         self.life, self.front, self.lag_ms, self.parts, self.extras = None, None, 0.0, {}, {}
 
 
--- a/frostpost/cluster/agent_sessions.py
+++ b/frostpost/cluster/agent_sessions.py
@@ -3,7 +3,7 @@
 from msgspec import DecodeError, Struct, msgpack
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.heart import ask
+from frostpost.daemon.event_loop import submit
 from frostpost.ledger.apply import decode_op
 from frostpost.virtual_synchrony.agent_messages import (
     DirectoryReply,
@@ -209,4 +209,4 @@
             told = OperationReply(message.incarnation, message.number, b"", type(result.error).__name__)
         ctx.links["send"](address, told)
 
-    ask(ctx, op, OPERATION_TIMEOUT_MS).addCallback(decided)
+    submit(ctx, op, OPERATION_TIMEOUT_MS).addCallback(decided)
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -6,7 +6,7 @@
 from os import EX_IOERR
 
 from frostpost.daemon.machine import Machine
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 
 RING = "storage"
 
@@ -17,9 +17,9 @@
         agent.settings = result.ok
         if result.ok.role == RING:
             update_seeds(agent)
-        say("settings", seeds=list(result.ok.seeds))
+        log_event("settings", seeds=list(result.ok.seeds))
     else:
-        say(type(result.error).__name__, path=result.error.path)
+        log_event(type(result.error).__name__, path=result.error.path)
 
 
 def update_seeds(replica):
@@ -57,7 +57,9 @@
     try:
         owner, start, leave = build_daemon(settings, front, reactor, machine, stop)
     except OSError as error:
-        say("DiskError", type=type(error).__name__, error=errorcode.get(error.errno, ""), path=error.filename or "")
+        log_event(
+            "DiskError", type=type(error).__name__, error=errorcode.get(error.errno, ""), path=error.filename or ""
+        )
         return EX_IOERR
     reactor.callWhenRunning(start)
 
--- a/frostpost/cluster/attempt_tracing.py
+++ b/frostpost/cluster/attempt_tracing.py
@@ -1,6 +1,6 @@
 """Lines that follow one attempt through a daemon, where its settings ask for them."""
 
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 
 from .agent_context import now_ms
 
@@ -15,11 +15,11 @@
     if attempt is None:
         return
     operation = type(op).__name__
-    say("trace", attempt=attempt, at="handed in", operation=operation)
+    log_event("trace", attempt=attempt, at="handed in", operation=operation)
 
     def decided(result):
         verdict = result.ok if result.is_ok() else result.error
-        say(
+        log_event(
             "trace",
             attempt=attempt,
             at="decided",
@@ -35,10 +35,10 @@
 def trace_request(agent, call, request):
     """Say that a client's request is taken, and how it was answered when that is over."""
     from_ms, ended = now_ms(agent), request.on_over
-    say("trace", attempt=call.attempt, at="taken", host=call.host, program=call.program, key=call.key)
+    log_event("trace", attempt=call.attempt, at="taken", host=call.host, program=call.program, key=call.key)
 
     def over(lost):
-        say(
+        log_event(
             "trace",
             attempt=call.attempt,
             at="answered",
--- a/frostpost/cluster/bootstrap.py
+++ b/frostpost/cluster/bootstrap.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct, msgpack
 
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 from frostpost.virtual_synchrony.agent_messages import BootstrapReply, BootstrapRequest
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
 from .agent_context import now_ms
 from .lease_client import NEVER_MS
@@ -51,9 +51,9 @@
 
 def open_record(agent, name):
     """-> (log, the charter in it, whether it is intact)"""
-    log, payloads, fault = write_ahead_logs.open_(agent.settings.data, name, agent.machine.files)
+    log, payloads, fault = write_ahead_logs.open_log(agent.settings.data, name, agent.machine.files)
     if fault:
-        say(type(fault).__name__, path=fault.path, offset=fault.offset)
+        log_event(type(fault).__name__, path=fault.path, offset=fault.offset)
     intact = not isinstance(fault, write_ahead_logs.Corrupt)
     return log, tuple(decode(payloads[-1])) if payloads and intact else (), intact
 
@@ -182,9 +182,9 @@
 
 def written(_, agent, names):
     agent.bootstrap_voters, agent.extras["founding"].writing = names, False
-    say("charter", voters=list(names))
+    log_event("charter", voters=list(names))
 
 
 def failed(failure, agent):
     agent.extras["founding"].writing = False
-    say("DiskError", type=failure.type.__name__)
+    log_event("DiskError", type=failure.type.__name__)
--- a/frostpost/cluster/control_client.py
+++ b/frostpost/cluster/control_client.py
@@ -8,13 +8,13 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from frostpost.program_ledger.words import (
-    LookRetired,
-    LookRouting,
-    Retire,
+    ReadRetirement,
+    ReadRouting,
+    RetireReplica,
+    RoutingConflict,
     RoutingForgotten,
-    RoutingHeld,
-    RoutingMoved,
     RoutingSet,
+    RoutingState,
     SetRouting,
 )
 from frostpost.proxy.failures import Unavailable
@@ -46,7 +46,7 @@
     if result.is_error():
         return result
     if not isinstance(result.ok, RoutingSet):
-        refused = isinstance(result.ok, (RoutingMoved, RoutingForgotten))
+        refused = isinstance(result.ok, (RoutingConflict, RoutingForgotten))
         return Error(result.ok if refused else Unavailable(RETRY_MS, "verdict"))
     result = yield wait_until_honoured(agent, version, until_ms - now_ms(agent))
     return result
@@ -74,14 +74,14 @@
 
 def read_routing(agent, wait_ms, version=0, digest=b""):
     """-> Deferred[Result[RoutingHeld, Unavailable]], as the ring's order has it now, with what became of a change."""
-    return result_of(agent, LookRouting(version, digest), RoutingHeld, wait_ms)
+    return result_of(agent, ReadRouting(version, digest), RoutingState, wait_ms)
 
 
 def retire(agent, name, wait_ms):
     """-> Deferred[Result[RetireState, Unavailable]]: empty a storage daemon."""
-    return result_of(agent, Retire(name, True, agent.settings.least_replicas), None, wait_ms)
+    return result_of(agent, RetireReplica(name, True, agent.settings.least_replicas), None, wait_ms)
 
 
 def read_retirement(agent, name, wait_ms):
     """-> Deferred[Result[RetireState, Unavailable]]: how far the emptying of a storage daemon is."""
-    return result_of(agent, LookRetired(name), None, wait_ms)
+    return result_of(agent, ReadRetirement(name), None, wait_ms)
--- a/frostpost/cluster/lease_client.py
+++ b/frostpost/cluster/lease_client.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 from frostpost.virtual_synchrony.agent_messages import DirectoryRequest, LeaseRequest, RoutingRequest
 
 from .agent_context import count, now_ms
@@ -180,7 +180,7 @@
         session.routing_requested_ms = now
         agent.links["send"](address_of(endpoint), RoutingRequest(session.routing_version))
     if moved:
-        say("session", sequencer=session.sequencer, epoch=grant.epoch)
+        log_event("session", sequencer=session.sequencer, epoch=grant.epoch)
     return moved
 
 
--- a/frostpost/cluster/operation_client.py
+++ b/frostpost/cluster/operation_client.py
@@ -4,7 +4,7 @@
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
 
-from frostpost.program_ledger.words import CoppiceVerdict
+from frostpost.program_ledger.words import ProgramResult
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import OperationRequest
 
@@ -15,7 +15,7 @@
 RETRY_MS = 500
 RESEND_MS = 300
 encode = msgpack.Encoder().encode
-decode = msgpack.Decoder(CoppiceVerdict).decode
+decode = msgpack.Decoder(ProgramResult).decode
 
 
 class PendingOperation(Struct):
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -5,12 +5,13 @@
 from frostpost.background.ticking import tick_ledger
 from frostpost.daemon import core as cores
 from frostpost.daemon import disk as disks
-from frostpost.daemon import heart
+from frostpost.daemon import event_loop
 from frostpost.daemon.context import Context, clock_ms
-from frostpost.daemon.links import listen, sender
-from frostpost.daemon.news import say
+from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.structured_log import log_event
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
+from frostpost.turn_store.repair import repair as repair_bodies
 from frostpost.virtual_synchrony.agent_messages import (
     DirectoryReply,
     DirectoryRequest,
@@ -23,7 +24,7 @@
 from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.events import DrainRequested, MessageReceived
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
 from . import address_book, agent_sessions, announcements, status, voter_reconfiguration
 from .replica_context import ROLE, Crash, ReplicaContext, ring_settings
@@ -42,16 +43,16 @@
     ctx = Context(ring_settings(settings), reactor, endpoint, machine)
     replica = ReplicaContext(ctx, settings, stop)
     ctx.life = Crash(stop)
-    write_ahead_log, replica.records, fault = disks.open_(settings.data, machine.files)
+    write_ahead_log, replica.records, fault = disks.open_log(settings.data, machine.files)
     if fault:
-        say(type(fault).__name__, path=fault.path, offset=fault.offset)
-    ctx.disk = disks.Keeper(ctx, write_ahead_log)
+        log_event(type(fault).__name__, path=fault.path, offset=fault.offset)
+    ctx.disk = disks.LogWriter(ctx, write_ahead_log)
     replica.peers = address_book.open_address_book(settings.data, machine)
     replica.agent_addresses, replica.announced_configuration = (
         address_book.open_address_book(settings.data, machine, "leaves"),
         None,
     )
-    replica.turn_store = store.open_(
+    replica.turn_store = store.open_store(
         settings.data,
         machine,
         tell=lambda lost: on_store_failure(replica, lost),
@@ -67,7 +68,7 @@
 
 
 def on_store_failure(replica, lost):
-    say(type(lost).__name__, what="turn_store")
+    log_event(type(lost).__name__, what="turn_store")
     if isinstance(lost, write_ahead_logs.SyncLostError):
         replica.stop(70)
 
@@ -83,7 +84,7 @@
 
 def on_listen_failure(replica):
     def failed(failure):
-        say("ListenError", text=failure.getErrorMessage())
+        log_event("ListenError", text=failure.getErrorMessage())
         replica.stop(69)
 
     return failed
@@ -98,7 +99,7 @@
     )
     replica.records = []
     ctx.disk.write(out.writes)
-    heart.start_ticker(ctx, on_job_failure(replica))
+    event_loop.start_ticker(ctx, on_job_failure(replica))
     replica.tasks.append(ctx.ticker)
     run_every(replica, lambda: check_disk_and_opening(replica), 0.1)
     run_every(replica, lambda: change_voters(replica), 0.1)
@@ -107,14 +108,14 @@
     run_every(replica, lambda: save_addresses(replica), 1.0)
     run_every(replica, lambda: expire(replica), 10.0)
     run_every(replica, lambda: announcements.announce_to_lapsed(replica), settings.lease_ms / 1000)
-    say("started", name=settings.name, founding=list(charter))
+    log_event("started", name=settings.name, founding=list(charter))
 
 
 def on_job_failure(replica):
     """What ends this daemon when one of its jobs fails."""
 
     def failed(failure):
-        say("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
+        log_event("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         replica.stop(70)
 
     return failed
@@ -160,7 +161,7 @@
         for p in ctx.core.synchrony.peers.values()
         if p.endpoint.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
     ]
-    turn_stores.repair(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
+    repair_bodies(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
     ctx.core.synchrony.status = voter_reconfiguration.status_report(replica.turn_store, replica.leaving)
 
 
@@ -191,11 +192,11 @@
     if isinstance(body, DirectoryReply):
         return on_directory(replica, body)
     if isinstance(body, (PutBodyRequest, GetBodiesRequest, GetBodiesReply, PutBodyReply)):
-        return turn_stores.received(replica, f"@{endpoint.host}:{endpoint.port}", body)
+        return turn_stores.on_message(replica, f"@{endpoint.host}:{endpoint.port}", body)
     if replica.waiting:
         return None
     if endpoint.role == ROLE:
-        return heart.received(ctx, frame)
+        return event_loop.on_frame(ctx, frame)
     return agent_sessions.on_agent_message(ctx, replica.sessions, endpoint, body)
 
 
@@ -208,7 +209,7 @@
     ctx = replica.ctx
     for endpoint in message.endpoints:
         if endpoint.member.name != replica.settings.name and endpoint.member.name not in ctx.core.synchrony.peers:
-            heart.feed(ctx, MessageReceived(clock_ms(ctx), endpoint, DiscoveryUpdate((), False)))
+            event_loop.feed_input(ctx, MessageReceived(clock_ms(ctx), endpoint, DiscoveryUpdate((), False)))
 
 
 def drain(replica):
@@ -229,5 +230,5 @@
     if clock_ms(replica.ctx) < until_ms and voter_reconfiguration.is_dispensable_voter(replica.ctx, replica.settings):
         replica.reactor.callLater(HANDOVER_S, drain_without_vote, replica, until_ms)
         return
-    heart.feed(replica.ctx, DrainRequested(clock_ms(replica.ctx)))
+    event_loop.feed_input(replica.ctx, DrainRequested(clock_ms(replica.ctx)))
     replica.reactor.callLater(LEAVE_S, replica.stop, 0)
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -3,7 +3,7 @@
 from msgspec import json
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.links import sender
+from frostpost.daemon.frames import sender
 from frostpost.turn_store.store import used_bytes
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -4,11 +4,11 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.heart import ask, feed
-from frostpost.daemon.news import say
+from frostpost.daemon.event_loop import feed_input, submit
+from frostpost.daemon.structured_log import log_event
 from frostpost.ledger.operations import SWAP_RULES, Look
 from frostpost.ledger.results import Done
-from frostpost.program_ledger.words import Retired
+from frostpost.program_ledger.words import CompleteRetirement
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
 from frostpost.virtual_synchrony.members import member_names
 
@@ -156,27 +156,27 @@
     synchrony = ctx.core.synchrony
     if ctx.core.ledger.program_ledger.retiring.get(synchrony.name) == "completed" and not changes.left:
         changes.left = True
-        say("retired", name=synchrony.name)
-        feed(ctx, DrainRequested(clock_ms(ctx)))
+        log_event("retired", name=synchrony.name)
+        feed_input(ctx, DrainRequested(clock_ms(ctx)))
 
 
 @inlineCallbacks
 def change_voters(ctx, changes, settings):
     while (after := next_voter_set(ctx, changes, settings)) is not None and is_sequencer(ctx):
         before = tuple(ctx.core.ledger.voters)
-        result = yield ask(ctx, SetVoters(ctx.core.synchrony.configuration.id, before, after), OPERATION_TIMEOUT_MS)
-        say("voters", before=list(before), after=list(after), decided=result.is_ok())
+        result = yield submit(ctx, SetVoters(ctx.core.synchrony.configuration.id, before, after), OPERATION_TIMEOUT_MS)
+        log_event("voters", before=list(before), after=list(after), decided=result.is_ok())
         if not result.is_ok() or tuple(ctx.core.ledger.voters) != after:
             return
-        yield ask(ctx, Look(), OPERATION_TIMEOUT_MS)
+        yield submit(ctx, Look(), OPERATION_TIMEOUT_MS)
 
 
 @inlineCallbacks
 def release_retired(ctx, changes):
     """Release replicas whose copies the others hold: first a mark in the order, then a count after it, then the end."""
     for name in replicas_to_mark(ctx, changes):
-        epoch, result = changes.epoch, (yield ask(ctx, Look(), OPERATION_TIMEOUT_MS))
+        epoch, result = changes.epoch, (yield submit(ctx, Look(), OPERATION_TIMEOUT_MS))
         if result.is_ok() and isinstance(result.ok, Done) and changes.epoch == epoch:
             changes.marks[name] = result.ok.index
     for name in releasable_replicas(ctx, changes):
-        yield ask(ctx, Retired(name), OPERATION_TIMEOUT_MS)
+        yield submit(ctx, CompleteRetirement(name), OPERATION_TIMEOUT_MS)
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -7,7 +7,7 @@
 from .machine import MACHINE
 
 
-class Hooks(Struct):
+class TestHooks(Struct):
     """What a test asks of a running daemon: peers whose links are cut, and milliseconds that each sync is delayed."""
 
     cut: list[str] = []
@@ -67,7 +67,7 @@
         self.stepping = self.slicing = self.leaving = self.stamping = False
         self.waiters, self.links, self.routes, self.runner_health = {}, {}, {}, {}
         self.key_waiters, self.counts, self.documents = {}, {}, {}
-        self.hooks = Hooks()
+        self.hooks = TestHooks()
         self.honoured = self.need_config = self.flights = self.calls = 0
         self.channels, self.ticker = {}, None
         self.list_ms = self.tick_ms = self.pruned_ms = self.listed_ms = 0
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-from frostpost.ledger import duties, snapshots
+from frostpost.ledger import singleton_roles, snapshots
 from frostpost.ledger.apply import apply, encode
 from frostpost.ledger.operations import Ballot, Rules
 from frostpost.ledger.results import Result
@@ -27,14 +27,14 @@
 from .snapshot_state import Snapshots
 
 
-class Decided(Struct, frozen=True, tag=20):
+class OperationDecided(Struct, frozen=True, tag=20):
     """The result of an operation that this daemon handed in; None if it was settled but is not known any more."""
 
     number: int
     result: Result | None
 
 
-class Slice(Struct, frozen=True, tag=21):
+class SnapshotSlice(Struct, frozen=True, tag=21):
     """An input that only goes on with a snapshot under way."""
 
     now_ms: int
@@ -63,23 +63,23 @@
 
 def step(core, input):
     """Handle one input; return (core, output)."""
-    out = Output() if isinstance(input, Slice) else synchrony_step(core.synchrony, input)[1]
-    if isinstance(input, Slice | TimerTick):
+    out = Output() if isinstance(input, SnapshotSlice) else synchrony_step(core.synchrony, input)[1]
+    if isinstance(input, SnapshotSlice | TimerTick):
         snapshotting.advance(core, out)
     snapshotting.give_way(core, out)
-    told = settle_answers(core, out)
-    while asks := ballots(core):
+    told = apply_answers(core, out)
+    while asks := pending_ballots(core):
         for payload in asks:
             _, more = synchrony_step(core.synchrony, OperationSubmitted(input.now_ms, payload))
             out.sends += more.sends
             out.writes += more.writes
-            told += [a for a in settle_answers(core, more) if not isinstance(a, (OperationNumbered, WindowFull))]
-    follow(core)
+            told += [a for a in apply_answers(core, more) if not isinstance(a, (OperationNumbered, WindowFull))]
+    follow_ledger_voters(core)
     snapshotting.rewrite(core, out)
     return core, Output(out.sends, out.writes, told)
 
 
-def settle_answers(core, out):
+def apply_answers(core, out):
     """Apply what was delivered to the ledger; return the answers for the shell."""
     told = []
     for answer in out.answers:
@@ -87,10 +87,10 @@
             case EntryApplied(entry):
                 core.ledger, result = apply(core.ledger, entry)
                 if entry.sender == core.synchrony.me and entry.number:
-                    told.append(Decided(entry.number, result))
+                    told.append(OperationDecided(entry.number, result))
                 told.append(answer)
             case SnapshotInstalled():
-                told += forgotten(core)
+                told += answered_by_snapshot(core)
                 told.append(answer)
             case SnapshotRequested():
                 snapshotting.asked(core, out, answer)
@@ -101,7 +101,7 @@
     return told
 
 
-def follow(core):
+def follow_ledger_voters(core):
     """Take over the voters that the ledger holds."""
     voters, synchrony = core.ledger.voters, core.synchrony
     if voters and voters != synchrony.voters:
@@ -112,7 +112,7 @@
         synchrony.primary.pending_voters = ()
 
 
-def forgotten(core):
+def answered_by_snapshot(core):
     """Return the outcome of own operations that a snapshot already contains."""
     incarnation, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
     if incarnation != core.synchrony.me.incarnation:
@@ -120,30 +120,30 @@
     gone = [n for n in core.synchrony.outbox if n <= number]
     for n in gone:
         del core.synchrony.outbox[n]
-    return [Decided(n, None) for n in gone]
+    return [OperationDecided(n, None) for n in gone]
 
 
-def ballots(core):
+def pending_ballots(core):
     """Return the encoded votes that this daemon has yet to cast."""
     synchrony, ledger = core.synchrony, core.ledger
     if not synchrony.primary.opened or synchrony.recovery or synchrony.draining:
         return []
     asks = []
-    for duty, round, candidate in duties.owed(ledger, synchrony.me):
+    for duty, round, candidate in singleton_roles.owed(ledger, synchrony.me):
         mark = (synchrony.configuration.id.epoch << 20) + round
         if core.balloted.get(duty) != mark:
             core.balloted[duty] = mark
             asks.append(encode(Ballot(duty, round, candidate)))
-    return asks + rules(core)
+    return asks + rules_upgrade(core)
 
 
-def rules(core):
+def rules_upgrade(core):
     """Return the operation that raises the ledger's rules, once every member speaks the new version."""
     synchrony, ledger = core.synchrony, core.ledger
     if (
         ledger.rules >= PROTOCOL_REVISION
         or core.ruled == synchrony.configuration.id
-        or not duties.held(ledger, "ticks", synchrony.me)
+        or not singleton_roles.held(ledger, "ticks", synchrony.me)
     ):
         return []
     endpoints = {p.endpoint.member: p.endpoint for p in synchrony.peers.values()} | {synchrony.me: synchrony.endpoint}
@@ -156,6 +156,6 @@
     return [encode(Rules(PROTOCOL_REVISION))]
 
 
-def lease_ok(core, now_ms):
+def holds_lease(core, now_ms):
     """Tell whether the lease allows this daemon to serve at that time."""
     return leases.holds_lease(core.synchrony, now_ms)
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -16,12 +16,12 @@
     RewriteLog,
     SnapshotRecord,
 )
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
-from . import rewriting as rewritings
+from . import log_compaction as rewritings
 from .context import clock_ms, count
-from .news import say
-from .rewriting import Rewriting
+from .log_compaction import Rewriting
+from .structured_log import log_event
 
 # Good syncs after which a disk counts as well; the more if it was well for less than RELAPSE_RATIO times `detect_ms`.
 GOOD_SYNCS = 3
@@ -31,7 +31,7 @@
 decode = msgpack.Decoder(Record).decode
 
 
-class Keeper:
+class LogWriter:
     """Writes what the core asks for, one batch at a time."""
 
     __slots__ = (
@@ -85,7 +85,7 @@
             self.adopt()
         elif self.queue:
             batch, self.queue = self.queue, []
-            self.start(batch, lambda failure: self.failed(failure, batch), append, self.write_ahead_log, batch)
+            self.start(batch, lambda failure: self.failed(failure, batch), append_batch, self.write_ahead_log, batch)
         elif self.told_up_to < self.up_to:
             self.tell(self.up_to)
 
@@ -147,16 +147,16 @@
 
     def tell(self, up_to):
         """Tell the core how far its records are synced."""
-        from .heart import feed
+        from .event_loop import feed_input
 
         self.told_up_to = up_to
-        feed(self.ctx, LogSynced(clock_ms(self.ctx), up_to))
+        feed_input(self.ctx, LogSynced(clock_ms(self.ctx), up_to))
 
     def report(self, failure):
         """Log and count a failed call of the disk."""
         count(self.ctx, "disk_faults")
         number = getattr(failure.value, "errno", None)
-        say("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
+        log_event("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
 
     def failed(self, failure, batch):
         """Queue a failed batch again; a lost sync ends the daemon, since the page cache can't be trusted."""
@@ -176,10 +176,10 @@
                 relapsed = now_ms - self.turned_ms < RELAPSE_RATIO * self.bounds.detect_ms
                 self.good_wanted = min(2 * self.good_wanted, MOST_GOOD_SYNCS) if relapsed else GOOD_SYNCS
             self.turned_ms = now_ms
-            say("DiskUnwell" if unwell else "DiskWell")
-            from .heart import feed
+            log_event("DiskUnwell" if unwell else "DiskWell")
+            from .event_loop import feed_input
 
-            feed(self.ctx, DiskHealthChanged(clock_ms(self.ctx), unwell))
+            feed_input(self.ctx, DiskHealthChanged(clock_ms(self.ctx), unwell))
 
     def watch(self):
         """Called often: tell of a stalled disk, and probe one that was unwell."""
@@ -192,7 +192,7 @@
         self.next()
 
 
-class Diskless:
+class NoLogWriter:
     """Stands where a daemon that does not vote has no log."""
 
     __slots__ = ("syncs", "unwell")
@@ -221,13 +221,13 @@
     job(*args)
 
 
-def append(write_ahead_log, batch):
+def append_batch(write_ahead_log, batch):
     """Append a batch of records and sync it; in a thread."""
     write_ahead_logs.append(write_ahead_log, [encode(r) for r in batch])
     write_ahead_logs.sync(write_ahead_log)
 
 
-def open_(folder, files):
+def open_log(folder, files):
     """-> the open log, the records read, and what was wrong with the file."""
-    write_ahead_log, payloads, error = write_ahead_logs.open_(folder, "log", files)
+    write_ahead_log, payloads, error = write_ahead_logs.open_log(folder, "log", files)
     return write_ahead_log, [decode(p) for p in payloads], error
--- a/frostpost/daemon/heart.py
+++ b/frostpost/daemon/event_loop.py
@@ -6,7 +6,7 @@
 
 from frostpost.ledger.operations import Finish, Release, Settle, Unclaim
 from frostpost.ledger.results import Reserved, Won
-from frostpost.program_ledger.words import Abort, Disclaim, End, Resolve
+from frostpost.program_ledger.words import AbortAttempt, EndAttempt, ReleaseOperationKey, ResolveOperationKey
 from frostpost.virtual_synchrony.config_messages import (
     ConfigBodyChunk,
     ConfigBodyRequest,
@@ -29,11 +29,20 @@
 from . import core as cores
 from .context import clock_ms, count
 from .errors import NoPrimary, Overfilled, Undecided
-from .news import say
+from .structured_log import log_event
 from .ticker import Ticker
 
 TICK_MS = 20
-ENDS = (Settle, Release, Finish, Unclaim, End, Abort, Resolve, Disclaim)
+ENDING_OPERATIONS = (
+    Settle,
+    Release,
+    Finish,
+    Unclaim,
+    EndAttempt,
+    AbortAttempt,
+    ResolveOperationKey,
+    ReleaseOperationKey,
+)
 encode = msgpack.Encoder().encode
 
 
@@ -45,7 +54,7 @@
     timer: object = None
 
 
-def feed(ctx, input):
+def feed_input(ctx, input):
     """Queue an input and step the core until the queue is empty."""
     ctx.inputs.append(input)
     if ctx.stepping:
@@ -59,7 +68,7 @@
             for to, body in out.sends:
                 ctx.links["send"](to, body)
             for answer in out.answers:
-                answered(ctx, answer)
+                on_answer(ctx, answer)
     finally:
         ctx.stepping = False
     if ctx.ticker is not None and needs_every_tick(ctx.core.synchrony):
@@ -77,21 +86,21 @@
 def next_slice(ctx):
     """Go on with the snapshot under way."""
     ctx.slicing = False
-    feed(ctx, cores.Slice(clock_ms(ctx)))
+    feed_input(ctx, cores.SnapshotSlice(clock_ms(ctx)))
 
 
-def answered(ctx, answer):
+def on_answer(ctx, answer):
     """Handle one answer of the core."""
     match answer:
-        case cores.Decided(number, result):
-            decided(ctx, number, result)
+        case cores.OperationDecided(number, result):
+            on_decided(ctx, number, result)
         case OperationNumbered(number):
             if ctx.asking:
                 waiter = ctx.asking.popleft()
                 ctx.waiters[number] = waiter
         case WindowFull():
             if ctx.asking:
-                fire(ctx.asking.popleft(), Error(Overfilled()))
+                resolve(ctx.asking.popleft(), Error(Overfilled()))
         case EntryApplied(entry):
             if entry.ordinal == 1:
                 ctx.need_config = ctx.core.ledger.config_index
@@ -100,7 +109,7 @@
             ctx.need_config = ctx.core.ledger.config_index
             ctx.links["applied"]()
         case ConfigurationChanged(configuration, transitional):
-            say(
+            log_event(
                 "configuration",
                 id=list(configuration.id.__struct_fields__ and (configuration.id.epoch, configuration.id.proposer)),
                 members=[m.name for m in configuration.members],
@@ -108,7 +117,7 @@
             )
 
 
-def fire(waiter, result):
+def resolve(waiter, result):
     """Fire a waiter's Deferred once; False if it fired before."""
     answer, waiter.answer = waiter.answer, None
     if waiter.timer is not None and waiter.timer.active():
@@ -119,60 +128,60 @@
     return False
 
 
-def decided(ctx, number, result):
+def on_decided(ctx, number, result):
     """Hand an operation's result to its waiter; undo it if nobody waits any more."""
     waiter = ctx.waiters.pop(number, None)
     if waiter is None:
         return
     outcome = Error(Undecided()) if result is None else Ok(result)
-    if not fire(waiter, outcome):
-        undo(ctx, waiter.op, result)
+    if not resolve(waiter, outcome):
+        release_late_result(ctx, waiter.op, result)
 
 
-def undo(ctx, op, result):
+def release_late_result(ctx, op, result):
     """Give back what a late result reserved or claimed."""
     count(ctx, "late_results")
     if isinstance(result, Reserved):
-        tell(ctx, Release(result.index))
+        submit_without_result(ctx, Release(result.index))
     elif isinstance(result, Won):
-        tell(ctx, Unclaim(op.key))
+        submit_without_result(ctx, Unclaim(op.key))
 
 
-def tell(ctx, op):
+def submit_without_result(ctx, op):
     """Hand in an operation without waiting for its result."""
     ctx.asking.append(Waiter(op, None))
-    feed(ctx, OperationSubmitted(clock_ms(ctx), encode(op), isinstance(op, ENDS)))
+    feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(op), isinstance(op, ENDING_OPERATIONS)))
 
 
-def ask(ctx, op, wait_ms):
+def submit(ctx, op, wait_ms):
     """Hand in an operation; Deferred of Ok(result), or of Error after `wait_ms`."""
-    must = isinstance(op, ENDS)
+    must = isinstance(op, ENDING_OPERATIONS)
     answer = Deferred()
-    if not must and not cores.lease_ok(ctx.core, clock_ms(ctx)):
+    if not must and not cores.holds_lease(ctx.core, clock_ms(ctx)):
         answer.callback(Error(NoPrimary()))
         return answer
     waiter = Waiter(op, answer)
-    waiter.timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), lambda: fire(waiter, Error(Undecided())))
+    waiter.timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), lambda: resolve(waiter, Error(Undecided())))
     ctx.asking.append(waiter)
-    feed(ctx, OperationSubmitted(clock_ms(ctx), encode(op), must))
+    feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(op), must))
     return answer
 
 
-def received(ctx, frame):
+def on_frame(ctx, frame):
     """Handle a frame from a peer."""
     body, sender_name = frame.body, frame.endpoint.member.name
     match body:
         case ConfigBodyRequest() | ConfigBodyChunk() | ConfigVersionsRequest() | ConfigVersionsReply():
             ctx.links["news"](sender_name, body)
         case _:
-            feed(ctx, MessageReceived(clock_ms(ctx), frame.endpoint, body))
+            feed_input(ctx, MessageReceived(clock_ms(ctx), frame.endpoint, body))
             if isinstance(body, Heartbeat):
                 ctx.links["heard"](sender_name, body.status)
 
 
 def tick(ctx):
     """Feed the core the current time."""
-    feed(ctx, TimerTick(clock_ms(ctx)))
+    feed_input(ctx, TimerTick(clock_ms(ctx)))
 
 
 def beat(ctx):
--- a/frostpost/daemon/links.py
+++ b/frostpost/daemon/frames.py
@@ -11,9 +11,9 @@
 from frostpost.virtual_synchrony.messages import SnapshotChunk
 
 from .context import count
-from .heart import received
-from .link import MAX_FRAME_BYTES, Link
-from .news import say
+from .event_loop import on_frame
+from .outgoing_link import MAX_FRAME_BYTES, Link
+from .structured_log import log_event
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Frame).decode
@@ -36,10 +36,10 @@
             return
         if frame.version != FRAME_VERSION:
             count(ctx, "other_versions")
-            say("OtherVersion", frm=frame.endpoint.member.name, version=frame.version)
+            log_event("OtherVersion", frm=frame.endpoint.member.name, version=frame.version)
             self.transport.loseConnection()
             return
-        if frame.to not in ("", ctx.endpoint.member.name) or barred(ctx, frame.endpoint.member.name):
+        if frame.to not in ("", ctx.endpoint.member.name) or is_link_cut(ctx, frame.endpoint.member.name):
             count(ctx, "misdirected")
             return
         links = ctx.links.get("send")
@@ -48,12 +48,12 @@
         self.factory.hear(ctx, frame)
 
 
-def barred(ctx, name):
+def is_link_cut(ctx, name):
     """Tell whether a test hook cuts the link to a daemon."""
     return name in ctx.hooks.cut
 
 
-def listen(ctx, hear=received):
+def listen(ctx, hear=on_frame):
     """Listen for peers; Deferred of the port."""
     factory = Factory.forProtocol(FrameReader)
     factory.ctx, factory.hear = ctx, hear
@@ -61,7 +61,7 @@
     return TCP4ServerEndpoint(ctx.reactor, settings.port, interface=settings.host).listen(factory)
 
 
-class Heard(Struct, frozen=True):
+class LastHeard(Struct, frozen=True):
     """Which process spoke last from an address, and when."""
 
     incarnation: int
@@ -81,7 +81,7 @@
             name = ""
         else:
             peer = self.ctx.core.synchrony.peers.get(to)
-            if peer is None or barred(self.ctx, to):
+            if peer is None or is_link_cut(self.ctx, to):
                 return
             host, port, name = peer.endpoint.host, peer.endpoint.port, to
         key = (host, int(port), isinstance(body, BULK))
@@ -99,7 +99,7 @@
             return
         address, incarnation = (endpoint.host, endpoint.port), endpoint.member.incarnation
         before = self.last_heard.get(address)
-        self.last_heard[address] = Heard(incarnation, self.ctx.reactor.seconds())
+        self.last_heard[address] = LastHeard(incarnation, self.ctx.reactor.seconds())
         for link in found:
             if before is not None and before.incarnation != incarnation:
                 link.restarted(before.at_s)
--- a/frostpost/daemon/rewriting.py
+++ b/frostpost/daemon/log_compaction.py
@@ -6,7 +6,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.virtual_synchrony.events import Record, RewriteLog
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
 # A rewrite that failed, on a full disk say, is tried again after this many times `detect_ms`.
 RETRY_RATIO = 10
--- a/frostpost/daemon/link.py
+++ b/frostpost/daemon/outgoing_link.py
@@ -22,7 +22,7 @@
     return bounds.detect_ms / 1000
 
 
-def end_silence(transport, silence_s):
+def set_user_timeout(transport, silence_s):
     """Let the kernel give a connection up whose bytes nobody acknowledges."""
     handle = getattr(transport, "getHandle", lambda: None)()
     if hasattr(handle, "setsockopt"):
@@ -40,7 +40,7 @@
     def connectionMade(self):
         """Start to send what is queued."""
         self.transport.setTcpNoDelay(True)
-        end_silence(self.transport, 2 * detect_s(self.link.ctx))
+        set_user_timeout(self.transport, 2 * detect_s(self.link.ctx))
         self.transport.registerProducer(self, True)
         self.link.opened(self)
 
--- a/frostpost/daemon/waiting.py
+++ b/frostpost/daemon/polling.py
@@ -5,7 +5,7 @@
 STEP_S = 0.02
 
 
-def until(ctx, test, wait_ms):
+def poll_until(ctx, test, wait_ms):
     """Deferred of True once a test holds, of False after `wait_ms`."""
     answer = Deferred()
     end_s = ctx.reactor.seconds() + wait_ms / 1000
--- a/frostpost/daemon/news.py
+++ b/frostpost/daemon/structured_log.py
@@ -6,12 +6,12 @@
 from msgspec import json
 
 
-def say(kind, **facts):
+def log_event(kind, **facts):
     """Log an event with its fields."""
     logging.info("%s", json.encode({"kind": kind, **facts}).decode())
 
 
-class Lines(logging.PythonFormatter):
+class JsonFormatter(logging.PythonFormatter):
     """Formats each record as one JSON line."""
 
     def format(self, record):
@@ -21,10 +21,10 @@
         return f'{{"at_ms":{int(record.created * 1000)},"level":"{record.levelname}",{body[1:]}'
 
 
-def begin():
+def start_logging():
     """Send log lines to standard error."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     handler = logging.get_absl_handler()
     handler.python_handler.stream = sys.stderr
-    handler.setFormatter(Lines())
+    handler.setFormatter(JsonFormatter())
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -6,7 +6,7 @@
 from twisted.web.server import Request, Site
 
 from frostpost.daemon.context import clock_ms, count
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 
 from . import calls, control, errors, reads, voting
 from .lookups import lookup
@@ -57,14 +57,14 @@
         try:
             result = yield handler(ctx, call)
         except Exception as broken:
-            say("Internal", request=call.id, type=type(broken).__name__, text=str(broken)[:200])
+            log_event("Internal", request=call.id, type=type(broken).__name__, text=str(broken)[:200])
             result = errors.Internal()
         finally:
             ctx.flights -= 1
     else:
         result = error
     count(ctx, f"{call.kind}/{type(result).__name__ if result is not None else 'served'}")
-    say(
+    log_event(
         "call",
         request=call.id,
         route=f"{call.tenant}/{call.route_name}",
@@ -190,7 +190,7 @@
             return refuse(request, errors.NoSuch("there is nothing at this path"), "")
         if code == 405:
             return refuse(request, errors.WrongMethod(), "")
-        say("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200])
+        log_event("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200])
         return refuse(request, errors.Internal(), "")
 
     site = Door(app.resource(), timeout=75, reactor=ctx.reactor)
--- a/frostpost/http_api/calls.py
+++ b/frostpost/http_api/calls.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
+from frostpost.daemon.core import holds_lease
 
 from . import errors
 
@@ -107,7 +107,7 @@
 
 def filter_serving(ctx, call):
     """Refuse calls without a lease or with an outdated configuration."""
-    if not lease_ok(ctx.core, clock_ms(ctx)):
+    if not holds_lease(ctx.core, clock_ms(ctx)):
         return errors.NoPrimary()
     if ctx.honoured < ctx.need_config:
         return errors.ConfigChanging()
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -6,11 +6,11 @@
 
 from frostpost.background import shelves
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
-from frostpost.daemon.heart import ask
-from frostpost.daemon.news import say
-from frostpost.daemon.waiting import until
-from frostpost.ledger import configs
+from frostpost.daemon.core import holds_lease
+from frostpost.daemon.event_loop import submit
+from frostpost.daemon.polling import poll_until
+from frostpost.daemon.structured_log import log_event
+from frostpost.ledger import config_versions
 from frostpost.ledger.operations import Drain, SetConfig
 from frostpost.ledger.results import ConfigSet, Done, NotHeld, StaleConfig
 from frostpost.tenant_config.shapes import WORD
@@ -21,7 +21,7 @@
 
 def version_of(ctx, path):
     """Return the version of a document in the ledger, 0 if there is none."""
-    return configs.held(ctx.core.ledger, path)
+    return config_versions.held(ctx.core.ledger, path)
 
 
 def document_of(ctx, path):
@@ -61,7 +61,7 @@
     """Return why this daemon can't take changes now, or None."""
     if ctx.leaving:
         return errors.Leaving()
-    if not lease_ok(ctx.core, clock_ms(ctx)):
+    if not holds_lease(ctx.core, clock_ms(ctx)):
         return errors.NoPrimary()
     if ctx.honoured < ctx.core.ledger.config_index:
         return errors.ConfigChanging()
@@ -127,7 +127,7 @@
     result = taken(
         ConfigSet,
         (
-            yield ask(
+            yield submit(
                 ctx, SetConfig(path, item.digest, item.size, version, item.source, item.number, bases), doors.ack_ms
             )
         ),
@@ -135,9 +135,9 @@
     if result.is_error():
         return result
     index = result.ok.index
-    if not (yield until(ctx, lambda: everywhere(ctx, index, "~honoured"), doors.ack_ms)):
+    if not (yield poll_until(ctx, lambda: everywhere(ctx, index, "~honoured"), doors.ack_ms)):
         return Error(errors.ConfigUnknown())
-    say("ConfigSet", path=path, version=result.ok.version, index=index)
+    log_event("ConfigSet", path=path, version=result.ok.version, index=index)
     return Ok({"path": path, "version": result.ok.version, "index": index})
 
 
@@ -145,7 +145,7 @@
     """Tell whether every member has reached an index and leases of daemons outside have run out."""
     synchrony = ctx.core.synchrony
     now = clock_ms(ctx)
-    if not lease_ok(ctx.core, now) or now - synchrony.installed_ms < synchrony.bounds.lease_ms:
+    if not holds_lease(ctx.core, now) or now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return False
     for member in synchrony.configuration.members:
         if member == synchrony.me:
@@ -172,7 +172,7 @@
     leaving = parsed.ok.get("leaving")
     if not isinstance(leaving, bool) or len(parsed.ok) != 1:
         return Error(errors.BadBody("/leaving", "must be true or false, and alone"))
-    result = yield ask(ctx, Drain(name, leaving), ctx.settings.doors.ask_ms)
+    result = yield submit(ctx, Drain(name, leaving), ctx.settings.doors.ask_ms)
     if result.is_error():
         return result
     if isinstance(result.ok, NotHeld):
@@ -180,7 +180,7 @@
     if not isinstance(result.ok, Done):
         return Error(errors.ConfigUnknown())
     index = result.ok.index
-    if not (yield until(ctx, lambda: everywhere(ctx, index, "applied"), ctx.settings.doors.ack_ms)):
+    if not (yield poll_until(ctx, lambda: everywhere(ctx, index, "applied"), ctx.settings.doors.ack_ms)):
         return Error(errors.ConfigUnknown())
     return Ok({"runner": name, "leaving": leaving, "index": index})
 
@@ -216,7 +216,7 @@
 
     @app.route("/v1/config/<kind>/<name>/history", methods=["GET"])
     def history_(request, kind, name):
-        if not lease_ok(ctx.core, clock_ms(ctx)):
+        if not holds_lease(ctx.core, clock_ms(ctx)):
             return refuse(request, errors.NoPrimary(), "")
         return said(request)(sets.history(ctx, f"{kind}/{name}"))
 
--- a/frostpost/http_api/forward.py
+++ b/frostpost/http_api/forward.py
@@ -11,7 +11,7 @@
 
 from frostpost.daemon.body_reader import gather
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
+from frostpost.daemon.core import holds_lease
 
 from .http_client import http_agent
 
@@ -61,7 +61,7 @@
 
     def startProducing(self, consumer):
         """Check lease, runner and call, then write the body at once."""
-        if self.attempt.gone or not lease_ok(self.ctx.core, clock_ms(self.ctx)):
+        if self.attempt.gone or not holds_lease(self.ctx.core, clock_ms(self.ctx)):
             return fail(LeaseLostError())
         if not may_run(self.ctx, self.attempt.runner) or not self.attempt.still():
             return fail(LeaseLostError())
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from frostpost.daemon.context import count
-from frostpost.daemon.heart import ask
+from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import ClaimKey, Finish, Unclaim
 from frostpost.ledger.results import Done, KeyReused, Shared, Won
 
@@ -126,7 +126,7 @@
     key = f"{call.tenant}/{call.route_name}/{call.document['key']}"
     digest = blake2b(call.document["input"].encode(), digest_size=16).hexdigest()
     while True:
-        result = yield ask(
+        result = yield submit(
             ctx,
             ClaimKey(key, digest, call.route.key_window_ms),
             min(ctx.settings.doors.ask_ms, max(1, remaining_ms(ctx, call))),
@@ -159,14 +159,14 @@
     try:
         result = yield try_runners(ctx, call, False)
     except Exception:
-        ask(ctx, Finish(key, "unknown", b""), ask_ms)
+        submit(ctx, Finish(key, "unknown", b""), ask_ms)
         raise
     if result.is_error() and not isinstance(result.error, (errors.Unknown, errors.RunnerError)):
-        yield ask(ctx, Unclaim(key), ask_ms)
+        yield submit(ctx, Unclaim(key), ask_ms)
         return result
     encoded = json.encode(result.ok) if result.is_ok() else b""
     status = "done" if result.is_ok() and len(encoded) <= RESULT_BYTES else "unknown"
-    told = yield ask(ctx, Finish(key, status, encoded if status == "done" else b""), ask_ms)
+    told = yield submit(ctx, Finish(key, status, encoded if status == "done" else b""), ask_ms)
     if status == "unknown" or told.is_error() or not isinstance(told.ok, Done):
         return Error(errors.Unknown())
     return result
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -8,8 +8,8 @@
 from frostpost.background.meters import gather
 from frostpost.background.shelves import body_of
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.core import lease_ok
-from frostpost.daemon.heart import ask
+from frostpost.daemon.core import holds_lease
+from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Look
 from frostpost.ledger.programs import whole
 from frostpost.placement.judge import Question, explain
@@ -26,7 +26,7 @@
         "boot": synchrony.me.incarnation,
         "role": synchrony.endpoint.role,
         "zone": synchrony.endpoint.zone,
-        "serving": lease_ok(ctx.core, clock_ms(ctx)) and not ctx.leaving,
+        "serving": holds_lease(ctx.core, clock_ms(ctx)) and not ctx.leaving,
         "leaving": ctx.leaving,
         "up_ms": clock_ms(ctx) - ctx.started_ms,
         "configuration": {
@@ -177,7 +177,7 @@
         return refuse(request, found, "")
 
     def leased(request, look):
-        if not lease_ok(ctx.core, clock_ms(ctx)):
+        if not holds_lease(ctx.core, clock_ms(ctx)):
             return refuse(request, errors.NoPrimary(), "")
         if ctx.honoured < ctx.need_config:
             return refuse(request, errors.ConfigChanging(), "")
@@ -198,7 +198,7 @@
                 return refuse(request, result.error, "")
             return leased(request, lambda: program(ctx, tenant, name))
 
-        return ask(ctx, Look(), ctx.settings.doors.ask_ms).addCallback(look)
+        return submit(ctx, Look(), ctx.settings.doors.ask_ms).addCallback(look)
 
     @app.route("/v1/tenants/<tenant>/routes/<route>/explain", methods=["GET"])
     def explain_(request, tenant, route):
@@ -216,7 +216,7 @@
     def ready(request):
         if ctx.leaving:
             return refuse(request, errors.Leaving(), "")
-        if not lease_ok(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.need_config:
+        if not holds_lease(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.need_config:
             return refuse(request, errors.NoPrimary(), "")
         return answer(request, {"ready": True})
 
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -5,10 +5,10 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.background import shelves
-from frostpost.daemon.heart import ask
-from frostpost.daemon.news import say
-from frostpost.daemon.waiting import until
-from frostpost.ledger import configs
+from frostpost.daemon.event_loop import submit
+from frostpost.daemon.polling import poll_until
+from frostpost.daemon.structured_log import log_event
+from frostpost.ledger import config_versions
 from frostpost.ledger.operations import Change, SetMany
 from frostpost.ledger.results import ManySet
 from frostpost.tenant_config.shapes import WORD, FieldError
@@ -66,21 +66,21 @@
     """Store bodies with a majority, order their change as one, and wait until every daemon honours it."""
     doors, changes = ctx.settings.doors, []
     for path, body in bodies.items():
-        held = configs.held(ctx.core.ledger, path)
+        held = config_versions.held(ctx.core.ledger, path)
         if body is None:
-            changes.append(Change(path, configs.REMOVED, 0, held, "", 0))
+            changes.append(Change(path, config_versions.REMOVED, 0, held, "", 0))
             continue
         item = yield shelves.put(ctx, body)
         if not (yield shelves.spread(ctx, item)):
             return Error(errors.Undecided())
         changes.append(Change(path, item.digest, item.size, held, item.source, item.number))
-    result = control.taken(ManySet, (yield ask(ctx, SetMany(tuple(changes), index), doors.ack_ms)))
+    result = control.taken(ManySet, (yield submit(ctx, SetMany(tuple(changes), index), doors.ack_ms)))
     if result.is_error():
         return result
     done = result.ok
-    if not (yield until(ctx, lambda: control.everywhere(ctx, done.index, "~honoured"), doors.ack_ms)):
+    if not (yield poll_until(ctx, lambda: control.everywhere(ctx, done.index, "~honoured"), doors.ack_ms)):
         return Error(errors.ConfigUnknown())
-    say("ConfigsSet", paths=list(bodies), index=done.index)
+    log_event("ConfigsSet", paths=list(bodies), index=done.index)
     return Ok({"versions": dict(done.versions), "index": done.index})
 
 
@@ -94,7 +94,7 @@
     index = ctx.core.ledger.config_index
     said = control.if_match(request, index)
     if said.is_ok() and said.ok != index:
-        return Error(errors.ConfigMoved(configs.ALL, index))
+        return Error(errors.ConfigMoved(config_versions.ALL, index))
     return said
 
 
@@ -126,7 +126,7 @@
         error = errors.OlderRules()
     if error is not None:
         return Error(error)
-    held, at = configs.held(ctx.core.ledger, path), ctx.core.ledger.config_index
+    held, at = config_versions.held(ctx.core.ledger, path), ctx.core.ledger.config_index
     version = control.if_match(request, held)
     if version.is_error():
         return version
--- a/frostpost/http_api/stream.py
+++ b/frostpost/http_api/stream.py
@@ -3,7 +3,7 @@
 from msgspec import DecodeError, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.daemon.heart import ask
+from frostpost.daemon.event_loop import submit
 from frostpost.ledger import programs
 from frostpost.ledger.operations import Settle
 from frostpost.ledger.results import Done
@@ -179,13 +179,13 @@
         self.calm()
         ask_ms = ctx.settings.doors.ask_ms * 2
         if reason is not None or not self.ended or self.held is None:
-            ask(ctx, Settle(self.reserved.index, self.handed, None), ask_ms)
+            submit(ctx, Settle(self.reserved.index, self.handed, None), ask_ms)
             if self.bad is None and not call.gone:
                 record_failure(ctx, self.attempt.runner.name)
             return self.bad or errors.Unknown()
         health_of(ctx, self.attempt.runner.name).failures = 0
         line = programs.line(call.document["input"], "".join(self.texts))
-        result = yield ask(ctx, Settle(self.reserved.index, self.units, line), ask_ms)
+        result = yield submit(ctx, Settle(self.reserved.index, self.units, line), ask_ms)
         if result.is_error() or not isinstance(result.ok, Done):
             return errors.Unknown()
         self.emit(self.held)
--- a/frostpost/http_api/turns.py
+++ b/frostpost/http_api/turns.py
@@ -3,7 +3,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.daemon.context import count
-from frostpost.daemon.heart import ask
+from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Release, Reserve, Settle
 from frostpost.ledger.results import Reserved
 from frostpost.placement.judge import chain_of
@@ -30,7 +30,7 @@
         ranked = select(ctx, call, chain, tried)
         if not ranked or call.gone:
             return errors.RunnersFull()
-        result = yield ask(
+        result = yield submit(
             ctx,
             Reserve(
                 key,
@@ -52,12 +52,12 @@
         try:
             reason = yield stream.run()
         except Exception:
-            ask(ctx, Settle(result.ok.index, result.ok.amount, None), ctx.settings.doors.ask_ms)
+            submit(ctx, Settle(result.ok.index, result.ok.amount, None), ctx.settings.doors.ask_ms)
             raise
         if not unsent(reason):
             return (yield stream.close(reason))
         count(ctx, "attempts_refused")
-        ask(ctx, Release(result.ok.index), ctx.settings.doors.ask_ms)
+        submit(ctx, Release(result.ok.index), ctx.settings.doors.ask_ms)
         if not forward.ours(reason):
             record_failure(ctx, result.ok.runner.name)
         tried.add(result.ok.runner.name)
--- a/frostpost/http_api/voting.py
+++ b/frostpost/http_api/voting.py
@@ -3,8 +3,8 @@
 from expression import Error, Ok
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.daemon.heart import ask
-from frostpost.daemon.news import say
+from frostpost.daemon.event_loop import submit
+from frostpost.daemon.structured_log import log_event
 from frostpost.ledger.results import VotersSet
 from frostpost.virtual_synchrony.events import SetVoters
 from frostpost.virtual_synchrony.quorum import is_majority
@@ -61,13 +61,13 @@
     if judged.is_error():
         return judged
     before, id = ctx.core.ledger.voters, ctx.core.synchrony.configuration.id
-    result = yield ask(ctx, SetVoters(id, before, judged.ok), ctx.settings.doors.ack_ms)
+    result = yield submit(ctx, SetVoters(id, before, judged.ok), ctx.settings.doors.ack_ms)
     if result.is_error():
         error = result.error
         return Error(errors.ConfigUnknown() if isinstance(error, errors.Undecided) else error)
     if not isinstance(result.ok, VotersSet):
         return Error(errors.VotersRefused("the members or the voters changed meanwhile"))
-    say("VotersSet", before=list(before), after=list(judged.ok))
+    log_event("VotersSet", before=list(before), after=list(judged.ok))
     return Ok({"voters": list(judged.ok)})
 
 
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -6,7 +6,7 @@
 
 from frostpost.program_ledger import apply as program_ledgers
 
-from . import configs, duties, keys, programs
+from . import config_versions, keys, programs, singleton_roles
 from .operations import (
     SWAP_RULES,
     Ballot,
@@ -60,7 +60,7 @@
             ledger.voters = ledger.voters or voters
             programs.orphan(ledger)
             keys.orphan(ledger)
-            duties.vacate(ledger)
+            singleton_roles.vacate(ledger)
             if stopped:
                 keys.anew(ledger)
                 programs.anew(ledger)
@@ -86,7 +86,7 @@
         case SetConfig():
             return config(ledger, entry, op)
         case SetMany():
-            return configs.many(ledger, entry, op)
+            return config_versions.many(ledger, entry, op)
         case Rules(version):
             ledger.rules = max(ledger.rules, version)
             return Done(entry.index)
@@ -97,13 +97,13 @@
         case SetVoters():
             return voters_(ledger, entry, op)
         case Ballot():
-            return duties.ballot(ledger, entry, op)
+            return singleton_roles.ballot(ledger, entry, op)
     raise TypeError(f"no operation of the ledger: {type(op).__name__}")
 
 
 def tick(ledger, entry, op):
     """Advance the ledger's clock by the elapsed milliseconds and remove what has expired by then."""
-    error = duties.fenced(ledger, "ticks", entry, op.fence)
+    error = singleton_roles.fenced(ledger, "ticks", entry, op.fence)
     if error:
         return error
     ledger.clock_ms += max(0, op.elapsed_ms)
@@ -116,7 +116,7 @@
 
 def list_(ledger, entry, op):
     """Replace the list of runners; drain marks of runners that are gone expire after `ABSENT_MS`."""
-    error = duties.fenced(ledger, "list", entry, op.fence)
+    error = singleton_roles.fenced(ledger, "list", entry, op.fence)
     if error:
         return error
     ledger.runners = {r.name: r for r in op.entries}
@@ -150,7 +150,7 @@
 
 def fire(ledger, entry, op):
     """Record that a calendar fired and take its configuration change, if it has one."""
-    error = duties.fenced(ledger, "calendars", entry, op.fence)
+    error = singleton_roles.fenced(ledger, "calendars", entry, op.fence)
     if error:
         return error
     if op.at_s <= ledger.fired.get(op.path, 0):
@@ -183,4 +183,4 @@
 
 def config(ledger, entry, op):
     """Take a new version of one configuration document."""
-    return configs.one(ledger, entry, op)
+    return config_versions.one(ledger, entry, op)
--- a/frostpost/ledger/configs.py
+++ b/frostpost/ledger/config_versions.py
@@ -1,8 +1,8 @@
 """Versions of configuration documents: compare-and-set, and the last `PAST` versions of each."""
 
+from .entities import Mark
 from .operations import Change
 from .programs import stale
-from .records import Mark
 from .results import ConfigSet, ManySet, StaleConfig
 
 PAST = 10
--- a/frostpost/ledger/keys.py
+++ b/frostpost/ledger/keys.py
@@ -2,7 +2,7 @@
 
 from heapq import heappush
 
-from .records import Claim
+from .entities import Claim
 from .results import Done, KeyReused, NotHeld, Shared, Won
 
 
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -2,10 +2,10 @@
 
 from msgspec import Struct
 
-from frostpost.program_ledger.words import CoppiceOp
+from frostpost.program_ledger.words import ProgramOperation
 from frostpost.virtual_synchrony.events import OpenPrimary, SetVoters
 
-from .records import Line, Runner
+from .entities import Line, Runner
 
 
 class Tick(Struct, array_like=True, frozen=True, tag="tick"):
@@ -157,5 +157,5 @@
     | SetVoters
     | SetMany
     | Rules
-    | CoppiceOp
+    | ProgramOperation
 )
--- a/frostpost/ledger/programs.py
+++ b/frostpost/ledger/programs.py
@@ -3,7 +3,7 @@
 from heapq import heappush
 from zlib import crc32
 
-from .records import Line, Program, Reservation
+from .entities import Line, Program, Reservation
 from .results import BudgetSpent, Done, NoRunner, NotHeld, Reserved, StaleConfig, TurnOpen
 
 
--- a/frostpost/ledger/results.py
+++ b/frostpost/ledger/results.py
@@ -2,9 +2,9 @@
 
 from msgspec import Struct
 
-from frostpost.program_ledger.words import CoppiceVerdict
+from frostpost.program_ledger.words import ProgramResult
 
-from .records import Line, Runner
+from .entities import Line, Runner
 
 
 class Done(Struct, array_like=True, frozen=True, tag="done"):
@@ -114,5 +114,5 @@
     | Fenced
     | VotersSet
     | ManySet
-    | CoppiceVerdict
+    | ProgramResult
 )
--- a/frostpost/ledger/duties.py
+++ b/frostpost/ledger/singleton_roles.py
@@ -2,7 +2,7 @@
 
 from hashlib import blake2b
 
-from .records import Duty
+from .entities import Duty
 from .results import Done, Fenced, NotHeld
 
 DUTIES = ("list", "ticks", "calendars")
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -5,7 +5,7 @@
 from frostpost.program_ledger.state import ProgramLedger
 from frostpost.virtual_synchrony.endpoints import Member
 
-from .records import Claim, Duty, Mark, Program, Reservation, Runner
+from .entities import Claim, Duty, Mark, Program, Reservation, Runner
 
 # Names of fields in snapshots, where they differ: snapshots of earlier builds stay readable.
 NAMES_IN_SNAPSHOTS = {"clock_ms": "clockMs", "config_index": "configIndex", "program_ledger": "coppice"}
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -13,7 +13,7 @@
 
 from frostpost.cluster.agent_context import now_ms
 from frostpost.cluster.lease_client import holds_lease
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import ClientBounds
 
@@ -144,7 +144,7 @@
 
 def refused(error):
     """How a caller is told why the ledger didn't take its change."""
-    if isinstance(error, control_client().RoutingMoved):
+    if isinstance(error, control_client().RoutingConflict):
         return Refused(412, Moved(error.version))
     return Refused(503, error)
 
@@ -207,7 +207,7 @@
             return
 
         def broken(failure):
-            say(
+            log_event(
                 "Internal",
                 type=failure.type.__name__,
                 text=failure.getErrorMessage()[:200],
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -8,7 +8,7 @@
 
 from frostpost.cluster.agent_context import now_ms
 from frostpost.cluster.attempt_tracing import is_traced, trace_request
-from frostpost.daemon.news import say
+from frostpost.daemon.structured_log import log_event
 from frostpost.proxy import failures
 from frostpost.proxy.words import ClientBounds, Sink
 
@@ -224,7 +224,7 @@
             trace_request(agent, result.ok, request)
 
         def broken(failure):
-            say(
+            log_event(
                 "Internal",
                 type=failure.type.__name__,
                 text=failure.getErrorMessage()[:200],
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -74,11 +74,11 @@
         print(json.format(json.encode(result.ok), indent=2).decode())
         return 0
     from frostpost.cluster.assembly import run_daemon
-    from frostpost.daemon.news import begin
+    from frostpost.daemon.structured_log import start_logging
 
     from .listening import make_front
 
-    begin()
+    start_logging()
     return run_daemon(result.ok, make_front(path, role), started=start_collecting)
 
 
--- a/frostpost/program_ledger/apply.py
+++ b/frostpost/program_ledger/apply.py
@@ -3,35 +3,35 @@
 from collections.abc import Callable
 from heapq import heappop
 
-from . import keys, placement, settings, turns
+from . import keys, placement, routing_versions, turns
 from .words import (
-    Abort,
-    Begin,
-    Claim,
-    Disclaim,
-    End,
-    LookRetired,
-    LookRouting,
-    Move,
-    Resolve,
-    Retire,
-    Retired,
+    AbortAttempt,
+    BeginAttempt,
+    ClaimOperationKey,
+    CompleteRetirement,
+    EndAttempt,
+    ReadRetirement,
+    ReadRouting,
+    ReassignAttempt,
+    ReleaseOperationKey,
+    ResolveOperationKey,
+    RetireReplica,
     SetRouting,
 )
 
 STEPS: dict[type, Callable] = {
-    Begin: turns.begin,
-    Move: turns.move,
-    End: turns.end,
-    Abort: turns.abort,
-    Claim: keys.claim,
-    Resolve: keys.resolve,
-    Disclaim: keys.disclaim,
-    SetRouting: settings.set_routing,
-    LookRouting: settings.look_routing,
-    Retired: settings.retired,
+    BeginAttempt: turns.begin,
+    ReassignAttempt: turns.move,
+    EndAttempt: turns.end,
+    AbortAttempt: turns.abort,
+    ClaimOperationKey: keys.claim,
+    ResolveOperationKey: keys.resolve,
+    ReleaseOperationKey: keys.disclaim,
+    SetRouting: routing_versions.set_routing,
+    ReadRouting: routing_versions.look_routing,
+    CompleteRetirement: routing_versions.retired,
 }
-NAMED: dict[type, Callable] = {Retire: settings.retire, LookRetired: settings.look_retired}
+NAMED: dict[type, Callable] = {RetireReplica: routing_versions.retire, ReadRetirement: routing_versions.look_retired}
 
 
 def knows(op):
--- a/frostpost/program_ledger/keys.py
+++ b/frostpost/program_ledger/keys.py
@@ -4,7 +4,7 @@
 
 from .state import Key
 from .turns import entomb
-from .words import Claimed, Ended, KeyAnswered, KeyAtWork, NoAttempt
+from .words import AttemptEnded, KeyAnswered, KeyClaimed, KeyInProgress, NoAttempt
 
 
 def claim(program_ledger, now_ms, op):
@@ -16,10 +16,10 @@
         until_ms = now_ms + op.window_ms
         program_ledger.keys[op.key] = Key(op.attempt, until_ms)
         heappush(program_ledger.expiries, (until_ms, "key", op.key))
-        return Claimed()
+        return KeyClaimed()
     if held.answered:
         return KeyAnswered(held.answer)
-    return Claimed() if held.attempt == op.attempt else KeyAtWork()
+    return KeyClaimed() if held.attempt == op.attempt else KeyInProgress()
 
 
 def tomb(op):
@@ -34,7 +34,7 @@
         return NoAttempt(op.attempt)
     if not held.answered:
         held.answer, held.answered = op.answer, True
-    return Ended()
+    return AttemptEnded()
 
 
 def disclaim(program_ledger, now_ms, op):
@@ -45,7 +45,7 @@
             return NoAttempt(op.attempt)
         del program_ledger.keys[op.key]
     entomb(program_ledger, now_ms, tomb(op))
-    return Ended()
+    return AttemptEnded()
 
 
 def expire_key(program_ledger, now_ms, name):
--- a/frostpost/program_ledger/turns.py
+++ b/frostpost/program_ledger/turns.py
@@ -8,7 +8,7 @@
 
 from .placement import leave, place
 from .state import Account, Attempt, Turn
-from .words import Begun, Ended, NoAttempt, NoPlace, NoTurn, TokensSpent
+from .words import AttemptBegun, AttemptEnded, NoAttempt, NoCapacity, NoTurn, TokensSpent
 
 ACCOUNT_MS = 7200000
 TOMB_MS = 60000
@@ -30,7 +30,7 @@
 def begun(program_ledger, name, attempt):
     """Return the runner and chain of an open attempt, or NoAttempt if a part of the chain is gone."""
     chain = chain_of(program_ledger, attempt.previous)
-    return NoAttempt(name) if chain is None else Begun(attempt.runner, chain)
+    return NoAttempt(name) if chain is None else AttemptBegun(attempt.runner, chain)
 
 
 def begin(program_ledger, now_ms, op):
@@ -49,7 +49,7 @@
         return refuse_attempt(program_ledger, now_ms, op.attempt, TokensSpent(budget, account.spent))
     runner = place(program_ledger, now_ms, op)
     if runner is None:
-        return NoPlace(wait_ms=20)
+        return NoCapacity(wait_ms=20)
     if account is None:
         account = program_ledger.accounts[op.program] = Account(budget, 0, 0, now_ms)
         heappush(program_ledger.expiries, (now_ms + ACCOUNT_MS, "account", op.program))
@@ -76,7 +76,7 @@
     attempt.runner = ""
     runner = place(program_ledger, now_ms, op, attempt)
     if runner is None:
-        return NoPlace(wait_ms=20)
+        return NoCapacity(wait_ms=20)
     attempt.runner, attempt.placed, attempt.moves = runner, True, op.number
     if attempt.until_ms <= now_ms:
         attempt.until_ms = now_ms + CHAIN_SLACK_MS
@@ -122,11 +122,11 @@
     """End an attempt; kept, it becomes a turn that others may follow."""
     if op.attempt not in program_ledger.attempts:
         ended = op.attempt in program_ledger.turns or op.keep_ms <= 0 and op.attempt in program_ledger.tombs
-        return Ended() if ended else NoAttempt(op.attempt)
+        return AttemptEnded() if ended else NoAttempt(op.attempt)
     attempt = close(program_ledger, op.attempt, op.tokens)
     if op.keep_ms <= 0:
         entomb(program_ledger, now_ms, op.attempt)
-        return Ended()
+        return AttemptEnded()
     if attempt.previous and attempt.previous not in program_ledger.turns:
         entomb(program_ledger, now_ms, op.attempt)
         return NoAttempt(op.attempt)
@@ -136,7 +136,7 @@
     )
     heappush(program_ledger.expiries, (until_ms, "turn", op.attempt))
     keep_chain(program_ledger, attempt.previous, until_ms)
-    return Ended()
+    return AttemptEnded()
 
 
 def keep_chain(program_ledger, turn, until_ms):
@@ -156,7 +156,7 @@
     program_ledger.refused.pop(op.attempt, None)
     if op.attempt not in program_ledger.tombs and op.attempt not in program_ledger.turns:
         entomb(program_ledger, now_ms, op.attempt)
-    return Ended()
+    return AttemptEnded()
 
 
 def expire_attempt(program_ledger, now_ms, name):
--- a/frostpost/program_ledger/words.py
+++ b/frostpost/program_ledger/words.py
@@ -14,7 +14,7 @@
     penalty: int = 0
 
 
-class Begin(Struct, array_like=True, frozen=True, tag="begin"):
+class BeginAttempt(Struct, array_like=True, frozen=True, tag="begin"):
     """Reserve `amount` tokens of a program's budget and a runner for one attempt at a turn."""
 
     attempt: str
@@ -30,7 +30,7 @@
     cache_tokens: int = 0
 
 
-class Move(Struct, array_like=True, frozen=True, tag="move"):
+class ReassignAttempt(Struct, array_like=True, frozen=True, tag="move"):
     """Give an open attempt that no runner has run another runner; number: 1 for its first move, and so on."""
 
     attempt: str
@@ -38,7 +38,7 @@
     number: int = 1
 
 
-class End(Struct, array_like=True, frozen=True, tag="end"):
+class EndAttempt(Struct, array_like=True, frozen=True, tag="end"):
     """An attempt put out `tokens`; with `keep_ms` above 0 it becomes a turn that others may follow."""
 
     attempt: str
@@ -47,13 +47,13 @@
     size: int = 0
 
 
-class Abort(Struct, array_like=True, frozen=True, tag="abort"):
+class AbortAttempt(Struct, array_like=True, frozen=True, tag="abort"):
     """No runner ran the attempt and none will."""
 
     attempt: str
 
 
-class Claim(Struct, array_like=True, frozen=True, tag="claimKey"):
+class ClaimOperationKey(Struct, array_like=True, frozen=True, tag="claimKey"):
     """Claim an operation key for an attempt."""
 
     key: str
@@ -61,7 +61,7 @@
     window_ms: int
 
 
-class Resolve(Struct, array_like=True, frozen=True, tag="resolveKey"):
+class ResolveOperationKey(Struct, array_like=True, frozen=True, tag="resolveKey"):
     """Record the answer of a claimed key."""
 
     key: str
@@ -69,7 +69,7 @@
     answer: bytes
 
 
-class Disclaim(Struct, array_like=True, frozen=True, tag="disclaimKey"):
+class ReleaseOperationKey(Struct, array_like=True, frozen=True, tag="disclaimKey"):
     """The claimed key's work was not run and never will be."""
 
     key: str
@@ -86,14 +86,14 @@
     keep_ms: int
 
 
-class LookRouting(Struct, array_like=True, frozen=True, tag="lookRouting"):
+class ReadRouting(Struct, array_like=True, frozen=True, tag="lookRouting"):
     """Read the routing, and whether the change of this number and digest was taken."""
 
     version: int = 0
     digest: bytes = b""
 
 
-class Retire(Struct, array_like=True, frozen=True, tag="retire"):
+class RetireReplica(Struct, array_like=True, frozen=True, tag="retire"):
     """Begin to empty a storage daemon; least: how many others must remain."""
 
     name: str
@@ -101,31 +101,42 @@
     least: int
 
 
-class Retired(Struct, array_like=True, frozen=True, tag="retired"):
+class CompleteRetirement(Struct, array_like=True, frozen=True, tag="retired"):
     """A storage daemon has been emptied."""
 
     name: str
 
 
-class LookRetired(Struct, array_like=True, frozen=True, tag="lookRetired"):
+class ReadRetirement(Struct, array_like=True, frozen=True, tag="lookRetired"):
     """Read how far the retirement of a storage daemon is."""
 
     name: str
 
 
-CoppiceOp = (
-    Begin | Move | End | Abort | Claim | Resolve | Disclaim | SetRouting | LookRouting | Retire | Retired | LookRetired
+ProgramOperation = (
+    BeginAttempt
+    | ReassignAttempt
+    | EndAttempt
+    | AbortAttempt
+    | ClaimOperationKey
+    | ResolveOperationKey
+    | ReleaseOperationKey
+    | SetRouting
+    | ReadRouting
+    | RetireReplica
+    | CompleteRetirement
+    | ReadRetirement
 )
 
 
-class Begun(Struct, array_like=True, frozen=True, tag="begun"):
+class AttemptBegun(Struct, array_like=True, frozen=True, tag="begun"):
     """The runner, the turns whose bodies come first (oldest first), and what the program may still put out."""
 
     runner: str
     chain: tuple[str, ...]
 
 
-class Ended(Struct, array_like=True, frozen=True, tag="ended"):
+class AttemptEnded(Struct, array_like=True, frozen=True, tag="ended"):
     """The operation took effect, or had before."""
 
 
@@ -142,7 +153,7 @@
     spent: int
 
 
-class NoPlace(Struct, array_like=True, frozen=True, tag="NoPlace"):
+class NoCapacity(Struct, array_like=True, frozen=True, tag="NoPlace"):
     """No candidate has room; `wait_ms` is when to come back."""
 
     wait_ms: int
@@ -154,11 +165,11 @@
     attempt: str
 
 
-class Claimed(Struct, array_like=True, frozen=True, tag="claimed"):
+class KeyClaimed(Struct, array_like=True, frozen=True, tag="claimed"):
     """The attempt owns the key."""
 
 
-class KeyAtWork(Struct, array_like=True, frozen=True, tag="KeyAtWork"):
+class KeyInProgress(Struct, array_like=True, frozen=True, tag="KeyAtWork"):
     """Another attempt owns the key and has no answer yet."""
 
 
@@ -174,13 +185,13 @@
     version: int
 
 
-class RoutingMoved(Struct, array_like=True, frozen=True, tag="RoutingMoved"):
+class RoutingConflict(Struct, array_like=True, frozen=True, tag="RoutingMoved"):
     """The routing is at this version, not at the one that the change names."""
 
     version: int
 
 
-class RoutingHeld(Struct, array_like=True, frozen=True, tag="routingHeld"):
+class RoutingState(Struct, array_like=True, frozen=True, tag="routingHeld"):
     """The routing. taken: whether the change asked about led to a version; uncertain: whether that is forgotten."""
 
     version: int
@@ -195,25 +206,25 @@
     version: int
 
 
-class RetireState(Struct, array_like=True, frozen=True, tag="retireState"):
+class RetirementState(Struct, array_like=True, frozen=True, tag="retireState"):
     """state: unknown, few, in_service or completed."""
 
     state: str
 
 
-CoppiceVerdict = (
-    Begun
-    | Ended
+ProgramResult = (
+    AttemptBegun
+    | AttemptEnded
     | NoTurn
     | TokensSpent
-    | NoPlace
+    | NoCapacity
     | NoAttempt
-    | Claimed
-    | KeyAtWork
+    | KeyClaimed
+    | KeyInProgress
     | KeyAnswered
     | RoutingSet
-    | RoutingMoved
-    | RoutingHeld
+    | RoutingConflict
+    | RoutingState
     | RoutingForgotten
-    | RetireState
+    | RetirementState
 )
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -5,7 +5,15 @@
 
 from frostpost.cluster.agent_context import now_ms
 from frostpost.cluster.operation_client import call_replicas, submit_until_decided
-from frostpost.program_ledger.words import Claim, Claimed, Disclaim, Ended, KeyAnswered, KeyAtWork, Resolve
+from frostpost.program_ledger.words import (
+    AttemptEnded,
+    ClaimOperationKey,
+    KeyAnswered,
+    KeyClaimed,
+    KeyInProgress,
+    ReleaseOperationKey,
+    ResolveOperationKey,
+)
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
 from .lookup import hand_over, lasting_ms, retry_ms, settle
@@ -37,15 +45,15 @@
         return hand_over(agent, BadRequest("no key"), sink)
     key = f"{call.host}|{call.key}"
     window_ms = agent.settings.key_window_ms + WINDOW_TICKS * agent.settings.tick_ms
-    claim = Claim(key, call.attempt, window_ms)
+    claim = ClaimOperationKey(key, call.attempt, window_ms)
     result = yield call_replicas(agent, claim, ask_ms(agent, route, until_ms))
     verdict = result.ok if result.is_ok() else None
-    if isinstance(verdict, KeyAtWork):
+    if isinstance(verdict, KeyInProgress):
         return hand_over(agent, AtWork(), sink)
     if isinstance(verdict, KeyAnswered):
         return hand_over(agent, unpack(verdict.answer), sink)
-    if not isinstance(verdict, Claimed):
-        submit_until_decided(agent, Disclaim(key, call.attempt))
+    if not isinstance(verdict, KeyClaimed):
+        submit_until_decided(agent, ReleaseOperationKey(key, call.attempt))
         return hand_over(agent, Unavailable(retry_ms(route), "claim"), sink)
     outcome = yield settle(agent, route, service, call, until_ms, service.dedupes, None)
     if isinstance(outcome, Answer):
@@ -59,10 +67,10 @@
 @inlineCallbacks
 def resolve(agent, key, call, whole, until_ms):
     """The answer once it lasts under this attempt's claim, else a failure without a promise."""
-    resolved = Resolve(key, call.attempt, pack(whole))
+    resolved = ResolveOperationKey(key, call.attempt, pack(whole))
     result = yield call_replicas(agent, resolved, lasting_ms(agent, until_ms))
     if result.is_ok():
-        return whole if isinstance(result.ok, Ended) else Unknown("claim lost")
+        return whole if isinstance(result.ok, AttemptEnded) else Unknown("claim lost")
     submit_until_decided(agent, resolved)
     return Unknown("not resolved")
 
@@ -70,7 +78,7 @@
 @inlineCallbacks
 def disclaim(agent, key, call):
     """Withdraw a claim under which nothing ran."""
-    operation = Disclaim(key, call.attempt)
+    operation = ReleaseOperationKey(key, call.attempt)
     result = yield call_replicas(agent, operation, DISCLAIM_MS)
     if not result.is_ok():
         submit_until_decided(agent, operation)
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -5,9 +5,19 @@
 
 from frostpost.cluster.agent_context import now_ms
 from frostpost.cluster.operation_client import call_replicas, submit_until_decided
-from frostpost.program_ledger.words import Abort, Begin, Begun, End, Ended, Move, NoPlace, NoTurn, TokensSpent
+from frostpost.program_ledger.words import (
+    AbortAttempt,
+    AttemptBegun,
+    AttemptEnded,
+    BeginAttempt,
+    EndAttempt,
+    NoCapacity,
+    NoTurn,
+    ReassignAttempt,
+    TokensSpent,
+)
 from frostpost.turn_store.client import fetch, put
-from frostpost.turn_store.client import lasts as bodies_last
+from frostpost.turn_store.client import is_durable_at as bodies_last
 
 from . import picking
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
@@ -44,7 +54,7 @@
     while True:
         left_ms = until_ms - now_ms(agent)
         offered = picking.candidates(agent, service, tried)
-        verdict = NoPlace(PAUSE_MS)
+        verdict = NoCapacity(PAUSE_MS)
         if left_ms <= 0:
             return verdict
         if offered:
@@ -53,7 +63,7 @@
             if not result.is_ok():
                 return Unavailable(retry_ms(route), "order")
             verdict = result.ok
-        if not isinstance(verdict, NoPlace):
+        if not isinstance(verdict, NoCapacity):
             return verdict
         wait_ms = max(1, min(verdict.wait_ms, PAUSE_MS))
         if now_ms(agent) + wait_ms >= hold_ms:
@@ -66,7 +76,7 @@
     """Placed, or a failure; after a failure the ledger holds nothing of the attempt."""
 
     def operation(offered, left_ms):
-        return Begin(
+        return BeginAttempt(
             attempt=call.attempt,
             program=call.program or call.attempt,
             budget=call.budget,
@@ -84,10 +94,10 @@
         return BudgetSpent()
     if isinstance(verdict, NoTurn):
         return UnknownTurn()
-    if isinstance(verdict, NoPlace):
+    if isinstance(verdict, NoCapacity):
         abort(agent, call)
         return Overloaded(retry_ms(route))
-    if not isinstance(verdict, Begun):
+    if not isinstance(verdict, AttemptBegun):
         abort(agent, call)
         return verdict if isinstance(verdict, Unavailable) else Unavailable(retry_ms(route), "verdict")
     body = call.body
@@ -105,22 +115,22 @@
     """The id of another runner for an attempt that surely wasn't run, or a failure; the caller aborts it then."""
 
     def operation(offered, _left_ms):
-        return Move(call.attempt, offered, len(tried))
+        return ReassignAttempt(call.attempt, offered, len(tried))
 
     verdict = yield decide(agent, route, service, tried, operation, until_ms)
-    if isinstance(verdict, Begun) and verdict.runner not in tried:
+    if isinstance(verdict, AttemptBegun) and verdict.runner not in tried:
         return verdict.runner
     return verdict if isinstance(verdict, Unavailable) else Overloaded(retry_ms(route))
 
 
 def abort(agent, call):
     """Tell the ledger that no runner ran the attempt."""
-    submit_until_decided(agent, Abort(call.attempt))
+    submit_until_decided(agent, AbortAttempt(call.attempt))
 
 
 def broke_off(agent, call, tokens):
     """It ended without a whole answer, having put out these tokens."""
-    submit_until_decided(agent, End(call.attempt, tokens, keep_ms=0))
+    submit_until_decided(agent, EndAttempt(call.attempt, tokens, keep_ms=0))
 
 
 @inlineCallbacks
@@ -132,15 +142,15 @@
     """
     wait_ms = lasting_ms(agent, until_ms)
     keep_ms = route.keep_ms + KEEP_TICKS * agent.settings.tick_ms if route.retained else 0
-    end = End(call.attempt, tokens, keep_ms=keep_ms, size=len(data) if keep_ms else 0)
+    end = EndAttempt(call.attempt, tokens, keep_ms=keep_ms, size=len(data) if keep_ms else 0)
     asked = [call_replicas(agent, end, wait_ms)]
     if keep_ms:
         asked.append(put(agent, call.attempt, data, wait_ms))
     results = yield gatherResults(asked)
     lasts = all(result.is_ok() for result in results)
-    if not (results[0].is_ok() and isinstance(results[0].ok, Ended)):
+    if not (results[0].is_ok() and isinstance(results[0].ok, AttemptEnded)):
         lasts = False
-        submit_until_decided(agent, end if not keep_ms or results[1].is_ok() else End(call.attempt, tokens))
+        submit_until_decided(agent, end if not keep_ms or results[1].is_ok() else EndAttempt(call.attempt, tokens))
     if lasts and keep_ms and not bodies_last(agent, results[1].ok.holders):
         again = yield put(agent, call.attempt, data, lasting_ms(agent, until_ms))
         lasts = again.is_ok()
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -8,7 +8,7 @@
 import cappa
 from msgspec import Struct, json
 
-from frostpost.daemon.core import Decided
+from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.operations import Look
 from frostpost.virtual_synchrony.events import ConfigurationChanged, OperationSubmitted
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate, Heartbeat
@@ -49,7 +49,7 @@
     tally, asked, took = Counter(), {}, []
 
     def heard(world, node, answer):
-        if isinstance(answer, Decided):
+        if isinstance(answer, OperationDecided):
             took.append(world.now_ms - asked[(node.endpoint.member, answer.number)])
 
     world.tap = heard
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -4,8 +4,8 @@
 from twisted.internet.defer import succeed
 
 from frostpost.background import shelves
-from frostpost.daemon import life
-from frostpost.daemon.heart import ask
+from frostpost.daemon import lifecycle
+from frostpost.daemon.event_loop import submit
 from frostpost.http_api import control, errors, forward, lookups, stream, turns
 from frostpost.ledger.operations import Settle, Unclaim
 from frostpost.ledger.results import Done
@@ -23,7 +23,7 @@
 
 def unclaim_all(ctx, op, wait_ms):
     """Plant: free a key whose outcome is unknown."""
-    return ask(ctx, Unclaim(op.key) if getattr(op, "status", "") == "unknown" else op, wait_ms)
+    return submit(ctx, Unclaim(op.key) if getattr(op, "status", "") == "unknown" else op, wait_ms)
 
 
 def take_as_whole(stream, reason):
@@ -39,7 +39,7 @@
 
 def hasty(ctx, op, wait_ms):
     """Plant: answer before the history is ordered."""
-    answer = ask(ctx, op, wait_ms)
+    answer = submit(ctx, op, wait_ms)
     return succeed(Ok(Done(0))) if isinstance(op, Settle) and op.line is not None else answer
 
 
@@ -86,16 +86,16 @@
 UNHEEDING = tuple(v for v in judge.VETOES if v is not judge.veto_leaving)
 DOORS = {
     "retry_once": [(lookups, "unsent", any_failure)],
-    "key_freed": [(lookups, "ask", unclaim_all)],
+    "key_freed": [(lookups, "submit", unclaim_all)],
     "partial_taken": [(turns.Stream, "close", take_as_whole)],
     "splice": [(turns, "unsent", any_failure)],
     "spend_nothing": [(stream, "Settle", spend_nothing)],
-    "end_first": [(stream, "ask", hasty)],
+    "end_first": [(stream, "submit", hasty)],
     "ack_at_once": [(control, "everywhere", at_once)],
     "heed_nothing": [(control, "if_match", heed_nothing)],
     "send_leaving": [(forward, "may_run", any_runner), (forward, "proved", any_service), (judge, "VETOES", UNHEEDING)],
     "any_service": [(forward, "proved", any_service)],
-    "leave_early": [(life, "until", hurried)],
+    "leave_early": [(lifecycle, "poll_until", hurried)],
     "no_lease": plants.PLANTS["no_lease"],
     "lose_bodies": [(shelves, "load", lose_bodies)],
     "last_result": [(lookups, "read", last_result)],
--- a/frostpost/simulator/explore_context.py
+++ b/frostpost/simulator/explore_context.py
@@ -52,7 +52,7 @@
 
 SHARED = [
     (cores, "apply", apply_to_copy),
-    (cores, "ballots", no_ballots),
+    (cores, "pending_ballots", no_ballots),
     (snapshotting, "take", take_at_once),
     (snapshotting, "load", load_at_once),
 ]
--- a/frostpost/simulator/fleet.py
+++ b/frostpost/simulator/fleet.py
@@ -6,8 +6,8 @@
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
 from frostpost.app.assembly import assemble, raise_
-from frostpost.daemon.life import Hand
-from frostpost.daemon.life import make as make_life
+from frostpost.daemon.lifecycle import DaemonProcess
+from frostpost.daemon.lifecycle import make as make_life
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.settings import Settings
 from frostpost.testbed import platform as platforms
@@ -180,7 +180,7 @@
         daemon.ctx, site = assemble(daemon.settings, daemon.host, machine_of(fleet, daemon))
     except OSError as error:
         return exited(fleet, name, type(error).__name__)
-    daemon.hand = Hand(daemon.ctx, lambda: daemon.host.callLater(0, exited, fleet, name, None))
+    daemon.hand = DaemonProcess(daemon.ctx, lambda: daemon.host.callLater(0, exited, fleet, name, None))
     daemon.ctx.life = make_life(daemon.hand)
     raise_(daemon.ctx, site, daemon.hand, lambda failure: exited(fleet, name, failure.type.__name__))
 
--- a/frostpost/simulator/fleet_calls.py
+++ b/frostpost/simulator/fleet_calls.py
@@ -14,7 +14,7 @@
 
 def ready(fleet, name):
     """Tell whether a daemon serves."""
-    from frostpost.daemon.core import lease_ok
+    from frostpost.daemon.core import holds_lease
 
     daemon = fleet.daemons[name]
     ctx = daemon.ctx
@@ -23,7 +23,7 @@
         and not daemon.host.frozen
         and ctx is not None
         and not ctx.leaving
-        and lease_ok(ctx.core, int(clock_ms(fleet)))
+        and holds_lease(ctx.core, int(clock_ms(fleet)))
         and ctx.honoured >= ctx.need_config
     )
 
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from frostpost.daemon.core import Decided
+from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.apply import apply, decode_op, encode
 from frostpost.ledger.operations import ClaimKey, OpenPrimary, SetConfig, Settle, Unclaim
 from frostpost.ledger.results import ConfigSet, Done, Reserved, Won
@@ -28,7 +28,7 @@
     """Check that nothing decided was lost."""
     mine = {(e.sender, e.number): i for i, e in order.items() if e.number}
     for _, member, answer in history:
-        decided = isinstance(answer, Decided) and answer.result is not None
+        decided = isinstance(answer, OperationDecided) and answer.result is not None
         if decided and (member, answer.number) not in mine:
             yield Broken("ledger.kept", f"{member}'s {answer.number} was decided and is lost")
 
@@ -124,7 +124,7 @@
 def told(history, results):
     """Check that members were told the results that the order gives."""
     for _, member, answer in history:
-        decided = isinstance(answer, Decided) and answer.result is not None
+        decided = isinstance(answer, OperationDecided) and answer.result is not None
         if decided and results.get((member, answer.number)) != answer.result:
             yield Broken("ledger.told", f"{member} was told otherwise of {answer.number}")
 
--- a/frostpost/simulator/placing.py
+++ b/frostpost/simulator/placing.py
@@ -8,8 +8,8 @@
 import cappa
 from msgspec import Struct, json
 
+from frostpost.ledger.entities import Runner
 from frostpost.ledger.programs import line
-from frostpost.ledger.records import Runner
 from frostpost.placement.judge import Question, RunnerHealth, Weights, chain_of, rank
 
 POLICIES = {
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -4,7 +4,7 @@
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger import keys, programs
-from frostpost.ledger.records import Mark
+from frostpost.ledger.entities import Mark
 from frostpost.ledger.results import ConfigSet, Won
 from frostpost.virtual_synchrony import (
     catch_up,
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -4,8 +4,9 @@
 
 from msgspec import Struct, field, msgpack
 
-from frostpost.daemon.core import Decided, lease_ok
-from frostpost.ledger import duties
+from frostpost.daemon.core import OperationDecided, holds_lease
+from frostpost.ledger import singleton_roles
+from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import (
     SWAP_RULES,
     ClaimKey,
@@ -20,7 +21,6 @@
     Unclaim,
 )
 from frostpost.ledger.programs import line
-from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Won
 from frostpost.virtual_synchrony.events import OperationSubmitted, SetVoters
 from frostpost.virtual_synchrony.quorum import is_majority
@@ -56,7 +56,7 @@
 
 def serves(world, node):
     """Tell whether a node may serve now."""
-    return node.core is not None and not node.frozen and lease_ok(node.core, worlds.clock(world, node))
+    return node.core is not None and not node.frozen and holds_lease(node.core, worlds.clock(world, node))
 
 
 def work(world, state):
@@ -71,10 +71,10 @@
     node = random.choice(able)
     state.asked += 1
     ledger, me = node.core.ledger, node.endpoint.member
-    fence = duties.held(ledger, "list", me)
+    fence = singleton_roles.held(ledger, "list", me)
     if fence and not ledger.runners:
         return ask(world, node.name, Runners(fence, RUNNERS))
-    fence = duties.held(ledger, "ticks", me)
+    fence = singleton_roles.held(ledger, "ticks", me)
     if fence and random.random() < 0.3:
         return ask(world, node.name, Tick(fence, 50))
     kind = random.random()
@@ -136,7 +136,7 @@
     """Return a function that hears all answers and follows up on reservations and claims."""
 
     def heard(world, node, answer):
-        if not isinstance(answer, Decided):
+        if not isinstance(answer, OperationDecided):
             return
         state.decided += 1
         if world.trap:
--- a/frostpost/testbed/scale_counts.py
+++ b/frostpost/testbed/scale_counts.py
@@ -2,13 +2,13 @@
 
 from resource import RUSAGE_SELF, getrusage
 
-from frostpost.daemon import link, links
+from frostpost.daemon import frames, outgoing_link
 from frostpost.daemon.context import count
 
 
 def count_links():
     """Count each message and its bytes (with the four of its length) for the daemon that sends or hears it."""
-    send, hear = link.FrameWriter.sendString, links.FrameReader.stringReceived
+    send, hear = outgoing_link.FrameWriter.sendString, frames.FrameReader.stringReceived
 
     def sent(mouth, data):
         count(mouth.link.ctx, "wire/sent")
@@ -20,7 +20,7 @@
         count(ear.factory.ctx, "wire/heard_bytes", len(data) + 4)
         hear(ear, data)
 
-    link.FrameWriter.sendString, links.FrameReader.stringReceived = sent, heard
+    outgoing_link.FrameWriter.sendString, frames.FrameReader.stringReceived = sent, heard
 
 
 def count_kinds(ctx):
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -10,7 +10,16 @@
 from frostpost.cluster import lease_client, operation_client
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
-from frostpost.program_ledger.words import Begin, Begun, Candidate, Claim, Claimed, End, Ended, Resolve
+from frostpost.program_ledger.words import (
+    AttemptBegun,
+    AttemptEnded,
+    BeginAttempt,
+    Candidate,
+    ClaimOperationKey,
+    EndAttempt,
+    KeyClaimed,
+    ResolveOperationKey,
+)
 from frostpost.turn_store import client as turn_store
 
 from .scale_counts import count_kinds
@@ -149,7 +158,7 @@
         chain = []
     this = f"{name}-{agent.endpoint.member.incarnation:013x}-{number:010d}"
     program = chain[0] if chain else this
-    begin = Begin(
+    begin = BeginAttempt(
         this,
         program,
         1 << 30,
@@ -161,12 +170,12 @@
         "",
         4000,
     )
-    ok = yield timed(load, reactor, load.begun_ms, operation_client.call_replicas(agent, begin, WAIT_MS), Begun)
+    ok = yield timed(load, reactor, load.begun_ms, operation_client.call_replicas(agent, begin, WAIT_MS), AttemptBegun)
     if not ok:
         return
     bodied = timed(load, reactor, load.put_ms, turn_store.put(agent, this, load.body, WAIT_MS), None)
-    end = operation_client.submit_until_decided(agent, End(this, 360, RETENTION_MS, len(load.body)))
-    ended = yield timed(load, reactor, load.ended_ms, end, Ended)
+    end = operation_client.submit_until_decided(agent, EndAttempt(this, 360, RETENTION_MS, len(load.body)))
+    ended = yield timed(load, reactor, load.ended_ms, end, AttemptEnded)
     yield bodied
     if ended:
         load.chains[name] = chain + [this]
@@ -176,8 +185,8 @@
 def keyed(agent, load, reactor, number):
     """Claim and resolve an idempotency key."""
     this = f"{agent.settings.name}-{agent.endpoint.member.incarnation:013x}-{number:010d}"
-    claim = Claim(f"key-{this}", this, WINDOW_MS)
-    ok = yield timed(load, reactor, load.claimed_ms, operation_client.call_replicas(agent, claim, WAIT_MS), Claimed)
+    claim = ClaimOperationKey(f"key-{this}", this, WINDOW_MS)
+    ok = yield timed(load, reactor, load.claimed_ms, operation_client.call_replicas(agent, claim, WAIT_MS), KeyClaimed)
     if ok:
-        resolve = Resolve(f"key-{this}", this, load.body[:400])
-        yield timed(load, reactor, load.ended_ms, operation_client.submit_until_decided(agent, resolve), Ended)
+        resolve = ResolveOperationKey(f"key-{this}", this, load.body[:400])
+        yield timed(load, reactor, load.ended_ms, operation_client.submit_until_decided(agent, resolve), AttemptEnded)
--- a/frostpost/testbed/scale_ring.py
+++ b/frostpost/testbed/scale_ring.py
@@ -10,7 +10,7 @@
 
 from frostpost.cluster import agent_sessions, replica_daemon
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.daemon import news
+from frostpost.daemon import structured_log
 from frostpost.daemon.machine import Machine
 from frostpost.ledger.apply import encode
 
@@ -70,7 +70,7 @@
 
 def main():
     """Run the storage daemon; returns its exit status."""
-    news.begin()
+    structured_log.start_logging()
     count_links()
     with open(sys.argv[1], "rb") as file:
         settings = json.decode(file.read(), type=DaemonSettings)
--- a/frostpost/testbed/scale_slopes.py
+++ b/frostpost/testbed/scale_slopes.py
@@ -12,9 +12,9 @@
 from frostpost.ledger.apply import decode_op
 from frostpost.program_ledger.apply import act
 from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import Begin, Candidate, Claim, End, Resolve
-from frostpost.turn_store import serving
-from frostpost.turn_store.segments import SiloFiles, open_log, read_spot, write_batch
+from frostpost.program_ledger.words import BeginAttempt, Candidate, ClaimOperationKey, EndAttempt, ResolveOperationKey
+from frostpost.turn_store.repair import missing_turns
+from frostpost.turn_store.segments import BodyFiles, open_segments, read_body, write_batch
 
 RETENTION_MS, ANSWER_BYTES, ROUNDS = 3600000, 400, 2000
 encode = msgpack.Encoder().encode
@@ -34,10 +34,10 @@
     """Return the two operations of a turn."""
     this, previous = name_of(program, number), name_of(program, number - 1) if number else ""
     return (
-        Begin(
+        BeginAttempt(
             this, name_of(program, 0), 1 << 30, 400, previous, 5000, candidates, (("part-of-tenant", 2000),), "", 4000
         ),
-        End(this, 360, RETENTION_MS, 2000),
+        EndAttempt(this, 360, RETENTION_MS, 2000),
     )
 
 
@@ -108,7 +108,10 @@
     program_ledger = ProgramLedger()
     for n in range(count):
         key = name_of(n, 1)
-        apply_all(program_ledger, (Claim(key, key, RETENTION_MS), Resolve(key, key, os.urandom(ANSWER_BYTES))))
+        apply_all(
+            program_ledger,
+            (ClaimOperationKey(key, key, RETENTION_MS), ResolveOperationKey(key, key, os.urandom(ANSWER_BYTES))),
+        )
     return program_ledger
 
 
@@ -173,14 +176,14 @@
     count, wall_s = len(program_ledger.turns), []
     for _ in range(5):
         begun_s = perf_counter()
-        serving.lacking(replica.turn_store, program_ledger.turns)
+        missing_turns(replica.turn_store, program_ledger.turns)
         wall_s.append(perf_counter() - begun_s)
     return {"turns": count, "us_per_turn": round(min(wall_s) / count * 1e6, 4)}
 
 
 def measure_turn_store(folder, body_bytes, count, batch):
     """Return what storing and reading a body costs."""
-    log, index, _, _ = open_log(os.path.join(folder, f"turn_store-{body_bytes}"), SiloFiles(), 8 << 20)
+    log, index, _, _ = open_segments(os.path.join(folder, f"turn_store-{body_bytes}"), BodyFiles(), 8 << 20)
     bodies = [(name_of(n, body_bytes), os.urandom(body_bytes)) for n in range(count)]
     used_s, begun_s = process_time(), perf_counter()
     for at in range(0, count, batch):
@@ -188,7 +191,7 @@
     put_cpu_s, put_s = process_time() - used_s, perf_counter() - begun_s
     used_s = process_time()
     for turn, _ in bodies:
-        read_spot(log, index[turn])
+        read_body(log, index[turn])
     return {
         "body_bytes": body_bytes,
         "bodies": count,
--- a/frostpost/turn_store/cache.py
+++ b/frostpost/turn_store/cache.py
@@ -23,7 +23,7 @@
     return agent.cache
 
 
-def cached(cache, turn):
+def lookup(cache, turn):
     """The body or None; it counts as a use."""
     data = cache.items.get(turn)
     if data is not None:
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -8,8 +8,8 @@
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, GetBodiesRequest, PutBodyReply, PutBodyRequest
 
-from .cache import cache_of, cached, remember
-from .repair import cut_short
+from .cache import cache_of, lookup, remember
+from .repair import is_truncated
 
 RESEND_MS = 300
 ASK_OTHER_MS = 150
@@ -17,7 +17,7 @@
 RETRY_MS = 1000
 
 
-class Put(Struct):
+class PendingPut(Struct):
     """A body on its way to the replicas; synced: those that have it on disk."""
 
     number: int
@@ -34,7 +34,7 @@
     holders: frozenset[str]
 
 
-class Fetch(Struct):
+class PendingFetch(Struct):
     """exhausted: the daemons that have said that they lack all of what is still wanted."""
 
     number: int
@@ -47,18 +47,18 @@
     timers: dict[str, object] = {}
 
 
-class Putting(Struct):
+class BodyClient(Struct):
     """Return an agent's puts and fetches; made at first use."""
 
     number: int = 0
-    puts: dict[int, Put] = {}
-    fetches: dict[int, Fetch] = {}
+    puts: dict[int, PendingPut] = {}
+    fetches: dict[int, PendingFetch] = {}
 
 
-def putting(agent):
+def client_of(agent):
     """Return an agent's puts and fetches; made at first use."""
-    if not isinstance(agent.putting, Putting):
-        agent.putting = Putting()
+    if not isinstance(agent.putting, BodyClient):
+        agent.putting = BodyClient()
     return agent.putting
 
 
@@ -67,16 +67,16 @@
 
     The voters are those of a lease that runs at that moment.
     """
-    state = putting(agent)
+    state = client_of(agent)
     state.number += 1
-    job = Put(state.number, turn, data, Deferred(lambda _: drop(state.puts, job)))
+    job = PendingPut(state.number, turn, data, Deferred(lambda _: forget_job(state.puts, job)))
     state.puts[job.number] = job
-    later(
+    start_timer(
         agent,
         job,
         "end",
         wait_ms,
-        lambda: end(state.puts, job, Error(Unavailable(RETRY_MS, "body not synced by a majority of the voters"))),
+        lambda: end_job(state.puts, job, Error(Unavailable(RETRY_MS, "body not synced by a majority of the voters"))),
     )
     send_puts(agent, job)
     return job.result
@@ -84,7 +84,7 @@
 
 def send_puts(agent, job):
     """Send a body to every replica that has not confirmed it, and again after a while."""
-    later(agent, job, "resend", RESEND_MS, lambda: send_puts(agent, job))
+    start_timer(agent, job, "resend", RESEND_MS, lambda: send_puts(agent, job))
     message = PutBodyRequest(agent.endpoint.member.incarnation, job.number, job.turn, job.data)
     for name, address in lease_client.replica_addresses(agent).items():
         if name not in job.synced:
@@ -95,22 +95,22 @@
     """-> Deferred[Result[tuple[bytes, ...], Unavailable]], in the order asked for."""
     cache, found = cache_of(agent), {}
     for turn in turns:
-        data = cached(cache, turn)
+        data = lookup(cache, turn)
         if data is not None:
             found[turn] = data
     wanted = {turn: None for turn in turns if turn not in found}
     if not wanted:
         return succeed(Ok(tuple(found[turn] for turn in turns)))
-    state = putting(agent)
+    state = client_of(agent)
     state.number += 1
-    job = Fetch(state.number, tuple(turns), found, wanted, Deferred(lambda _: drop(state.fetches, job)))
+    job = PendingFetch(state.number, tuple(turns), found, wanted, Deferred(lambda _: forget_job(state.fetches, job)))
     state.fetches[job.number] = job
-    later(agent, job, "end", wait_ms, lambda: out_of_reach(agent, job))
-    ask_next(agent, job)
+    start_timer(agent, job, "end", wait_ms, lambda: out_of_reach(agent, job))
+    request_from_next(agent, job)
     return job.result
 
 
-def ask_next(agent, job):
+def request_from_next(agent, job):
     """Ask another replica for what is still wanted."""
     names = sorted(lease_client.replica_addresses(agent))
     fresh = [name for name in names if name not in job.asked]
@@ -119,12 +119,12 @@
         out_of_reach(agent, job)
         return
     wait_ms = ASK_OTHER_MS if len(fresh) > 1 or not names else ASK_AGAIN_MS
-    later(agent, job, "other", wait_ms, lambda: ask_next(agent, job))
+    start_timer(agent, job, "other", wait_ms, lambda: request_from_next(agent, job))
     if names:
-        ask(agent, job, fresh[job.number % len(fresh)] if fresh else again[0])
+        request_bodies(agent, job, fresh[job.number % len(fresh)] if fresh else again[0])
 
 
-def ask(agent, job, name):
+def request_bodies(agent, job, name):
     """Ask one replica for what is still wanted."""
     if name in job.asked:
         job.asked.remove(name)
@@ -136,23 +136,23 @@
 
 def out_of_reach(agent, job):
     """End a fetch whose bodies no replica has."""
-    end(putting(agent).fetches, job, Error(Unavailable(RETRY_MS, "bodies out of reach")))
+    end_job(client_of(agent).fetches, job, Error(Unavailable(RETRY_MS, "bodies out of reach")))
 
 
-def received(agent, name, body):
+def on_reply(agent, name, body):
     """Takes PutBodyReply and GetBodiesReply from the ring daemon of that name; -> whether it was one of them."""
     if not isinstance(body, (PutBodyReply, GetBodiesReply)):
         return False
-    state = putting(agent)
+    state = client_of(agent)
     if body.incarnation == agent.endpoint.member.incarnation:
         if isinstance(body, PutBodyReply) and body.number in state.puts:
-            done(agent, state.puts[body.number], name, body.synced)
+            on_put_reply(agent, state.puts[body.number], name, body.synced)
         elif isinstance(body, GetBodiesReply) and body.number in state.fetches:
-            got(agent, state.fetches[body.number], name, body.items)
+            on_bodies(agent, state.fetches[body.number], name, body.items)
     return True
 
 
-def done(agent, job, name, synced):
+def on_put_reply(agent, job, name, synced):
     """Count a replica's confirmation; a majority of the voters ends the put."""
     if not synced:
         return
@@ -160,7 +160,7 @@
     count_holders(agent, job)
 
 
-def lasts(agent, holders):
+def is_durable_at(agent, holders):
     """Whether these are a majority of the voters under a lease that runs now."""
     voters = lease_client.voters_of(agent)
     return lease_client.holds_lease(agent) and 2 * sum(voter in holders for voter in voters) > len(voters)
@@ -168,18 +168,18 @@
 
 def count_holders(agent, job):
     """End a put, and keep its body, once a majority of the voters has it on disk."""
-    if lasts(agent, job.synced):
+    if is_durable_at(agent, job.synced):
         remember(cache_of(agent), job.turn, job.data)
-        end(putting(agent).puts, job, Ok(Synced(frozenset(job.synced))))
+        end_job(client_of(agent).puts, job, Ok(Synced(frozenset(job.synced))))
 
 
-def granted(agent):
+def recount_holders(agent):
     """A lease was granted, maybe with other voters: what is put already is counted anew."""
-    for job in list(putting(agent).puts.values()):
+    for job in list(client_of(agent).puts.values()):
         count_holders(agent, job)
 
 
-def got(agent, job, name, items):
+def on_bodies(agent, job, name, items):
     """Take in the bodies that a replica sent."""
     for turn, data in items:
         if turn in job.wanted:
@@ -187,9 +187,9 @@
             job.found[turn] = data
             remember(cache_of(agent), turn, data)
     if not job.wanted:
-        end(putting(agent).fetches, job, Ok(tuple(job.found[turn] for turn in job.turns)))
-    elif cut_short(items):
-        ask(agent, job, name)
+        end_job(client_of(agent).fetches, job, Ok(tuple(job.found[turn] for turn in job.turns)))
+    elif is_truncated(items):
+        request_bodies(agent, job, name)
     elif name not in job.exhausted:
         job.exhausted.add(name)
         answered(agent, job)
@@ -201,10 +201,10 @@
     if names <= job.exhausted:
         out_of_reach(agent, job)
     elif not names <= set(job.asked):
-        ask_next(agent, job)
+        request_from_next(agent, job)
 
 
-def later(agent, job, what, wait_ms, call):
+def start_timer(agent, job, what, wait_ms, call):
     """Start a timer of a job in place of the one of the same name."""
     timer = job.timers.pop(what, None)
     if timer is not None and timer.active():
@@ -212,7 +212,7 @@
     job.timers[what] = agent.reactor.callLater(max(0, wait_ms) / 1000, call)
 
 
-def drop(jobs, job):
+def forget_job(jobs, job):
     """Forget a job and cancel its timers."""
     jobs.pop(job.number, None)
     for timer in job.timers.values():
@@ -220,8 +220,8 @@
             timer.cancel()
 
 
-def end(jobs, job, result):
+def end_job(jobs, job, result):
     """End a job with a result, once."""
     if job.number in jobs:
-        drop(jobs, job)
+        forget_job(jobs, job)
         job.result.callback(result)
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -20,7 +20,7 @@
 CYCLE_MS = 2000
 
 
-class Ask(Struct):
+class OpenRequest(Struct):
     """One open request to a peer. index: the ledger index that was applied when it was sent."""
 
     number: int
@@ -29,7 +29,7 @@
     index: int
 
 
-class Tried(Struct):
+class TurnAttempts(Struct):
     """asked: the peers asked for a turn in this cycle. again_ms: when a new cycle may begin. denied: the peers that
     lacked it, with the ledger index that was applied when they were asked."""
 
@@ -43,8 +43,8 @@
 
     incarnation: int
     number: int = 0
-    asks: dict[str, Ask] = {}
-    tried: dict[str, Tried] = {}
+    asks: dict[str, OpenRequest] = {}
+    tried: dict[str, TurnAttempts] = {}
     queues: dict[str, deque[str]] = {}
     peers: tuple[str, ...] = ()
     lacked: list[str] | None = None
@@ -52,12 +52,12 @@
     waking: bool = False
 
 
-def cut_short(items):
+def is_truncated(items):
     """Whether more may be had by asking the same daemon for the rest."""
     return sum(len(data) for _, data in items) >= MESSAGE_BYTES
 
 
-def lacking(turn_store, turns):
+def missing_turns(turn_store, turns):
     """The turns among these whose bodies are not held, in their order."""
     if turns.keys() <= turn_store.index.keys():
         return []
@@ -70,7 +70,7 @@
     index: the ledger index that `live_turns` stands for.
     """
     turn_store, state = replica.turn_store, repairing(replica)
-    lacked = lacking(turn_store, live_turns)
+    lacked = missing_turns(turn_store, live_turns)
     state.peers = tuple(peers)
     state.tried = {turn: state.tried[turn] for turn in lacked if turn in state.tried}
     report(turn_store, state, lacked, index)
@@ -141,7 +141,7 @@
     """Whether one more answer may come in without passing the bound of bytes in flight."""
     most_bytes = max(MESSAGE_BYTES, turn_store.queue_bytes // IN_FLIGHT_SHARE)
     in_flight_bytes = len(state.asks) * MESSAGE_BYTES + turn_store.queued_bytes
-    return store.has_room(turn_store) and in_flight_bytes + MESSAGE_BYTES <= most_bytes
+    return store.has_capacity(turn_store) and in_flight_bytes + MESSAGE_BYTES <= most_bytes
 
 
 def ask_next(replica, peer):
@@ -163,15 +163,15 @@
     """Send a request for some turns' bodies to a peer."""
     now = store.now_ms(replica.turn_store)
     state.number += 1
-    state.asks[peer] = Ask(state.number, turns, now + SILENT_MS, state.index)
+    state.asks[peer] = OpenRequest(state.number, turns, now + SILENT_MS, state.index)
     for turn in turns:
-        tried = state.tried.setdefault(turn, Tried())
+        tried = state.tried.setdefault(turn, TurnAttempts())
         tried.asked.append(peer)
         tried.again_ms = now + CYCLE_MS
     replica.send(peer, GetBodiesRequest(state.incarnation, state.number, turns))
 
 
-def got(replica, peer, body):
+def on_bodies(replica, peer, body):
     """A peer's answer: keep what it brought, ask others for what it denied, and go on with the next batch."""
     turn_store, state = replica.turn_store, replica.turn_store.repairing
     ask = state.asks.get(peer) if state is not None else None
@@ -182,7 +182,7 @@
     for turn, data in brought.items():
         store.put(turn_store, turn, data).addCallback(lambda _: wake(replica))
     rest = [turn for turn in ask.turns if turn not in brought and turn in state.tried]
-    if cut_short(body.items):
+    if is_truncated(body.items):
         ask_rest(state, peer, rest)
     else:
         deny(state, peer, rest, ask.index, store.now_ms(turn_store))
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -7,14 +7,14 @@
 from msgspec import DecodeError, Struct, ValidationError, msgpack
 
 from frostpost.daemon.machine import Files
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 from frostpost.write_ahead_log import records
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(tuple[str, bytes]).decode
 
 
-class SiloFiles(Files, frozen=True):
+class BodyFiles(Files, frozen=True):
     """File operations that segments need beside those of a log."""
 
     pread: Callable = os.pread
@@ -22,11 +22,11 @@
     listdir: Callable = os.listdir
 
 
-class Log(Struct):
+class SegmentLog(Struct):
     """The open segment; once opened, touched only by the one batch under way."""
 
     folder: str
-    files: SiloFiles
+    files: BodyFiles
     segment_bytes: int
     number: int = 0
     write_ahead_log: write_ahead_logs.WriteAheadLog | None = None
@@ -45,22 +45,22 @@
     return f"{number:08d}"
 
 
-def open_log(folder, files, segment_bytes):
+def open_segments(folder, files, segment_bytes):
     """-> log, index, sizes by segment number, faults; the last segment is the open one."""
-    log, index, sizes, faults = Log(folder, files, segment_bytes), {}, {}, []
+    log, index, sizes, faults = SegmentLog(folder, files, segment_bytes), {}, {}, []
     files.makedirs(folder, exist_ok=True)
     write_ahead_logs.sync_folder(files, os.path.dirname(folder))
     for number in sorted(int(name) for name in files.listdir(folder) if name.isdigit()):
         close_log(log)
         log.write_ahead_log, found, fault = write_ahead_logs.open_records(folder, name_of(number), files)
         log.number, sizes[number] = number, log.write_ahead_log.size
-        index.update(spots_of(number, found))
+        index.update(locations_of(number, found))
         if fault is not None:
             faults.append(fault)
     return log, index, sizes, faults
 
 
-def spots_of(number, found):
+def locations_of(number, found):
     """Return where each turn's body lies in a segment: (segment, offset, length)."""
     spots = {}
     for record in found:
@@ -72,7 +72,7 @@
 def roll(log):
     """Close the open segment and open the next."""
     close_log(log)
-    log.write_ahead_log, _, _ = write_ahead_logs.open_(log.folder, name_of(log.number + 1), log.files)
+    log.write_ahead_log, _, _ = write_ahead_logs.open_log(log.folder, name_of(log.number + 1), log.files)
     log.number += 1
 
 
@@ -95,11 +95,11 @@
             written.sizes[log.number] = log.write_ahead_log.size
     except OSError as fault:
         written.fault = fault
-        mend(log)
+        recover_segment(log)
     return written
 
 
-def mend(log):
+def recover_segment(log):
     """Cut off what a failed write left behind, or close the segment."""
     if log.write_ahead_log is not None:
         try:
@@ -116,7 +116,7 @@
         log.write_ahead_log = None
 
 
-def read_spot(log, spot):
+def read_body(log, spot):
     """(turn, data) of a record, or None where its checksum is wrong or it can't be read."""
     number, offset, length = spot
     try:
--- a/frostpost/turn_store/store.py
+++ b/frostpost/turn_store/store.py
@@ -6,9 +6,9 @@
 from msgspec import Struct
 from twisted.internet.defer import Deferred, succeed
 
-from frostpost.write_ahead_log.disk import SyncLostError
+from frostpost.write_ahead_log.log import SyncLostError
 
-from .segments import Log, SiloFiles, close_log, name_of, open_log, read_spot, write_batch
+from .segments import BodyFiles, SegmentLog, close_log, name_of, open_segments, read_body, write_batch
 
 # The name that earlier builds gave the folder: it stays, so that their bodies are found.
 FOLDER_ON_DISK = "silo"
@@ -22,7 +22,7 @@
     """index: turn -> (segment, offset, length); young: when turns that may not expire yet were put."""
 
     machine: object
-    log: Log
+    log: SegmentLog
     tell: Callable
     index: dict[str, tuple[int, int, int]]
     sizes: dict[int, int]
@@ -43,7 +43,7 @@
     repairing: object = None
 
 
-FILES = SiloFiles()
+FILES = BodyFiles()
 
 
 def now_ms(turn_store):
@@ -51,7 +51,7 @@
     return int(turn_store.machine.seconds() * 1000)
 
 
-def open_(
+def open_store(
     data_folder,
     machine,
     files=FILES,
@@ -62,7 +62,7 @@
     min_age_ms=MIN_AGE_MS,
 ):
     """Scan the segments in the data folder; `tell` hears Torn and Corrupt now, later each OSError."""
-    log, index, sizes, faults = open_log(os.path.join(data_folder, FOLDER_ON_DISK), files, segment_bytes)
+    log, index, sizes, faults = open_segments(os.path.join(data_folder, FOLDER_ON_DISK), files, segment_bytes)
     turn_store = TurnStore(
         machine, log, tell, index, sizes, disk_bytes, queue_bytes, min_age_ms, int(machine.seconds() * 1000)
     )
@@ -71,7 +71,7 @@
     return turn_store
 
 
-def held(turn_store, turn):
+def is_stored(turn_store, turn):
     """Tell whether a turn's body is on disk."""
     return turn in turn_store.index
 
@@ -81,7 +81,7 @@
     return sum(turn_store.sizes.values()) + turn_store.queued_bytes
 
 
-def has_room(turn_store, count_bytes=0):
+def has_capacity(turn_store, count_bytes=0):
     """Tell whether that many bytes may still be queued."""
     return (
         not turn_store.lost
@@ -93,10 +93,10 @@
 def put(turn_store, turn, data):
     """-> Deferred[bool]: True once the body is synced, False if it could not be kept."""
     if turn in turn_store.index and not turn_store.lost:
-        keep_young(turn_store, turn)
+        protect_from_expiry(turn_store, turn)
         return succeed(True)
     if turn not in turn_store.pending:
-        if not has_room(turn_store, len(data)):
+        if not has_capacity(turn_store, len(data)):
             return succeed(False)
         enqueue(turn_store, turn, data)
     waiting = Deferred()
@@ -112,7 +112,7 @@
     turn_store.queued_bytes += len(data)
 
 
-def keep_young(turn_store, turn):
+def protect_from_expiry(turn_store, turn):
     """Keep a body from expiring for a while, until the ledger knows its turn."""
     turn_store.young.pop(turn, None)
     turn_store.young[turn] = now_ms(turn_store)
@@ -125,12 +125,12 @@
     batch, turn_store.queue = turn_store.queue, []
     turn_store.busy, turn_store.guarded = True, turn_store.log.number
     turn_store.machine.in_thread(write_batch, turn_store.log, batch).addCallbacks(
-        lambda written: settle(turn_store, batch, written),
-        lambda failure: settle(turn_store, batch, None, failure.value),
+        lambda written: finish_batch(turn_store, batch, written),
+        lambda failure: finish_batch(turn_store, batch, None, failure.value),
     )
 
 
-def settle(turn_store, batch, written, fault=None):
+def finish_batch(turn_store, batch, written, fault=None):
     """Take over what a batch wrote, and answer those who wait for it."""
     turn_store.busy = False
     turn_store.queued_bytes -= sum(len(data) for _, data in batch)
@@ -140,7 +140,7 @@
         turn_store.sizes.update(written.sizes)
         for turn, spot in written.spots.items():
             if turn not in turn_store.index:
-                keep_young(turn_store, turn)
+                protect_from_expiry(turn_store, turn)
             turn_store.index[turn] = spot
     waiting = [(d, turn) for turn, _ in batch for d in turn_store.pending.pop(turn)]
     if fault is not None:
@@ -166,7 +166,7 @@
     spot = turn_store.index.get(turn)
     if spot is None:
         return None
-    found = read_spot(turn_store.log, spot)
+    found = read_body(turn_store.log, spot)
     if found is None or found[0] != turn:
         del turn_store.index[turn]
         turn_store.young.pop(turn, None)
--- a/frostpost/write_ahead_log/disk.py
+++ b/frostpost/write_ahead_log/log.py
@@ -59,7 +59,7 @@
         return os.path.join(self.folder, self.name)
 
 
-def open_(folder: str, name: str, files: Files = FILES) -> tuple[WriteAheadLog, list[bytes], Torn | Corrupt | None]:
+def open_log(folder: str, name: str, files: Files = FILES) -> tuple[WriteAheadLog, list[bytes], Torn | Corrupt | None]:
     """Return the open log, the payloads read from it, and what was wrong with its file."""
     log, records, fault = open_records(folder, name, files)
     return log, [record.payload for record in records], fault
@@ -79,7 +79,7 @@
     elif found.end < len(data):
         fault = Torn(log.path, found.end)
     log.fd = files.open(log.path, APPENDING, 0o644)
-    make_durable(log, data, found)
+    sync_believed(log, data, found)
     log.serial, log.checksum = found.serial, found.checksum
     log.size = log.synced_bytes = found.end
     sync_folder(files, folder)
@@ -93,7 +93,7 @@
     return Corrupt(log.path, offset, moved_to)
 
 
-def make_durable(log, data, found):
+def sync_believed(log, data, found):
     """Cut off what is not believed, write again what may be only in the page cache, and sync.
 
     After a failed sync the kernel may hold pages as clean that never reached the disk: a sync alone would skip them.
@@ -143,7 +143,7 @@
                 parts, held_bytes = [], 0
         size += write_all(log, parts)
     except OSError:
-        take_back(log)
+        undo_write(log)
         raise
     log.serial, log.checksum, log.size = serial, checksum, size
 
@@ -159,7 +159,7 @@
     return len(data)
 
 
-def take_back(log):
+def undo_write(log):
     """Cut a failed write off; records after its remains would never be read again."""
     try:
         log.files.ftruncate(log.fd, log.size)
@@ -174,17 +174,17 @@
     except OSError as fault:
         raise SyncLostError(*fault.args) from fault
     log.synced_bytes = log.size
-    mark(log)
+    write_sync_mark(log)
 
 
-def mark(log):
+def write_sync_mark(log):
     """Note behind the synced records that they are synced; the log is as good without the note."""
     data, checksum = seal_mark(log.serial, log.size, log.checksum)
     try:
         log.size += write_all(log, [data])
         log.checksum = checksum
     except OSError:
-        take_back(log)
+        undo_write(log)
 
 
 def prepare(log: WriteAheadLog, payloads: list[bytes]) -> WriteAheadLog:
@@ -219,7 +219,7 @@
         log.files.replace(fresh.path, log.path)
         log.fd, log.serial, log.checksum = fresh.fd, fresh.serial, fresh.checksum
         log.size, log.synced_bytes = fresh.size, fresh.synced_bytes
-        mark(log)
+        write_sync_mark(log)
         log.files.close(old_fd)
         sync_folder(log.files, log.folder)
     except OSError as fault:
--- a/tests/encoded_messages.py
+++ b/tests/encoded_messages.py
@@ -13,12 +13,12 @@
 from msgspec import inspect
 
 from frostpost.ledger.operations import Op
-from frostpost.program_ledger.words import CoppiceVerdict
+from frostpost.program_ledger.words import ProgramResult
 from frostpost.virtual_synchrony.events import Record
 from frostpost.virtual_synchrony.frames import Frame, Message
 
 RECORDED = Path(__file__).parent / "data" / "encoded_messages.json"
-UNIONS = {"message": Message, "record": Record, "operation": Op, "program result": CoppiceVerdict}
+UNIONS = {"message": Message, "record": Record, "operation": Op, "program result": ProgramResult}
 DEPTH = 4
 
 
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -6,9 +6,16 @@
 from frostpost.cluster import agent_sessions, control_client, lease_client, voter_reconfiguration
 from frostpost.platform import control, front, listing, routing
 from frostpost.platform.server import reply
+from frostpost.program_ledger import accepted_changes, routing_versions, turns
 from frostpost.program_ledger import apply as ledger
-from frostpost.program_ledger import settings, taken_changes, turns
-from frostpost.program_ledger.words import Claim, Claimed, End, LookRouting, RoutingSet, SetRouting
+from frostpost.program_ledger.words import (
+    ClaimOperationKey,
+    EndAttempt,
+    KeyClaimed,
+    ReadRouting,
+    RoutingSet,
+    SetRouting,
+)
 from frostpost.proxy import lookup, pool, sending, serve, stream, turn
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
@@ -22,7 +29,7 @@
 def end_unawaited():
     def close(agent, route, call, tokens, data, until_ms):
         keep_ms = route.keep_ms if route.retained else 0
-        turn.submit_until_decided(agent, End(call.attempt, tokens, keep_ms=keep_ms, size=len(data)))
+        turn.submit_until_decided(agent, EndAttempt(call.attempt, tokens, keep_ms=keep_ms, size=len(data)))
         if keep_ms:
             turn.put(agent, call.attempt, data, 5000)
         return succeed(True)
@@ -31,14 +38,14 @@
 
 
 def claim_skipped():
-    return [(ledger, "STEPS", {**ledger.STEPS, Claim: lambda program_ledger, now_ms, op: Claimed()})]
+    return [(ledger, "STEPS", {**ledger.STEPS, ClaimOperationKey: lambda program_ledger, now_ms, op: KeyClaimed()})]
 
 
 def base_ignored():
     def set_routing(program_ledger, now_ms, op):
         if op.version > program_ledger.routing_version:
             program_ledger.routing_version, program_ledger.routing_body = op.version, op.body
-            taken_changes.remember(program_ledger, now_ms, op.version, op.digest, op.keep_ms)
+            accepted_changes.remember(program_ledger, now_ms, op.version, op.digest, op.keep_ms)
         return RoutingSet(op.version)
 
     return [(ledger, "STEPS", {**ledger.STEPS, SetRouting: set_routing})]
@@ -163,7 +170,7 @@
     kept = voter_reconfiguration.replica_view
 
     def view(ctx, changes, name, regions):
-        return structs.replace(kept(ctx, changes, name, regions), leaving=False)
+        return structs.replace(kept(ctx, changes, name, regions), draining=False)
 
     return [
         (voter_reconfiguration, "is_dispensable_voter", lambda ctx, settings: False),
@@ -173,14 +180,14 @@
 
 def orders_forgotten():
     """A change that was taken isn't known again."""
-    return [(taken_changes, "was_taken", lambda program_ledger, version, digest: False)]
+    return [(accepted_changes, "was_taken", lambda program_ledger, version, digest: False)]
 
 
 def orders_counted():
     """Only the last few changes that were taken are known again; older ones are refused."""
     return [
-        (taken_changes, "MOST_REMEMBERED", 64),
-        (taken_changes, "may_be_forgotten", lambda program_ledger, version: False),
+        (accepted_changes, "MOST_REMEMBERED", 64),
+        (accepted_changes, "may_be_forgotten", lambda program_ledger, version: False),
     ]
 
 
@@ -200,9 +207,9 @@
 
     def asked(ctx, sessions, address, message):
         op = agent_sessions.decode_op(message.payload)
-        if not isinstance(op, LookRouting):
+        if not isinstance(op, ReadRouting):
             return kept(ctx, sessions, address, message)
-        verdict = settings.look_routing(ctx.core.ledger.program_ledger, 0, op)
+        verdict = routing_versions.look_routing(ctx.core.ledger.program_ledger, 0, op)
         return ctx.links["send"](
             address, OperationReply(message.incarnation, message.number, agent_sessions.encode(verdict))
         )
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -1,8 +1,8 @@
 """Steps of stories about copies: machines replaced, emptied and wiped, and what became of what was acknowledged."""
 
 from frostpost.cluster.agent_sessions import is_sequencer
-from frostpost.daemon.heart import ask
-from frostpost.program_ledger.words import Begin, Candidate, End
+from frostpost.daemon.event_loop import submit
+from frostpost.program_ledger.words import BeginAttempt, Candidate, EndAttempt
 from frostpost.turn_store import store
 
 from . import bearing
@@ -138,8 +138,8 @@
     leader, turns = sequencer_of(world).owner.ctx, [f"filled{number}" for number in range(count)]
     for at in range(0, count, FILL_TURNS):
         for turn in turns[at : at + FILL_TURNS]:
-            ask(leader, Begin(turn, f"p-{turn}", 0, 1, "", 60000, (Candidate("filler", 1 << 20),)), 5000)
-            ask(leader, End(turn, 1, keep_ms=keep_ms), 5000)
+            submit(leader, BeginAttempt(turn, f"p-{turn}", 0, 1, "", 60000, (Candidate("filler", 1 << 20),)), 5000)
+            submit(leader, EndAttempt(turn, 1, keep_ms=keep_ms), 5000)
             for daemon in world.of("storage"):
                 store.put(daemon.owner.turn_store, turn, data)
         world.run(world.now_ms() + 40)
--- a/tests/fleet_simulator/world.py
+++ b/tests/fleet_simulator/world.py
@@ -14,7 +14,7 @@
 from frostpost.simulator import drives
 from frostpost.simulator.net import Net
 from frostpost.turn_store import store
-from frostpost.turn_store.segments import SiloFiles
+from frostpost.turn_store.segments import BodyFiles
 
 from .clock import Rig, Wheel
 from .list import raise_listing
@@ -200,7 +200,7 @@
             raise FileNotFoundError(path)
         del drive.names[path]
 
-    return SiloFiles(
+    return BodyFiles(
         **{field: getattr(base, field) for field in base.__struct_fields__},
         unlink=unlink,
         pread=lambda fd, length, offset: bytes(drive.held[fd].data[offset : offset + length]),
@@ -214,7 +214,8 @@
     kept, replica_daemon.store = (
         replica_daemon.store,
         SimpleNamespace(
-            open_=lambda folder, machine, **more: store.open_(folder, machine, files=files, **more), expire=store.expire
+            open_store=lambda folder, machine, **more: store.open_store(folder, machine, files=files, **more),
+            expire=store.expire,
         ),
     )
     try:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -3,7 +3,7 @@
 import pytest
 
 from frostpost.daemon import snapshotting
-from frostpost.daemon.core import Decided
+from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.operations import SetConfig
 from frostpost.simulator import world as worlds
 from frostpost.simulator.ledger import ledger as ledger_faults
@@ -20,7 +20,7 @@
     world = worlds.make(seed, 0, 4, 0, Bounds(**{**BOUNDS, **bounds}), voters=3)
     worlds.run(world, 1500)
     done = []
-    world.tap = lambda world, node, answer: done.append(world.now_ms) if isinstance(answer, Decided) else None
+    world.tap = lambda world, node, answer: done.append(world.now_ms) if isinstance(answer, OperationDecided) else None
     for number in range(DOCUMENTS):
         change(world, f"templates/t{number}")
         worlds.run(world, world.now_ms + 3)
--- a/tests/test_cluster_operation_client.py
+++ b/tests/test_cluster_operation_client.py
@@ -6,14 +6,14 @@
 from frostpost.cluster import agent as assembly
 from frostpost.cluster import operation_client
 from frostpost.ledger.apply import decode_op
-from frostpost.program_ledger.words import Abort, Begin, End, Ended, LookRouting
+from frostpost.program_ledger.words import AbortAttempt, AttemptEnded, BeginAttempt, EndAttempt, ReadRouting
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import LeaseReply, OperationReply, OperationRequest
 from frostpost.virtual_synchrony.frames import Frame
 
 PLACES = (endpoint_of("s1", port=7), endpoint_of("s2", port=8))
-END = End("a", 3)
-ENDED = Ended()
+END = EndAttempt("a", 3)
+ENDED = AttemptEnded()
 
 
 def granted(agent, name="s1", lease_ms=1200, epoch=1):
@@ -62,20 +62,20 @@
     )
 
 
-@pytest.mark.parametrize("op", [END, Abort("a"), LookRouting(), Begin("a", "p", 1, 1, "", 9, ())])
+@pytest.mark.parametrize("op", [END, AbortAttempt("a"), ReadRouting(), BeginAttempt("a", "p", 1, 1, "", 9, ())])
 def test_operation_goes_to_the_sequencer_and_its_verdict_answers_once(op):
     _, agent = started()
     found = outcomes(operation_client.call_replicas(agent, op, 500))
     assert asked(agent) == [("@h:7", 1, op)]
     told(agent, 1)
     told(agent, 1)
-    assert [r.ok for r in found] == [Ended()] and not agent.operations.open
+    assert [r.ok for r in found] == [AttemptEnded()] and not agent.operations.open
 
 
 def test_what_is_open_is_handed_in_again_on_a_new_sequencer_with_its_number():
     _, agent = started()
     found = outcomes(operation_client.call_replicas(agent, END, 5000))
-    done = outcomes(operation_client.call_replicas(agent, Abort("b"), 5000))
+    done = outcomes(operation_client.call_replicas(agent, AbortAttempt("b"), 5000))
     told(agent, 2)
     sent(agent)
     granted(agent, "s2", epoch=2)
@@ -125,7 +125,7 @@
     told(agent, 1, fault="Undecided")
     assert found == [] and agent.counts["ring/Undecided"] == 1
     told(agent, 1)
-    assert [r.ok for r in found] == [Ended()]
+    assert [r.ok for r in found] == [AttemptEnded()]
 
 
 def test_end_is_taken_without_a_lease_and_goes_out_with_the_first_sequencer():
@@ -135,7 +135,7 @@
     granted(agent)
     assert asked(agent) == [("@h:7", 1, END)]
     told(agent, 1)
-    assert [r.ok for r in found] == [Ended()]
+    assert [r.ok for r in found] == [AttemptEnded()]
 
 
 def test_end_is_handed_in_until_it_is_decided_however_long_there_is_no_ring():
--- a/tests/test_cluster_replica_daemon.py
+++ b/tests/test_cluster_replica_daemon.py
@@ -16,7 +16,7 @@
 from frostpost.virtual_synchrony.events import ConfigurationRecord, PromiseRecord
 from frostpost.virtual_synchrony.frames import Frame
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
-from frostpost.write_ahead_log import disk as write_ahead_logs
+from frostpost.write_ahead_log import log as write_ahead_logs
 
 CHARTER = ("s1", "s2", "s3")
 MEMORY = ConfigurationRecord(ConfigurationId(4, "s2", 1), 0, CHARTER)
@@ -29,12 +29,14 @@
     )
     monkeypatch.setattr(replica_daemon, "listen", lambda ctx, hear: succeed(None))
     monkeypatch.setattr(replica_daemon, "sender", lambda ctx: lambda to, body: out.append((to, body)))
-    opened = replica_daemon.store.open_
+    opened = replica_daemon.store.open_store
     monkeypatch.setattr(
-        replica_daemon.store, "open_", lambda data, machine, **named: opened(data, machine, files_of(drive), **named)
+        replica_daemon.store,
+        "open_store",
+        lambda data, machine, **named: opened(data, machine, files_of(drive), **named),
     )
     if records:
-        write_ahead_log, _, _ = disks.open_("/data", machine.files)
+        write_ahead_log, _, _ = disks.open_log("/data", machine.files)
         write_ahead_logs.append(write_ahead_log, [disks.encode(r) for r in records])
     settings = DaemonSettings("s1", "storage", "z", "h", 1, seeds=("h:7", "h:8"), first_start=first_start, data="/data")
     stopped = []
--- a/tests/test_cluster_voter_reconfiguration.py
+++ b/tests/test_cluster_voter_reconfiguration.py
@@ -12,7 +12,7 @@
 from frostpost.ledger.operations import SWAP_RULES, Look
 from frostpost.ledger.results import Done
 from frostpost.ledger.state import Ledger
-from frostpost.program_ledger.words import Retired
+from frostpost.program_ledger.words import CompleteRetirement
 from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.configuration import Configuration, ConfigurationId
 from frostpost.virtual_synchrony.endpoints import Member
@@ -193,7 +193,7 @@
         asked.append(op)
         return succeed(Ok(Done(OPENED) if isinstance(op, Look) else None))
 
-    monkeypatch.setattr(voter_reconfiguration, "ask", ask)
+    monkeypatch.setattr(voter_reconfiguration, "submit", ask)
     voter_reconfiguration.reconfigure(ctx, background, settings())
     return asked
 
@@ -212,7 +212,7 @@
     ctx = new_ctx((*VOTERS, "s4"), VOTERS, retiring=("s4",), clock=clock)
     assert tended(ctx, background, monkeypatch) == []
     clock.advance(ctx.core.synchrony.bounds.lease_ms / 1000)
-    assert tended(ctx, background, monkeypatch) == [Look(), Retired("s4")]
+    assert tended(ctx, background, monkeypatch) == [Look(), CompleteRetirement("s4")]
 
 
 def test_time_away_before_another_daemon_sequenced_does_not_count(monkeypatch):
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -7,7 +7,7 @@
 import disk_model as model
 import pytest
 
-from frostpost.write_ahead_log import disk as logs
+from frostpost.write_ahead_log import log as logs
 from frostpost.write_ahead_log import records
 
 STATES = int(os.environ.get("DISK_STATES", "150"))
@@ -44,7 +44,7 @@
         self.filler_bytes = 5
 
     def open(self):
-        self.log, payloads, fault = logs.open_(FOLDER, "log", model.files_of(self.disk))
+        self.log, payloads, fault = logs.open_log(FOLDER, "log", model.files_of(self.disk))
         assert not isinstance(fault, logs.Corrupt), "a crash was taken for corruption"
         assert self.history.allows(payloads), (payloads, self.history.tried)
         self.history.lasts(payloads)
@@ -230,7 +230,7 @@
 
 PLANTS = {
     "a later valid record means corruption": (records, "proven_synced", any_later_record_means_corruption, kills),
-    "what a start reads is not synced": (logs, "make_durable", lambda log, data, found: None, kills),
+    "what a start reads is not synced": (logs, "sync_believed", lambda log, data, found: None, kills),
     "what a start reads is not written again": (logs, "write_again", lambda log, data, offset: None, failing_syncs),
     "records do not continue the one before": (
         records,
@@ -238,7 +238,7 @@
         lambda record, serial, checksum: record.serial == serial + (not record.is_mark),
         full_disk,
     ),
-    "a failed write is left in place": (logs, "take_back", lambda log: None, full_disk),
+    "a failed write is left in place": (logs, "undo_write", lambda log: None, full_disk),
     "a rewritten log is not synced before it takes the place": (logs, "prepare", prepare_without_sync, rewrites),
     "names are not synced": (logs, "sync_folder", lambda files, folder: None, appends),
 }
@@ -256,7 +256,7 @@
     """Three synced records, then what `write_unsynced` does to the disk; -> what a start reads, and the fault."""
     disk = model.Disk()
     files = model.files_of(disk)
-    log, _, _ = logs.open_(FOLDER, "log", files)
+    log, _, _ = logs.open_log(FOLDER, "log", files)
     for payload in (b"one", b"two", b"three"):
         logs.append(log, [payload])
         logs.sync(log)
@@ -266,7 +266,7 @@
     inode.durable = model.content(inode)[:lasting].ljust(lasting + 512, b"\0") + model.content(inode)[lasting + 512 :]
     inode.pending = []
     model.kill(disk)
-    _, payloads, fault = logs.open_(FOLDER, "log", files)
+    _, payloads, fault = logs.open_log(FOLDER, "log", files)
     return payloads, fault
 
 
@@ -286,7 +286,7 @@
     def killed_between_append_and_sync(disk, log):
         logs.append(log, [b"believed" * 200])
         model.kill(disk)
-        again, payloads, _ = logs.open_(FOLDER, "log", log.files)
+        again, payloads, _ = logs.open_log(FOLDER, "log", log.files)
         inode = disk.names[log.path]
         synced.append(len(payloads) == 4 and not any(not c.lasting for c in inode.pending))
         logs.append(again, [b"lasting"])
@@ -303,6 +303,6 @@
     data = bytearray(model.content(inode))
     data[40] ^= 0x5A
     inode.durable, inode.pending = bytes(data), []
-    _, payloads, fault = logs.open_(FOLDER, "log", model.files_of(disk))
+    _, payloads, fault = logs.open_log(FOLDER, "log", model.files_of(disk))
     assert payloads == [] and isinstance(fault, logs.Corrupt)
     assert disk.names[fault.moved_to] is inode
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -11,11 +11,11 @@
 
 from frostpost.cluster import address_book, assembly, bootstrap, replica_daemon
 from frostpost.daemon import disk as keepers
-from frostpost.daemon import rewriting as rewritings
-from frostpost.daemon.context import Hooks
+from frostpost.daemon import log_compaction as rewritings
+from frostpost.daemon.context import TestHooks
 from frostpost.turn_store import segments
 from frostpost.virtual_synchrony.events import ProbeRecord, PromiseRecord, RewriteLog, SnapshotRecord
-from frostpost.write_ahead_log import disk as logs
+from frostpost.write_ahead_log import log as logs
 
 STATES = int(os.environ.get("DISK_STATES", "150")) // 3
 FOLDER = "/data"
@@ -54,14 +54,14 @@
 
 
 def fill_segments(disk, notes):
-    log, _, _, _ = segments.open_log(f"{FOLDER}/turns", model.files_of(disk), 200)
+    log, _, _, _ = segments.open_segments(f"{FOLDER}/turns", model.files_of(disk), 200)
     for turns in ("a", "bc", "def", "gh"):
         put(log, notes, turns)
     disk.room_bytes = sum(len(model.content(i)) for i in disk.names.values()) + 90
     assert put(log, notes, "ijk").fault is not None
     disk.room_bytes = 1 << 30
     put(log, notes, "lm")
-    for turn, (number, _, _) in segments.open_log(f"{FOLDER}/turns", log.files, 200)[1].items():
+    for turn, (number, _, _) in segments.open_segments(f"{FOLDER}/turns", log.files, 200)[1].items():
         if number == 1:
             notes.lasting.pop(turn, None)
     log.files.unlink(f"{FOLDER}/turns/{segments.name_of(1)}")
@@ -69,9 +69,9 @@
 
 
 def check_segments(disk, notes):
-    log, index, _, faults = segments.open_log(f"{FOLDER}/turns", model.files_of(disk), 200)
+    log, index, _, faults = segments.open_segments(f"{FOLDER}/turns", model.files_of(disk), 200)
     assert not any(isinstance(fault, logs.Corrupt) for fault in faults)
-    read = {turn: segments.read_spot(log, spot) for turn, spot in index.items()}
+    read = {turn: segments.read_body(log, spot) for turn, spot in index.items()}
     assert all(found == (turn, notes.tried[turn]) for turn, found in read.items())
     assert set(notes.lasting) <= set(read)
 
@@ -81,7 +81,7 @@
 
 
 def make_charter(disk, notes):
-    log, _, _ = logs.open_(FOLDER, "charter", model.files_of(disk))
+    log, _, _ = logs.open_log(FOLDER, "charter", model.files_of(disk))
     notes.tried["charter"] = ("s1", "s2", "s3")
     bootstrap.write_record(log, ("s1", "s2", "s3"))
     notes.lasting.update(notes.tried)
@@ -171,10 +171,10 @@
         self.threads, self.synced, self.stalled, self.crashed, self.now_s = Threads(), 0, [], [], 0.0
         machine = Machine(seconds=lambda: self.now_s, in_thread=self.threads.run, files=model.files_of(disk))
         core = SimpleNamespace(synchrony=SimpleNamespace(bounds=Bounds()), snapshots=SimpleNamespace(busy=False))
-        self.ctx = SimpleNamespace(machine=machine, hooks=Hooks(), core=core, counts={}, stepping=True, inputs=self)
+        self.ctx = SimpleNamespace(machine=machine, hooks=TestHooks(), core=core, counts={}, stepping=True, inputs=self)
         self.ctx.life = SimpleNamespace(crash=lambda: self.crashed.append(True))
-        log, self.records, self.fault = keepers.open_(FOLDER, machine.files)
-        self.keeper = keepers.Keeper(self.ctx, log)
+        log, self.records, self.fault = keepers.open_log(FOLDER, machine.files)
+        self.keeper = keepers.LogWriter(self.ctx, log)
 
     def append(self, input):
         """What the keeper feeds to the core."""
@@ -354,6 +354,6 @@
         raise OSError(errno.ENOSPC, "full", "/data/log")
 
     monkeypatch.setattr(replica_daemon, "assemble", assemble)
-    monkeypatch.setattr(assembly, "say", lambda kind, **facts: told.append((kind, facts["error"], facts["path"])))
+    monkeypatch.setattr(assembly, "log_event", lambda kind, **facts: told.append((kind, facts["error"], facts["path"])))
     assert assembly.run_daemon(SimpleNamespace(role="storage"), None) == os.EX_IOERR
     assert told == [("DiskError", "ENOSPC", "/data/log")]
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from frostpost.cluster import lease_client, operation_client
-from frostpost.program_ledger.words import Begin, Claim, End, Resolve
+from frostpost.program_ledger.words import BeginAttempt, ClaimOperationKey, EndAttempt, ResolveOperationKey
 from frostpost.proxy import pool
 from frostpost.proxy.exchange import Exchange
 
@@ -139,7 +139,7 @@
 
 @EACH_STOP
 @EACH_ORDER
-@pytest.mark.parametrize("kind", [Claim, Resolve])
+@pytest.mark.parametrize("kind", [ClaimOperationKey, ResolveOperationKey])
 def test_a_key_is_run_and_resolved_once_though_its_daemon_stood_still(monkeypatch, kind, stop_ms, act_first):
     story = Story()
     story.stop_between(monkeypatch, operation_client, "submit", story.hands_in(kind), stop_ms, act_first)
@@ -155,7 +155,7 @@
 
 @EACH_STOP
 @EACH_ORDER
-@pytest.mark.parametrize("kind", [Begin, End])
+@pytest.mark.parametrize("kind", [BeginAttempt, EndAttempt])
 def test_a_turn_is_begun_and_ended_by_its_own_attempt_only(monkeypatch, kind, stop_ms, act_first):
     story = Story()
     done = []
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -17,7 +17,7 @@
 from frostpost.cluster import agent as assembly
 from frostpost.cluster import operation_client, replica_daemon, status
 from frostpost.command import main
-from frostpost.program_ledger.words import End
+from frostpost.program_ledger.words import EndAttempt
 from frostpost.virtual_synchrony.agent_messages import (
     DirectoryReply,
     DirectoryRequest,
@@ -58,7 +58,7 @@
     status.begin_status(agent)
     clock.advance(2)
     assembly.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
-    operation_client.submit_until_decided(agent, End("a", 3))
+    operation_client.submit_until_decided(agent, EndAttempt("a", 3))
     agent.runners = {"r": SimpleNamespace(draining=True)}
     agent.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
     assembly.on_frame(agent, ASK)
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -6,7 +6,7 @@
 import pytest
 from msgspec import Struct
 
-from frostpost.daemon.core import Decided
+from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.operations import SetConfig
 from frostpost.ledger.results import ConfigSet, StaleConfig
 from frostpost.simulator import world as worlds
@@ -36,7 +36,7 @@
     stale: list = []
 
     def heard(self, world, node, answer):
-        if not isinstance(answer, Decided) or (node.endpoint.member, answer.number) != self.waiting:
+        if not isinstance(answer, OperationDecided) or (node.endpoint.member, answer.number) != self.waiting:
             return
         self.waiting = None
         if isinstance(answer.result, ConfigSet):
--- a/tests/test_judgement.py
+++ b/tests/test_judgement.py
@@ -1,4 +1,4 @@
-from frostpost.ledger.records import Runner
+from frostpost.ledger.entities import Runner
 from frostpost.placement.judge import Question, RunnerHealth, Weights, rank
 
 RUNNERS = [Runner(n, "i", "127.0.0.1", 1, "pool", "a", 4) for n in ("r1", "r2")]
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,9 +1,9 @@
 from msgspec import Struct, msgpack
 
 from frostpost.ledger.apply import apply, decode_state, encode
+from frostpost.ledger.entities import Duty, Runner
 from frostpost.ledger.operations import Reserve, Rules, Settle, Tick
 from frostpost.ledger.programs import line
-from frostpost.ledger.records import Duty, Runner
 from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -33,7 +33,7 @@
     "cluster.settings": {"proxy"},
     "cluster.status": {"turn_store"},
     "turn_store.client": {"cluster", "proxy"},
-    "write_ahead_log.disk": {"daemon"},
+    "write_ahead_log.log": {"daemon"},
 }
 LEVEL = {package: level for level, packages in enumerate(LAYERS) for package in packages}
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -4,9 +4,9 @@
 
 from frostpost.ledger.apply import apply, decode_state
 from frostpost.ledger.apply import encode as encode_state
+from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Ballot, ClaimKey, Drain, Finish, Reserve, SetConfig, Settle, Tick
 from frostpost.ledger.programs import line
-from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,8 +8,8 @@
 from zope.interface import directlyProvides, providedBy
 
 from frostpost.cluster.settings import DaemonSettings
-from frostpost.daemon.context import Hooks
-from frostpost.daemon.links import Links
+from frostpost.daemon.context import TestHooks
+from frostpost.daemon.frames import Links
 from frostpost.virtual_synchrony.agent_messages import DirectoryRequest
 from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
@@ -26,7 +26,7 @@
     reactor = MemoryReactorClock()
     settings = DaemonSettings("s1", "storage", "z", "10.0.0.1", 7380, detect_ms=500)
     endpoint = Endpoint(Member("s1", 1), "storage", "z", "10.0.0.1", 7380, 0)
-    return Links(SimpleNamespace(reactor=reactor, settings=settings, endpoint=endpoint, counts={}, hooks=Hooks()))
+    return Links(SimpleNamespace(reactor=reactor, settings=settings, endpoint=endpoint, counts={}, hooks=TestHooks()))
 
 
 def dials(links):
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -10,10 +10,10 @@
 from frostpost.cluster.agent_context import AgentContext
 from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
-from frostpost.program_ledger import taken_changes
+from frostpost.program_ledger import accepted_changes
 from frostpost.program_ledger.apply import act
 from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import LookRouting, RoutingForgotten, RoutingMoved, RoutingSet, SetRouting
+from frostpost.program_ledger.words import ReadRouting, RoutingConflict, RoutingForgotten, RoutingSet, SetRouting
 from frostpost.proxy.failures import Unavailable
 
 SERVICES = [{"name": "s1", "max-connections": 9}]
@@ -23,7 +23,7 @@
 class Ring:
     """Stands in for the product's operations on a real ledger; `race` is ordered just before the next change."""
 
-    RoutingMoved, RoutingForgotten = RoutingMoved, RoutingForgotten
+    RoutingConflict, RoutingForgotten = RoutingConflict, RoutingForgotten
 
     def __init__(self):
         self.ledger, self.down, self.race, self.states, self.waited, self.calls = (
@@ -41,7 +41,7 @@
 
     def read_routing(self, agent, wait_ms, version=0, digest=b""):
         self.calls.append(wait_ms)
-        look = LookRouting(version, digest)
+        look = ReadRouting(version, digest)
         return succeed(Error(Unavailable(250)) if self.down else Ok(act(self.ledger, 0, (), (), look)))
 
     def set_routing(self, agent, base, version, body, digest, wait_ms):
@@ -178,7 +178,7 @@
 
 
 def test_a_change_of_a_forgotten_number_is_left_unclear(ring, monkeypatch):
-    monkeypatch.setattr(taken_changes, "MOST_REMEMBERED", 3)
+    monkeypatch.setattr(accepted_changes, "MOST_REMEMBERED", 3)
     for issue in range(7, 12):
         assert replace(whole(issue), issue - 1 if issue > 7 else 0) == 200
     assert [replace(whole(issue), issue - 1 if issue > 7 else 0) for issue in range(7, 12)] == [503, 503, 200, 200, 200]
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -8,7 +8,7 @@
 
 from frostpost.platform import front
 from frostpost.platform.wire import wire
-from frostpost.program_ledger.words import Claim, KeyAnswered, Resolve
+from frostpost.program_ledger.words import ClaimOperationKey, KeyAnswered, ResolveOperationKey
 from frostpost.proxy import serve
 
 SEAL = b"X-Server-Seal: 3e1b.07\r\n"
@@ -149,8 +149,8 @@
     path = Path(monkeypatch, kind="idempotent")
     path.ask(more=b"X-Operation-Key: k\r\n").dataReceived(answer(b"201 Made"))
     first = path.said()
-    (resolved,) = [operation for operation in path.stage.asked if isinstance(operation, Resolve)]
-    path.stage.verdicts[Claim] = KeyAnswered(resolved.answer)
+    (resolved,) = [operation for operation in path.stage.asked if isinstance(operation, ResolveOperationKey)]
+    path.stage.verdicts[ClaimOperationKey] = KeyAnswered(resolved.answer)
     path.client()
     path.ask(b"a2", more=b"X-Operation-Key: k\r\n")
     repeat = path.said()
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -10,7 +10,7 @@
 
 from frostpost.cluster import attempt_tracing, operation_client
 from frostpost.platform import main, settings
-from frostpost.program_ledger.words import End, Ended, LookRouting
+from frostpost.program_ledger.words import AttemptEnded, EndAttempt, ReadRouting
 from frostpost.virtual_synchrony.agent_messages import OperationReply
 
 
@@ -18,7 +18,7 @@
 def lines(monkeypatch):
     out = []
     monkeypatch.setattr(
-        attempt_tracing, "say", lambda kind, **facts: out.append((kind, facts["attempt"], facts["at"], facts))
+        attempt_tracing, "log_event", lambda kind, **facts: out.append((kind, facts["attempt"], facts["at"], facts))
     )
     return out
 
@@ -27,14 +27,14 @@
 def test_operations_are_followed_only_where_the_settings_say_so(lines, trace):
     agent, verdicts = new_agent(Clock()), []
     agent.settings = structs.replace(agent.settings, trace=trace)
-    operation_client.call_replicas_unleased(agent, LookRouting(), 100)
-    operation_client.submit_until_decided(agent, End("a", 3)).addCallback(verdicts.append)
+    operation_client.call_replicas_unleased(agent, ReadRouting(), 100)
+    operation_client.submit_until_decided(agent, EndAttempt("a", 3)).addCallback(verdicts.append)
     operation_client.on_operation_reply(
-        agent, OperationReply(agent.endpoint.member.incarnation, 2, msgpack.encode(Ended()))
+        agent, OperationReply(agent.endpoint.member.incarnation, 2, msgpack.encode(AttemptEnded()))
     )
-    assert verdicts[0].ok == Ended()
+    assert verdicts[0].ok == AttemptEnded()
     assert [line[:3] for line in lines] == [("trace", "a", "handed in"), ("trace", "a", "decided")][: 2 * trace]
-    assert not trace or (lines[1][3]["operation"], lines[1][3]["verdict"]) == ("End", "Ended")
+    assert not trace or (lines[1][3]["operation"], lines[1][3]["verdict"]) == ("EndAttempt", "AttemptEnded")
 
 
 @pytest.mark.parametrize("trace", [False, True])
--- a/tests/test_program_ledger_model.py
+++ b/tests/test_program_ledger_model.py
@@ -9,22 +9,22 @@
 from frostpost.program_ledger import apply as program_ledgers
 from frostpost.program_ledger.turns import CHAIN_SLACK_MS
 from frostpost.program_ledger.words import (
-    Abort,
-    Begin,
-    Begun,
+    AbortAttempt,
+    AttemptBegun,
+    AttemptEnded,
+    BeginAttempt,
     Candidate,
-    Claim,
-    Claimed,
-    Disclaim,
-    End,
-    Ended,
+    ClaimOperationKey,
+    EndAttempt,
     KeyAnswered,
-    KeyAtWork,
-    Move,
+    KeyClaimed,
+    KeyInProgress,
     NoAttempt,
-    NoPlace,
+    NoCapacity,
     NoTurn,
-    Resolve,
+    ReassignAttempt,
+    ReleaseOperationKey,
+    ResolveOperationKey,
     TokensSpent,
 )
 
@@ -65,7 +65,7 @@
         return any(self.active(c.runner) - (c.runner == but) < c.slots for c in op.candidates)
 
     def placed(self, op, verdict, chain):
-        assert isinstance(verdict, Begun) and verdict.chain == chain
+        assert isinstance(verdict, AttemptBegun) and verdict.chain == chain
         assert self.active(verdict.runner) < SLOTS[verdict.runner]
         assert verdict.runner in [c.runner for c in op.candidates]
 
@@ -75,7 +75,7 @@
         if op.attempt in self.refused:
             return verdict == self.refused[op.attempt]
         if op.attempt in self.attempts:
-            return isinstance(verdict, Begun) and verdict.chain == self.chain(op.previous)
+            return isinstance(verdict, AttemptBegun) and verdict.chain == self.chain(op.previous)
         if op.previous and not self.found(op.previous):
             self.refused[op.attempt] = verdict
             return verdict == NoTurn(op.previous)
@@ -83,7 +83,7 @@
             self.refused[op.attempt] = verdict
             return isinstance(verdict, TokensSpent)
         if not self.room(op):
-            return isinstance(verdict, NoPlace)
+            return isinstance(verdict, NoCapacity)
         self.placed(op, verdict, self.chain(op.previous))
         until_ms = self.clock + op.left_ms + 1000
         self.attempts[op.attempt] = (op, verdict.runner, until_ms)
@@ -96,10 +96,10 @@
             return isinstance(verdict, NoAttempt)
         begun, runner, until_ms = self.attempts[op.attempt]
         if op.attempt in self.moved:
-            return verdict == Begun(runner, self.chain(begun.previous))
+            return verdict == AttemptBegun(runner, self.chain(begun.previous))
         self.attempts[op.attempt] = (begun, "", until_ms)
         if not self.room(op):
-            return isinstance(verdict, NoPlace)
+            return isinstance(verdict, NoCapacity)
         self.placed(op, verdict, self.chain(begun.previous))
         until_ms = until_ms if until_ms > self.clock else self.clock + CHAIN_SLACK_MS
         self.attempts[op.attempt] = (begun, verdict.runner, until_ms)
@@ -109,24 +109,24 @@
     def end(self, op, verdict):
         if op.attempt not in self.attempts:
             return (
-                verdict in (Ended(), NoAttempt(op.attempt))
+                verdict in (AttemptEnded(), NoAttempt(op.attempt))
                 if op.keep_ms or op.attempt not in self.closed
-                else verdict == Ended()
+                else verdict == AttemptEnded()
             )
         begun, _, _ = self.attempts.pop(op.attempt)
         self.closed[op.attempt] = (begun, op.tokens)
         if not op.keep_ms:
-            return verdict == Ended()
+            return verdict == AttemptEnded()
         if begun.previous and not self.found(begun.previous):
             return isinstance(verdict, NoAttempt)
         self.ends[op.attempt] = (op, self.clock, begun.previous)
-        return verdict == Ended()
+        return verdict == AttemptEnded()
 
     def abort(self, op, verdict):
         if op.attempt in self.attempts or op.attempt not in self.closed:
             self.attempts.pop(op.attempt, None)
             self.closed[op.attempt] = (None, 0)
-        return verdict == Ended()
+        return verdict == AttemptEnded()
 
     def holder(self, key):
         held = self.keys.get(key)
@@ -138,17 +138,17 @@
         held = self.holder(op.key)
         if held is None:
             self.keys[op.key] = [op.attempt, self.clock + op.window_ms, None]
-            return verdict == Claimed()
+            return verdict == KeyClaimed()
         if held[2] is not None:
             return verdict == KeyAnswered(held[2])
-        return verdict == (Claimed() if held[0] == op.attempt else KeyAtWork())
+        return verdict == (KeyClaimed() if held[0] == op.attempt else KeyInProgress())
 
     def resolve(self, op, verdict):
         held = self.holder(op.key)
         if held is None or held[0] != op.attempt:
             return isinstance(verdict, NoAttempt)
         held[2] = op.answer if held[2] is None else held[2]
-        return verdict == Ended()
+        return verdict == AttemptEnded()
 
     def disclaim(self, op, verdict):
         held = self.holder(op.key)
@@ -157,17 +157,17 @@
                 return isinstance(verdict, NoAttempt)
             del self.keys[op.key]
         self.disclaimed[op.attempt, op.key] = self.clock
-        return verdict == Ended()
+        return verdict == AttemptEnded()
 
 
 CHECKS = {
-    Begin: Model.begin,
-    Move: Model.move,
-    End: Model.end,
-    Abort: Model.abort,
-    Claim: Model.claim,
-    Resolve: Model.resolve,
-    Disclaim: Model.disclaim,
+    BeginAttempt: Model.begin,
+    ReassignAttempt: Model.move,
+    EndAttempt: Model.end,
+    AbortAttempt: Model.abort,
+    ClaimOperationKey: Model.claim,
+    ResolveOperationKey: Model.resolve,
+    ReleaseOperationKey: Model.disclaim,
 }
 
 
@@ -180,12 +180,12 @@
     """The operations of one attempt, mostly in their order."""
     if random.random() < 0.3:
         key = f"k{random.randint(0, 4)}"
-        rest = [[Resolve(key, name, name.encode())], [Disclaim(key, name)], []]
-        return [Claim(key, name, random.randint(5000, 40000)), *random.choice(rest)]
+        rest = [[ResolveOperationKey(key, name, name.encode())], [ReleaseOperationKey(key, name)], []]
+        return [ClaimOperationKey(key, name, random.randint(5000, 40000)), *random.choice(rest)]
     program = random.choice(sorted(BUDGETS))
     turns = [t for t in model.ends if model.attempts.get(t) is None]
     previous = random.choice([*turns[-8:], "", "never"]) if random.random() < 0.6 else ""
-    begin = Begin(
+    begin = BeginAttempt(
         name,
         program,
         BUDGETS[program],
@@ -195,9 +195,14 @@
         candidates(random),
         prompt_tokens=9,
     )
-    move = [Move(name, candidates(random))] * (random.random() < 0.3)
+    move = [ReassignAttempt(name, candidates(random))] * (random.random() < 0.3)
     tokens = random.randint(0, begin.amount)
-    last = [[End(name, tokens, random.randint(60000, 150000))], [End(name, tokens)], [Abort(name)], []]
+    last = [
+        [EndAttempt(name, tokens, random.randint(60000, 150000))],
+        [EndAttempt(name, tokens)],
+        [AbortAttempt(name)],
+        [],
+    ]
     return [begin, *move, *random.choices(last, [6, 2, 2, 1])[0]]
 
 
@@ -227,7 +232,7 @@
             recent = [o for o, at_ms in said if model.clock - at_ms < REPEAT_MS]
             if op is None or recent and random.random() < 0.25:
                 pending += [op] if op else []
-                op = random.choice(recent[-30:] or [Abort(f"x{step}")])
+                op = random.choice(recent[-30:] or [AbortAttempt(f"x{step}")])
             said.append((op, next((t for o, t in said if o == op), model.clock)))
             verdict = program_ledgers.act(ledger.program_ledger, model.clock, (), (), op)
             kinds.add(type(verdict))
@@ -236,7 +241,17 @@
         check_whole(ledger.program_ledger, model)
         twin = decode_state(encode(twin))
         assert twin == ledger and encode(twin) == encode(ledger)
-    assert kinds == {Begun, Ended, NoAttempt, NoPlace, NoTurn, TokensSpent, Claimed, KeyAtWork, KeyAnswered}
+    assert kinds == {
+        AttemptBegun,
+        AttemptEnded,
+        NoAttempt,
+        NoCapacity,
+        NoTurn,
+        TokensSpent,
+        KeyClaimed,
+        KeyInProgress,
+        KeyAnswered,
+    }
     for name in list(model.attempts):
-        assert program_ledgers.act(ledger.program_ledger, model.clock, (), (), Abort(name)) == Ended()
+        assert program_ledgers.act(ledger.program_ledger, model.clock, (), (), AbortAttempt(name)) == AttemptEnded()
     assert not any(u.active for u in ledger.program_ledger.runners.values()) and not ledger.program_ledger.attempts
--- a/tests/test_program_ledger_placement.py
+++ b/tests/test_program_ledger_placement.py
@@ -2,18 +2,26 @@
 
 from frostpost.program_ledger import apply as program_ledgers
 from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import Abort, Begin, Begun, Candidate, End, Move, NoPlace
+from frostpost.program_ledger.words import (
+    AbortAttempt,
+    AttemptBegun,
+    BeginAttempt,
+    Candidate,
+    EndAttempt,
+    NoCapacity,
+    ReassignAttempt,
+)
 
 TWO = (Candidate("r0", 4), Candidate("r1", 4))
 PARTS = (("system", 5000), ("tools", 4000), ("first", 3000))
 
 
 def begin(program_ledger, name, candidates=TWO, parts=(), previous="", now_ms=0, cache=0, prompt_tokens=0):
-    op = Begin(
+    op = BeginAttempt(
         name, name, 0, 1, previous, 5000, candidates, tuple(parts), prompt_tokens=prompt_tokens, cache_tokens=cache
     )
     verdict = program_ledgers.act(program_ledger, now_ms, (), (), op)
-    return verdict.runner if isinstance(verdict, Begun) else verdict
+    return verdict.runner if isinstance(verdict, AttemptBegun) else verdict
 
 
 def test_attempts_with_nothing_read_spread_by_what_is_under_way():
@@ -31,21 +39,21 @@
     assert begin(program_ledger, "x", TWO[1:], PARTS[:1]) == "r1"
     assert begin(program_ledger, "y", TWO[:1], PARTS) == "r0"
     for name in "xy":
-        program_ledgers.act(program_ledger, 0, (), (), Abort(name))
+        program_ledgers.act(program_ledger, 0, (), (), AbortAttempt(name))
     assert begin(program_ledger, "z", TWO[::-1], PARTS) == "r0"
 
 
 def test_parts_after_one_that_the_runner_lacks_do_not_count():
     program_ledger = ProgramLedger()
     begin(program_ledger, "x", TWO[1:], PARTS)
-    program_ledgers.act(program_ledger, 0, (), (), Abort("x"))
+    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("x"))
     assert begin(program_ledger, "y", TWO, (("other", 1), *PARTS)) == "r0"
 
 
 def test_runner_of_the_turn_before_is_preferred_until_it_costs_more():
     program_ledger = ProgramLedger()
     assert begin(program_ledger, "a", TWO[1:], prompt_tokens=7000) == "r1"
-    program_ledgers.act(program_ledger, 0, (), (), End("a", 500, 60000))
+    program_ledgers.act(program_ledger, 0, (), (), EndAttempt("a", 500, 60000))
     assert [begin(program_ledger, f"b{n}", previous="a") for n in range(3)] == ["r1", "r1", "r0"]
 
 
@@ -53,9 +61,9 @@
 def test_never_more_under_way_than_slots_though_the_prefix_is_there(slots):
     program_ledger, one = ProgramLedger(), (Candidate("r0", slots),)
     assert [begin(program_ledger, f"a{n}", one, PARTS) for n in range(slots)] == ["r0"] * slots
-    assert begin(program_ledger, "more", one, PARTS) == NoPlace(20)
+    assert begin(program_ledger, "more", one, PARTS) == NoCapacity(20)
     assert "more" not in program_ledger.attempts and "more" not in program_ledger.accounts
-    program_ledgers.act(program_ledger, 0, (), (), Abort("a0"))
+    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("a0"))
     assert begin(program_ledger, "more", one, PARTS) == "r0"
 
 
@@ -85,7 +93,7 @@
 def test_move_frees_the_old_runner_and_names_the_new_one():
     program_ledger = ProgramLedger()
     assert begin(program_ledger, "a") == "r0"
-    assert program_ledgers.act(program_ledger, 0, (), (), Move("a", TWO[1:])) == Begun("r1", ())
+    assert program_ledgers.act(program_ledger, 0, (), (), ReassignAttempt("a", TWO[1:])) == AttemptBegun("r1", ())
     assert {n: u.active for n, u in program_ledger.runners.items()} == {"r0": 0, "r1": 1}
 
 
@@ -93,17 +101,17 @@
     program_ledger, one = ProgramLedger(), (Candidate("r1", 1),)
     begin(program_ledger, "full", one)
     begin(program_ledger, "a", TWO[:1])
-    assert program_ledgers.act(program_ledger, 0, (), (), Move("a", one)) == NoPlace(20)
+    assert program_ledgers.act(program_ledger, 0, (), (), ReassignAttempt("a", one)) == NoCapacity(20)
     assert program_ledger.runners["r0"].active == 0 and "a" in program_ledger.attempts
-    program_ledgers.act(program_ledger, 0, (), (), Abort("a"))
+    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("a"))
     assert {n: u.active for n, u in program_ledger.runners.items()} == {"r0": 0, "r1": 1}
 
 
 def test_idle_runner_is_forgotten_and_a_busy_one_is_not():
     program_ledger = ProgramLedger()
     begin(program_ledger, "a", (Candidate("idle", 1),), PARTS)
-    program_ledgers.act(program_ledger, 0, (), (), Abort("a"))
-    op = Begin("b", "b", 0, 1, "", 900000, (Candidate("busy", 1),))
+    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("a"))
+    op = BeginAttempt("b", "b", 0, 1, "", 900000, (Candidate("busy", 1),))
     program_ledgers.act(program_ledger, 0, (), (), op)
     program_ledgers.expire(program_ledger, 60000)
     assert set(program_ledger.runners) == {"idle", "busy"}
--- a/tests/test_program_ledger_taken_changes.py
+++ b/tests/test_program_ledger_taken_changes.py
@@ -2,20 +2,20 @@
 
 from frostpost.ledger.apply import decode_state, encode
 from frostpost.ledger.state import Ledger
-from frostpost.program_ledger import taken_changes
+from frostpost.program_ledger import accepted_changes
 from frostpost.program_ledger.apply import act
 from frostpost.program_ledger.state import ProgramLedger
 from frostpost.program_ledger.words import (
-    LookRouting,
+    ReadRouting,
+    RoutingConflict,
     RoutingForgotten,
-    RoutingHeld,
-    RoutingMoved,
     RoutingSet,
+    RoutingState,
     SetRouting,
 )
 
 KEEP_MS = 600_000
-LEAST, MOST = taken_changes.LEAST_REMEMBERED, taken_changes.MOST_REMEMBERED
+LEAST, MOST = accepted_changes.LEAST_REMEMBERED, accepted_changes.MOST_REMEMBERED
 
 
 def digest(number):
@@ -43,16 +43,16 @@
     ledger = taken_up_to(LEAST)
     for number in range(1, LEAST + 1):
         assert order(ledger, change(number)) == RoutingSet(number)
-        assert order(ledger, LookRouting(number, digest(number))) == RoutingHeld(LEAST, b"body", True)
-        assert order(ledger, change(number, said=b"other")) == RoutingMoved(LEAST)
+        assert order(ledger, ReadRouting(number, digest(number))) == RoutingState(LEAST, b"body", True)
+        assert order(ledger, change(number, said=b"other")) == RoutingConflict(LEAST)
     assert ledger.routing_version == LEAST and len(ledger.taken) == LEAST
 
 
 def test_of_changes_on_one_base_one_is_taken():
     ledger = taken_up_to(3)
     assert order(ledger, change(7, 3)) == RoutingSet(7)
-    assert order(ledger, change(9, 3)) == order(ledger, change(7, 3, b"other")) == RoutingMoved(7)
-    assert order(ledger, change(5, 7)) == RoutingMoved(7)
+    assert order(ledger, change(9, 3)) == order(ledger, change(7, 3, b"other")) == RoutingConflict(7)
+    assert order(ledger, change(5, 7)) == RoutingConflict(7)
 
 
 def test_within_its_time_a_change_is_known_however_many_came_after():
@@ -73,10 +73,10 @@
     assert len(ledger.taken) == MOST and ledger.forgotten_version == 5
     for said in (None, b"other"):
         assert order(ledger, change(5, said=said)) == RoutingForgotten(5)
-        held = order(ledger, LookRouting(5, said or digest(5)))
+        held = order(ledger, ReadRouting(5, said or digest(5)))
         assert (held.taken, held.uncertain) == (False, True)
     assert order(ledger, change(6)) == RoutingSet(6)
-    assert order(ledger, change(6, said=b"other")) == RoutingMoved(MOST + 5)
+    assert order(ledger, change(6, said=b"other")) == RoutingConflict(MOST + 5)
 
 
 def test_memory_of_changes_outlasts_a_snapshot_and_stays_small():
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -5,7 +5,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from frostpost.program_ledger.words import Begun, Move
+from frostpost.program_ledger.words import AttemptBegun, ReassignAttempt
 from frostpost.proxy import failures
 from frostpost.proxy.attempts import attempts_for, may_offer, record
 from frostpost.proxy.outcomes import Broken, ClientLeft, Late, NotRun, NotSent
@@ -65,7 +65,7 @@
     monkeypatch, kind, more, attempts
 ):
     stage = Stage([a_route(kind=kind, attempts=attempts, **more)], RUNNERS, monkeypatch)
-    stage.verdicts[Move] = Begun("r2", ())
+    stage.verdicts[ReassignAttempt] = AttemptBegun("r2", ())
     stage.serve()
     stage.connect().dataReceived(REFUSED)
     assert stage.seen == [] and opened(stage) == 2
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("kind, more", [("unsafe", {}), ("idempotent", {}), ("streaming", {"retained": True})])
 def test_other_tries_are_offered_to_as_many_runners_as_their_route_allows(monkeypatch, kind, more):
     stage = Stage([a_route(kind=kind, attempts=2, **more)], RUNNERS, monkeypatch)
-    stage.verdicts[Move] = Begun("r2", ())
+    stage.verdicts[ReassignAttempt] = AttemptBegun("r2", ())
     stage.serve(key="k")
     stage.connect().dataReceived(REFUSED)
     assert stage.seen == [] and opened(stage) == 2
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -5,7 +5,17 @@
 from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred
 
-from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, Disclaim, End, Ended, NoAttempt, Resolve
+from frostpost.program_ledger.words import (
+    AttemptBegun,
+    AttemptEnded,
+    BeginAttempt,
+    ClaimOperationKey,
+    EndAttempt,
+    KeyClaimed,
+    NoAttempt,
+    ReleaseOperationKey,
+    ResolveOperationKey,
+)
 from frostpost.proxy import failures
 
 REFUSED = answer_bytes(b"", status=b"503 Full", more=b"Not-Run: 1\r\n")
@@ -22,7 +32,7 @@
 
 def test_an_answer_under_a_key_that_is_another_attempts_is_not_handed_over(monkeypatch):
     s = stage(monkeypatch, "idempotent")
-    s.verdicts[Resolve] = NoAttempt("a1")
+    s.verdicts[ResolveOperationKey] = NoAttempt("a1")
     s.serve(key="k")
     s.connect().dataReceived(answer_bytes())
     assert kinds(s.seen) == [failures.Unknown]
@@ -30,7 +40,7 @@
 
 def test_a_turn_that_the_ledger_does_not_know_any_more_is_not_ended_whole(monkeypatch):
     s = stage(monkeypatch, "streaming", retained=True, keep_ms=9000)
-    s.verdicts[End] = NoAttempt("a1")
+    s.verdicts[EndAttempt] = NoAttempt("a1")
     s.serve()
     s.connect().dataReceived(HEAD + chunk(ONE) + b"0\r\n\r\n")
     assert s.seen == [("head", 200), ("data", ONE), "cut"]
@@ -38,15 +48,19 @@
 
 def test_a_refused_key_is_answered_before_its_claim_is_withdrawn(monkeypatch):
     s = stage(monkeypatch, "idempotent", attempts=1)
-    s.verdicts[Disclaim] = Deferred()
+    s.verdicts[ReleaseOperationKey] = Deferred()
     s.serve(key="k")
     s.connect().dataReceived(REFUSED)
-    assert kinds(s.seen) == [failures.Overloaded] and s.asked[-1] == Disclaim("h|k", "a1") and s.agent.flights == 1
-    s.verdicts[Disclaim].callback(Ok(Ended()))
+    assert (
+        kinds(s.seen) == [failures.Overloaded]
+        and s.asked[-1] == ReleaseOperationKey("h|k", "a1")
+        and s.agent.flights == 1
+    )
+    s.verdicts[ReleaseOperationKey].callback(Ok(AttemptEnded()))
     assert s.agent.flights == 0 and len(s.seen) == 1
 
 
-@pytest.mark.parametrize("kind, operation", [("idempotent", Resolve), ("streaming", End)])
+@pytest.mark.parametrize("kind, operation", [("idempotent", ResolveOperationKey), ("streaming", EndAttempt)])
 def test_an_answer_that_is_not_made_to_last_is_given_up_soon_after_its_time(monkeypatch, kind, operation):
     s = stage(monkeypatch, kind, retained=kind == "streaming", keep_ms=9000)
     s.waits = {}
@@ -70,8 +84,8 @@
 @pytest.mark.parametrize(
     "kind, operation, verdict",
     [
-        ("idempotent", Claim, Claimed()),
-        ("streaming", Begin, Begun("r1", ())),
+        ("idempotent", ClaimOperationKey, KeyClaimed()),
+        ("streaming", BeginAttempt, AttemptBegun("r1", ())),
     ],
 )
 @pytest.mark.parametrize("change", ["lease", "time", "runner"])
@@ -107,9 +121,9 @@
 
 def test_a_key_whose_answer_comes_after_the_lease_gets_no_success(monkeypatch):
     s = stage(monkeypatch, "idempotent")
-    s.verdicts[Resolve] = failures.Unavailable(9)
+    s.verdicts[ResolveOperationKey] = failures.Unavailable(9)
     s.serve(key="k")
     wire = s.connect()
     s.lease = False
     wire.dataReceived(answer_bytes())
-    assert kinds(s.seen) == [failures.Unknown] and kinds(s.told) == [Resolve]
+    assert kinds(s.seen) == [failures.Unknown] and kinds(s.told) == [ResolveOperationKey]
--- a/tests/test_proxy_lookup.py
+++ b/tests/test_proxy_lookup.py
@@ -5,7 +5,14 @@
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from frostpost.program_ledger.words import Claim, Disclaim, Ended, KeyAnswered, KeyAtWork, Resolve
+from frostpost.program_ledger.words import (
+    AttemptEnded,
+    ClaimOperationKey,
+    KeyAnswered,
+    KeyInProgress,
+    ReleaseOperationKey,
+    ResolveOperationKey,
+)
 from frostpost.proxy import failures, roster
 from frostpost.proxy.keyed import pack, unpack
 from frostpost.proxy.outcomes import Answer
@@ -162,45 +169,49 @@
 
 def test_a_keyed_answer_is_resolved_before_the_client_gets_it(monkeypatch):
     s = stage(monkeypatch, kind="idempotent")
-    s.verdicts[Resolve] = Deferred()
+    s.verdicts[ResolveOperationKey] = Deferred()
     s.serve(key="k")
     s.connect().dataReceived(answer_bytes())
-    assert s.asked[0] == Claim("h|k", "a1", 1000 + 6 * 500) and isinstance(s.asked[1], Resolve) and s.seen == []
-    s.verdicts[Resolve].callback(Ok(Ended()))
+    assert (
+        s.asked[0] == ClaimOperationKey("h|k", "a1", 1000 + 6 * 500)
+        and isinstance(s.asked[1], ResolveOperationKey)
+        and s.seen == []
+    )
+    s.verdicts[ResolveOperationKey].callback(Ok(AttemptEnded()))
     assert s.seen == OK
-    s.verdicts[Claim] = KeyAnswered(s.asked[1].answer)
+    s.verdicts[ClaimOperationKey] = KeyAnswered(s.asked[1].answer)
     s.serve(key="k", attempt="a2")
     assert s.seen == OK + OK and len(s.reactor.tcpClients) == 1
 
 
 def test_a_keyed_answer_that_is_not_resolved_is_not_handed_over(monkeypatch):
     s = stage(monkeypatch, kind="idempotent")
-    s.verdicts[Resolve] = failures.Unavailable(100)
+    s.verdicts[ResolveOperationKey] = failures.Unavailable(100)
     s.serve(key="k")
     s.connect().dataReceived(answer_bytes())
     assert [type(x) for x in s.seen] == [failures.Unknown]
-    assert [type(op) for op in s.told] == [Resolve]
+    assert [type(op) for op in s.told] == [ResolveOperationKey]
 
 
 def test_keys_at_work_without_order_or_missing(monkeypatch):
     s = stage(monkeypatch, kind="idempotent")
     s.serve()
-    s.verdicts[Claim] = KeyAtWork()
+    s.verdicts[ClaimOperationKey] = KeyInProgress()
     s.serve(key="k")
-    s.verdicts[Claim] = failures.Unavailable(100)
+    s.verdicts[ClaimOperationKey] = failures.Unavailable(100)
     s.serve(key="k")
     assert [type(x) for x in s.seen] == [failures.BadRequest, failures.AtWork, failures.Unavailable]
-    assert s.told == [Disclaim("h|k", "a1")] and s.reactor.tcpClients == []
+    assert s.told == [ReleaseOperationKey("h|k", "a1")] and s.reactor.tcpClients == []
 
 
 def test_a_key_is_disclaimed_only_when_nothing_ran(monkeypatch):
     s = stage(monkeypatch, kind="idempotent", attempts=1)
     s.serve(key="k")
     lose(s.connect())
-    assert [type(op) for op in s.asked + s.told] == [Claim]
+    assert [type(op) for op in s.asked + s.told] == [ClaimOperationKey]
     s.serve(key="k", attempt="a2")
     s.connect().dataReceived(REFUSED.replace(b"a1", b"a2"))
-    assert s.asked[-1] == Disclaim("h|k", "a2")
+    assert s.asked[-1] == ReleaseOperationKey("h|k", "a2")
     assert [type(x) for x in s.seen] == [failures.Unknown, failures.Overloaded]
 
 
--- a/tests/test_proxy_stage.py
+++ b/tests/test_proxy_stage.py
@@ -8,7 +8,14 @@
 
 from frostpost.cluster.agent_context import AgentContext
 from frostpost.daemon.machine import Machine
-from frostpost.program_ledger.words import Begin, Begun, Claim, Claimed, End, Ended
+from frostpost.program_ledger.words import (
+    AttemptBegun,
+    AttemptEnded,
+    BeginAttempt,
+    ClaimOperationKey,
+    EndAttempt,
+    KeyClaimed,
+)
 from frostpost.proxy import keyed, pool, serve, turn
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
@@ -103,7 +110,11 @@
         self.asked.append(op)
         verdict = self.verdicts.get(type(op))
         if verdict is None:
-            verdict = {Begin: Begun("r1", ()), Claim: Claimed(), End: Ended()}.get(type(op), Ended())
+            verdict = {
+                BeginAttempt: AttemptBegun("r1", ()),
+                ClaimOperationKey: KeyClaimed(),
+                EndAttempt: AttemptEnded(),
+            }.get(type(op), AttemptEnded())
         if isinstance(verdict, (Deferred, list)):
             verdict = verdict.pop(0) if isinstance(verdict, list) else verdict
         if isinstance(verdict, Deferred):
