--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -6,15 +6,15 @@
 from twisted.python.failure import Failure
 
 from frostpost.program_ledger.words import (
-    Abort,
-    Begin,
-    Begun,
+    AbortAttempt,
+    AttemptBegun,
+    AttemptEnded,
+    BeginAttempt,
     Candidate,
-    End,
-    Ended,
-    Move,
-    NoPlace,
+    EndAttempt,
+    NoCapacity,
     NoTurn,
+    ReassignAttempt,
     TokensSpent,
 )
 from frostpost.proxy import failures
@@ -40,7 +40,7 @@
 def test_a_turn_ends_for_the_client_only_when_it_lasts(monkeypatch):
     s = stage(monkeypatch)
     s.chain = {"p": b"old"}
-    s.verdicts.update({Begin: Begun("r1", ("p",)), End: Deferred(), "put": Deferred()})
+    s.verdicts.update({BeginAttempt: AttemptBegun("r1", ("p",)), EndAttempt: Deferred(), "put": Deferred()})
     s.serve(program="g", budget=9, previous="p", most_tokens=5)
     assert s.asked[0].candidates == (Candidate("r1", 4), Candidate("r2", 4))
     wire = s.connect()
@@ -49,8 +49,8 @@
     assert s.seen == [("head", 200), ("data", ONE)]
     wire.dataReceived(chunk(TWO[4:]) + b"0\r\n\r\n")
     assert s.seen == [("head", 200), ("data", ONE), ("data", TWO)]
-    assert s.asked[1] == End("a1", 4, 9000 + 10 * 500, 6) and s.puts == [("a1", b"ina\nb\n")]
-    s.verdicts[End].callback(Ok(Ended()))
+    assert s.asked[1] == EndAttempt("a1", 4, 9000 + 10 * 500, 6) and s.puts == [("a1", b"ina\nb\n")]
+    s.verdicts[EndAttempt].callback(Ok(AttemptEnded()))
     assert s.seen[-1] == ("data", TWO)
     s.verdicts["put"].callback(Ok(Synced(HOLDERS)))
     assert s.seen[-1] == "end" and s.told == []
@@ -59,11 +59,11 @@
 def test_a_turn_whose_holders_are_no_majority_any_more_is_put_again_before_it_ends(monkeypatch):
     s = stage(monkeypatch)
     end, again = Deferred(), Deferred()
-    s.verdicts.update({End: end, "put": [Ok(Synced(HOLDERS)), again]})
+    s.verdicts.update({EndAttempt: end, "put": [Ok(Synced(HOLDERS)), again]})
     s.serve(program="g", budget=9, most_tokens=5)
     s.connect().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
     s.voters = frozenset({"others"})
-    end.callback(Ok(Ended()))
+    end.callback(Ok(AttemptEnded()))
     assert len(s.puts) == 2 and s.seen[-1] != "end"
     again.callback(Ok(Synced(s.voters)))
     assert s.seen[-1] == "end" and s.told == []
@@ -72,18 +72,18 @@
 def test_a_turn_that_is_not_put_again_in_time_is_cut(monkeypatch):
     s = stage(monkeypatch)
     end = Deferred()
-    s.verdicts.update({End: end, "put": [Ok(Synced(HOLDERS)), Error(failures.Unavailable(9))]})
+    s.verdicts.update({EndAttempt: end, "put": [Ok(Synced(HOLDERS)), Error(failures.Unavailable(9))]})
     s.serve(program="g", budget=9, most_tokens=5)
     s.connect().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
     s.voters = frozenset({"others"})
-    end.callback(Ok(Ended()))
+    end.callback(Ok(AttemptEnded()))
     assert s.seen[-1] == "cut"
 
 
 @pytest.mark.parametrize(
     "verdicts",
     [
-        {End: failures.Unavailable(9)},
+        {EndAttempt: failures.Unavailable(9)},
         {"put": Error(failures.Unavailable(9))},
     ],
 )
@@ -102,14 +102,14 @@
     wire.dataReceived(HEAD + chunk(ONE) + chunk(TWO[:5]))
     lose(wire)
     assert s.seen == [("head", 200), ("data", ONE), "cut"]
-    assert s.told == [End("a1", 2)] and len(s.reactor.tcpClients) == 1
+    assert s.told == [EndAttempt("a1", 2)] and len(s.reactor.tcpClients) == 1
 
 
 def test_before_its_head_a_broken_stream_is_unknown_and_not_sent_again(monkeypatch):
     s = stage(monkeypatch)
     s.serve()
     lose(s.connect())
-    assert kinds(s.seen) == [failures.Unknown] and s.told == [End("a1", 0)]
+    assert kinds(s.seen) == [failures.Unknown] and s.told == [EndAttempt("a1", 0)]
     assert len(s.reactor.tcpClients) == 1
 
 
@@ -118,14 +118,14 @@
     [
         (TokensSpent(1, 1), failures.BudgetSpent, []),
         (NoTurn("p"), failures.UnknownTurn, []),
-        (NoPlace(20), failures.Overloaded, [Abort("a1")]),
-        (failures.Unavailable(9), failures.Unavailable, [Abort("a1")]),
-        (Begun("r1", ("lost",)), failures.Unavailable, [Abort("a1")]),
+        (NoCapacity(20), failures.Overloaded, [AbortAttempt("a1")]),
+        (failures.Unavailable(9), failures.Unavailable, [AbortAttempt("a1")]),
+        (AttemptBegun("r1", ("lost",)), failures.Unavailable, [AbortAttempt("a1")]),
     ],
 )
 def test_refusals_come_before_anything_is_sent(monkeypatch, verdict, failure, told):
     s = stage(monkeypatch)
-    s.verdicts[Begin] = verdict
+    s.verdicts[BeginAttempt] = verdict
     s.serve(program="g")
     for _ in range(6):
         s.reactor.advance(0.02)
@@ -134,12 +134,12 @@
 
 def test_a_refused_turn_is_moved_then_aborted(monkeypatch):
     s = stage(monkeypatch)
-    s.verdicts[Move] = Begun("r2", ())
+    s.verdicts[ReassignAttempt] = AttemptBegun("r2", ())
     s.serve()
     s.connect().dataReceived(REFUSED)
-    assert s.asked[1] == Move("a1", (Candidate("r2", 4),))
+    assert s.asked[1] == ReassignAttempt("a1", (Candidate("r2", 4),))
     s.connect().dataReceived(REFUSED)
-    assert kinds(s.seen) == [failures.Overloaded] and s.told == [Abort("a1")]
+    assert kinds(s.seen) == [failures.Overloaded] and s.told == [AbortAttempt("a1")]
 
 
 def test_when_the_client_leaves_the_run_is_stopped_and_counted(monkeypatch):
@@ -148,7 +148,7 @@
     wire = s.connect()
     wire.dataReceived(HEAD + chunk(ONE))
     s.gone()
-    assert wire.dirty and s.told == [End("a1", 2)] and s.seen[-1] == ("data", ONE)
+    assert wire.dirty and s.told == [EndAttempt("a1", 2)] and s.seen[-1] == ("data", ONE)
 
 
 def test_a_resumable_stream_goes_on_inside_the_same_answer(monkeypatch):
@@ -177,7 +177,7 @@
     s = stage(monkeypatch)
     s.serve()
     s.connect().dataReceived(answer_bytes(b"bad", status=b"500 Bad", more=b""))
-    assert s.seen == [("head", 500), ("data", b"bad"), "end"] and s.told == [End("a1", 0)]
+    assert s.seen == [("head", 500), ("data", b"bad"), "end"] and s.told == [EndAttempt("a1", 0)]
 
 
 def test_a_close_delimited_stream_is_never_whole(monkeypatch):
--- a/tests/test_proxy_strikes.py
+++ b/tests/test_proxy_strikes.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from frostpost.program_ledger.words import Begun, Move
+from frostpost.program_ledger.words import AttemptBegun, ReassignAttempt
 from frostpost.proxy import exchange, failures, lookup, outcomes, sending, stream
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.connection import Connection
@@ -63,7 +63,7 @@
         service = dict(kind.route.get("weights", (("s", 1),))).popitem()[0]
         stage = self.stage = Stage([a_route(**kind.route)], [], patch)
         stage.agent.runners = {r.id: a_runner(r.id, service=service) for r in RUNNERS}
-        stage.verdicts[Move] = Begun("r2", ())
+        stage.verdicts[ReassignAttempt] = AttemptBegun("r2", ())
         for name in ("r2", "r3"):
             load_of(stage.agent, name).own = 1
         self.clients = {}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -34,7 +34,7 @@
     assert idle["wire/sent"] <= 6 and idle["wire/heard"] <= 6
     assert idle["wire/sent_bytes"] + idle["wire/heard_bytes"] < 1000
     assert sequencer(many)["sessions"] == 25
-    assert few["outcomes"]["Begun"] > 3 and few["outcomes"]["Ended"] > 6 and few["outcomes"]["Synced"] > 3
+    assert few["outcomes"]["AttemptBegun"] > 3 and few["outcomes"]["AttemptEnded"] > 6 and few["outcomes"]["Synced"] > 3
     assert all(0 < report["routing_ms"] < 4000 for report in (few, many))
     assert few["begin_ms"]["p50"] > 0 and few["put_ms"]["p50"] > 0
     assert all(ring["ledger"]["turns"] > 3 and ring["ledger"]["bytes"] > 1000 for ring in few["rings"])
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -7,11 +7,11 @@
 from test_cluster_replica_daemon import MEMORY, new_house
 
 from frostpost.cluster import replica_daemon
-from frostpost.daemon import heart, snapshotting
-from frostpost.daemon.core import Slice
+from frostpost.daemon import event_loop, snapshotting
+from frostpost.daemon.core import SnapshotSlice
 from frostpost.ledger import snapshots
 from frostpost.ledger.apply import decode_state, encode
-from frostpost.ledger.records import Mark
+from frostpost.ledger.entities import Mark
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.state import Account, Key, ProgramLedger, Turn
 from frostpost.virtual_synchrony.endpoints import Member
@@ -79,7 +79,7 @@
             yield
 
     ctx.core.snapshots.loading = snapshotting.Loading(received, work())
-    heart.feed(ctx, Slice(0))
+    event_loop.feed_input(ctx, SnapshotSlice(0))
     house.reactor.callLater(0, slices.append, "another call")
     house.reactor.advance(0)
     assert slices == [0, 1, "another call", 2, 3, 4]
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -8,8 +8,8 @@
 from frostpost.http_api import errors, forward
 from frostpost.http_api import stream as streams
 from frostpost.http_api.calls import SHARES, Call, filter_crowd
+from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Settle
-from frostpost.ledger.records import Runner
 from frostpost.ledger.results import Done, Reserved
 from frostpost.tenant_config.stamp import Route
 
@@ -48,7 +48,7 @@
 @pytest.fixture
 def asks(monkeypatch):
     asks = Asks()
-    monkeypatch.setattr(streams, "ask", asks)
+    monkeypatch.setattr(streams, "submit", asks)
     return asks
 
 
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -44,7 +44,7 @@
 
 
 def answer(agent, name, body, items):
-    client.received(agent, name, GetBodiesReply(9, body.number, tuple(items)))
+    client.on_reply(agent, name, GetBodiesReply(9, body.number, tuple(items)))
 
 
 def test_put_is_ok_once_a_majority_of_the_voters_has_synced(agent):
@@ -52,11 +52,11 @@
     assert [(to, type(b)) for to, b in taken(agent)] == [(to, PutBodyRequest) for to in RING.values()]
     agent.extras["ring"]["other"] = "@other:1"
     for name, boot, synced in (("s0", 9, True), ("s0", 9, True), ("other", 9, True), ("s1", 8, True), ("s1", 9, False)):
-        assert client.received(agent, name, PutBodyReply(boot, 1, synced))
+        assert client.on_reply(agent, name, PutBodyReply(boot, 1, synced))
         assert seen == []
-    assert cache.cached(client.cache_of(agent), "t") is None
-    client.received(agent, "s2", PutBodyReply(9, 1, True))
-    assert seen == [Ok(client.Synced(frozenset({"s0", "s2", "other"})))] and cache.cached(agent.cache, "t") == b"body"
+    assert cache.lookup(client.cache_of(agent), "t") is None
+    client.on_reply(agent, "s2", PutBodyReply(9, 1, True))
+    assert seen == [Ok(client.Synced(frozenset({"s0", "s2", "other"})))] and cache.lookup(agent.cache, "t") == b"body"
     assert agent.reactor.getDelayedCalls() == []
 
 
@@ -64,35 +64,35 @@
     seen = outcome(client.put(agent, "t", b"body", 2000))
     agent.extras["lease"] = False
     for name in ("s0", "s1"):
-        client.received(agent, name, PutBodyReply(9, 1, True))
-    client.granted(agent)
+        client.on_reply(agent, name, PutBodyReply(9, 1, True))
+    client.recount_holders(agent)
     assert seen == []
     agent.extras.update(lease=True, voters=("s1", "s2", "s3"))
-    client.granted(agent)
+    client.recount_holders(agent)
     assert seen == []
     agent.extras["voters"] = ("s0", "s1", "s3")
-    client.granted(agent)
+    client.recount_holders(agent)
     assert seen == [Ok(client.Synced(frozenset({"s0", "s1"})))]
-    assert client.lasts(agent, {"s0", "s1"}) and not client.lasts(agent, {"s0", "s2"})
+    assert client.is_durable_at(agent, {"s0", "s1"}) and not client.is_durable_at(agent, {"s0", "s2"})
     agent.extras["lease"] = False
-    assert not client.lasts(agent, {"s0", "s1"})
+    assert not client.is_durable_at(agent, {"s0", "s1"})
 
 
 def test_put_is_sent_again_to_those_that_have_not_synced_and_ends_in_time(agent):
     seen = outcome(client.put(agent, "t", b"body", 1000))
     taken(agent)
-    client.received(agent, "s1", PutBodyReply(9, 1, True))
+    client.on_reply(agent, "s1", PutBodyReply(9, 1, True))
     agent.reactor.advance(0.3)
     assert [to for to, _ in taken(agent)] == ["@s0:1", "@s2:1"]
     agent.reactor.advance(0.7)
     assert isinstance(seen[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
-    assert cache.cached(client.cache_of(agent), "t") is None
+    assert cache.lookup(client.cache_of(agent), "t") is None
 
 
 def test_without_voters_no_put_is_ok(agent):
     agent.extras["voters"] = ()
     seen = outcome(client.put(agent, "t", b"body", 1000))
-    client.received(agent, "s0", PutBodyReply(9, 1, True))
+    client.on_reply(agent, "s0", PutBodyReply(9, 1, True))
     assert seen == []
 
 
@@ -153,7 +153,7 @@
     for waiting in (client.fetch(agent, ("a",), 1000), client.put(agent, "t", b"body", 1000)):
         waiting.addErrback(lambda _: None)
         waiting.cancel()
-    assert agent.reactor.getDelayedCalls() == [] and not client.received(agent, "s0", DirectoryRequest())
+    assert agent.reactor.getDelayedCalls() == [] and not client.on_reply(agent, "s0", DirectoryRequest())
 
 
 def test_cache_is_bounded_by_bytes_and_drops_the_least_recently_used(agent):
@@ -161,7 +161,7 @@
     held = client.cache_of(agent)
     for turn in "abc":
         cache.remember(held, turn, b"x" * 100)
-    cache.cached(held, "a")
+    cache.lookup(held, "a")
     cache.remember(held, "d", b"x" * 100)
     assert list(held.items) == ["c", "a", "d"] and held.used_bytes == 900
     cache.remember(held, "e", b"x" * 2000)
--- a/tests/test_turn_store_drive.py
+++ b/tests/test_turn_store_drive.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.machine import Machine
 from frostpost.simulator import drives
 from frostpost.turn_store import store
-from frostpost.turn_store.segments import SiloFiles
+from frostpost.turn_store.segments import BodyFiles
 
 FOLDER = f"/data/{store.FOLDER_ON_DISK}"
 
@@ -14,7 +14,7 @@
 def files_of(drive):
     base = drives.files_of(drive)
     bare = {"listdir": lambda folder: [os.path.basename(p) for p in drive.names if os.path.dirname(p) == folder]}
-    return SiloFiles(
+    return BodyFiles(
         **{field: getattr(base, field) for field in base.__struct_fields__},
         pread=lambda fd, length, offset: bytes(drive.held[fd].data[offset : offset + length]),
         unlink=lambda path: drive.names.pop(path),
@@ -53,7 +53,7 @@
 
 
 def opened(drive, clock, threads=None, faults=None, **bounds):
-    return store.open_(
+    return store.open_store(
         "/data",
         machine_of(clock, threads),
         files_of(drive),
--- a/tests/test_turn_store_repair.py
+++ b/tests/test_turn_store_repair.py
@@ -138,7 +138,7 @@
     hold(net, "@s2:1", ["t"])
     for index in range(50, 50 + repair.CYCLE_MS // ROUND_MS * 10 + 30, 10):
         rounds(net, {"t": None}, index)
-    assert turn_store.missing == 0 and store.held(turn_store, "t")
+    assert turn_store.missing == 0 and store.is_stored(turn_store, "t")
 
 
 def test_a_peer_that_joins_is_asked_before_a_body_counts_as_nowhere():
@@ -150,7 +150,7 @@
     assert turn_store.missing == 0
     hold(net, "@s2:1", ["t"])
     assert rounds(net, {"t": None}, 30).missing == 1
-    assert rounds(net, {"t": None}, 40).missing == 0 and store.held(turn_store, "t")
+    assert rounds(net, {"t": None}, 40).missing == 0 and store.is_stored(turn_store, "t")
 
 
 def test_a_slow_round_of_the_peers_is_not_waited_for():
--- a/tests/test_turn_store_store.py
+++ b/tests/test_turn_store_store.py
@@ -3,7 +3,7 @@
 
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import encode
-from frostpost.write_ahead_log.disk import Corrupt, SyncLostError, Torn
+from frostpost.write_ahead_log.log import Corrupt, SyncLostError, Torn
 from frostpost.write_ahead_log.records import HEADER
 
 FIRST = f"{FOLDER}/00000001"
@@ -60,7 +60,7 @@
     threads.held = True
     first = outcome(store.put(turn_store, "a", b"1"))
     rest = [outcome(store.put(turn_store, t, b"2")) for t in "bcd"]
-    assert first == [] and len(threads.jobs) == 1 and not store.held(turn_store, "a")
+    assert first == [] and len(threads.jobs) == 1 and not store.is_stored(turn_store, "a")
     threads.finish()
     assert first == [True] and rest == [[], [], []]
     syncs = drive.syncs
@@ -114,7 +114,9 @@
     drive, clock = new_drive(), Clock()
     turn_store = filled(drive, clock, "ab")
     drive.names[FIRST].data[-1 - MARK_BYTES] ^= 0x5A
-    assert store.get(turn_store, "b") is None and not store.held(turn_store, "b") and store.held(turn_store, "a")
+    assert (
+        store.get(turn_store, "b") is None and not store.is_stored(turn_store, "b") and store.is_stored(turn_store, "a")
+    )
 
 
 def test_expiry_waits_for_the_age_and_removes_segments_without_live_turns():
@@ -150,7 +152,7 @@
 def test_full_silo_takes_nothing_until_dead_turns_are_gone():
     drive, clock = new_drive(), Clock()
     turn_store = filled(drive, clock, "abcdef", segment_bytes=2 * PUT_BYTES, disk_bytes=6 * PUT_BYTES + 22)
-    assert outcome(store.put(turn_store, "g", b"7" * 50)) == [False] and not store.has_room(turn_store, 50)
+    assert outcome(store.put(turn_store, "g", b"7" * 50)) == [False] and not store.has_capacity(turn_store, 50)
     clock.advance(130)
     store.expire(turn_store, lambda turn: turn in "ae")
     assert outcome(store.put(turn_store, "g", b"7" * 50)) == [True]
