--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -81,14 +81,22 @@
     assert found == []
 
 
-def named_in_the_guide():
-    """Dotted names of this project's modules, and of what they define, in the contributors' page."""
-    text = (ROOT.parent / "docs" / "CONTRIBUTING.md").read_text()
-    return sorted(set(re.findall(rf"\b((?:{'|'.join(LEVEL)})\.[a-z_]+(?:\.\w+)?)\b", text)))
+# What looks like a module and is a file of the repository.
+FILE_ENDINGS = (".md", ".toml", ".py")
+PAGES = sorted((ROOT.parent / "docs").rglob("*.md")) + [ROOT.parent / "README.md"]
 
 
-@pytest.mark.parametrize("name", named_in_the_guide())
-def test_what_the_contributors_page_names_is_there(name):
+def names_on_pages():
+    """Dotted names of this project's modules, and of what they define, by the page that names them."""
+    pattern = re.compile(rf"(?<![\w./-])((?:{'|'.join(LEVEL)})\.[a-z_]+(?:\.\w+)?)\b(?!/)")
+    for page in PAGES:
+        for name in sorted(set(pattern.findall(page.read_text()))):
+            if not name.endswith(FILE_ENDINGS):
+                yield page.name, name
+
+
+@pytest.mark.parametrize("page, name", list(names_on_pages()))
+def test_what_a_page_names_is_there(page, name):
     package, module, *attributes = name.split(".")
     found = importlib.import_module(f"frostpost.{package}.{module}")
     assert all(hasattr(found, attribute) for attribute in attributes)
