--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -15,7 +15,7 @@
 
 class Fleet(Struct):
     """ring, leaves: name -> facts of those that answered. silent: name -> address of those that didn't.
-    zones: name -> zone of the ring's daemons. listed: the leaves as the ring sees them.
+    zones: name -> zone of the replicas. listed: the agents as the replicas see them.
     """
 
     seeds_silent: list[str] = []
@@ -43,13 +43,13 @@
 
 
 def chief_of(fleet):
-    """Facts of the ring daemon that sequences the primary, or None; of two, that of the later configuration."""
+    """Facts of the replica that sequences the primary, or None; of two, that of the later configuration."""
     found = [f for f in fleet.ring.values() if f.get("sequencing")]
     return max(found, key=lambda f: f["configuration"]["epoch"], default=None)
 
 
 def leaves_listed(fleet):
-    """Leaves as the sequencer sees them; those that it never saw, as the daemons do that sequenced before."""
+    """Agents as the sequencer sees them; those that it never saw, as the daemons do that sequenced before."""
     listed, chief = {}, chief_of(fleet)
     for facts in fleet.ring.values():
         for name, seen in facts.get("leaves", {}).items():
@@ -60,7 +60,7 @@
 
 
 def ring_of(ask, seeds):
-    """Name -> place of the ring's daemons, told by the seeds and by those that they tell of."""
+    """Name -> place of the replicas, told by the seeds and by those that they tell of."""
     places, asked, fresh = {}, set(), set(seeds)
     for _ in range(DEPTH):
         asked |= fresh
--- a/frostpost/cluster/address_book.py
+++ b/frostpost/cluster/address_book.py
@@ -7,6 +7,8 @@
 
 
 class AddressBook(Struct):
+    """Addresses ("host:port") as they are on disk; `writing` while a newer list is on its way there."""
+
     write_ahead_log: object
     machine: object
     addresses: tuple[str, ...] = ()
@@ -14,6 +16,7 @@
 
 
 def open_address_book(folder, machine, name="peers"):
+    """Open the book of that name in the data folder; an unreadable one begins empty."""
     write_ahead_log, payloads, _ = write_ahead_logs.open_log(folder, name, machine.files)
     return AddressBook(write_ahead_log, machine, tuple(msgpack.decode(payloads[-1])) if payloads else ())
 
@@ -32,6 +35,7 @@
 
 
 def save_addresses(book, addresses):
+    """Replace the addresses on disk if they differ; a write that is under way is not waited for."""
     addresses = tuple(sorted(addresses))
     if book.writing or addresses == book.addresses or not addresses:
         return
@@ -41,8 +45,10 @@
 
 
 def saved(_, book, addresses):
+    """The new addresses are on disk."""
     book.addresses, book.writing = addresses, False
 
 
 def failed(_, book):
+    """The write failed: the addresses on disk are as before, and the next call tries again."""
     book.writing = False
--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -28,6 +28,7 @@
 
 
 def make_agent(settings, front, reactor, machine):
+    """Build an agent from its settings and its front; nothing runs yet. -> AgentContext"""
     incarnation = 1 + int(machine.token(6), 16)
     endpoint = Endpoint(
         Member(settings.name, incarnation),
@@ -95,11 +96,12 @@
 
 
 def send_directory(agent, endpoint):
-    """Tell a daemon that asks where the ring's daemons are."""
+    """Tell a daemon that asks where the replicas are."""
     agent.links["send"](lease_client.address_of(endpoint), directory.current(agent))
 
 
 def run_due_work(agent):
+    """Renew the lease, resend open operations, go on with the bootstrap: whatever is due now."""
     lease_client.renew_if_due(agent)
     if agent.extras.get("peers") and lease_client.holds_lease(agent):
         address_book.save_addresses(agent.extras["peers"], [f"{p.host}:{p.port}" for p in agent.directory.values()])
@@ -116,6 +118,8 @@
 
 
 def start_ticker(agent, stop):
+    """Run `run_due_work` whenever something is due; a failure of it ends the daemon with status 70."""
+
     def broken(failure):
         log_event("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         stop(70)
@@ -126,6 +130,8 @@
 
 
 def start_agent(agent, front, stop):
+    """Listen for inner frames, then on the front; then look for replicas. A failure to listen ends with status 69."""
+
     def fallen(failure):
         log_event("ListenError", text=failure.getErrorMessage())
         stop(69)
--- a/frostpost/cluster/agent_context.py
+++ b/frostpost/cluster/agent_context.py
@@ -1,10 +1,17 @@
-"""The one context object of a daemon that is no member of the ring: an edge or a core daemon."""
+"""The context object of an agent: an edge or core daemon, which holds a lease and keeps no log."""
 
 from frostpost.daemon.context import TestHooks
 from frostpost.daemon.machine import MACHINE
 
 
 class AgentContext:
+    """All of an agent's mutable state: settings, links, session, routing, runners, caches, counters.
+
+    Made by `agent.make_agent`; owned by the event loop's thread. Concerns keep their own part under a field of their
+    name: `session` is lease_client's, `operations` operation_client's, `putting` turn_store's, `pools` and `loads`
+    proxy's.
+    """
+
     __slots__ = (
         "settings",
         "reactor",
@@ -54,4 +61,5 @@
 
 
 def count(agent, what, by=1):
+    """Add to a named counter."""
     agent.counts[what] = agent.counts.get(what, 0) + by
--- a/frostpost/cluster/agent_sessions.py
+++ b/frostpost/cluster/agent_sessions.py
@@ -1,4 +1,4 @@
-"""The ring's side of its leaves' sessions: leases, operations handed in, the routing."""
+"""The replicas' side of sessions with agents: leases, operations submitted, the routing."""
 
 from msgspec import DecodeError, Struct, msgpack
 
@@ -45,7 +45,7 @@
 class AgentSessions(Struct):
     """version_ms: when the routing in force here became so. draining: runners, and until when that is told.
 
-    survey: the last one taken; None once an agent told of another version or boot, or got a lease anew.
+    survey: the last one taken; None once an agent told of another version or incarnation, or got a lease anew.
     """
 
     agents: dict[str, AgentSession] = {}
@@ -57,11 +57,13 @@
 
 
 def is_sequencer(ctx):
+    """Whether this replica leads: it orders in an opened primary, with no recovery under way."""
     synchrony = ctx.core.synchrony
     return synchrony.primary.opened and not synchrony.recovery and sequencer_of(synchrony) == synchrony.name
 
 
 def voters_of(ctx):
+    """The voters in force: those of the ledger, or of the log, or of the bootstrap record."""
     synchrony = ctx.core.synchrony
     return ctx.core.ledger.voters or synchrony.voters or synchrony.bootstrap_voters
 
@@ -84,7 +86,7 @@
 
 
 def on_lease_request(ctx, sessions, endpoint, message):
-    """A leaf renews its lease; -> the LeaseReply."""
+    """An agent renews its lease; -> the LeaseReply."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not is_sequencer(ctx):
         note_agent(sessions, endpoint, message.version, now)
@@ -123,13 +125,13 @@
 
 
 def forget_lapsed(sessions, now):
-    """Leaves whose lease ended long ago."""
+    """Agents whose lease ended long ago."""
     for name in [n for n, s in sessions.agents.items() if s.until_ms + SESSION_RETENTION_MS < now]:
         del sessions.agents[name]
 
 
 def merge_draining(sessions, told, now):
-    """What any leaf's own list shows as leaving is told to all."""
+    """What any agent's own list shows as draining is told to all."""
     sessions.draining.update((runner, now + DRAINING_RETENTION_MS) for runner in told)
     for runner in [r for r, until_ms in sessions.draining.items() if until_ms <= now]:
         del sessions.draining[runner]
@@ -137,7 +139,7 @@
 
 
 def announce_routing(ctx, sessions):
-    """Spread a routing that has just come in force to all leaves."""
+    """Spread a routing that has just come in force to all agents."""
     program_ledger = ctx.core.ledger.program_ledger
     if program_ledger.routing_version == sessions.version:
         return
@@ -151,7 +153,7 @@
 
 
 def honoured_version(ctx, sessions):
-    """The newest version that every leaf with a running lease honours; older sequencers' leases are waited out."""
+    """The newest version that every agent with a running lease honours; older sequencers' leases are waited out."""
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return 0
@@ -170,7 +172,7 @@
 
 
 def on_agent_message(ctx, sessions, endpoint, body):
-    """A frame of a leaf; -> whether it was one of these messages."""
+    """A frame of an agent; -> whether it was one of these messages."""
     address = f"@{endpoint.host}:{endpoint.port}"
     match body:
         case LeaseRequest():
@@ -191,6 +193,7 @@
 
 
 def on_operation_request(ctx, sessions, address, message):
+    """Submit an agent's operation once and reply with its result; one that is under way is not begun again."""
     mark = (address, message.incarnation, message.number)
     if mark in sessions.operations_in_progress:
         return
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -1,4 +1,4 @@
-"""Run one daemon: a leaf or a storage daemon, from its settings to its exit status."""
+"""Run one daemon: an agent or a storage daemon, from its settings to its exit status."""
 
 import signal
 from errno import errorcode
@@ -12,6 +12,7 @@
 
 
 def reload_settings(agent, front):
+    """SIGHUP: read the settings again; invalid ones are logged and the old ones stay."""
     result = front.reread()
     if result.is_ok():
         agent.settings = result.ok
--- a/frostpost/cluster/attempt_tracing.py
+++ b/frostpost/cluster/attempt_tracing.py
@@ -6,11 +6,12 @@
 
 
 def is_traced(agent):
+    """Whether the settings ask for trace lines."""
     return getattr(agent.settings, "trace", False)
 
 
 def trace_operation(agent, op, answer):
-    """Say that an operation is handed in, and its verdict when it comes; the answer stays what it is."""
+    """Say that an operation is submitted, and its result when it comes; the answer stays what it is."""
     attempt, from_ms = getattr(op, "attempt", None), now_ms(agent)
     if attempt is None:
         return
--- a/frostpost/cluster/bootstrap.py
+++ b/frostpost/cluster/bootstrap.py
@@ -1,7 +1,8 @@
-"""The charter: the names of the founding voters, made once, by one seed, at the first start of the whole system.
+"""The bootstrap record: the names of the founding voters, made once, by one seed, at the first start of the whole
+system.
 
 The founder hands it out only after every other seed keeps it on disk, and proposes one only after every other seed has
-told what it keeps. So no second charter can be made while the disk of one seed is left.
+told what it keeps. So no second bootstrap record can be made while the disk of one seed is left.
 """
 
 from msgspec import Struct, msgpack
@@ -21,10 +22,10 @@
 
 
 class Bootstrap(Struct):
-    """waiting: storage daemons on empty disks at a first start, with when each was first heard.
+    """waiting_replicas: storage daemons on empty disks at a first start, with when each was first heard.
 
-    kept: the charter that this seed keeps for the founder. heard: by other seed, what it said to keep when asked.
-    proposed: what the founder asks all others to keep. taken: the other seeds that keep it.
+    kept_voters: what this seed keeps for the founder. told_by_seed: by other seed, what it said to keep when asked.
+    proposed_voters: what the founder asks all others to keep. confirmed_seeds: the other seeds that keep it.
     """
 
     write_ahead_log: object = None
@@ -39,7 +40,7 @@
 
 
 def open_bootstrap(agent):
-    """Read the charter of this daemon's disk, and the one that it keeps for the founder."""
+    """Read the bootstrap record of this daemon's disk, and the one that it keeps for the founder."""
     if not agent.settings.data:
         return
     write_ahead_log, charter, intact = open_record(agent, "charter")
@@ -50,7 +51,7 @@
 
 
 def open_record(agent, name):
-    """-> (log, the charter in it, whether it is intact)"""
+    """Open the record of that name; -> (log, the voters in it, whether it is intact)."""
     log, payloads, fault = write_ahead_logs.open_log(agent.settings.data, name, agent.machine.files)
     if fault:
         log_event(type(fault).__name__, path=fault.path, offset=fault.offset)
@@ -59,27 +60,27 @@
 
 
 def is_founder(agent):
-    """Whether this daemon is the one that may make the charter."""
+    """Whether this daemon is the one that may make the bootstrap record."""
     own = f"{agent.settings.host}:{agent.settings.port}"
     first = min(agent.settings.seeds, key=lambda s: [int(p) for p in s.replace(":", ".").split(".")], default="")
     return agent.settings.first_start and own == first
 
 
 def on_replica_waiting(agent, name):
-    """A storage daemon at its first start asks for the charter."""
+    """A storage daemon at its first start asks for the bootstrap record."""
     bootstrap = agent.extras.get("founding")
     if bootstrap is not None:
         bootstrap.waiting_replicas.setdefault(name, now_ms(agent))
 
 
 def is_pending(agent):
-    """Whether this daemon has a charter to make."""
+    """Whether this daemon has a bootstrap record to make."""
     bootstrap = agent.extras.get("founding")
     return bootstrap is not None and not agent.bootstrap_voters and not bootstrap.writing and is_founder(agent)
 
 
 def advance(agent):
-    """Make the charter once the storage daemons have stopped coming and all other seeds keep it."""
+    """Make the bootstrap record once the storage daemons have stopped coming and all other seeds keep it."""
     if not is_pending(agent):
         return
     bootstrap = agent.extras["founding"]
@@ -104,10 +105,10 @@
 
 
 def choose_voters(agent, bootstrap):
-    """The charter to propose: what another seed keeps, or those that wait; empty while that can't be told.
+    """The bootstrap record to propose: what another seed keeps, or those that wait; empty while that can't be told.
 
-    Nothing is proposed before all other seeds have answered: a founder whose disk was lost finds the charter with any
-    one of them.
+    Nothing is proposed before all other seeds have answered: a founder whose disk was lost finds the bootstrap record
+    with any one of them.
     """
     waiting, now = bootstrap.waiting_replicas, now_ms(agent)
     if not waiting or now - max(waiting.values()) < SETTLED_MS:
@@ -134,7 +135,7 @@
 
 
 def on_bootstrap_request(agent, endpoint, message):
-    """Another seed asks what this one keeps, or to keep a charter."""
+    """Another seed asks what this one keeps, or to keep a bootstrap record."""
     bootstrap = agent.extras.get("founding")
     if bootstrap is None or bootstrap.kept_log is None or bootstrap.writing:
         return
@@ -181,10 +182,12 @@
 
 
 def written(_, agent, names):
+    """The bootstrap record is on this seed's disk: it may be handed out."""
     agent.bootstrap_voters, agent.extras["founding"].writing = names, False
     log_event("charter", voters=list(names))
 
 
 def failed(failure, agent):
+    """A write of the record failed; it is tried again."""
     agent.extras["founding"].writing = False
     log_event("DiskError", type=failure.type.__name__)
--- a/frostpost/cluster/control_client.py
+++ b/frostpost/cluster/control_client.py
@@ -1,6 +1,6 @@
-"""What control calls ask of the ring.
+"""What control calls ask of the replicas.
 
-Every function hands in an operation that is ordered after the call came: its verdict is delivered as safe, which
+Every function submits an operation that is ordered after the call came: its result is delivered as safe, which
 takes an acknowledgement of a majority of the voters made since. Nothing is answered from this daemon's own copy.
 """
 
@@ -28,6 +28,7 @@
 
 
 def sleep(agent, wait_ms):
+    """-> Deferred that fires after that time."""
     woken = Deferred()
     agent.reactor.callLater(wait_ms / 1000, woken.callback, None)
     return woken
@@ -35,7 +36,7 @@
 
 @inlineCallbacks
 def set_routing(agent, base, version, body, digest, wait_ms):
-    """Replace the routing `base` -> Result[version, RoutingMoved | RoutingForgotten | Unavailable].
+    """Replace the routing `base` -> Result[version, RoutingConflict | RoutingForgotten | Unavailable].
 
     digest: tells this change from others of its number; one that was taken before is Ok again. Ok comes once every
     daemon with a running lease honours this version or a later one. After Unavailable the change may still be taken.
@@ -66,6 +67,7 @@
 
 @inlineCallbacks
 def result_of(agent, op, kind, wait_ms):
+    """Submit an operation; a result of another type than `kind` is an Unavailable, if `kind` is given."""
     result = yield call_replicas_unleased(agent, op, wait_ms)
     if result.is_ok() and kind is not None and not isinstance(result.ok, kind):
         return Error(Unavailable(RETRY_MS, "verdict"))
@@ -73,15 +75,15 @@
 
 
 def read_routing(agent, wait_ms, version=0, digest=b""):
-    """-> Deferred[Result[RoutingHeld, Unavailable]], as the ring's order has it now, with what became of a change."""
+    """-> Deferred[Result[RoutingState, Unavailable]]: as ordered after this call, and what became of a change."""
     return result_of(agent, ReadRouting(version, digest), RoutingState, wait_ms)
 
 
 def retire(agent, name, wait_ms):
-    """-> Deferred[Result[RetireState, Unavailable]]: empty a storage daemon."""
+    """-> Deferred[Result[RetirementState, Unavailable]]: empty a storage daemon."""
     return result_of(agent, RetireReplica(name, True, agent.settings.least_replicas), None, wait_ms)
 
 
 def read_retirement(agent, name, wait_ms):
-    """-> Deferred[Result[RetireState, Unavailable]]: how far the emptying of a storage daemon is."""
+    """-> Deferred[Result[RetirementState, Unavailable]]: how far the emptying of a storage daemon is."""
     return result_of(agent, ReadRetirement(name), None, wait_ms)
--- a/frostpost/cluster/lease_client.py
+++ b/frostpost/cluster/lease_client.py
@@ -1,4 +1,4 @@
-"""A leaf's session with the ring: its lease, the ring's daemons, and the routing that it honours."""
+"""An agent's session with the replicas: its lease, the replicas, and the routing that it honours."""
 
 from msgspec import Struct
 
@@ -15,7 +15,7 @@
 
 
 class Session(Struct):
-    """sequencer: name of the ring's daemon that granted last. until_ms: end of the lease, on this daemon's clock."""
+    """sequencer: name of the replica that granted last. until_ms: end of the lease, on this daemon's clock."""
 
     sequencer: str = ""
     until_ms: int = NEVER_MS
@@ -33,6 +33,7 @@
 
 
 def session_of(agent):
+    """The agent's session; made at first use."""
     if agent.session is None:
         agent.session, agent.directory = Session(), {}
     return agent.session
@@ -49,17 +50,18 @@
 
 
 def replica_addresses(agent):
-    """Name -> "@host:port" of the ring's daemons."""
+    """Name -> "@host:port" of the replicas."""
     session_of(agent)
     return {name: address_of(endpoint) for name, endpoint in agent.directory.items()}
 
 
 def address_of(endpoint):
+    """ "@host:port" of an endpoint, as `links["send"]` takes it."""
     return f"@{endpoint.host}:{endpoint.port}"
 
 
 def renew_if_due(agent):
-    """Called every few ten ms: renew the lease, look for the ring where there is none."""
+    """Called every few ten ms: renew the lease, look for the replicas where there is none."""
     session, now = session_of(agent), now_ms(agent)
     every_ms, seek_ms = agent.settings.lease_ms // RENEWALS_PER_LEASE, agent.settings.lease_ms // SEARCHES_PER_LEASE
     lost = now - session.heard_ms > 2 * every_ms
@@ -92,6 +94,7 @@
 
 
 def send_lease_requests(agent):
+    """Ask the sequencer for the lease; all replicas if it has been silent, and now and then anyway."""
     session, now = session_of(agent), now_ms(agent)
     session.renewed_ms, session.renewals = now, session.renewals + 1
     message = lease_request(agent)
@@ -103,7 +106,7 @@
 
 
 def look_for_sequencer(agent):
-    """The sequencer has no lease to give: ask all of the ring, now and then at the pace of a search."""
+    """The sequencer has no lease to give: ask all of the replicas, now and then at the pace of a search."""
     session = session_of(agent)
     session.heard_ms = NEVER_MS
     if now_ms(agent) - session.renewed_ms >= agent.settings.lease_ms // SEARCHES_PER_LEASE:
@@ -113,7 +116,7 @@
 
 
 def on_replica_greeting(agent, endpoint):
-    """A daemon of the ring speaks unasked: one that isn't the known sequencer may have come to be it."""
+    """A replica speaks unasked: one that isn't the known sequencer may have come to be it."""
     session = session_of(agent)
     if not holds_lease(agent):
         send_lease_requests(agent)
@@ -122,7 +125,7 @@
 
 
 def on_directory(agent, endpoints):
-    """Places of the ring's daemons, told by any daemon."""
+    """Places of the replicas, told by any daemon."""
     session_of(agent)
     known = set(agent.directory)
     for endpoint in endpoints:
--- a/frostpost/cluster/operation_client.py
+++ b/frostpost/cluster/operation_client.py
@@ -1,4 +1,4 @@
-"""Operations handed in to the ring by a leaf; all of them may be handed in again with the same effect."""
+"""Operations submitted to the replicas by an agent; all of them may be resent with the same effect."""
 
 from expression import Error, Ok
 from msgspec import Struct, msgpack
@@ -19,6 +19,8 @@
 
 
 class PendingOperation(Struct):
+    """An operation without a result. until_decided: it is resent without end, else given up at `until_ms`."""
+
     number: int
     payload: bytes
     until_decided: bool
@@ -28,17 +30,21 @@
 
 
 class OperationClient(Struct):
+    """The operations that an agent has open, by number; `number` is the last one given."""
+
     number: int = 0
     open: dict[int, PendingOperation] = {}
 
 
 def client_of(agent):
+    """The agent's operation client; made at first use."""
     if agent.operations is None:
         agent.operations = OperationClient()
     return agent.operations
 
 
 def submit(agent, op, wait_ms, until_decided):
+    """Number an operation and send it to the sequencer. -> Deferred of its result"""
     state, now = client_of(agent), now_ms(agent)
     state.number += 1
     pending = PendingOperation(state.number, encode(op), until_decided, now + int(wait_ms), Deferred())
@@ -61,16 +67,17 @@
 
 
 def submit_until_decided(agent, op):
-    """Hand an end in until it is decided; never turned away."""
+    """Submit an operation that ends something, and resend it until it is decided; it is never given up."""
     return submit(agent, op, 0, True)
 
 
 def call_replicas_unleased(agent, op, wait_ms):
-    """As `ask`, for control: waits for a ring if there is none right now."""
+    """As `call_replicas`, for control: also without a lease; waits for a sequencer if none is known right now."""
     return submit(agent, op, wait_ms, False)
 
 
 def send(agent, pending):
+    """Send an operation to the sequencer, if one is known; without one it waits for the next resend."""
     held = session_of(agent)
     address = replica_addresses(agent).get(held.sequencer)
     if address is not None:
@@ -81,12 +88,13 @@
 
 
 def resend_all(agent):
-    """The sequencer changed: hand in again what is open."""
+    """The sequencer changed: resend what is open."""
     for pending in list(client_of(agent).open.values()):
         send(agent, pending)
 
 
 def on_operation_reply(agent, message):
+    """Resolve the operation that a reply is for; a fault leaves it open to be sent again."""
     state = client_of(agent)
     pending = state.open.get(message.number)
     if pending is None or message.incarnation != agent.endpoint.member.incarnation:
--- a/frostpost/cluster/replica_context.py
+++ b/frostpost/cluster/replica_context.py
@@ -52,11 +52,12 @@
     stop: object
 
     def crash(self):
+        """End with status 70."""
         self.stop(70)
 
 
 def ring_settings(settings):
-    """The product's settings of a ring daemon."""
+    """The product's settings of a replica."""
     bounds = Bounds(
         detect_ms=settings.detect_ms,
         proposal_ms=settings.detect_ms,
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -1,4 +1,4 @@
-"""A storage daemon: member of the ring, keeper of the ledger and of the bodies of turns."""
+"""A replica, which is a storage daemon: it orders and logs operations and stores the bodies of turns."""
 
 from twisted.internet.task import LoopingCall
 
@@ -68,13 +68,14 @@
 
 
 def on_store_failure(replica, lost):
+    """Log a failure of the turn store; a lost sync ends the daemon, which then reads its disk anew."""
     log_event(type(lost).__name__, what="turn_store")
     if isinstance(lost, write_ahead_logs.SyncLostError):
         replica.stop(70)
 
 
 def start(replica):
-    """Listen and begin: at once with a memory or at a later start, else with the charter."""
+    """Listen and begin: at once with a memory or at a later start, else with the bootstrap record."""
     listen(replica.ctx, lambda ctx, frame: on_frame(replica, frame)).addErrback(on_listen_failure(replica))
     log = replay(replica.records)
     if log.primary != NOWHERE or not replica.settings.first_start:
@@ -83,6 +84,8 @@
 
 
 def on_listen_failure(replica):
+    """-> an errback that logs a failure to listen and ends the daemon with status 69."""
+
     def failed(failure):
         log_event("ListenError", text=failure.getErrorMessage())
         replica.stop(69)
@@ -91,6 +94,7 @@
 
 
 def begin_serving(replica, charter):
+    """Begin the core from the log, with the founding voters if any, and start the periodic jobs."""
     ctx, settings = replica.ctx, replica.settings
     replica.waiting, replica.bootstrap_voters = False, charter
     seeds = dict.fromkeys((*settings.seeds, *address_book.known_addresses(replica.peers)))
@@ -122,6 +126,7 @@
 
 
 def run_every(replica, job, every_s):
+    """Run a job periodically on the event loop; a failure of it ends the daemon. -> LoopingCall"""
     task = LoopingCall(job)
     task.clock = replica.reactor
     task.start(every_s, now=False).addErrback(on_job_failure(replica))
@@ -130,7 +135,7 @@
 
 
 def request_bootstrap(replica):
-    """Ask the seeds for the charter, until this daemon has begun."""
+    """Ask the seeds for the bootstrap record, until this daemon has begun."""
     if not replica.waiting:
         replica.seeking.stop()
         return
@@ -145,16 +150,18 @@
 
 
 def change_voters(replica):
+    """Take the next step of the voters' reconfiguration."""
     return voter_reconfiguration.reconfigure(replica.ctx, replica.background, replica.settings)
 
 
 def on_applied(replica):
-    """An operation was applied: tell the leaves of a new routing, and of an opening."""
+    """An operation was applied: tell the agents of a new routing, and of an opening."""
     agent_sessions.announce_routing(replica.ctx, replica.sessions)
     announcements.announce_opening(replica)
 
 
 def repair(replica):
+    """Fetch missing bodies from peers, and tell with the next heartbeat how many are missing."""
     ctx = replica.ctx
     peers = [
         f"@{p.endpoint.host}:{p.endpoint.port}"
@@ -172,7 +179,7 @@
 
 
 def save_agent_addresses(replica):
-    """Addresses of leaves heard of late, by the sequencer as renewals come, by the others from what it greets."""
+    """Addresses of agents heard of late, by the sequencer as renewals come, by the others from what it greets."""
     now = clock_ms(replica.ctx)
     recent = [s.address[1:] for s in replica.sessions.agents.values() if s.until_ms > now]
     if recent:
@@ -180,6 +187,7 @@
 
 
 def expire(replica):
+    """Forget agents that are long gone, and bodies of turns that the ledger no longer keeps."""
     agent_sessions.forget_lapsed(replica.sessions, clock_ms(replica.ctx))
     store.expire(replica.turn_store, lambda turn: turn in replica.ctx.core.ledger.program_ledger.turns)
 
@@ -201,7 +209,7 @@
 
 
 def on_directory(replica, message):
-    """A seed tells the ring's daemons that it knows, and the charter."""
+    """A seed tells the replicas that it knows, and the bootstrap record."""
     if replica.waiting:
         if message.bootstrap_voters:
             begin_serving(replica, message.bootstrap_voters)
--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -56,6 +56,7 @@
 
     @property
     def tolerance(self):
+        """What may be lost at once with all rules kept."""
         return Tolerance(self.tolerated, self.tolerated_zones, self.tolerated_regions)
 
     @property
@@ -65,7 +66,7 @@
 
 
 class Front(Struct, frozen=True):
-    """listen(leaf) -> Deferred[list of ports]; fetch_list(leaf) -> Deferred[list[Runner]];
+    """listen(agent) -> Deferred[list of ports]; fetch_list(agent) -> Deferred[list[Runner]];
     routing_from_body(bytes) -> Routing; reread() -> Result[DaemonSettings, SettingsInvalid].
     """
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -17,6 +17,7 @@
 
 
 def begin_status(agent):
+    """Note the start, from which uptime counts."""
     agent.extras["started_ms"] = now_ms(agent)
 
 
@@ -33,6 +34,7 @@
 
 
 def answer_agent_status(agent, endpoint, body):
+    """As `answer_operator`, for an agent."""
     return answer_operator(
         agent,
         endpoint,
@@ -43,18 +45,21 @@
 
 
 def answer_replica_status(replica, endpoint, body):
+    """As `answer_operator`, for a replica."""
     return answer_operator(
         replica.ctx, endpoint, body, lambda: replica_facts(replica), lambda: DirectoryReply(ring_endpoints(replica.ctx))
     )
 
 
 def ring_endpoints(ctx):
+    """Endpoints of this replica and of those that it knows."""
     if ctx.core is None:
         return (ctx.endpoint,)
     return (ctx.endpoint, *(peer.endpoint for peer in ctx.core.synchrony.peers.values()))
 
 
 def common_facts(endpoint, uptime_ms, counts):
+    """Facts that every daemon tells; times in milliseconds."""
     return {
         "name": endpoint.member.name,
         "role": endpoint.role,
@@ -66,6 +71,7 @@
 
 
 def agent_facts(agent):
+    """An agent's facts, as JSON values."""
     held, now, runners = session_of(agent), now_ms(agent), agent.runners
     resting = [i for i, load in agent.loads.items() if i in runners and load.resting_until_ms > now]
     return common_facts(agent.endpoint, now - agent.extras.get("started_ms", now), agent.counts) | {
@@ -98,6 +104,7 @@
 
 
 def replica_facts(replica):
+    """A replica's facts, as JSON values; fewer before it has begun."""
     ctx = replica.ctx
     facts = common_facts(ctx.endpoint, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
         "charter_waiting": replica.waiting,
@@ -115,6 +122,7 @@
 
 
 def core_facts(ctx, sessions):
+    """Facts of the protocol, the ledger and the agents' sessions."""
     synchrony, ledger, now = ctx.core.synchrony, ctx.core.ledger, clock_ms(ctx)
     program_ledger, id = ledger.program_ledger, synchrony.configuration.id
     return {
--- a/frostpost/cluster/voter_policy.py
+++ b/frostpost/cluster/voter_policy.py
@@ -53,10 +53,12 @@
 
 
 def tolerates_loss(replicas, tolerance):
+    """Whether a majority remains after the worst loss inside the tolerance."""
     return majority_margin(replicas, tolerance) > 0
 
 
 def has_complete_quorum(voters):
+    """Whether a majority of these voters is present and complete."""
     return 2 * sum(r.present and r.complete for r in voters) > len(voters)
 
 
@@ -113,4 +115,5 @@
 
 
 def without(voters, leaver):
+    """The voters but for one."""
     return tuple(r for r in voters if r.name != leaver.name)
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -162,6 +162,7 @@
 
 @inlineCallbacks
 def change_voters(ctx, changes, settings):
+    """Order one safe change of the voters after another, until they are right or a change isn't decided."""
     while (after := next_voter_set(ctx, changes, settings)) is not None and is_sequencer(ctx):
         before = tuple(ctx.core.ledger.voters)
         result = yield submit(ctx, SetVoters(ctx.core.synchrony.configuration.id, before, after), OPERATION_TIMEOUT_MS)
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -28,7 +28,7 @@
 
 
 class OperationDecided(Struct, frozen=True, tag=20):
-    """The result of an operation that this daemon handed in; None if it was settled but is not known any more."""
+    """The result of an operation that this daemon submitted; None if it was settled but is not known any more."""
 
     number: int
     result: Result | None
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -66,7 +66,7 @@
         return self.ctx.core.synchrony.bounds
 
     def write(self, writes):
-        """Append records after those given before; a Rewrite replaces all before it, in the background."""
+        """Append records after those given before; a RewriteLog replaces all before it, in the background."""
         for record in writes:
             if isinstance(record, RewriteLog):
                 rewritings.plan(self.rewriting, record)
--- a/frostpost/daemon/errors.py
+++ b/frostpost/daemon/errors.py
@@ -1,4 +1,4 @@
-"""Why an operation that was handed in has no result; each has its HTTP status code and when to come back."""
+"""Why an operation that was submitted has no result; each has its HTTP status code and when to come back."""
 
 from msgspec import Struct
 
--- a/frostpost/daemon/event_loop.py
+++ b/frostpost/daemon/event_loop.py
@@ -47,7 +47,7 @@
 
 
 class Waiter(Struct):
-    """An operation that was handed in and the Deferred that waits for its result."""
+    """An operation that was submitted and the Deferred that waits for its result."""
 
     op: object
     answer: Deferred | None
@@ -148,13 +148,13 @@
 
 
 def submit_without_result(ctx, op):
-    """Hand in an operation without waiting for its result."""
+    """Submit an operation without waiting for its result."""
     ctx.asking.append(Waiter(op, None))
     feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(op), isinstance(op, ENDING_OPERATIONS)))
 
 
 def submit(ctx, op, wait_ms):
-    """Hand in an operation; Deferred of Ok(result), or of Error after `wait_ms`."""
+    """Submit an operation; Deferred of Ok(result), or of Error after `wait_ms`."""
     must = isinstance(op, ENDING_OPERATIONS)
     answer = Deferred()
     if not must and not cores.holds_lease(ctx.core, clock_ms(ctx)):
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -41,7 +41,7 @@
 
 
 class Allowed(Struct):
-    """Until when a call may wait: for its verdict, and for its answer."""
+    """Until when a call may wait: for its result, and for its answer."""
 
     contact_ms: int
     answer_ms: int
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -212,7 +212,7 @@
 
 
 def handler(agent, serve):
-    """handle(request) that passes every request to serve(leaf, call, sink)."""
+    """handle(request) that passes every request to serve(agent, call, sink)."""
 
     def handle(request):
         waited_ms = int((agent.reactor.seconds() - request.started_s) * 1000)
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -11,7 +11,7 @@
 
 
 def open_ports(agent, serve=None):
-    """Listen on every address that the settings name; the front's server becomes `leaf.front`."""
+    """Listen on every address that the settings name; the front's server becomes `agent.front`."""
     settings, ports = agent.settings, []
 
     def listen(address, server):
--- a/frostpost/program_ledger/turns.py
+++ b/frostpost/program_ledger/turns.py
@@ -112,7 +112,7 @@
 
 
 def refuse_attempt(program_ledger, now_ms, name, verdict):
-    """A refused attempt stays refused, however often it is handed in."""
+    """A refused attempt stays refused, however often it is submitted."""
     entomb(program_ledger, now_ms, name)
     program_ledger.refused[name] = verdict
     return verdict
--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -47,7 +47,7 @@
 
 
 def by_service(agent):
-    """Runners of each service; leaf.runners is replaced as a whole, never changed in place."""
+    """Runners of each service; agent.runners is replaced as a whole, never changed in place."""
     held = agent.extras.get("by_service")
     if held is None or held[0] is not agent.runners:
         index = {}
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -33,7 +33,7 @@
 
 
 def flow(world, random, per_second, asked, until_ms):
-    """Hand in operations at a rate."""
+    """Submit operations at a rate."""
     if world.now_ms >= until_ms:
         return
     worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -47,7 +47,7 @@
 
 
 def ask(world, name, op):
-    """Hand in an operation at a node."""
+    """Submit an operation at a node."""
     node = world.nodes[name]
     if node.core is not None:
         world.ops[(node.endpoint.member, node.core.synchrony.last_number + 1)] = op
@@ -60,7 +60,7 @@
 
 
 def work(world, state):
-    """Hand in one random operation and schedule the next."""
+    """Submit one random operation and schedule the next."""
     if world.now_ms > state.until_ms:
         return
     random = state.random
@@ -108,7 +108,7 @@
 
 
 def revote(world, node, random):
-    """Hand in a change of voters that is allowed: one more or less, or an exchange for one that is away."""
+    """Submit a change of voters that is allowed: one more or less, or an exchange for one that is away."""
     synchrony, before = node.core.synchrony, node.core.ledger.voters
     full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
@@ -164,7 +164,7 @@
 
 
 def later(world, name, life, op):
-    """Hand in an operation at the same life of a node, once it is not frozen."""
+    """Submit an operation at the same life of a node, once it is not frozen."""
     node = world.nodes[name]
     if node.life != life or node.core is None:
         return
--- a/frostpost/testbed/scale_leaves.py
+++ b/frostpost/testbed/scale_leaves.py
@@ -1,4 +1,4 @@
-"""Hollow leaves: real sessions with the ring, sharing one process, without an HTTP front."""
+"""Hollow leaves: real sessions with the replicas, sharing one process, without an HTTP front."""
 
 from types import SimpleNamespace
 
@@ -59,7 +59,7 @@
 
 
 def leaf_settings(name, role, host, port, seed, data=""):
-    """Return a leaf's settings."""
+    """Return an agent's settings."""
     control = (host, port) if data else None
     return DaemonSettings(
         name=name,
@@ -76,7 +76,7 @@
 
 
 def start_agent(settings, reactor, stop):
-    """Start a leaf without an HTTP front."""
+    """Start an agent without an HTTP front."""
     agent = leaves.make_agent(settings, hollow_front(), reactor, Machine())
     count_kinds(agent)
     leaves.start_agent(agent, hollow_front(), stop)
@@ -84,7 +84,7 @@
 
 
 def watch(leaves, gaps):
-    """Count, by name, how often each leaf that had a lease was found without one."""
+    """Count, by name, how often each agent that had a lease was found without one."""
     held = {}
 
     def look():
@@ -151,7 +151,7 @@
 
 @inlineCallbacks
 def turn(agent, load, reactor, number):
-    """A turn that follows the leaf's last; a chain that is as long as the target's is left for a new one."""
+    """A turn that follows the agent's last; a chain that is as long as the target's is left for a new one."""
     name = agent.settings.name
     chain = load.chains.pop(name, [])
     if len(chain) >= TURNS:
--- a/frostpost/testbed/scale_run.py
+++ b/frostpost/testbed/scale_run.py
@@ -102,7 +102,7 @@
 
 
 def per_leaf(before, after, seconds, count):
-    """Return rates per second and leaf."""
+    """Return rates per second and agent."""
     return {name: round(value / count, 4) for name, value in rates(before, after, seconds).items()}
 
 
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -1,4 +1,4 @@
-"""An edge's side of the turn_store: bodies put on a majority of the voters, and fetched from any ring daemon."""
+"""An edge's side of the turn_store: bodies put on a majority of the voters, and fetched from any replica."""
 
 from expression import Error, Ok
 from msgspec import Struct
@@ -140,7 +140,7 @@
 
 
 def on_reply(agent, name, body):
-    """Takes PutBodyReply and GetBodiesReply from the ring daemon of that name; -> whether it was one of them."""
+    """Takes PutBodyReply and GetBodiesReply from the replica of that name; -> whether it was one of them."""
     if not isinstance(body, (PutBodyReply, GetBodiesReply)):
         return False
     state = client_of(agent)
--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -1,4 +1,8 @@
-"""Messages between the ring's members and the leaves round it; the ring's own are in words.py."""
+"""Messages between replicas and agents, and between seeds at the first start.
+
+Replicas are the members of the protocol (role storage); agents are the daemons that hold a lease from them. As in
+`messages`, tags and the order of fields must not change.
+"""
 
 from msgspec import Struct
 
@@ -10,7 +14,7 @@
 
 
 class DirectoryReply(Struct, frozen=True, array_like=True, tag=23):
-    """endpoints: the replicas that the sender knows. charter: the founding voters, if it knows them."""
+    """endpoints: the replicas that the sender knows. bootstrap_voters: the founding voters, if it knows them."""
 
     endpoints: tuple[Endpoint, ...]
     bootstrap_voters: tuple[str, ...] = ()
@@ -50,7 +54,7 @@
 
 
 class OperationRequest(Struct, frozen=True, array_like=True, tag=26):
-    """An agent hands an operation in; the same number may come again and has one effect."""
+    """An agent submits an operation; the same number may come again and has one effect."""
 
     incarnation: int
     number: int
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -83,7 +83,7 @@
 
 
 class OperationSubmitted(Struct, frozen=True, array_like=True, tag=3):
-    """The shell hands an operation in. end: it ends something and is taken whatever the window holds."""
+    """The shell submits an operation. end: it ends something and is taken whatever the window holds."""
 
     now_ms: int
     payload: bytes
