--- a/frostpost/platform/calls.py
+++ b/frostpost/platform/calls.py
@@ -30,14 +30,17 @@
 
 
 def number(fields, name, default=0):
+    """A whole number of a header field, or the default where it is missing; ValueError where it is none."""
     return int(float(fields[name])) if name in fields else default
 
 
 def text(fields, name):
+    """A header field as text; empty where it is missing."""
     return fields[name].decode("latin-1") if name in fields else ""
 
 
 def parts_of(value):
+    """The prompt parts of a header: (name, tokens) pairs in order."""
     pairs = (part.strip().rpartition(":") for part in value.split(",") if part.strip())
     return tuple((part, int(tokens)) for part, _, tokens in pairs)
 
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -61,6 +61,7 @@
 
 
 def control_client():
+    """`cluster.control_client`, imported on first use: an edge daemon never needs it."""
     return import_module("frostpost.cluster.control_client")
 
 
@@ -73,19 +74,23 @@
 
 
 def remaining_ms(agent, until_ms):
+    """Milliseconds until a moment, at least 0."""
     return max(0, until_ms - now_ms(agent))
 
 
 def say_no(request, status, fault):
+    """Answer with a status and a failure as JSON."""
     reply(request, status, json.encode(fault), [JSON])
 
 
 def unavailable(request, fault):
+    """Answer 503 with when to come back."""
     retry_ms = getattr(fault, "retry_ms", RETRY_MS)
     reply(request, 503, json.encode(fault), [JSON, (b"Retry-After", b"%g" % (retry_ms / 1000))])
 
 
 def base_of(request):
+    """The version that a change builds on; None where the header is missing or no number."""
     value = (request.getHeader(names.BASE) or b"").strip()
     return int(value) if value.isascii() and value.isdigit() and len(value) <= len(str(routing.MOST_ISSUE)) else None
 
@@ -151,6 +156,7 @@
 
 @inlineCallbacks
 def change_routing(agent, request, kind):
+    """Take a change of the configuration; kind: "replace" or "modify"."""
     until = allowed(agent, len(request.body))
     change = asked(request, kind)
     if change.is_error():
@@ -167,6 +173,7 @@
 
 @inlineCallbacks
 def query(agent, request):
+    """Answer with the configuration in force."""
     looked = yield control_client().read_routing(agent, remaining_ms(agent, allowed(agent).contact_ms))
     if looked.is_error():
         unavailable(request, looked.error)
@@ -176,6 +183,7 @@
 
 @inlineCallbacks
 def retire(agent, request, name, ask):
+    """Answer how far the retirement of a replica is; ask: begins it, or only reads it."""
     result = yield ask(agent, name, remaining_ms(agent, allowed(agent).contact_ms))
     if result.is_error():
         unavailable(request, result.error)
@@ -200,6 +208,8 @@
 
 
 def handler(agent):
+    """handle(request) for every control call."""
+
     def handle(request):
         call = call_for(agent, request)
         if call is None:
--- a/frostpost/platform/documents.py
+++ b/frostpost/platform/documents.py
@@ -4,11 +4,15 @@
 
 
 class Share(Struct):
+    """A share of a route's requests that goes to a service."""
+
     target: str
     share: float
 
 
 class RouteItem(Struct, rename="kebab"):
+    """A route as the document has it; times in milliseconds or seconds as their names say."""
+
     name: str
     host: str
     path_prefix: str
@@ -26,12 +30,16 @@
 
 
 class Engine(Struct, rename="kebab"):
+    """What runners of a service can do: requests at once, tokens of cache, tokens in an event."""
+
     capacity: int | None = None
     cache_tokens: int | None = None
     event_tokens: int | None = None
 
 
 class ServiceItem(Struct, rename="kebab"):
+    """A service as the document has it."""
+
     name: str
     max_connections: int = 64
     self_dedup: bool | None = None
@@ -39,6 +47,8 @@
 
 
 class BoundItem(Struct, rename="kebab"):
+    """Bounds on clients: bytes of head and body, milliseconds for the head and between requests."""
+
     max_header_bytes: int | None = None
     max_body_bytes: int | None = None
     header_guard_ms: float | None = None
@@ -46,6 +56,8 @@
 
 
 class Document(Struct, rename="kebab"):
+    """A whole configuration document, or the part of one that a change brings."""
+
     issue: int
     route_table: list[RouteItem] = field(default_factory=list)
     service_table: list[ServiceItem] = field(default_factory=list)
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -36,12 +36,14 @@
 
 
 def fetch_list(agent):
+    """-> Deferred[list[Runner]]: all pages of the platform's list."""
     from .listing import fetch_list as fetch
 
     return fetch(agent)
 
 
 def routing_from_body(body):
+    """A committed configuration as routing."""
     from .routing import routing_from_body as routing
 
     return routing(body)
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -66,6 +66,7 @@
 
 
 def agent_of(agent):
+    """The HTTP client of the list, which keeps one connection open; made at first use."""
     http_agent = agent.extras.get("list_agent")
     if http_agent is None:
         pool = HTTPConnectionPool(agent.reactor, persistent=True)
@@ -75,6 +76,7 @@
 
 
 def retry_ms_of(response):
+    """When the platform wants the next call, in milliseconds."""
     values = response.headers.getRawHeaders(b"Retry-After") or [b""]
     try:
         return max(1, int(float(values[0]) * 1000))
@@ -84,6 +86,7 @@
 
 @inlineCallbacks
 def fetch_page(agent, token):
+    """-> Deferred[(list[Runner], next token or None)]; ListBrokenError where the page can't be read."""
     settings = agent.settings
     url = f"http://{settings.list_host}:{settings.list_port}/instances"
     if token:
--- a/frostpost/platform/readiness.py
+++ b/frostpost/platform/readiness.py
@@ -8,6 +8,7 @@
 
 
 def ready(agent):
+    """Whether new connections may come: a lease, a configuration and a list are there, and it isn't draining."""
     from frostpost.cluster.lease_client import holds_lease
 
     return (
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -54,6 +54,7 @@
 
 
 def weights_of(item):
+    """(service, weight) pairs of a route; weights are whole numbers."""
     if item.distribution is None:
         return () if item.target is None else ((item.target, 1),)
     scale = 1 if all(share.share == int(share.share) for share in item.distribution) else 1000
@@ -61,6 +62,7 @@
 
 
 def doubles(values):
+    """The first value that comes twice, or None."""
     seen = set()
     return next((value for value in values if value in seen or seen.add(value)), None)
 
@@ -87,10 +89,12 @@
 
 
 def milliseconds(value, default=0):
+    """A time in whole milliseconds, or the default where there is none."""
     return default if value is None else max(1, round(value)) if value > 0 else 0
 
 
 def route_of(item):
+    """A route in the product's own terms."""
     timeout_ms = milliseconds(item.guard_ms)
     return Route(
         name=item.name,
@@ -110,6 +114,7 @@
 
 
 def service_of(item):
+    """A service in the product's own terms."""
     engine = item.engine or Engine()
     return Service(
         name=item.name,
@@ -122,6 +127,7 @@
 
 
 def bounds_of(item):
+    """Bounds on clients in the product's own terms."""
     item, default = item or BoundItem(), ClientBounds()
     return ClientBounds(
         header_bytes=item.max_header_bytes or default.header_bytes,
@@ -132,6 +138,7 @@
 
 
 def translate(document):
+    """A valid document as Routing."""
     return Routing(
         version=document.issue,
         routes=tuple(map(route_of, document.route_table)),
@@ -165,6 +172,7 @@
 
 
 def named_once(change):
+    """Whether no name comes twice in a change; -> Result[change, RoutingInvalid]."""
     for table, items in (change.get("upsert") or {}).items():
         if isinstance(items, dict):
             continue
@@ -176,10 +184,12 @@
 
 
 def name_of(item):
+    """The name of a route or service in a document as read."""
     return item.get("name") if isinstance(item, dict) else None
 
 
 def items_of(document, table):
+    """The items of a table of a document as read."""
     found = document.get(table)
     return found if isinstance(found, list) else []
 
--- a/frostpost/platform/server.py
+++ b/frostpost/platform/server.py
@@ -35,14 +35,16 @@
     on_over, lost, size, body, started_s = None, False, 0, b"", 0.0
 
     def parseCookies(self):
-        pass
+        """Cookies mean nothing here and are passed on as they came."""
 
     def gotLength(self, length):
+        """The head is read: reject a body that is announced as too long."""
         self.chunks, self.started_s = [], self.channel.factory.reactor.seconds()
         if length is not None and length > self.channel.bounds.body_bytes:
             self.channel.turn_away(413)
 
     def handleContentChunk(self, data):
+        """Collect the body, up to its bound."""
         self.size += len(data)
         if self.size <= self.channel.bounds.body_bytes:
             self.chunks.append(data)
@@ -51,32 +53,39 @@
             self.channel.turn_away(413)
 
     def requestReceived(self, command, path, version):
+        """The request is complete: hand it to the server's handler."""
         self.method, self.uri, self.clientproto = command, path, version
         self.path = path.partition(b"?")[0]
         self.body, self.chunks = b"".join(self.chunks), []
         self.channel.factory.handle(self)
 
     def finish(self):
+        """The answer is complete."""
         self.over(False)
         super().finish()
 
     def connectionLost(self, reason):
+        """The client has gone."""
         self.lost = True
         super().connectionLost(reason)
         self.over(True)
 
     def over(self, lost):
+        """Call `on_over` once."""
         on_over, self.on_over = self.on_over, None
         if on_over is not None:
             on_over(lost)
 
 
 class BoundedChannel(HTTPChannel):
+    """A client's connection with bounds on heads, bodies and time; see `ClientBounds`."""
+
     requestFactory = Exchange
     turned = reading = in_head = False
     bounds, read_by_s = None, 0.0
 
     def connectionMade(self):
+        """Set time-outs, and refuse the connection if there are too many."""
         self.take_bounds()
         self.timeOut = self.bounds.idle_ms / 1000
         super().connectionMade()
@@ -88,19 +97,23 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason):
+        """Forget the connection."""
         self.factory.channels.discard(self)
         super().connectionLost(reason)
 
     def take_bounds(self):
+        """Take over the bounds in force, for the next request."""
         self.bounds = self.factory.bounds()
         self.totalHeadersSize = self.MAX_LENGTH = self.bounds.header_bytes
 
     def begin_reading(self):
+        """The first byte of a head came: its time begins."""
         self.reading = self.in_head = True
         self.take_bounds()
         self.setTimeout(self.bounds.header_ms / 1000)
 
     def dataReceived(self, data):
+        """Read, within the time that a head may take."""
         if self.turned:
             return None
         if not self._handlingRequest:
@@ -113,12 +126,13 @@
         return LineReceiver.dataReceived(self, data)
 
     def lineReceived(self, line):
+        """A line of the head; one that could be read in two ways is rejected."""
         if not self.reading:
             self.begin_reading()
         return super().lineReceived(line)
 
     def headerReceived(self, line):
-        """Refuse framing that another reader could take otherwise; the library reads the rest."""
+        """A field of the head; one that could be read in two ways is rejected."""
         name, _, value = line.partition(b":")
         name, value = name.lower(), value.strip(b" \t")
         if name == b"transfer-encoding" and value.lower() != b"chunked":
@@ -130,6 +144,7 @@
         return super().headerReceived(line)
 
     def allHeadersReceived(self):
+        """The head is complete."""
         self.in_head, idle_s = False, self.bounds.idle_ms / 1000
         if self.length == 0:
             self.timeOut = idle_s
@@ -139,11 +154,13 @@
         super().allHeadersReceived()
 
     def allContentReceived(self):
+        """The request is complete; the next one begins with the bounds in force then."""
         if not self.turned:
             self.reading = False
             super().allContentReceived()
 
     def lineLengthExceeded(self, line):
+        """The head is too long."""
         self.turn_away(431)
 
     def _send100Continue(self):
@@ -155,7 +172,7 @@
         self.turn_away(431 if over else 400)
 
     def turn_away(self, status):
-        """Answer a request that isn't read whole, then read on for a moment, so that the answer isn't reset."""
+        """Reject the request with a status and close the connection."""
         if self.turned:
             return
         self.turned, self.persistent = True, False
@@ -168,6 +185,7 @@
         self.transport.loseWriteConnection()
 
     def timeoutConnection(self):
+        """Reject a head or body that takes too long; an idle connection is closed."""
         if self.turned:
             self.transport.abortConnection()
         elif self.reading:
@@ -177,7 +195,7 @@
 
 
 class Server(HTTPFactory):
-    """bounds() -> ClientBounds; handle(request) answers one `Exchange`."""
+    """Listens with bounded channels; `handle` gets every complete request."""
 
     protocol, noisy = BoundedChannel, False
 
@@ -186,16 +204,16 @@
         self.handle, self.bounds, self.most_channels, self.channels = handle, bounds, most_channels, set()
 
     def startFactory(self):
-        pass
+        """Nothing to start."""
 
     def stopFactory(self):
-        pass
+        """Nothing to stop."""
 
     def log(self, request):
-        pass
+        """Requests aren't logged."""
 
     def close_idle(self):
-        """End the connections on which nothing is under way."""
+        """Close the connections on which no request is under way."""
         for channel in list(self.channels):
             if not (channel.reading or channel._handlingRequest or channel.turned):
                 channel.loseConnection()
--- a/frostpost/platform/settings.py
+++ b/frostpost/platform/settings.py
@@ -18,6 +18,8 @@
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
+    """path: the field that is wrong, with dots; text: what is wrong with it."""
+
     path: str
     text: str
 
@@ -33,11 +35,13 @@
 
 
 def check_address(field, value, error):
+    """A rule of cerberus: "ip:port"."""
     if address_of(value) is None:
         error(field, "is no IP number and port")
 
 
 def check_ip(field, value, error):
+    """A rule of cerberus: an IP number."""
     try:
         IPv4Address(value)
     except ValueError:
@@ -45,6 +49,7 @@
 
 
 def check_finite(field, value, error):
+    """A rule of cerberus: no infinite number and no NaN."""
     if not isfinite(value):
         error(field, "must be finite")
 
@@ -67,6 +72,7 @@
 
 
 def table(**fields):
+    """A schema of a table with these fields; others are allowed."""
     return {"type": "dict", "nullable": True, "schema": {name.replace("_", "-"): rule for name, rule in fields.items()}}
 
 
@@ -96,6 +102,7 @@
 
 
 def first_error(errors, path=""):
+    """The first error of a validation, with its path."""
     name, found = next(iter(errors.items()))
     where = f"{path}.{name}" if path else str(name)
     last = found[-1]
@@ -103,6 +110,7 @@
 
 
 def role_of(document):
+    """The product's role by what the machine serves."""
     serves = document.get("serves") or []
     if "storage" in serves:
         return "storage"
@@ -123,6 +131,7 @@
 
 
 def whole(found, **names):
+    """The fields that are there, as whole numbers under the product's names."""
     return {ours: int(found[theirs]) for ours, theirs in names.items() if found.get(theirs) is not None}
 
 
--- a/frostpost/platform/strict_json.py
+++ b/frostpost/platform/strict_json.py
@@ -9,6 +9,8 @@
 
 
 class RoutingInvalid(Struct, frozen=True, tag="RoutingInvalid"):
+    """path: what is wrong in a document; text: why."""
+
     path: str
     text: str
 
@@ -18,6 +20,7 @@
 
 
 def without_doubles(pairs):
+    """An object's pairs as a dict; a name that comes twice is an error."""
     found = dict(pairs)
     if len(found) != len(pairs):
         raise DuplicateKeyError("an object names a key twice")
@@ -25,10 +28,12 @@
 
 
 def no_constant(text):
+    """NaN and infinities are errors."""
     raise ValueError(f"{text} is no number")
 
 
 def finite(text):
+    """A number; one that overflows is an error."""
     value = float(text)
     return value if isfinite(value) else no_constant(text)
 
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -23,6 +23,7 @@
 
 
 def load_of(value):
+    """The load that a runner tells: three whole numbers; None where it can't be read."""
     parts = value.split(b",")
     try:
         load = tuple(int(part) for part in parts[:3])
@@ -32,6 +33,7 @@
 
 
 def keep_ms_of(value):
+    """How long a runner keeps an idle connection, in milliseconds; 0 where it doesn't tell."""
     for part in value.split(b","):
         name, _, text = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and text.strip().isdigit():
@@ -67,4 +69,5 @@
 
 
 def wire():
+    """How requests to runners are written and their answers' heads are read."""
     return Wire(request_headers=request_headers, read_head=read_head)
