--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -35,7 +35,7 @@
 
 
 def assemble(settings, reactor, machine, stop):
-    """-> Replica; its core begins when it knows whether it is a founder, see `begin`."""
+    """-> ReplicaContext; its core begins once it knows whether it is a founding voter, see `begin_serving`."""
     incarnation = 1 + int(machine.token(6), 16)
     endpoint = Endpoint(
         Member(settings.name, incarnation), ROLE, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -28,7 +28,9 @@
 
 
 class OperationDecided(Struct, frozen=True, tag=20):
-    """The result of an operation that this daemon submitted; None if it was settled but is not known any more."""
+    """The result of an operation that this daemon submitted; None if it was committed but its result is no longer
+    known.
+    """
 
     number: int
     result: Result | None
@@ -41,7 +43,10 @@
 
 
 class Core(Struct):
-    """State of the core: membership and order, the ledger, and the votes cast for duties."""
+    """State of the core: membership and order, the ledger, and the ballots cast for singleton roles.
+
+    balloted: the ballot cast last, by role. ruled: the configuration in which this daemon last raised the rules.
+    """
 
     synchrony: synchronies.Synchrony
     ledger: Ledger
