--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -32,7 +32,7 @@
     read = set()
     for address, (endpoint, tell) in answers.items():
         try:
-            facts = json.decode(tell.facts, type=dict)
+            facts = json.decode(tell.status_json, type=dict)
         except DecodeError:
             continue
         read.add(address)
--- a/frostpost/cluster/operation_client.py
+++ b/frostpost/cluster/operation_client.py
@@ -99,11 +99,11 @@
     pending = state.open.get(message.number)
     if pending is None or message.incarnation != agent.endpoint.member.incarnation:
         return
-    if message.fault:
-        count(agent, f"ring/{message.fault}")
+    if message.error:
+        count(agent, f"ring/{message.error}")
         return
     del state.open[message.number]
-    pending.answer.callback(Ok(decode(message.verdict)))
+    pending.answer.callback(Ok(decode(message.result)))
 
 
 def due_ms_of(pending):
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -20,7 +20,7 @@
     PutBodyReply,
     PutBodyRequest,
 )
-from frostpost.virtual_synchrony.durable_log import NOWHERE, replay
+from frostpost.virtual_synchrony.durable_log import NO_CONFIGURATION, replay
 from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.events import DrainRequested, MessageReceived
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
@@ -78,7 +78,7 @@
     """Listen and begin: at once with a memory or at a later start, else with the bootstrap record."""
     listen(replica.ctx, lambda ctx, frame: on_frame(replica, frame)).addErrback(on_listen_failure(replica))
     log = replay(replica.records)
-    if log.primary != NOWHERE or not replica.settings.first_start:
+    if log.primary != NO_CONFIGURATION or not replica.settings.first_start:
         begin_serving(replica, ())
     replica.seeking = run_every(replica, lambda: request_bootstrap(replica), 0.1)
 
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -57,7 +57,7 @@
 
 def begin(endpoint, bounds, seeds, voters, log, now_ms):
     """Return (core, output) of a daemon that starts with the log read from its disk."""
-    synchrony, out = synchronies.begin_synchrony(endpoint, bounds, seeds, voters, log, now_ms)
+    synchrony, out = synchronies.create_synchrony(endpoint, bounds, seeds, voters, log, now_ms)
     ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.commit_index - log.snapshot_index)]:
         ledger, _ = apply(ledger, entry)
@@ -87,11 +87,11 @@
 def apply_answers(core, out):
     """Apply what was delivered to the ledger; return the answers for the shell."""
     told = []
-    for answer in out.answers:
+    for answer in out.notifications:
         match answer:
             case EntryApplied(entry):
                 core.ledger, result = apply(core.ledger, entry)
-                if entry.sender == core.synchrony.me and entry.number:
+                if entry.sender == core.synchrony.local_member and entry.number:
                     told.append(OperationDecided(entry.number, result))
                 told.append(answer)
             case SnapshotInstalled():
@@ -120,7 +120,7 @@
 def answered_by_snapshot(core):
     """Return the outcome of own operations that a snapshot already contains."""
     incarnation, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
-    if incarnation != core.synchrony.me.incarnation:
+    if incarnation != core.synchrony.local_member.incarnation:
         return []
     gone = [n for n in core.synchrony.outbox if n <= number]
     for n in gone:
@@ -134,7 +134,7 @@
     if not synchrony.primary.opened or synchrony.recovery or synchrony.draining:
         return []
     asks = []
-    for duty, round, candidate in singleton_roles.owed(ledger, synchrony.me):
+    for duty, round, candidate in singleton_roles.owed(ledger, synchrony.local_member):
         mark = (synchrony.configuration.id.epoch << 20) + round
         if core.balloted.get(duty) != mark:
             core.balloted[duty] = mark
@@ -148,10 +148,12 @@
     if (
         ledger.rules >= PROTOCOL_REVISION
         or core.ruled == synchrony.configuration.id
-        or not singleton_roles.held(ledger, "ticks", synchrony.me)
+        or not singleton_roles.held(ledger, "ticks", synchrony.local_member)
     ):
         return []
-    endpoints = {p.endpoint.member: p.endpoint for p in synchrony.peers.values()} | {synchrony.me: synchrony.endpoint}
+    endpoints = {p.endpoint.member: p.endpoint for p in synchrony.peers.values()} | {
+        synchrony.local_member: synchrony.endpoint
+    }
     if any(
         m not in endpoints or endpoints[m].protocol_revision < PROTOCOL_REVISION
         for m in synchrony.configuration.members
--- a/frostpost/daemon/event_loop.py
+++ b/frostpost/daemon/event_loop.py
@@ -67,7 +67,7 @@
                 ctx.disk.write(out.writes)
             for to, body in out.sends:
                 ctx.links["send"](to, body)
-            for answer in out.answers:
+            for answer in out.notifications:
                 on_answer(ctx, answer)
     finally:
         ctx.stepping = False
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -192,7 +192,7 @@
     synchrony.written_count += 1
     synchronies.increment_counter(synchrony, "rewrites")
     records = (
-        PromiseRecord(synchrony.me.incarnation, log.epoch),
+        PromiseRecord(synchrony.local_member.incarnation, log.epoch),
         SnapshotRecord(log.snapshot_index, taken.state),
         ConfigurationRecord(log.primary, log.base, log.voters),
         *(EntryRecord(e, log.snapshot_index) for e in tail),
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -148,7 +148,7 @@
     if not holds_lease(ctx.core, now) or now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return False
     for member in synchrony.configuration.members:
-        if member == synchrony.me:
+        if member == synchrony.local_member:
             reached = ctx.honoured if what == "~honoured" else synchrony.applied
         else:
             peer = synchrony.peers.get(member.name)
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -23,7 +23,7 @@
     synchrony, ledger = ctx.core.synchrony, ctx.core.ledger
     return {
         "name": synchrony.name,
-        "boot": synchrony.me.incarnation,
+        "boot": synchrony.local_member.incarnation,
         "role": synchrony.endpoint.role,
         "zone": synchrony.endpoint.zone,
         "serving": holds_lease(ctx.core, clock_ms(ctx)) and not ctx.leaving,
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -38,7 +38,7 @@
         return
     worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
     node = random.choice([n for n in world.nodes.values() if serves(world, n)])
-    asked[(node.endpoint.member, node.core.synchrony.last_number + 1)] = world.now_ms
+    asked[(node.endpoint.member, node.core.synchrony.last_operation_number + 1)] = world.now_ms
     worlds.feed(world, node.name, OperationSubmitted(worlds.clock(world, node), encode(Look())))
 
 
--- a/frostpost/simulator/explore_checks.py
+++ b/frostpost/simulator/explore_checks.py
@@ -199,7 +199,7 @@
     synchrony = replica.synchrony
     kind = item.label[2]
     if kind == "Sync":
-        return item.incarnation != synchrony.me.incarnation
+        return item.incarnation != synchrony.local_member.incarnation
     id = getattr(item.body, "id", None)
     if id is None or kind == "ProposeRejection":
         return False
--- a/frostpost/simulator/explore_hash.py
+++ b/frostpost/simulator/explore_hash.py
@@ -84,7 +84,7 @@
             canonical(synchrony, now_ms),
             unsynced(synchrony),
             canonical(core.snapshots, now_ms),
-            [synchrony.me.incarnation, core.ledger.index, core.ledger.voters],
+            [synchrony.local_member.incarnation, core.ledger.index, core.ledger.voters],
         ]
     lasting = canonical(replay(replica.disk.synced), now_ms)
     pending = [encode(record) for record in replica.disk.pending]
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_moves.py
@@ -118,14 +118,14 @@
         return
     synchrony = replica.core.synchrony
     known = {p.endpoint.member.name: p.endpoint.member for p in synchrony.peers.values()} | {
-        synchrony.name: synchrony.me
+        synchrony.name: synchrony.local_member
     }
     out = Output()
     synchrony.proposal = None
     membership.propose(synchrony, out, tuple(known[n] for n in move.members if n in known))
     step.deliver_to_self(synchrony, out)
     effects(world, replica, out)
-    checks.answers(world, replica, out.answers)
+    checks.answers(world, replica, out.notifications)
 
 
 def remind(world, move):
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -40,7 +40,7 @@
 
 def promise_anything(synchrony, out, sender_name, message):
     """A member forgets that it promised a higher configuration."""
-    if synchrony.me not in message.members:
+    if synchrony.local_member not in message.members:
         out.sends.append((sender_name, ProposeRejection(message.id, synchrony.promised)))
         return
     membership.promise(synchrony, out, sender_name, message)
@@ -152,7 +152,7 @@
 
 def no_rebroadcast(synchrony, out):
     """Members hand nothing on in a recovery."""
-    synchrony.recovery.owed_ordinals = {}
+    synchrony.recovery.ordinals_to_rebroadcast = {}
 
 
 def no_resend(synchrony, out):
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -30,7 +30,7 @@
     replica = own(world, name)
     replica.core, out = cores.step(replica.core, event)
     effects(world, replica, out)
-    checks.answers(world, replica, out.answers)
+    checks.answers(world, replica, out.notifications)
 
 
 def effects(world, replica, out):
@@ -65,7 +65,7 @@
     if disk.syncing or not disk.pending:
         return
     replica.disk = structs.replace(disk, syncing=len(disk.pending))
-    incarnation = replica.core.synchrony.me.incarnation
+    incarnation = replica.core.synchrony.local_member.incarnation
     world.queue += (SyncDone(replica.name, incarnation, short_hash(encode(["sync", replica.name, incarnation]))),)
 
 
@@ -104,7 +104,7 @@
     """Set all timers as if they had been started long ago."""
     for timer in TIMERS:
         setattr(synchrony, timer, LONG_AGO_MS)
-    synchrony.primary.fetched_ms = LONG_AGO_MS
+    synchrony.primary.last_fetch_ms = LONG_AGO_MS
     synchrony.order.sent_ms = dict.fromkeys(member_names(synchrony.configuration), LONG_AGO_MS)
     if synchrony.recovery:
         synchrony.recovery.sent_ms = LONG_AGO_MS
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -49,7 +49,7 @@
     while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
         order.delivered_watermark += 1
         entry = order.pending[order.delivered_watermark]
-        out.answers.append(EntryDelivered(entry, False, synchrony.primary.eligible))
+        out.notifications.append(EntryDelivered(entry, False, synchrony.primary.eligible))
         if synchrony.primary.eligible:
             delivery.queue_for_apply(synchrony, out, entry)
 
@@ -100,7 +100,7 @@
 
 def no_union(synchrony, out):
     """Plant: do not send again what others lack."""
-    synchrony.recovery.owed_ordinals = {}
+    synchrony.recovery.ordinals_to_rebroadcast = {}
 
 
 def late_self(synchrony, out, entries):
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -50,7 +50,7 @@
     """Submit an operation at a node."""
     node = world.nodes[name]
     if node.core is not None:
-        world.ops[(node.endpoint.member, node.core.synchrony.last_number + 1)] = op
+        world.ops[(node.endpoint.member, node.core.synchrony.last_operation_number + 1)] = op
     worlds.feed(world, name, OperationSubmitted(worlds.clock(world, node), encode(op)))
 
 
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -126,7 +126,7 @@
     for log in (life.log, core.synchrony.log):
         if log.primary == id and log.length < log.base + top:
             yield Broken("cut", f"{top} of {id} was acknowledged and cut off")
-    for answer in out.answers:
+    for answer in out.notifications:
         match answer:
             case ConfigurationChanged(_, False):
                 life.opened = False
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -132,7 +132,7 @@
         node.disk.written += out.writes
         node.disk.wrote += len(out.writes)
         sync(world, node)
-    for answer in out.answers:
+    for answer in out.notifications:
         note(world, node.name, answer)
         if world.tap:
             world.tap(world, node, answer)
--- a/frostpost/virtual_synchrony/acknowledgements.py
+++ b/frostpost/virtual_synchrony/acknowledgements.py
@@ -46,7 +46,7 @@
     if not done:
         return
     synchrony.pending_acks = [ack for ack in synchrony.pending_acks if ack.record_number > synchrony.synced_count]
-    synchrony.is_last_sync_slow = has_waited_long(synchrony, done[-1])
+    synchrony.was_last_sync_slow = exceeds_ack_delay(synchrony, done[-1])
     watermark = max(ack.watermark for ack in done)
     if keeps_log(synchrony):
         synchrony.order.synced_watermark = max(synchrony.order.synced_watermark, watermark)
@@ -80,15 +80,15 @@
 def is_sync_slow(synchrony):
     """Whether the last sync, or the one that is waited for, takes too long for others to wait for it."""
     pending = synchrony.pending_acks
-    return synchrony.is_last_sync_slow or bool(pending) and has_waited_long(synchrony, pending[0])
+    return synchrony.was_last_sync_slow or bool(pending) and exceeds_ack_delay(synchrony, pending[0])
 
 
-def has_waited_long(synchrony, ack):
+def exceeds_ack_delay(synchrony, ack):
     """Whether an acknowledgement has waited for its sync as long as others are made to wait."""
     return synchrony.now_ms - ack.written_ms >= synchrony.bounds.receipt_ack_ms
 
 
-def owes_receipt(synchrony):
+def has_unsent_receipt(synchrony):
     """Whether entries were received that the sequencer hasn't been told of, since their sync is waited for."""
     order = synchrony.order
     return bool(synchrony.pending_acks) and order.reported_received_watermark < order.received_watermark
@@ -96,7 +96,7 @@
 
 def send_receipt_if_due(synchrony, out):
     """On a tick: tell of the receipt if the sync takes long."""
-    if not synchrony.recovery and owes_receipt(synchrony) and is_sync_slow(synchrony):
+    if not synchrony.recovery and has_unsent_receipt(synchrony) and is_sync_slow(synchrony):
         send_receipt(synchrony, out)
 
 
--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -75,8 +75,8 @@
 
     incarnation: int
     number: int
-    verdict: bytes
-    fault: str = ""
+    result: bytes
+    error: str = ""
 
 
 class RoutingRequest(Struct, frozen=True, array_like=True, tag=28):
@@ -132,7 +132,7 @@
 class StatusReply(Struct, frozen=True, array_like=True, tag=35):
     """facts: a JSON object."""
 
-    facts: bytes
+    status_json: bytes
 
 
 class BootstrapRequest(Struct, frozen=True, array_like=True, tag=40):
--- a/frostpost/virtual_synchrony/catch_up.py
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -29,9 +29,9 @@
         or synchrony.primary.donor == synchrony.name
     ):
         return
-    if synchrony.now_ms - synchrony.primary.fetched_ms < synchrony.bounds.resend_ms:
+    if synchrony.now_ms - synchrony.primary.last_fetch_ms < synchrony.bounds.resend_ms:
         return
-    synchrony.primary.fetched_ms = synchrony.now_ms
+    synchrony.primary.last_fetch_ms = synchrony.now_ms
     if synchrony.has_log and synchrony.applied > synchrony.primary.base:
         request_own_snapshot(synchrony, out)
         return
@@ -45,11 +45,11 @@
     if synchrony.primary.fetch_source not in ready:
         spot = sum(synchrony.name.encode()) % len(ready) if ready else 0
         synchrony.primary.fetch_source = ready[spot] if ready else synchrony.primary.donor
-        synchrony.primary.chunks = bytearray()
+        synchrony.primary.snapshot_buffer = bytearray()
     out.sends.append(
         (
             synchrony.primary.fetch_source,
-            EntriesRequest(synchrony.configuration.id, first, len(synchrony.primary.chunks)),
+            EntriesRequest(synchrony.configuration.id, first, len(synchrony.primary.snapshot_buffer)),
         )
     )
 
@@ -57,7 +57,7 @@
 def request_own_snapshot(synchrony, out):
     """All that this member's log lacks is in its state: a snapshot of another would be behind it under traffic."""
     synchrony.primary.loading_snapshot = True
-    out.answers.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
+    out.notifications.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
 
 
 def on_entries_request(synchrony, out, sender_name, message):
@@ -66,7 +66,7 @@
     if message.id != synchrony.configuration.id or primary.ready_record_number < 0:
         return
     if message.first <= log.snapshot_index or message.offset:
-        out.answers.append(SnapshotRequested(sender_name, message.id, message.offset))
+        out.notifications.append(SnapshotRequested(sender_name, message.id, message.offset))
         return
     entries = log.entries[message.first - log.snapshot_index - 1 : primary.base - log.snapshot_index]
     out.sends.append((sender_name, EntriesReply(message.id, tuple(entries[: synchrony.bounds.batch]))))
@@ -91,7 +91,7 @@
             if entry.index > synchrony.applied:
                 synchrony.pending_entries[entry.index] = entry
         delivery.apply_pending(synchrony, out)
-    primary.fetched_ms = NEVER_MS
+    primary.last_fetch_ms = NEVER_MS
     request_missing(synchrony, out)
 
 
@@ -100,17 +100,17 @@
     primary = synchrony.primary
     if message.id != synchrony.configuration.id or primary.loading_snapshot or not first_missing_index(synchrony):
         return
-    if message.index != primary.chunks_index or message.offset == 0:
-        primary.chunks, primary.chunks_index = bytearray(), message.index
-    if message.offset != len(primary.chunks):
+    if message.index != primary.snapshot_buffer_index or message.offset == 0:
+        primary.snapshot_buffer, primary.snapshot_buffer_index = bytearray(), message.index
+    if message.offset != len(primary.snapshot_buffer):
         return
-    primary.chunks += message.data
+    primary.snapshot_buffer += message.data
     wait_ms = synchrony.bounds.piece_bytes * 1000 // synchrony.bounds.refill_bytes_s
-    primary.fetched_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
-    if len(primary.chunks) >= message.total:
-        state, primary.chunks = bytes(primary.chunks), bytearray()
+    primary.last_fetch_ms = synchrony.now_ms - synchrony.bounds.resend_ms + wait_ms
+    if len(primary.snapshot_buffer) >= message.total:
+        state, primary.snapshot_buffer = bytes(primary.snapshot_buffer), bytearray()
         primary.loading_snapshot = True
-        out.answers.append(SnapshotReceived(message.id, message.index, state, message.digest))
+        out.notifications.append(SnapshotReceived(message.id, message.index, state, message.digest))
     request_missing(synchrony, out)
 
 
@@ -121,9 +121,9 @@
         return
     increment_counter(synchrony, "refilled")
     synchrony.applied = log.commit_index = index
-    out.answers.append(SnapshotInstalled(index, state))
+    out.notifications.append(SnapshotInstalled(index, state))
     if index > primary.base and not primary.opened:
-        delivery.mark_opened(synchrony)
+        delivery.on_primary_opened(synchrony)
     synchrony.pending_entries = {i: e for i, e in synchrony.pending_entries.items() if i > index}
     if synchrony.has_log:
         log.snapshot_index, log.entries, primary.log_matches = index, [], True
--- a/frostpost/virtual_synchrony/delivery.py
+++ b/frostpost/virtual_synchrony/delivery.py
@@ -53,16 +53,16 @@
     """Apply one entry, and drop own operations that are done from the outbox."""
     synchrony.applied = entry.index
     synchrony.log.commit_index = max(synchrony.log.commit_index, min(entry.index, synchrony.log.length))
-    out.answers.append(EntryApplied(entry))
-    if entry.sender == synchrony.me and entry.number:
+    out.notifications.append(EntryApplied(entry))
+    if entry.sender == synchrony.local_member and entry.number:
         while synchrony.outbox and (first := next(iter(synchrony.outbox))) <= entry.number:
             del synchrony.outbox[first]
             synchrony.outbox_ms = synchrony.now_ms
     if entry.ordinal == 1 and entry.configuration == synchrony.configuration.id:
-        mark_opened(synchrony)
+        on_primary_opened(synchrony)
 
 
-def mark_opened(synchrony):
-    """The primary is open: the outbox is submitted anew to its sequencer."""
+def on_primary_opened(synchrony):
+    """The primary is open: the outbox is last_submitted_number anew to its sequencer."""
     synchrony.primary.open_committed = synchrony.primary.opened = synchrony.peers_changed = True
-    synchrony.submitted = min(synchrony.outbox, default=synchrony.last_number + 1) - 1
+    synchrony.last_submitted_number = min(synchrony.outbox, default=synchrony.last_operation_number + 1) - 1
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -13,33 +13,33 @@
 from .messages import DiscoveryUpdate
 from .state import Peer
 
-REPEATS = 4
-REMIND_PERIODS = 10
+ANNOUNCEMENT_REPEATS = 4
+REFRESH_PERIODS = 10
 
 
 def announce_endpoints(synchrony, out):
     """Tell peers and seeds of places, as far as it is due in this period."""
-    synchrony.discovery_ms = synchrony.now_ms
+    synchrony.last_announcement_ms = synchrony.now_ms
     endpoints = (synchrony.endpoint, *(peer.endpoint for peer in synchrony.peers.values()))
     if endpoints != synchrony.announced_endpoints:
         synchrony.announced_endpoints, synchrony.announced_periods = endpoints, 0
     synchrony.announced_periods += 1
-    fresh = not is_settled_member(synchrony) or synchrony.announced_periods <= REPEATS
-    again = synchrony.announced_periods % REMIND_PERIODS == 0
+    fresh = not is_active_member(synchrony) or synchrony.announced_periods <= ANNOUNCEMENT_REPEATS
+    again = synchrony.announced_periods % REFRESH_PERIODS == 0
     if fresh or again or sequencer_of(synchrony) == synchrony.name:
-        report = DiscoveryUpdate(() if is_settled_member(synchrony) else (synchrony.endpoint,), synchrony.draining)
-        out.sends += [(seed, report) for seed in distant_seeds(synchrony)]
+        report = DiscoveryUpdate(() if is_active_member(synchrony) else (synchrony.endpoint,), synchrony.draining)
+        out.sends += [(seed, report) for seed in seeds_to_notify(synchrony)]
     if fresh or again:
         whole = DiscoveryUpdate(endpoints, synchrony.draining)
         out.sends += [(name, whole) for name in synchrony.peers]
 
 
-def is_settled_member(synchrony):
+def is_active_member(synchrony):
     """Whether this replica stands in an opened primary that it doesn't leave."""
     return synchrony.primary.opened and synchrony.recovery is None and not synchrony.draining
 
 
-def distant_seeds(synchrony):
+def seeds_to_notify(synchrony):
     """The seeds that are neither this replica nor one of its peers."""
     endpoints = (synchrony.endpoint, *(peer.endpoint for peer in synchrony.peers.values()))
     known = {f"@{endpoint.host}:{endpoint.port}" for endpoint in endpoints}
--- a/frostpost/virtual_synchrony/durable_log.py
+++ b/frostpost/virtual_synchrony/durable_log.py
@@ -1,24 +1,24 @@
-"""The log of a voter or learner as the protocol knows it, read back from its records."""
+"""The durable log of a voter or learner, rebuilt from its records."""
 
 from msgspec import Struct, msgpack
 
 from .configuration import ConfigurationId, DurableState, Entry
 from .events import ConfigurationRecord, EntryRecord, PromiseRecord, SetVoters, SnapshotRecord
 
-NOWHERE = ConfigurationId(0, "", 0)
-decode_voters = msgpack.Decoder(SetVoters).decode
-VOTERS_HEAD = msgpack.encode(SetVoters(ConfigurationId(0, "", 0), (), ()))[:8]
+NO_CONFIGURATION = ConfigurationId(0, "", 0)
+decode_set_voters = msgpack.Decoder(SetVoters).decode
+SET_VOTERS_PREFIX = msgpack.encode(SetVoters(ConfigurationId(0, "", 0), (), ()))[:8]
 
 
 class DurableLog(Struct):
-    """What the records on disk, and those on their way to it, say.
+    """Contents of the log, including records that are written and not yet synced.
 
-    primary and base: the primary component that the log belongs to, which continues after index `base`. snapshot_index:
-    the last index that the snapshot covers; entries follow it. commit_index: entries up to it are committed. epoch: the
-    highest that was promised or begun.
+    primary, base: the primary component that the log belongs to, and the index after which it continues.
+    snapshot_index: last index covered by the snapshot; the entries follow it. epoch: highest epoch promised or started.
+    commit_index: entries up to this index are committed.
     """
 
-    primary: ConfigurationId = NOWHERE
+    primary: ConfigurationId = NO_CONFIGURATION
     base: int = 0
     snapshot_index: int = 0
     entries: list[Entry] = []
@@ -35,7 +35,7 @@
 
 
 def replay(records):
-    """The log that these records make, in order."""
+    """Return the log that results from replaying the records in order."""
     log = DurableLog()
     for record in records:
         replay_record(log, record)
@@ -43,7 +43,7 @@
 
 
 def replay_record(log, record):
-    """Take one record in."""
+    """Apply one record to the log."""
     match record:
         case PromiseRecord(incarnation, epoch):
             log.incarnation, log.epoch = max(log.incarnation, incarnation), max(log.epoch, epoch)
@@ -54,31 +54,39 @@
             log.primary, log.base, log.voters = id, base, voters
             log.epoch = max(log.epoch, id.epoch)
             del log.entries[max(0, base - log.snapshot_index) :]
-        case EntryRecord(entry, settled):
+        case EntryRecord(entry, commit_index):
             del log.entries[max(0, entry.index - log.snapshot_index - 1) :]
             if entry.index == log.length + 1:
                 log.entries.append(entry)
-            log.commit_index = max(log.commit_index, min(settled, log.length))
+            log.commit_index = max(log.commit_index, min(commit_index, log.length))
 
 
 def durable_state_of(log):
-    """What the log holds, as a recovery tells it; None if it never was part of a primary."""
-    if log.primary == NOWHERE:
+    """Return the log's summary for a recovery; None if the log never belonged to a primary."""
+    if log.primary == NO_CONFIGURATION:
         return None
-    return DurableState(log.primary, log.length, log.voters, unsettled_voters(log))
+    return DurableState(log.primary, log.length, log.voters, uncommitted_voters(log))
 
 
-def unsettled_voters(log):
-    """Sets of voters that uncommitted entries of the log ask for."""
+def uncommitted_voters(log):
+    """Return the sets of voters requested by uncommitted entries of the log."""
     return voters_in(log.entries[max(0, log.commit_index - log.snapshot_index) :])
 
 
 def voters_in(entries):
-    """The sets of voters that entries ask for."""
-    return tuple(decode_voters(e.payload).after for e in entries if e.payload[:8] == VOTERS_HEAD)
+    """Return the sets of voters requested by SetVoters operations among the entries."""
+    return tuple(decode_set_voters(entry.payload).after for entry in entries if entry.payload[:8] == SET_VOTERS_PREFIX)
 
 
-def pending_voters(plan, best):
-    """Voters that unsettled entries ask for; any member may be the only one that holds such an entry."""
-    said = [voters for e in plan.values() if e.last_configuration == best.primary for voters in e.pending_voters]
-    return tuple(dict.fromkeys((*best.pending_voters, *said)))
+def pending_voters(plan, donor_state):
+    """Return the sets of voters requested by uncommitted entries of the donor and of members from its primary.
+
+    All of these members count, since any of them may be the only one that holds such an entry.
+    """
+    requested = [
+        voters
+        for exchange in plan.values()
+        if exchange.last_configuration == donor_state.primary
+        for voters in exchange.pending_voters
+    ]
+    return tuple(dict.fromkeys((*donor_state.pending_voters, *requested)))
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -170,7 +170,7 @@
     number: int
 
 
-Answer = (
+Notification = (
     ConfigurationChanged
     | EntryDelivered
     | EntryApplied
@@ -187,4 +187,4 @@
 
     sends: list[tuple[str, Message]] = []
     writes: list[Write] = []
-    answers: list[Answer] = []
+    notifications: list[Notification] = []
--- a/frostpost/virtual_synchrony/leases.py
+++ b/frostpost/virtual_synchrony/leases.py
@@ -42,11 +42,11 @@
     if not holds_lease(synchrony, now_ms):
         return 0
     voters = current_voters(synchrony)
-    granted_ms = sorted((granted_by(synchrony, voter, now_ms) for voter in voters), reverse=True)
+    granted_ms = sorted((grant_start_ms(synchrony, voter, now_ms) for voter in voters), reverse=True)
     return max(0, synchrony.bounds.lease_ms - (now_ms - granted_ms[len(voters) // 2]))
 
 
-def granted_by(synchrony, voter, now_ms):
+def grant_start_ms(synchrony, voter, now_ms):
     """From when a voter's grant counts; its own is always new."""
     if voter == synchrony.name:
         return now_ms
--- a/frostpost/virtual_synchrony/members.py
+++ b/frostpost/virtual_synchrony/members.py
@@ -16,7 +16,7 @@
 
 def member_of(synchrony, name):
     """The member of that name, this one or a peer."""
-    return synchrony.me if name == synchrony.name else synchrony.peers[name].endpoint.member
+    return synchrony.local_member if name == synchrony.name else synchrony.peers[name].endpoint.member
 
 
 def sequencer_of(synchrony):
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -20,26 +20,26 @@
 
     Members wait longer the later they come in the order of members, so that mostly one proposes.
     """
-    rank = desired.index(synchrony.me)
+    rank = desired.index(synchrony.local_member)
     grown = set(desired) - set(synchrony.configuration.members)
-    if are_all_known_present(synchrony, desired):
+    if are_all_known_members_present(synchrony, desired):
         return rank * synchrony.bounds.proposal_ms
     base = synchrony.bounds.join_ms if grown else synchrony.bounds.heartbeat_ms // 2
     return base + rank * synchrony.bounds.proposal_ms
 
 
-def is_unjudged_sole_voter(synchrony):
+def is_sole_voter_outside_primary(synchrony):
     """Whether the only voter stands in the configuration that it started with, which nobody has judged."""
     voters = synchrony.voters or synchrony.log.voters or synchrony.bootstrap_voters
     return synchrony.has_log and not synchrony.primary.eligible and tuple(voters) == (synchrony.name,)
 
 
-def are_all_known_present(synchrony, desired):
+def are_all_known_members_present(synchrony, desired):
     """Whether nobody is left to wait for after a start: all voters of this log and all known members are there."""
     voters = synchrony.voters or synchrony.log.voters
     here = {m.name for m in desired}
     return (
-        synchrony.configuration.members == (synchrony.me,)
+        synchrony.configuration.members == (synchrony.local_member,)
         and bool(voters)
         and here.issuperset((*voters, *synchrony.peers))
     )
@@ -53,7 +53,11 @@
         # A heartbeat is due: whom this daemon hears is told before it proposes.
         synchrony.heartbeat_ms = NEVER_MS
     settled = synchrony.recovery is None and synchrony.proposal is None
-    if settled and set(desired) == set(synchrony.configuration.members) and not is_unjudged_sole_voter(synchrony):
+    if (
+        settled
+        and set(desired) == set(synchrony.configuration.members)
+        and not is_sole_voter_outside_primary(synchrony)
+    ):
         synchrony.desired_since_ms = synchrony.now_ms
         return
     since_ms = synchrony.desired_since_ms
@@ -72,7 +76,7 @@
 def propose(synchrony, out, members):
     """Propose a configuration of these members, in an epoch above all known ones."""
     increment_counter(synchrony, "proposals")
-    id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.me.incarnation)
+    id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.local_member.incarnation)
     proposal = Proposal(id, tuple(members), elect_sequencer(synchrony, members), synchrony.now_ms, synchrony.now_ms)
     synchrony.proposal = proposal
     for member in members:
@@ -88,7 +92,7 @@
     known = synchrony.recovery.id if synchrony.recovery else None
     if message.id == known:
         return send_exchange(synchrony, out)
-    refused = message.id <= synchrony.promised or synchrony.me not in message.members
+    refused = message.id <= synchrony.promised or synchrony.local_member not in message.members
     if refused or has_confirmed_in_epoch(synchrony, message.id) or would_split_serving_primary(synchrony, message):
         out.sends.append((sender_name, ProposeRejection(message.id, synchrony.promised)))
         return
@@ -126,7 +130,7 @@
         message.id, sender_name, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
     )
     synchrony.order.early_messages = []
-    write_record(synchrony, out, PromiseRecord(synchrony.me.incarnation, message.id.epoch))
+    write_record(synchrony, out, PromiseRecord(synchrony.local_member.incarnation, message.id.epoch))
     send_exchange(synchrony, out)
 
 
@@ -206,11 +210,11 @@
         heard = proposal.completed_members if proposal.plan_sent else set(proposal.exchanges)
         missing = [m for m in proposal.members if m.name not in heard]
         for member in missing:
-            exclude_for_a_while(synchrony, member)
+            exclude_temporarily(synchrony, member)
         increment_counter(synchrony, "shrunk")
         synchrony.proposal = None
         kept = [m for m in desired_members(synchrony) if m not in missing]
-        propose(synchrony, out, kept or [synchrony.me])
+        propose(synchrony, out, kept or [synchrony.local_member])
         return
     if synchrony.now_ms - proposal.sent_ms >= synchrony.bounds.resend_ms:
         proposal.sent_ms = synchrony.now_ms
@@ -222,7 +226,7 @@
                     out.sends.append((member.name, ProposeRequest(proposal.id, proposal.members, proposal.sequencer)))
 
 
-def exclude_for_a_while(synchrony, member):
+def exclude_temporarily(synchrony, member):
     """Leave a member that kept a proposal waiting out of the wanted ones; each time for longer."""
     peer = synchrony.peers.get(member.name)
     if peer is None or peer.endpoint.member != member:
--- a/frostpost/virtual_synchrony/messages.py
+++ b/frostpost/virtual_synchrony/messages.py
@@ -58,14 +58,14 @@
     """What a member holds at the start of a recovery.
 
     last_configuration: the configuration it comes from. received_watermark: it has all entries up to this ordinal;
-    ordinals_above: those it has beyond. obligations: members whose entries it must deliver. durable_state: None for
+    ordinals_above_gap: those it has beyond. obligations: members whose entries it must deliver. durable_state: None for
     roles without a log. pending_voters: sets of voters asked for by entries that it has not delivered.
     """
 
     id: ConfigurationId
     last_configuration: ConfigurationId
     received_watermark: int
-    ordinals_above: tuple[int, ...]
+    ordinals_above_gap: tuple[int, ...]
     safe_watermark: int
     obligations: tuple[Member, ...]
     durable_state: DurableState | None
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -21,11 +21,11 @@
     """
     if not end and len(synchrony.outbox) >= synchrony.bounds.window:
         increment_counter(synchrony, "overfull")
-        out.answers.append(WindowFull(len(synchrony.outbox)))
+        out.notifications.append(WindowFull(len(synchrony.outbox)))
         return
-    synchrony.last_number += 1
-    synchrony.outbox[synchrony.last_number] = payload
-    out.answers.append(OperationNumbered(synchrony.last_number))
+    synchrony.last_operation_number += 1
+    synchrony.outbox[synchrony.last_operation_number] = payload
+    out.notifications.append(OperationNumbered(synchrony.last_operation_number))
     send_outbox(synchrony, out)
 
 
@@ -33,17 +33,17 @@
     """Send the sequencer the operations of the outbox that it hasn't been sent."""
     if not synchrony.primary.opened or synchrony.recovery or not synchrony.outbox:
         return
-    floor = first_open_number(synchrony)
-    first = max(synchrony.submitted + 1, floor)
-    payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.last_number + 1))
+    floor = lowest_outbox_number(synchrony)
+    first = max(synchrony.last_submitted_number + 1, floor)
+    payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.last_operation_number + 1))
     if payloads:
-        if synchrony.submitted < floor:
+        if synchrony.last_submitted_number < floor:
             synchrony.outbox_ms = synchrony.now_ms
-        synchrony.submitted = synchrony.last_number
+        synchrony.last_submitted_number = synchrony.last_operation_number
         out.sends.append((sequencer_of(synchrony), SubmitRequest(synchrony.configuration.id, floor, first, payloads)))
 
 
-def first_open_number(synchrony):
+def lowest_outbox_number(synchrony):
     """The lowest number in the outbox, which must not be empty; numbers are put in in rising order."""
     return next(iter(synchrony.outbox))
 
@@ -147,7 +147,7 @@
     while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
         order.delivered_watermark += 1
         entry = order.pending.pop(order.delivered_watermark)
-        out.answers.append(EntryDelivered(entry, False, synchrony.primary.eligible))
+        out.notifications.append(EntryDelivered(entry, False, synchrony.primary.eligible))
         if synchrony.primary.eligible:
             queue_for_apply(synchrony, out, entry)
 
@@ -171,7 +171,7 @@
     if synchrony.primary.ready and not synchrony.primary.opened:
         send_ready(synchrony, out)
     if synchrony.outbox and synchrony.now_ms - synchrony.outbox_ms >= synchrony.bounds.resend_ms:
-        synchrony.submitted = first_open_number(synchrony) - 1
+        synchrony.last_submitted_number = lowest_outbox_number(synchrony) - 1
         increment_counter(synchrony, "handed_in_again")
         send_outbox(synchrony, out)
     acknowledgements.send_receipt_if_due(synchrony, out)
--- a/frostpost/virtual_synchrony/primary_component.py
+++ b/frostpost/virtual_synchrony/primary_component.py
@@ -5,7 +5,7 @@
 from . import delivery
 from .acknowledgements import add_pending_ack
 from .configuration import Entry
-from .durable_log import NOWHERE, pending_voters
+from .durable_log import NO_CONFIGURATION, pending_voters
 from .events import ConfigurationRecord, OpenPrimary
 from .members import member_names, role_of, sequencer_of
 from .messages import ReadyUpdate
@@ -18,7 +18,7 @@
 def recovered_watermark(plan, last):
     """The ordinal up to which the members of a configuration hold all entries together."""
     said = [e for e in plan.values() if e.last_configuration == last]
-    top, extras = max(e.received_watermark for e in said), {o for e in said for o in e.ordinals_above}
+    top, extras = max(e.received_watermark for e in said), {o for e in said for o in e.ordinals_above_gap}
     while top + 1 in extras:
         top += 1
     return top
@@ -62,7 +62,7 @@
         return
     best, mine = plan[primary.donor].durable_state, plan[synchrony.name].durable_state
     primary.log_matches = bool(best and mine and best.primary == mine.primary)
-    fresh = best is None and log.primary == NOWHERE and synchrony.name in primary.voters
+    fresh = best is None and log.primary == NO_CONFIGURATION and synchrony.name in primary.voters
     if fresh or (primary.log_matches and log.length >= primary.base):
         become_ready(synchrony, out)
 
@@ -102,5 +102,7 @@
         primary.open_ordered = True
         cores = tuple(n for n in member_names(synchrony.configuration) if role_of(synchrony, n) == "core")
         payload = encode(OpenPrimary(synchrony.configuration.members, cores, primary.voters))
-        order.unsent_entries.append(Entry(synchrony.configuration.id, 1, primary.base + 1, synchrony.me, 0, payload))
+        order.unsent_entries.append(
+            Entry(synchrony.configuration.id, 1, primary.base + 1, synchrony.local_member, 0, payload)
+        )
         order.next_ordinal = 2
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -17,7 +17,7 @@
 
 def has_entry(exchange, ordinal):
     """Whether the member that sent this exchange holds an entry."""
-    return ordinal <= exchange.received_watermark or ordinal in exchange.ordinals_above
+    return ordinal <= exchange.received_watermark or ordinal in exchange.ordinals_above_gap
 
 
 def on_recovery_plan(synchrony, out, sender_name, message):
@@ -38,9 +38,9 @@
         floor = min(e.received_watermark for e in said.values())
         union = set(range(floor + 1, max(e.received_watermark for e in said.values()) + 1))
         for exchange in said.values():
-            union.update(exchange.ordinals_above)
-        recovery.wanted_ordinals = frozenset(union)
-        recovery.owed_ordinals = owed_ordinals(synchrony, said, union)
+            union.update(exchange.ordinals_above_gap)
+        recovery.required_ordinals = frozenset(union)
+        recovery.ordinals_to_rebroadcast = assign_rebroadcasts(synchrony, said, union)
     if recovery.is_complete:
         send_complete(synchrony, out)
     else:
@@ -48,7 +48,7 @@
         complete_if_ready(synchrony, out)
 
 
-def owed_ordinals(synchrony, said, union):
+def assign_rebroadcasts(synchrony, said, union):
     """The ordinals that this member hands on, by receiver: of each entry the first holder by name does."""
     mine: dict[str, list[int]] = {}
     for ordinal in sorted(union):
@@ -63,7 +63,7 @@
 def send_rebroadcasts(synchrony, out):
     """Hand on the entries that others lack."""
     recovery, held = synchrony.recovery, synchrony.order.pending
-    for name, ordinals in recovery.owed_ordinals.items():
+    for name, ordinals in recovery.ordinals_to_rebroadcast.items():
         entries = [held[o] for o in ordinals if o in held]
         for at in range(0, len(entries), synchrony.bounds.batch):
             part = tuple(entries[at : at + synchrony.bounds.batch])
@@ -90,7 +90,7 @@
     recovery, order = synchrony.recovery, synchrony.order
     if recovery is None or recovery.plan is None or recovery.is_complete:
         return
-    if any(o > order.received_watermark and o not in order.pending for o in recovery.wanted_ordinals):
+    if any(o > order.received_watermark and o not in order.pending for o in recovery.required_ordinals):
         return
     advance_received_watermark(synchrony, out)
     if recovery.sync_target < 0:
@@ -131,11 +131,11 @@
     while order.delivered_watermark < safe and order.delivered_watermark + 1 in order.pending:
         order.delivered_watermark += 1
         entry = order.pending[order.delivered_watermark]
-        out.answers.append(EntryDelivered(entry, False, acting))
+        out.notifications.append(EntryDelivered(entry, False, acting))
         changes += voters_in([entry])
         if acting:
             queue_for_apply(synchrony, out, entry)
-    out.answers.append(
+    out.notifications.append(
         ConfigurationChanged(
             Configuration(synchrony.configuration.id, recovery.transitional_members, sequencer_of(synchrony)), True
         )
@@ -146,19 +146,19 @@
     for ordinal in sorted(o for o in order.pending if o > order.delivered_watermark):
         if ordinal != order.delivered_watermark + 1:
             gap = True
-        if gap and not obligated(synchrony, order.pending[ordinal]):
+        if gap and not is_obligated(synchrony, order.pending[ordinal]):
             increment_counter(synchrony, "discarded")
             continue
         order.delivered_watermark = ordinal
         entry = order.pending[ordinal]
-        out.answers.append(EntryDelivered(entry, True, keeping and not gap))
+        out.notifications.append(EntryDelivered(entry, True, keeping and not gap))
         if keeping and not gap:
             queue_for_apply(synchrony, out, entry)
             keeping = all(is_majority(voters, full) for voters in voters_in([entry]))
-    begin_configuration(synchrony, out)
+    install_configuration(synchrony, out)
 
 
-def obligated(synchrony, entry):
+def is_obligated(synchrony, entry):
     """Whether an entry's sequencer is among the members whose entries must be delivered."""
     first = sequencer_of(synchrony)
     return any(m.name == first for m in synchrony.obligations)
@@ -174,7 +174,7 @@
     return [n for n in full if not plan[n].obligations]
 
 
-def begin_configuration(synchrony, out):
+def install_configuration(synchrony, out):
     """Begin the promised configuration with an empty order, and decide whether it is a primary."""
     recovery = synchrony.recovery
     synchrony.configuration = Configuration(recovery.id, recovery.members, recovery.sequencer)
@@ -182,12 +182,12 @@
     synchrony.log.epoch = max(synchrony.log.epoch, recovery.id.epoch)
     synchrony.recovery = None
     synchrony.obligations = frozenset()
-    synchrony.replayed_messages, synchrony.order = synchrony.order.early_messages, OrderState()
+    synchrony.messages_to_replay, synchrony.order = synchrony.order.early_messages, OrderState()
     synchrony.pending_acks = []
     increment_counter(synchrony, "installs")
     synchrony.pending_entries = {}
     synchrony.primary = decide_primary(recovery.plan)
-    out.answers.append(ConfigurationChanged(synchrony.configuration, False))
+    out.notifications.append(ConfigurationChanged(synchrony.configuration, False))
     prepare_primary(synchrony, out, recovery.plan)
 
 
--- a/frostpost/virtual_synchrony/state.py
+++ b/frostpost/virtual_synchrony/state.py
@@ -1,39 +1,39 @@
-"""The protocol's state at one member, its settings, and the few rules that every part of the protocol uses."""
+"""The protocol's state at one member, and helpers shared by all parts of the protocol."""
 
 from msgspec import Struct, field
 
 from .bounds import Bounds
 from .configuration import Configuration, ConfigurationId, Entry
-from .durable_log import NOWHERE, DurableLog
+from .durable_log import NO_CONFIGURATION, DurableLog
 from .endpoints import Endpoint, Member
 from .events import Output, PromiseRecord
 from .messages import RecoveryExchange
 
-# Before any moment that a clock shows.
+# Earlier than any clock reading.
 NEVER_MS = -(1 << 40)
 
 
 class Peer(Struct):
-    """What this member knows of another one, mostly from its heartbeats.
+    """State of another member, mostly as reported by its heartbeats.
 
-    heard_ms: when the last heartbeat came; sent_ms: the sender's clock in it, which is echoed. granted_ms: the newest
-    own heartbeat that the peer has confirmed in this configuration, from which a lease counts. excluded_until_ms: it
-    isn't wanted as a member until then, since it kept a proposal waiting. past_incarnations: earlier lives, whose late
-    messages are ignored.
+    heard_ms: time of the last heartbeat; sent_ms: the sender's clock in it, which is echoed. granted_ms: sending time
+    of the newest own heartbeat that the peer has confirmed in this configuration, from which its lease grant counts.
+    excluded_until_ms: time until which it is not desired as a member, since it delayed a proposal. past_incarnations:
+    earlier incarnations, whose late messages are ignored.
     """
 
     endpoint: Endpoint
     heard_ms: int = NEVER_MS
     reachable: frozenset[Member] = frozenset()
-    configuration: ConfigurationId = NOWHERE
-    promised: ConfigurationId = NOWHERE
+    configuration: ConfigurationId = NO_CONFIGURATION
+    promised: ConfigurationId = NO_CONFIGURATION
     sent_ms: int = 0
     granted_ms: int = NEVER_MS
     unhealthy: bool = False
     ready: bool = False
     applied: int = 0
     serving: bool = False
-    last_primary: ConfigurationId = NOWHERE
+    last_primary: ConfigurationId = NO_CONFIGURATION
     draining: bool = False
     excluded_until_ms: int = NEVER_MS
     exclusions: int = 0
@@ -42,7 +42,7 @@
 
 
 class Proposal(Struct):
-    """A configuration that this member proposes. exchanges: by member name; plan_sent: whether all have come."""
+    """A configuration proposed by this member. exchanges: by member name. plan_sent: whether all have arrived."""
 
     id: ConfigurationId
     members: tuple[Member, ...]
@@ -55,11 +55,11 @@
 
 
 class Recovery(Struct):
-    """The configuration that this member has promised, and how far the recovery into it is.
+    """The promised configuration and the progress of the recovery into it.
 
-    plan: the exchanges of all members, by name. transitional_members: those that come from the same configuration.
-    wanted_ordinals: entries that these must all hold; owed_ordinals: those that this member hands on, by receiver.
-    sync_target: the number of the record that must be on disk before this member confirms.
+    plan: exchanges of all members, by name. transitional_members: members that come from the same configuration.
+    required_ordinals: entries that all of these must hold. ordinals_to_rebroadcast: those that this member sends, by
+    receiver. sync_target: number of the record that must be synced before this member confirms.
     """
 
     id: ConfigurationId
@@ -70,17 +70,17 @@
     sent_ms: int
     plan: dict[str, RecoveryExchange] | None = None
     transitional_members: tuple[Member, ...] = ()
-    wanted_ordinals: frozenset[int] = frozenset()
-    owed_ordinals: dict[str, tuple[int, ...]] = {}
+    required_ordinals: frozenset[int] = frozenset()
+    ordinals_to_rebroadcast: dict[str, tuple[int, ...]] = {}
     is_complete: bool = False
     sync_target: int = -1
 
 
 class PendingAck(Struct, frozen=True):
-    """An acknowledgement that waits for the disk.
+    """An acknowledgement that waits for a sync.
 
-    record_number: of the last record that must be synced; watermark: the ordinal that is acknowledged then; written_ms:
-    when the record was given to the disk.
+    record_number: number of the last record that must be synced. watermark: the ordinal to acknowledge. written_ms:
+    time at which the record was written.
     """
 
     record_number: int
@@ -91,12 +91,13 @@
 class OrderState(Struct):
     """The total order in the installed configuration. Ordinals count from 1; watermarks are ordinals.
 
-    pending: entries that aren't delivered, by ordinal. received_watermark: all up to it are here. synced_watermark: all
-    up to it are on this member's disk, in a log bound to the primary. acknowledged_watermark,
-    reported_received_watermark: the highest that the sequencer was told of. safe_watermark: the order is safe up to it.
-    The sequencer alone uses the rest: acks, receipts and synced, watermarks by member name; sent_ms: when an entry was
-    last sent to it; submitted_watermark and out_of_order: numbers of operations by sender; unsent_entries: ordered and
-    not sent. early_messages: of the configuration that is being installed.
+    pending: undelivered entries by ordinal. received_watermark: all entries up to it are received. synced_watermark:
+    all up to it are synced in a log bound to the primary. acknowledged_watermark, reported_received_watermark: the
+    highest reported to the sequencer. safe_watermark: the order is safe up to it. early_messages: messages of the
+    configuration being installed. Used by the sequencer only: acks, receipts, synced: watermarks by member name;
+    sent_ms: time of the last batch sent or progress reported, by member name; submitted_watermark: highest ordered
+    operation number by sender; out_of_order: operations received after a gap, by sender; unsent_entries: entries
+    ordered and not sent.
     """
 
     pending: dict[int, Entry] = {}
@@ -119,13 +120,13 @@
 
 
 class PrimaryState(Struct):
-    """The primary component as this member sees it in the installed configuration.
+    """The primary component as seen by this member in the installed configuration.
 
-    eligible: whether a majority of the voters is here, so that entries count. donor: the member with the longest log of
-    the newest primary, which ends at `base`. pending_voters: sets of voters that uncommitted entries ask for. ready:
-    this member's log holds all up to `base`, synced once record `ready_record_number` is. open_ordered, open_committed,
-    opened: how far the first entry, OpenPrimary, is: ordered by the sequencer, delivered, applied. The rest serves
-    catching up.
+    eligible: whether a majority of the voters is present, so that entries take effect. donor: member with the longest
+    log of the newest primary, which ends at `base`. pending_voters: sets of voters requested by uncommitted entries.
+    ready: this member's log holds all entries up to `base`, synced once record `ready_record_number` is. open_ordered,
+    open_committed, opened: whether the first entry, OpenPrimary, is ordered by the sequencer, delivered, applied. The
+    remaining fields are used for catching up.
     """
 
     eligible: bool = False
@@ -140,24 +141,24 @@
     open_committed: bool = False
     opened: bool = False
     open_ordered: bool = False
-    fetched_ms: int = NEVER_MS
+    last_fetch_ms: int = NEVER_MS
     loading_snapshot: bool = False
-    chunks: bytearray = field(default_factory=bytearray)
-    chunks_index: int = -1
+    snapshot_buffer: bytearray = field(default_factory=bytearray)
+    snapshot_buffer_index: int = -1
     fetch_source: str = ""
 
 
 class Synchrony(Struct):
-    """All of the protocol's state at one member. Steps change it in place; nothing else does.
-
-    has_log: whether the role keeps a log (voters and learners). voters: in force as of the applied entries.
-    desired_members: those that the failure detector wants, since `desired_since_ms`. obligations: members whose entries
-    must be delivered in a transitional configuration. applied: index of the last applied entry; pending_entries:
-    delivered and not applied, by index. outbox: own operations by number that aren't applied; submitted: the highest
-    number sent. written_count and synced_count: records given to the disk, and on it; pending_acks: those that wait for
-    the disk, oldest first; is_last_sync_slow: whether the last of them waited for too long. replayed_messages: early
-    ones, to be handled now. status: told with each heartbeat. apply_paused: while a snapshot is encoded. peers_changed:
-    since the last tick.
+    """The complete protocol state of one member, modified only by steps of the protocol.
+
+    has_log: whether the role keeps a log (voters and learners). voters: those in force as of the applied entries.
+    desired_members: members chosen by the failure detector, unchanged since `desired_since_ms`. obligations: members
+    whose entries must be delivered in a transitional configuration. applied: index of the last applied entry.
+    pending_entries: entries delivered and not applied, by index. outbox: own unapplied operations by number.
+    written_count, synced_count: numbers of records written and synced. pending_acks: acknowledgements that wait for a
+    sync, oldest first. messages_to_replay: early messages of a configuration that was just installed. status: counters
+    sent in heartbeats. apply_paused: set while a snapshot is encoded. peers_changed: whether peers have changed since
+    the last tick.
     """
 
     endpoint: Endpoint
@@ -173,7 +174,7 @@
     peers: dict[str, Peer] = {}
     now_ms: int = 0
     heartbeat_ms: int = NEVER_MS
-    discovery_ms: int = NEVER_MS
+    last_announcement_ms: int = NEVER_MS
     announced_endpoints: tuple[Endpoint, ...] = ()
     announced_periods: int = 0
     desired_members: tuple[Member, ...] = ()
@@ -187,63 +188,63 @@
     pending_entries: dict[int, Entry] = {}
     outbox: dict[int, bytes] = {}
     outbox_ms: int = 0
-    submitted: int = 0
-    last_number: int = 0
+    last_submitted_number: int = 0
+    last_operation_number: int = 0
     written_count: int = 0
     synced_count: int = 0
     pending_acks: list[PendingAck] = []
-    is_last_sync_slow: bool = False
-    replayed_messages: list[tuple[str, object]] = []
+    was_last_sync_slow: bool = False
+    messages_to_replay: list[tuple[str, object]] = []
     unhealthy: bool = False
     draining: bool = False
     apply_paused: bool = False
     counts: dict[str, int] = {}
     status: dict[str, int] = {}
     peers_changed: bool = True
-    ticked_ms: int = NEVER_MS
+    last_tick_ms: int = NEVER_MS
     membership_differs: bool = True
 
     @property
-    def me(self):
-        """This member."""
+    def local_member(self):
+        """The member that this state belongs to."""
         return self.endpoint.member
 
     @property
     def name(self):
-        """This member's name."""
+        """The local member's name."""
         return self.endpoint.member.name
 
 
-def increment_counter(synchrony, what, by=1):
-    """Add to a named counter."""
-    synchrony.counts[what] = synchrony.counts.get(what, 0) + by
+def increment_counter(synchrony, counter, amount=1):
+    """Increment a named counter."""
+    synchrony.counts[counter] = synchrony.counts.get(counter, 0) + amount
 
 
 def write_record(synchrony, out, record):
-    """Give a record to the disk, if this role keeps a log; -> how many were given so far."""
+    """Write a record to the log, if this role keeps one. Returns the number of records written so far."""
     if synchrony.has_log:
         out.writes.append(record)
         synchrony.written_count += 1
     return synchrony.written_count
 
 
-def begin_synchrony(endpoint, bounds, seeds, voters, log, now_ms):
-    """The state at a start with the log as read from disk: alone in a new configuration; -> (state, output)."""
-    storage = endpoint.role == "storage"
-    single = ConfigurationId(log.epoch + 1, endpoint.member.name, endpoint.member.incarnation)
+def create_synchrony(endpoint, bounds, seeds, voters, log, now_ms):
+    """Return the initial (state, output) of a member with this log, alone in a new configuration."""
+    has_log_role = endpoint.role == "storage"
+    initial_id = ConfigurationId(log.epoch + 1, endpoint.member.name, endpoint.member.incarnation)
     synchrony = Synchrony(
         endpoint=endpoint,
         bounds=bounds,
         seeds=tuple(seeds),
         bootstrap_voters=tuple(voters),
-        has_log=storage,
+        has_log=has_log_role,
         log=log,
-        configuration=Configuration(single, (endpoint.member,), endpoint.member.name),
-        promised=single,
+        configuration=Configuration(initial_id, (endpoint.member,), endpoint.member.name),
+        promised=initial_id,
         now_ms=now_ms,
         installed_ms=now_ms,
         applied=log.commit_index,
     )
     out = Output()
-    write_record(synchrony, out, PromiseRecord(endpoint.member.incarnation, single.epoch))
+    write_record(synchrony, out, PromiseRecord(endpoint.member.incarnation, initial_id.epoch))
     return synchrony, out
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -38,7 +38,7 @@
 from .state import NEVER_MS, Peer, increment_counter
 
 # Messages of a configuration that a member may get before it has installed it itself.
-EARLY = (EntryBatch, SafeUpdate, SubmitRequest, ReadyUpdate, BatchAck, EntriesRequest)
+DEFERRABLE_MESSAGES = (EntryBatch, SafeUpdate, SubmitRequest, ReadyUpdate, BatchAck, EntriesRequest)
 
 
 def step(synchrony, input):
@@ -88,18 +88,18 @@
         mine = [body for name, body in out.sends if name == me]
         if mine:
             out.sends = [s for s in out.sends if s[0] != me]
-        replays, synchrony.replayed_messages = synchrony.replayed_messages, []
+        replays, synchrony.messages_to_replay = synchrony.messages_to_replay, []
         for body in mine:
             on_message(synchrony, out, me, body)
         for sender_name, body in replays:
             on_message(synchrony, out, sender_name, body)
         ordering.send_batch(synchrony, out)
-        if not any(name == me for name, _ in out.sends) and not synchrony.replayed_messages:
-            out.sends = without_superseded(out.sends)
+        if not any(name == me for name, _ in out.sends) and not synchrony.messages_to_replay:
+            out.sends = drop_superseded_updates(out.sends)
             return
 
 
-def without_superseded(sends):
+def drop_superseded_updates(sends):
     """The sends without each SafeUpdate that a batch to the same receiver makes superfluous."""
     batches = {(to, body.id): body.safe_watermark for to, body in sends if isinstance(body, EntryBatch)}
     if not batches:
@@ -146,7 +146,7 @@
     """Do what is due: heartbeats, announcements, proposals, and all that is sent again."""
     if synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms:
         failure_detector.send_heartbeats(synchrony, out)
-    if synchrony.now_ms - synchrony.discovery_ms >= synchrony.bounds.detect_ms:
+    if synchrony.now_ms - synchrony.last_announcement_ms >= synchrony.bounds.detect_ms:
         discovery.announce_endpoints(synchrony, out)
     membership.check_proposal(synchrony, out)
     membership.propose_if_due(synchrony, out)
@@ -154,14 +154,14 @@
     ordering.resend_due(synchrony, out)
     ordering.send_batch(synchrony, out, force=True)
     catch_up.request_missing(synchrony, out)
-    synchrony.peers_changed, synchrony.ticked_ms = False, synchrony.now_ms
+    synchrony.peers_changed, synchrony.last_tick_ms = False, synchrony.now_ms
     synchrony.membership_differs = set(synchrony.desired_members) != set(synchrony.configuration.members)
 
 
 def on_message(synchrony, out, sender_name, message):
     """Handle a message, or keep it if it belongs to the configuration that is being installed."""
     recovering = synchrony.recovery
-    if recovering and isinstance(message, EARLY) and message.id == recovering.id:
+    if recovering and isinstance(message, DEFERRABLE_MESSAGES) and message.id == recovering.id:
         if len(synchrony.order.early_messages) < synchrony.bounds.held:
             synchrony.order.early_messages.append((sender_name, message))
         return
--- a/frostpost/virtual_synchrony/timers.py
+++ b/frostpost/virtual_synchrony/timers.py
@@ -1,6 +1,6 @@
 """When a replica's next Tick has something to do; a Tick before that time changes nothing and may be left out."""
 
-from .acknowledgements import owes_receipt
+from .acknowledgements import has_unsent_receipt
 from .catch_up import first_missing_index
 
 
@@ -22,7 +22,7 @@
         or synchrony.outbox
         or order.unsent_entries
         or order.sent_watermark > order.safe_watermark
-        or owes_receipt(synchrony)
+        or has_unsent_receipt(synchrony)
         or synchrony.membership_differs
         or synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms
         or first_missing_index(synchrony)
@@ -34,7 +34,7 @@
     if needs_every_tick(synchrony):
         return synchrony.now_ms
     bounds = synchrony.bounds
-    times = [synchrony.heartbeat_ms + bounds.heartbeat_ms, synchrony.discovery_ms + bounds.detect_ms]
+    times = [synchrony.heartbeat_ms + bounds.heartbeat_ms, synchrony.last_announcement_ms + bounds.detect_ms]
     for peer in synchrony.peers.values():
         times += [peer.heard_ms + bounds.detect_ms, peer.excluded_until_ms]
-    return min(at_ms for at_ms in times if at_ms > synchrony.ticked_ms)
+    return min(at_ms for at_ms in times if at_ms > synchrony.last_tick_ms)
--- a/tests/test_cluster_admission_queue.py
+++ b/tests/test_cluster_admission_queue.py
@@ -84,7 +84,7 @@
 
     def verdict(self, number):
         reply = self.replies()[number]
-        return reply.fault or msgpack.decode(reply.verdict)[0]
+        return reply.error or msgpack.decode(reply.result)[0]
 
 
 @pytest.fixture
@@ -154,7 +154,7 @@
     number = leader.ask(a_begin("second"))
     leader.ctx.core.synchrony.primary.opened = False
     leader.clock.advance(1.1)
-    assert leader.replies()[number].fault == type(NoPrimary()).__name__
+    assert leader.replies()[number].error == type(NoPrimary()).__name__
 
 
 def test_an_agent_that_knows_no_hold_is_answered_by_the_order(leader):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -70,10 +70,10 @@
     rows = ring.play(26_000, from_ms=20_000)
     for sender in ("s1", "s2", "s3"):
         told = [row for row in rows if row[1] == sender]
-        assert sum(row[2] == SEED for row in told) >= discovery.REPEATS
+        assert sum(row[2] == SEED for row in told) >= discovery.ANNOUNCEMENT_REPEATS
         peers = {f"s{n}" for n in range(1, 5)} - {sender}
         for peer in peers:
-            assert sum(row[2] == peer and len(row[3].endpoints) == 4 for row in told) >= discovery.REPEATS
+            assert sum(row[2] == peer and len(row[3].endpoints) == 4 for row in told) >= discovery.ANNOUNCEMENT_REPEATS
 
 
 def test_replica_outside_a_primary_tells_all_in_every_period(monkeypatch):
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -44,7 +44,7 @@
     ((to, tell),) = replies
     replies.clear()
     assert to == "@o:9"
-    return json.decode(tell.facts)
+    return json.decode(tell.status_json)
 
 
 def test_messages_survive_the_wire():
@@ -267,7 +267,7 @@
     answers = inner.ask({f"127.0.0.1:{port}", "127.0.0.1:1"}, StatusRequest(), StatusReply)
     thread.join(2)
     daemon.close()
-    assert {address: told.facts for address, (_, told) in answers.items()} == {f"127.0.0.1:{port}": b"{}"}
+    assert {address: told.status_json for address, (_, told) in answers.items()} == {f"127.0.0.1:{port}": b"{}"}
 
 
 def test_several_seeds_are_taken(monkeypatch):
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -51,7 +51,7 @@
             return
         node = able[self.asked % len(able)]
         self.asked += 1
-        self.waiting = (node.endpoint.member, node.core.synchrony.last_number + 1)
+        self.waiting = (node.endpoint.member, node.core.synchrony.last_operation_number + 1)
         ask(world, node.name, SetConfig(PATH, str(self.asked), 1, self.version, "me", self.asked, ()))
 
     def look(self, world):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 from frostpost.virtual_synchrony.events import MessageReceived, Output, TimerTick
 from frostpost.virtual_synchrony.messages import Heartbeat, ProposeRejection, ProposeRequest
-from frostpost.virtual_synchrony.state import Peer, begin_synchrony
+from frostpost.virtual_synchrony.state import Peer, create_synchrony
 from frostpost.virtual_synchrony.step import step
 
 PRIMARY, OUTSIDE = ConfigurationId(7, "s2", 1), ConfigurationId(9, "s1", 1)
@@ -25,7 +25,7 @@
 
 def replica(name, members, others, serving=True):
     """A replica that hears `others`, all of which hear one another, in a primary of `members`."""
-    synchrony, _ = begin_synchrony(endpoint_of(name), Bounds(), (), (), DurableLog(), 10_000)
+    synchrony, _ = create_synchrony(endpoint_of(name), Bounds(), (), (), DurableLog(), 10_000)
     everyone = frozenset(member(n) for n in (name, *others))
     for other in others:
         inside = other in members
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -13,7 +13,7 @@
 from frostpost.virtual_synchrony.events import TimerTick
 
 NEVER_MS = 10_000_000
-MOVING = ("now_ms", "ticked_ms", "desired_since_ms")
+MOVING = ("now_ms", "last_tick_ms", "desired_since_ms")
 
 
 class Job:
@@ -110,7 +110,7 @@
         before = facts(synchrony)
         node.core, out = cores.step(node.core, input)
         after = facts(node.core.synchrony)
-        if out.sends or out.writes or out.answers or before != after:
+        if out.sends or out.writes or out.notifications or before != after:
             self.effects.append((name, input.now_ms, out.sends, differing(before, after)))
         return worlds.perform(world, node, out)
 
--- a/tests/test_virtual_synchrony_acknowledgements.py
+++ b/tests/test_virtual_synchrony_acknowledgements.py
@@ -13,7 +13,7 @@
 from frostpost.virtual_synchrony.events import Output, SetVoters
 from frostpost.virtual_synchrony.messages import BatchAck, SafeUpdate
 from frostpost.virtual_synchrony.quorum import majority_watermark
-from frostpost.virtual_synchrony.state import begin_synchrony
+from frostpost.virtual_synchrony.state import create_synchrony
 
 NAMES = ("s1", "s2", "s3", "s4")
 ID = ConfigurationId(2, "s1", 1)
@@ -23,7 +23,7 @@
 def sequencer():
     """s1 orders for four members, of which s1 to s3 vote in an opened primary."""
     endpoint = Endpoint(Member("s1", 1), "storage", "z", "h", 1, 0)
-    synchrony, _ = begin_synchrony(endpoint, Bounds(), (), NAMES[:3], DurableLog(), 0)
+    synchrony, _ = create_synchrony(endpoint, Bounds(), (), NAMES[:3], DurableLog(), 0)
     synchrony.configuration = Configuration(ID, tuple(Member(name, 1) for name in NAMES), "s1")
     synchrony.primary.eligible = synchrony.primary.opened = True
     synchrony.primary.voters = synchrony.voters = NAMES[:3]
@@ -82,7 +82,7 @@
 )
 def test_what_is_safe_only_grows_and_is_held_by_a_majority(acks):
     endpoint = Endpoint(Member("s1", 1), "storage", "z", "h", 1, 0)
-    synchrony, _ = begin_synchrony(endpoint, Bounds(), (), NAMES[:3], DurableLog(), 0)
+    synchrony, _ = create_synchrony(endpoint, Bounds(), (), NAMES[:3], DurableLog(), 0)
     synchrony.configuration = Configuration(ID, tuple(Member(name, 1) for name in NAMES), "s1")
     synchrony.primary.eligible = synchrony.primary.opened = True
     synchrony.voters = NAMES[:3]
