--- a/frostpost/virtual_synchrony/acknowledgements.py
+++ b/frostpost/virtual_synchrony/acknowledgements.py
@@ -1,8 +1,8 @@
-"""What members acknowledge, and up to where the sequencer may declare the order safe.
+"""Acknowledgements of entries, and the watermark up to which the sequencer declares the order safe.
 
-An entry is safe once every member has received it, and a majority of the voters holds it on disk. Usually both are told
-with one acknowledgement, after the sync. A member whose log is slow to sync tells of the receipt apart and at once, so
-that its disk doesn't set the pace of the others; its own log follows behind.
+An entry is safe once every member has received it and a majority of the voters has synced it. A member normally sends
+one acknowledgement for both, after the sync. A member whose log is slow to sync acknowledges the receipt separately and
+at once, so that one slow disk does not delay the whole group; its log catches up afterwards.
 """
 
 from .durable_log import voters_in
@@ -13,12 +13,12 @@
 
 
 def keeps_log(synchrony):
-    """Whether this member has a log that is bound to the primary: what it receives goes to its disk."""
+    """Return whether this member has a log that is bound to the primary, so that received entries are persisted."""
     return synchrony.has_log and synchrony.primary.ready_record_number >= 0
 
 
 def acknowledge_received(synchrony, out):
-    """Acknowledge all up to the received watermark: at once where nothing waits for the disk, else after the sync."""
+    """Acknowledge up to the received watermark: immediately if no write is pending, otherwise after the sync."""
     order = synchrony.order
     if synchrony.recovery:
         return
@@ -33,28 +33,28 @@
 
 
 def add_pending_ack(synchrony):
-    """Note that the received watermark is to be acknowledged once all that is written is synced."""
+    """Queue an acknowledgement of the received watermark until all records written so far are synced."""
     ack = PendingAck(synchrony.written_count, synchrony.order.received_watermark, synchrony.now_ms)
-    last = synchrony.pending_acks[-1] if synchrony.pending_acks else None
-    if last is None or (last.record_number, last.watermark) != (ack.record_number, ack.watermark):
+    newest = synchrony.pending_acks[-1] if synchrony.pending_acks else None
+    if newest is None or (newest.record_number, newest.watermark) != (ack.record_number, ack.watermark):
         synchrony.pending_acks.append(ack)
 
 
 def acknowledge_synced(synchrony, out):
-    """Send the acknowledgements that waited for records which are synced now."""
-    done = [ack for ack in synchrony.pending_acks if ack.record_number <= synchrony.synced_count]
-    if not done:
+    """Send the acknowledgements whose records are synced by now."""
+    synced_acks = [ack for ack in synchrony.pending_acks if ack.record_number <= synchrony.synced_count]
+    if not synced_acks:
         return
     synchrony.pending_acks = [ack for ack in synchrony.pending_acks if ack.record_number > synchrony.synced_count]
-    synchrony.was_last_sync_slow = exceeds_ack_delay(synchrony, done[-1])
-    watermark = max(ack.watermark for ack in done)
+    synchrony.was_last_sync_slow = exceeds_ack_delay(synchrony, synced_acks[-1])
+    watermark = max(ack.watermark for ack in synced_acks)
     if keeps_log(synchrony):
         synchrony.order.synced_watermark = max(synchrony.order.synced_watermark, watermark)
     send_ack(synchrony, out, watermark)
 
 
 def send_ack(synchrony, out, watermark):
-    """Tell the sequencer up to where this member has all entries, on disk if it keeps a log."""
+    """Acknowledge all entries up to `watermark` to the sequencer; they are synced if this member keeps a log."""
     if watermark and not synchrony.recovery:
         order = synchrony.order
         order.acknowledged_watermark = max(order.acknowledged_watermark, watermark)
@@ -62,13 +62,13 @@
 
 
 def send_receipt(synchrony, out):
-    """Tell the sequencer what this member has received, whatever its disk holds."""
+    """Report the received watermark to the sequencer, independent of what is synced."""
     increment_counter(synchrony, "receipts")
     send_watermarks(synchrony, out)
 
 
 def send_watermarks(synchrony, out):
-    """Send what this member has acknowledged, received and synced."""
+    """Send the acknowledged, received and synced watermarks to the sequencer."""
     order = synchrony.order
     order.reported_received_watermark = order.received_watermark
     message = BatchAck(
@@ -78,30 +78,30 @@
 
 
 def is_sync_slow(synchrony):
-    """Whether the last sync, or the one that is waited for, takes too long for others to wait for it."""
-    pending = synchrony.pending_acks
-    return synchrony.was_last_sync_slow or bool(pending) and exceeds_ack_delay(synchrony, pending[0])
+    """Return whether the last sync, or the one in progress, is too slow for the group to wait for it."""
+    pending_acks = synchrony.pending_acks
+    return synchrony.was_last_sync_slow or bool(pending_acks) and exceeds_ack_delay(synchrony, pending_acks[0])
 
 
 def exceeds_ack_delay(synchrony, ack):
-    """Whether an acknowledgement has waited for its sync as long as others are made to wait."""
+    """Return whether an acknowledgement has waited for its sync for at least `receipt_ack_ms`."""
     return synchrony.now_ms - ack.written_ms >= synchrony.bounds.receipt_ack_ms
 
 
 def has_unsent_receipt(synchrony):
-    """Whether entries were received that the sequencer hasn't been told of, since their sync is waited for."""
+    """Return whether entries await their sync and their receipt has not been reported to the sequencer."""
     order = synchrony.order
     return bool(synchrony.pending_acks) and order.reported_received_watermark < order.received_watermark
 
 
 def send_receipt_if_due(synchrony, out):
-    """On a tick: tell of the receipt if the sync takes long."""
+    """On a tick, report the receipt if the sync is slow."""
     if not synchrony.recovery and has_unsent_receipt(synchrony) and is_sync_slow(synchrony):
         send_receipt(synchrony, out)
 
 
 def on_batch_ack(synchrony, out, sender_name, message):
-    """At the sequencer: note how far a member is, and tell all members if more has become safe by that."""
+    """At the sequencer, record a member's watermarks and announce the safe watermark if it has advanced."""
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
@@ -115,26 +115,26 @@
 
 
 def raise_watermarks(order, sender_name, message):
-    """Take a member's watermarks over; -> whether any has risen."""
-    reported = (
+    """Record the watermarks that a member reported. Returns whether any of them has advanced."""
+    reports = (
         (order.acks, message.acknowledged_watermark),
         (order.receipts, max(message.acknowledged_watermark, message.received_watermark)),
         (order.synced, message.synced_watermark),
     )
-    risen = False
-    for watermarks, watermark in reported:
+    advanced = False
+    for watermarks, watermark in reports:
         if watermark > watermarks.get(sender_name, 0):
             watermarks[sender_name] = watermark
-            risen = True
-    return risen
+            advanced = True
+    return advanced
 
 
 def safe_watermark_of(synchrony):
-    """At the sequencer: the ordinal up to which the order is safe.
+    """At the sequencer, return the ordinal up to which the order is safe.
 
-    Either all members have acknowledged, each after its own sync; or all have received, and of each set of voters that
-    is in force, or is asked for by an entry that isn't applied, a majority has synced. Outside a primary nothing is
-    applied, so the receipts are enough there.
+    An entry is safe if all members have acknowledged it, each after its own sync. It is also safe if all have received
+    it and a majority has synced it in every set of voters that is in force or is requested by an unapplied entry.
+    Outside a primary nothing is applied, so there the receipts suffice.
     """
     order, members = synchrony.order, member_names(synchrony.configuration)
     acknowledged = min(order.acks.get(name, 0) for name in members)
@@ -146,8 +146,8 @@
 
 
 def voter_sets(synchrony):
-    """The sets of voters of each of which a majority has to hold what is delivered in this primary."""
+    """Return the sets of voters of which a majority each must have synced what this primary delivers."""
     primary = synchrony.primary
-    in_force = (synchrony.voters,) if primary.opened and synchrony.voters else (primary.voters, *primary.pending_voters)
-    not_applied = (*synchrony.pending_entries.values(), *synchrony.order.pending.values())
-    return (*in_force, *voters_in(not_applied))
+    current = (synchrony.voters,) if primary.opened and synchrony.voters else (primary.voters, *primary.pending_voters)
+    unapplied = (*synchrony.pending_entries.values(), *synchrony.order.pending.values())
+    return (*current, *voters_in(unapplied))
--- a/frostpost/virtual_synchrony/events.py
+++ b/frostpost/virtual_synchrony/events.py
@@ -1,4 +1,4 @@
-"""Inputs of the pure core, the records it writes to its log, and the answers it gives to the shell."""
+"""Inputs of the protocol, the records it writes to its log, and its notifications to the daemon."""
 
 from msgspec import Struct
 
@@ -8,7 +8,7 @@
 
 
 class SetVoters(Struct, frozen=True, array_like=True, tag="voters"):
-    """An operation: change the voters from `before` to `after`, valid in this configuration only."""
+    """An operation: change the voters from `before` to `after`; valid in this configuration only."""
 
     configuration: ConfigurationId
     before: tuple[str, ...]
@@ -16,7 +16,7 @@
 
 
 class ConfigurationRecord(Struct, frozen=True, array_like=True, tag=1):
-    """The log belongs to this primary, which continues the order after index `base`."""
+    """Binds the log to this primary, which continues the order after index `base`."""
 
     id: ConfigurationId
     base: int
@@ -24,21 +24,24 @@
 
 
 class EntryRecord(Struct, frozen=True, array_like=True, tag=2):
-    """An entry, and the commit index when it was written."""
+    """An entry, and the commit index at the time of writing."""
 
     entry: Entry
     commit_index: int
 
 
 class SnapshotRecord(Struct, frozen=True, array_like=True, tag=3):
-    """The state after all entries up to `index`; earlier entries are no longer in the log."""
+    """The state after all entries up to `index`; replaces these entries in the log."""
 
     index: int
     state: bytes
 
 
 class OpenPrimary(Struct, frozen=True, array_like=True, tag="open"):
-    """An operation that the sequencer orders first in a primary: its members, those of role core, its voters."""
+    """The operation that the sequencer orders first in a primary.
+
+    members: members of the configuration. cores: names of those with role core. voters: voters of the primary.
+    """
 
     members: tuple[Member, ...]
     cores: tuple[str, ...]
@@ -46,20 +49,20 @@
 
 
 class PromiseRecord(Struct, frozen=True, array_like=True, tag=4):
-    """The process's incarnation, and the highest epoch that it has promised or begun."""
+    """The incarnation of the process, and the highest epoch that it has promised or started."""
 
     incarnation: int
     epoch: int
 
 
 class ProbeRecord(Struct, frozen=True, array_like=True, tag=5):
-    """Written to find out whether a disk that failed works again; it has no effect."""
+    """Tests whether a failed disk accepts writes again; has no effect on the log."""
 
     number: int
 
 
 class RewriteLog(Struct, frozen=True, array_like=True, tag=6):
-    """Replace the whole log by these records."""
+    """Replaces the whole log by these records."""
 
     records: tuple["Record", ...]
 
@@ -69,13 +72,13 @@
 
 
 class TimerTick(Struct, frozen=True, array_like=True, tag=1):
-    """Time has passed; now_ms: of the daemon's monotonic clock, as in all inputs."""
+    """A timer tick. now_ms: time by the daemon's monotonic clock, as in all inputs."""
 
     now_ms: int
 
 
 class MessageReceived(Struct, frozen=True, array_like=True, tag=2):
-    """A message from another daemon came in."""
+    """A message received from another daemon."""
 
     now_ms: int
     endpoint: Endpoint
@@ -83,29 +86,29 @@
 
 
 class OperationSubmitted(Struct, frozen=True, array_like=True, tag=3):
-    """The shell submits an operation. end: it ends something and is taken whatever the window holds."""
+    """An operation of this daemon. bypasses_window: accept it even if the window is full."""
 
     now_ms: int
     payload: bytes
-    end: bool = False
+    bypasses_window: bool = False
 
 
 class LogSynced(Struct, frozen=True, array_like=True, tag=4):
-    """All records up to the one with this number (counted by `Synchrony.written_count`) are on disk."""
+    """All records up to number `up_to`, as counted by `Synchrony.written_count`, are synced."""
 
     now_ms: int
     up_to: int
 
 
 class DiskHealthChanged(Struct, frozen=True, array_like=True, tag=5):
-    """The disk has become too slow or failing, or well again."""
+    """The disk has become too slow or has failed, or has recovered."""
 
     now_ms: int
     unhealthy: bool
 
 
 class DrainRequested(Struct, frozen=True, array_like=True, tag=6):
-    """The daemon is to leave the membership in order."""
+    """The daemon is to leave the membership gracefully."""
 
     now_ms: int
 
@@ -114,14 +117,14 @@
 
 
 class ConfigurationChanged(Struct, frozen=True, tag=1):
-    """A configuration was installed; a transitional one has the members that come from the last one."""
+    """A configuration was installed; a transitional one has the members that come from the previous one."""
 
     configuration: Configuration
     transitional: bool
 
 
 class EntryDelivered(Struct, frozen=True, tag=2):
-    """An entry was delivered in total order. in_primary: whether it counts for the primary's state."""
+    """An entry was delivered in total order. in_primary: whether it takes effect on the primary's state."""
 
     entry: Entry
     transitional: bool
@@ -129,7 +132,7 @@
 
 
 class EntryApplied(Struct, frozen=True, tag=3):
-    """An entry follows all before it: the state machine applies it now."""
+    """All earlier entries are applied; the state machine applies this one now."""
 
     entry: Entry
 
@@ -142,7 +145,7 @@
 
 
 class SnapshotRequested(Struct, frozen=True, tag=5):
-    """Member `to` wants a snapshot from byte `offset` on."""
+    """Member `to` requests a snapshot from byte `offset` on."""
 
     to: str
     id: ConfigurationId
@@ -150,7 +153,7 @@
 
 
 class SnapshotReceived(Struct, frozen=True, tag=8):
-    """All pieces of a snapshot are here; `refill` takes it over once its state is decoded."""
+    """All chunks of a snapshot have arrived; `install_snapshot` takes effect once its state is decoded."""
 
     id: ConfigurationId
     index: int
@@ -159,13 +162,13 @@
 
 
 class WindowFull(Struct, frozen=True, tag=6):
-    """The operation was not taken: so many are pending."""
+    """The operation was rejected since the window is full. pending: number of pending operations."""
 
     pending: int
 
 
 class OperationNumbered(Struct, frozen=True, tag=7):
-    """The operation was taken under this number; its entry will bear it."""
+    """The operation was accepted under this number, which its entry will carry."""
 
     number: int
 
@@ -183,7 +186,7 @@
 
 
 class Output(Struct):
-    """What one step gives to the shell: messages by receiver, records to write, and answers, each in order."""
+    """Result of one step: messages by receiver, records to write, and notifications, each in order."""
 
     sends: list[tuple[str, Message]] = []
     writes: list[Write] = []
--- a/frostpost/virtual_synchrony/ordering.py
+++ b/frostpost/virtual_synchrony/ordering.py
@@ -1,7 +1,7 @@
-"""Total order in a configuration: operations go to the sequencer, entries to all, and are delivered once safe.
+"""Total order in a configuration: the sequencer orders operations, and members deliver entries once they are safe.
 
-When an entry is safe is decided in `acknowledgements`. All messages are idempotent and sent again by timers, so that a
-lost one only delays.
+The safe watermark is computed in `acknowledgements`. All messages are idempotent and resent on timers, so that a lost
+message only causes a delay.
 """
 
 from . import acknowledgements
@@ -14,12 +14,12 @@
 from .state import increment_counter
 
 
-def submit_operation(synchrony, out, payload, end=False):
-    """Take an operation of this daemon into the outbox, or refuse it while the window is full.
+def submit_operation(synchrony, out, payload, bypasses_window=False):
+    """Accept an operation of this daemon into the outbox, or reject it if the window is full.
 
-    end: an operation that ends something is taken whatever the window holds.
+    bypasses_window: accept the operation regardless of the window, as is done for operations that complete others.
     """
-    if not end and len(synchrony.outbox) >= synchrony.bounds.window:
+    if not bypasses_window and len(synchrony.outbox) >= synchrony.bounds.window:
         increment_counter(synchrony, "overfull")
         out.notifications.append(WindowFull(len(synchrony.outbox)))
         return
@@ -30,26 +30,28 @@
 
 
 def send_outbox(synchrony, out):
-    """Send the sequencer the operations of the outbox that it hasn't been sent."""
+    """Submit the operations of the outbox that have not been sent to the sequencer yet."""
     if not synchrony.primary.opened or synchrony.recovery or not synchrony.outbox:
         return
-    floor = lowest_outbox_number(synchrony)
-    first = max(synchrony.last_submitted_number + 1, floor)
-    payloads = tuple(synchrony.outbox[n] for n in range(first, synchrony.last_operation_number + 1))
+    lowest_number = lowest_outbox_number(synchrony)
+    first_number = max(synchrony.last_submitted_number + 1, lowest_number)
+    payloads = tuple(synchrony.outbox[number] for number in range(first_number, synchrony.last_operation_number + 1))
     if payloads:
-        if synchrony.last_submitted_number < floor:
+        if synchrony.last_submitted_number < lowest_number:
             synchrony.outbox_ms = synchrony.now_ms
         synchrony.last_submitted_number = synchrony.last_operation_number
-        out.sends.append((sequencer_of(synchrony), SubmitRequest(synchrony.configuration.id, floor, first, payloads)))
+        out.sends.append(
+            (sequencer_of(synchrony), SubmitRequest(synchrony.configuration.id, lowest_number, first_number, payloads))
+        )
 
 
 def lowest_outbox_number(synchrony):
-    """The lowest number in the outbox, which must not be empty; numbers are put in in rising order."""
+    """Return the lowest number in the outbox, which must not be empty; numbers are added in ascending order."""
     return next(iter(synchrony.outbox))
 
 
 def on_submit_request(synchrony, out, sender_name, message):
-    """At the sequencer: order a member's operations, each once and in the order of their numbers."""
+    """At the sequencer, order a member's operations, each once and in the order of their numbers."""
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery or not synchrony.primary.open_ordered:
         increment_counter(synchrony, "foreign")
@@ -57,33 +59,35 @@
     if sequencer_of(synchrony) != synchrony.name:
         return
     sender = member_of(synchrony, sender_name)
-    seen = max(order.submitted_watermark.get(sender, 0), message.first_open - 1)
-    waiting = order.out_of_order.get(sender, {})
-    parked = order.out_of_order[sender] = {number: payload for number, payload in waiting.items() if number > seen}
+    last_ordered = max(order.submitted_watermark.get(sender, 0), message.first_open - 1)
+    previously_received = order.out_of_order.get(sender, {})
+    unordered = order.out_of_order[sender] = {
+        number: payload for number, payload in previously_received.items() if number > last_ordered
+    }
     for number, payload in enumerate(message.payloads, message.first):
-        if seen < number <= seen + synchrony.bounds.window:
-            parked[number] = payload
-    while seen + 1 in parked:
+        if last_ordered < number <= last_ordered + synchrony.bounds.window:
+            unordered[number] = payload
+    while last_ordered + 1 in unordered:
         if order.next_ordinal - order.safe_watermark > synchrony.bounds.held:
             increment_counter(synchrony, "window_full")
             break
-        seen += 1
+        last_ordered += 1
         order.unsent_entries.append(
             Entry(
                 message.id,
                 order.next_ordinal,
                 synchrony.primary.base + order.next_ordinal,
                 sender,
-                seen,
-                parked.pop(seen),
+                last_ordered,
+                unordered.pop(last_ordered),
             )
         )
         order.next_ordinal += 1
-    order.submitted_watermark[sender] = seen
+    order.submitted_watermark[sender] = last_ordered
 
 
 def send_batch(synchrony, out, force=False):
-    """At the sequencer: send the next batch to all, if the last one is safe or `force` is set."""
+    """At the sequencer, send the next batch to all members if the last one is safe or `force` is set."""
     order = synchrony.order
     if synchrony.recovery or not order.unsent_entries or sequencer_of(synchrony) != synchrony.name:
         return
@@ -104,7 +108,7 @@
 
 
 def take_entries(synchrony, out, entries):
-    """Keep entries until they are delivered."""
+    """Store entries until they are delivered."""
     for entry in entries:
         if entry.ordinal > synchrony.order.delivered_watermark:
             synchrony.order.pending.setdefault(entry.ordinal, entry)
@@ -112,7 +116,7 @@
 
 
 def on_entry_batch(synchrony, out, sender_name, message):
-    """Keep the sequencer's entries, and deliver what its watermark shows to be safe."""
+    """Store the sequencer's entries and deliver those that are safe."""
     order = synchrony.order
     if message.id != synchrony.configuration.id or synchrony.recovery:
         increment_counter(synchrony, "foreign")
@@ -134,7 +138,7 @@
 
 
 def on_safe_update(synchrony, out, sender_name, message):
-    """Deliver what has become safe."""
+    """Advance the safe watermark and deliver the entries up to it."""
     if message.id != synchrony.configuration.id or synchrony.recovery:
         return
     synchrony.order.safe_watermark = max(synchrony.order.safe_watermark, message.safe_watermark)
@@ -142,7 +146,7 @@
 
 
 def deliver_safe_entries(synchrony, out):
-    """Deliver entries up to the safe watermark; in a primary they are applied too."""
+    """Deliver entries up to the safe watermark; in a primary, queue them for application."""
     order = synchrony.order
     while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
         order.delivered_watermark += 1
@@ -153,7 +157,7 @@
 
 
 def on_log_synced(synchrony, out, up_to):
-    """Count records as synced, become ready if the log is complete by that, and send acknowledgements due."""
+    """Advance the synced record count, become ready if the log is complete, and send the due acknowledgements."""
     synchrony.synced_count = max(synchrony.synced_count, up_to)
     primary = synchrony.primary
     if primary.ready_record_number >= 0 and not primary.ready and synchrony.synced_count >= primary.ready_record_number:
@@ -164,7 +168,7 @@
 
 
 def resend_due(synchrony, out):
-    """Send again what has had no effect for `resend_ms`: readiness, the outbox, batches."""
+    """Resend readiness, the outbox and batches that have had no effect for `resend_ms`."""
     order = synchrony.order
     if synchrony.recovery:
         return
@@ -180,17 +184,19 @@
 
 
 def resend_batches(synchrony, out):
-    """At the sequencer: send each member that hasn't acknowledged the last batch for a while what it may lack.
+    """At the sequencer, resend missing entries to members that have not acknowledged the last batch in time.
 
-    One that has received everything gets an empty batch, which it answers with how far it is.
+    A member that has received everything gets an empty batch, to which it replies with its watermarks.
     """
     order = synchrony.order
     for name in member_names(synchrony.configuration):
-        waits_ms = synchrony.now_ms - order.sent_ms.get(name, 0)
-        if order.acks.get(name, 0) >= order.sent_watermark or waits_ms < synchrony.bounds.resend_ms:
+        elapsed_ms = synchrony.now_ms - order.sent_ms.get(name, 0)
+        if order.acks.get(name, 0) >= order.sent_watermark or elapsed_ms < synchrony.bounds.resend_ms:
             continue
         order.sent_ms[name] = synchrony.now_ms
         ordinals = range(order.receipts.get(name, 0) + 1, order.sent_watermark + 1)
-        entries = tuple(order.pending[o] for o in ordinals if o in order.pending)[: synchrony.bounds.batch]
+        entries = tuple(order.pending[ordinal] for ordinal in ordinals if ordinal in order.pending)[
+            : synchrony.bounds.batch
+        ]
         increment_counter(synchrony, "resent", len(entries))
         out.sends.append((name, EntryBatch(synchrony.configuration.id, entries, order.safe_watermark)))
--- a/frostpost/virtual_synchrony/step.py
+++ b/frostpost/virtual_synchrony/step.py
@@ -1,7 +1,7 @@
-"""One step of the protocol: `step` takes one input to its handler, and is the only entry to this package's state.
+"""The steps of the protocol: `step` dispatches one input to its handler and is the only entry point of the package.
 
-Handlers take (synchrony, out, sender_name, message), change the state in place and add to the output. What a member
-sends to itself is handled within the same step.
+Handlers take (synchrony, out, sender_name, message), modify the state in place and append to the output. Messages that
+a member sends to itself are handled within the same step.
 """
 
 from collections.abc import Callable
@@ -37,12 +37,12 @@
 )
 from .state import NEVER_MS, Peer, increment_counter
 
-# Messages of a configuration that a member may get before it has installed it itself.
+# Messages that may arrive before the member has installed the configuration to which they belong.
 DEFERRABLE_MESSAGES = (EntryBatch, SafeUpdate, SubmitRequest, ReadyUpdate, BatchAck, EntriesRequest)
 
 
 def step(synchrony, input):
-    """Handle one input; return (state, Output). The state is changed in place."""
+    """Process one input. Returns (state, Output); the state is modified in place."""
     out = Output()
     advance_clock(synchrony, input.now_ms)
     match input:
@@ -51,8 +51,8 @@
         case MessageReceived(_, endpoint, body):
             if register_peer(synchrony, endpoint):
                 on_message(synchrony, out, endpoint.member.name, body)
-        case OperationSubmitted(_, payload, end):
-            ordering.submit_operation(synchrony, out, payload, end)
+        case OperationSubmitted(_, payload, bypasses_window):
+            ordering.submit_operation(synchrony, out, payload, bypasses_window)
         case LogSynced(_, up_to):
             ordering.on_log_synced(synchrony, out, up_to)
             recovery.complete_if_ready(synchrony, out)
@@ -67,9 +67,9 @@
 
 
 def advance_clock(synchrony, now_ms):
-    """Take the time over; after a pause longer than `detect_ms` nothing that was heard before counts any more.
+    """Advance the clock; after a pause longer than `detect_ms`, discard everything received from peers before it.
 
-    A process that was frozen would else act on a lease, or on peers, that have long been given up by the others.
+    Otherwise a process that was suspended would act on a lease or on peers that the others have given up long ago.
     """
     if now_ms - synchrony.now_ms > synchrony.bounds.detect_ms:
         increment_counter(synchrony, "overslept")
@@ -82,40 +82,44 @@
 
 
 def deliver_to_self(synchrony, out):
-    """Handle what this member sends to itself, and early messages of a configuration that was just installed."""
-    me = synchrony.name
+    """Handle messages of this member to itself, and early messages of a configuration just installed."""
+    own_name = synchrony.name
     while True:
-        mine = [body for name, body in out.sends if name == me]
-        if mine:
-            out.sends = [s for s in out.sends if s[0] != me]
-        replays, synchrony.messages_to_replay = synchrony.messages_to_replay, []
-        for body in mine:
-            on_message(synchrony, out, me, body)
-        for sender_name, body in replays:
+        own_messages = [body for name, body in out.sends if name == own_name]
+        if own_messages:
+            out.sends = [message for message in out.sends if message[0] != own_name]
+        early_messages, synchrony.messages_to_replay = synchrony.messages_to_replay, []
+        for body in own_messages:
+            on_message(synchrony, out, own_name, body)
+        for sender_name, body in early_messages:
             on_message(synchrony, out, sender_name, body)
         ordering.send_batch(synchrony, out)
-        if not any(name == me for name, _ in out.sends) and not synchrony.messages_to_replay:
+        if not any(name == own_name for name, _ in out.sends) and not synchrony.messages_to_replay:
             out.sends = drop_superseded_updates(out.sends)
             return
 
 
 def drop_superseded_updates(sends):
-    """The sends without each SafeUpdate that a batch to the same receiver makes superfluous."""
-    batches = {(to, body.id): body.safe_watermark for to, body in sends if isinstance(body, EntryBatch)}
+    """Return the sends without the SafeUpdates that a batch receiver the same receiver makes redundant."""
+    batches = {(receiver, body.id): body.safe_watermark for receiver, body in sends if isinstance(body, EntryBatch)}
     if not batches:
         return sends
-    return [(to, body) for to, body in sends if not (isinstance(body, SafeUpdate) and is_superseded(batches, to, body))]
+    return [
+        (receiver, body)
+        for receiver, body in sends
+        if not (isinstance(body, SafeUpdate) and is_superseded(batches, receiver, body))
+    ]
 
 
-def is_superseded(batches, to, message):
-    """Whether the same receiver gets a batch with as high a watermark."""
-    return batches.get((to, message.id), -1) >= message.safe_watermark
+def is_superseded(batches, receiver, message):
+    """Return whether the same receiver is sent a batch with at least the same safe watermark."""
+    return batches.get((receiver, message.id), -1) >= message.safe_watermark
 
 
 def register_peer(synchrony, endpoint):
-    """Note who speaks; -> whether its message is to be handled.
+    """Record the sender of a message as a peer. Returns whether the message is to be handled.
 
-    A message of an earlier incarnation that arrives late, and one of this daemon's own name, is dropped.
+    Late messages of an earlier incarnation, and messages under this daemon's own name, are dropped.
     """
     name = endpoint.member.name
     if name == synchrony.name:
@@ -124,26 +128,26 @@
     if peer is None:
         add_peer(synchrony, Peer(endpoint))
     elif peer.endpoint.member != endpoint.member:
-        heard_of_late = synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms
-        if endpoint.member in peer.past_incarnations and heard_of_late:
+        was_heard_recently = synchrony.now_ms - peer.heard_ms < 2 * synchrony.bounds.detect_ms
+        if endpoint.member in peer.past_incarnations and was_heard_recently:
             increment_counter(synchrony, "past_boot")
             return False
-        past = peer.past_incarnations | {peer.endpoint.member}
-        add_peer(synchrony, Peer(endpoint, past_incarnations=past))
+        past_incarnations = peer.past_incarnations | {peer.endpoint.member}
+        add_peer(synchrony, Peer(endpoint, past_incarnations=past_incarnations))
     elif peer.endpoint != endpoint:
         peer.endpoint, synchrony.peers_changed = endpoint, True
     return True
 
 
 def add_peer(synchrony, peer):
-    """Begin to know a peer, or a new incarnation of it; heartbeats are due, so that it hears of this member."""
+    """Add a peer or a new incarnation of it; heartbeats become due, so that it receives one promptly."""
     synchrony.peers[peer.endpoint.member.name] = peer
     synchrony.peers_changed = True
     synchrony.heartbeat_ms = NEVER_MS
 
 
 def on_tick(synchrony, out):
-    """Do what is due: heartbeats, announcements, proposals, and all that is sent again."""
+    """Send due heartbeats and announcements, check and make proposals, and resend unanswered messages."""
     if synchrony.now_ms - synchrony.heartbeat_ms >= synchrony.bounds.heartbeat_ms:
         failure_detector.send_heartbeats(synchrony, out)
     if synchrony.now_ms - synchrony.last_announcement_ms >= synchrony.bounds.detect_ms:
@@ -159,9 +163,9 @@
 
 
 def on_message(synchrony, out, sender_name, message):
-    """Handle a message, or keep it if it belongs to the configuration that is being installed."""
-    recovering = synchrony.recovery
-    if recovering and isinstance(message, DEFERRABLE_MESSAGES) and message.id == recovering.id:
+    """Handle a message, or defer it if it belongs to the configuration being installed."""
+    recovery_state = synchrony.recovery
+    if recovery_state and isinstance(message, DEFERRABLE_MESSAGES) and message.id == recovery_state.id:
         if len(synchrony.order.early_messages) < synchrony.bounds.held:
             synchrony.order.early_messages.append((sender_name, message))
         return
--- a/frostpost/virtual_synchrony/timers.py
+++ b/frostpost/virtual_synchrony/timers.py
@@ -1,15 +1,15 @@
-"""When a replica's next Tick has something to do; a Tick before that time changes nothing and may be left out."""
+"""Scheduling of a replica's ticks: ticks before `due_ms` have no effect and may be omitted."""
 
 from .acknowledgements import has_unsent_receipt
 from .catch_up import first_missing_index
 
 
 def needs_every_tick(synchrony):
-    """Whether something is under way that every tick looks after.
+    """Return whether something in progress must be checked on every tick.
 
-    Besides what is open (a proposal, a recovery, a primary that isn't open, a log that is being fetched, operations
-    that aren't ordered or acknowledged yet), this holds from any change in what is known of the peers until the
-    next tick has judged it, and while the members wished for at the last tick weren't those of the configuration.
+    This covers open work (a proposal, a recovery, a primary that is not open, a log being fetched, operations not yet
+    ordered or acknowledged), any change of the peers until the next tick has evaluated it, and the time during which
+    the desired members differ from those of the configuration.
     """
     order, primary = synchrony.order, synchrony.primary
     return bool(
@@ -30,11 +30,11 @@
 
 
 def due_ms(synchrony):
-    """The time of the next tick that does something, as far as is known now."""
+    """Return the time of the next tick that has an effect, as far as it is known now."""
     if needs_every_tick(synchrony):
         return synchrony.now_ms
     bounds = synchrony.bounds
-    times = [synchrony.heartbeat_ms + bounds.heartbeat_ms, synchrony.last_announcement_ms + bounds.detect_ms]
+    due_times_ms = [synchrony.heartbeat_ms + bounds.heartbeat_ms, synchrony.last_announcement_ms + bounds.detect_ms]
     for peer in synchrony.peers.values():
-        times += [peer.heard_ms + bounds.detect_ms, peer.excluded_until_ms]
-    return min(at_ms for at_ms in times if at_ms > synchrony.last_tick_ms)
+        due_times_ms += [peer.heard_ms + bounds.detect_ms, peer.excluded_until_ms]
+    return min(time_ms for time_ms in due_times_ms if time_ms > synchrony.last_tick_ms)
