--- a/frostpost/virtual_synchrony/members.py
+++ b/frostpost/virtual_synchrony/members.py
@@ -1,13 +1,13 @@
-"""The members of a configuration: their names and roles, and which of them orders."""
+"""Names, roles and the sequencer of a configuration's members."""
 
 
 def member_names(configuration):
-    """The members' names, in order."""
-    return [m.name for m in configuration.members]
+    """Return the members' names, in the configuration's order."""
+    return [member.name for member in configuration.members]
 
 
 def role_of(synchrony, name):
-    """The role of a member by name; "edge" if it isn't known."""
+    """Return the role of the member with this name; "edge" if it is unknown."""
     if name == synchrony.name:
         return synchrony.endpoint.role
     peer = synchrony.peers.get(name)
@@ -15,19 +15,19 @@
 
 
 def member_of(synchrony, name):
-    """The member of that name, this one or a peer."""
+    """Return the member with this name: the local member or a peer."""
     return synchrony.local_member if name == synchrony.name else synchrony.peers[name].endpoint.member
 
 
 def sequencer_of(synchrony):
-    """The name of the member that orders in the installed configuration."""
+    """Return the name of the sequencer of the installed configuration."""
     return synchrony.configuration.sequencer
 
 
 def elect_sequencer(synchrony, members):
-    """The name of the member that is to order: the first of role core, else the first."""
-    held = sorted(m.name for m in members)
-    return next((n for n in held if role_of(synchrony, n) == "core"), held[0])
+    """Return the name of the first member with role core, or of the first member if there is none."""
+    names = sorted(member.name for member in members)
+    return next((name for name in names if role_of(synchrony, name) == "core"), names[0])
 
 
 ROLE_ORDER = {"storage": 0, "core": 1, "edge": 2}
--- a/frostpost/virtual_synchrony/membership.py
+++ b/frostpost/virtual_synchrony/membership.py
@@ -1,8 +1,8 @@
 """Agreement on the next configuration: proposals, promises, and the proposer's side of a recovery.
 
-A proposer asks all members that it wants to promise a configuration of a higher epoch, collects what they hold
-(RecoveryExchange), sends it to all (RecoveryPlan), and lets them install the configuration once all have completed the
-recovery. A member that doesn't answer in time is left out of the next proposal.
+A proposer requests a promise for a configuration with a higher epoch from all desired members, collects their state
+(RecoveryExchange) and sends it to all of them (RecoveryPlan). Once all have completed the recovery, it requests the
+installation. Members that do not answer in time are left out of the next proposal.
 """
 
 from .configuration import ConfigurationId
@@ -16,45 +16,51 @@
 
 
 def proposal_delay_ms(synchrony, desired):
-    """How long the wanted members must stay the same before this member proposes them.
+    """Return how long the desired members must remain unchanged before this member proposes them.
 
-    Members wait longer the later they come in the order of members, so that mostly one proposes.
+    The delay grows with the member's rank in the order of members, so that usually only one member proposes.
     """
     rank = desired.index(synchrony.local_member)
-    grown = set(desired) - set(synchrony.configuration.members)
+    new_members = set(desired) - set(synchrony.configuration.members)
     if are_all_known_members_present(synchrony, desired):
         return rank * synchrony.bounds.proposal_ms
-    base = synchrony.bounds.join_ms if grown else synchrony.bounds.heartbeat_ms // 2
-    return base + rank * synchrony.bounds.proposal_ms
+    base_delay_ms = synchrony.bounds.join_ms if new_members else synchrony.bounds.heartbeat_ms // 2
+    return base_delay_ms + rank * synchrony.bounds.proposal_ms
 
 
 def is_sole_voter_outside_primary(synchrony):
-    """Whether the only voter stands in the configuration that it started with, which nobody has judged."""
+    """Return whether this member is the only voter and its initial configuration is not a primary.
+
+    Such a member must propose a configuration of its own, although the desired members are installed already.
+    """
     voters = synchrony.voters or synchrony.log.voters or synchrony.bootstrap_voters
     return synchrony.has_log and not synchrony.primary.eligible and tuple(voters) == (synchrony.name,)
 
 
 def are_all_known_members_present(synchrony, desired):
-    """Whether nobody is left to wait for after a start: all voters of this log and all known members are there."""
+    """Return whether, after a start, all voters in the log and all known peers are among the desired members.
+
+    There is then no other member to wait for.
+    """
     voters = synchrony.voters or synchrony.log.voters
-    here = {m.name for m in desired}
+    present = {member.name for member in desired}
     return (
         synchrony.configuration.members == (synchrony.local_member,)
         and bool(voters)
-        and here.issuperset((*voters, *synchrony.peers))
+        and present.issuperset((*voters, *synchrony.peers))
     )
 
 
 def propose_if_due(synchrony, out):
-    """Propose the wanted members if they differ from the installed ones, or a recovery has taken too long."""
+    """Propose the desired members if they differ from the installed ones or a recovery is overdue."""
     desired = desired_members(synchrony)
     if desired != synchrony.desired_members:
         synchrony.desired_members, synchrony.desired_since_ms = desired, synchrony.now_ms
-        # A heartbeat is due: whom this daemon hears is told before it proposes.
+        # Send heartbeats at once, so that the peers learn of the change before they receive a proposal.
         synchrony.heartbeat_ms = NEVER_MS
-    settled = synchrony.recovery is None and synchrony.proposal is None
+    is_idle = synchrony.recovery is None and synchrony.proposal is None
     if (
-        settled
+        is_idle
         and set(desired) == set(synchrony.configuration.members)
         and not is_sole_voter_outside_primary(synchrony)
     ):
@@ -68,13 +74,13 @@
 
 
 def highest_known_epoch(synchrony):
-    """The highest epoch that this member or a peer has promised, or that the log has seen."""
-    seen = [p.promised.epoch for p in synchrony.peers.values()]
-    return max([synchrony.promised.epoch, synchrony.log.epoch, *seen])
+    """Return the highest epoch in this member's promise and log and in the peers' promises."""
+    peer_epochs = [peer.promised.epoch for peer in synchrony.peers.values()]
+    return max([synchrony.promised.epoch, synchrony.log.epoch, *peer_epochs])
 
 
 def propose(synchrony, out, members):
-    """Propose a configuration of these members, in an epoch above all known ones."""
+    """Propose a configuration of these members, with an epoch above all known ones."""
     increment_counter(synchrony, "proposals")
     id = ConfigurationId(highest_known_epoch(synchrony) + 1, synchrony.name, synchrony.local_member.incarnation)
     proposal = Proposal(id, tuple(members), elect_sequencer(synchrony, members), synchrony.now_ms, synchrony.now_ms)
@@ -86,14 +92,14 @@
 def on_propose_request(synchrony, out, sender_name, message):
     """Promise the proposed configuration, or reject it.
 
-    Rejected are epochs at or below the promised one, a second configuration of an epoch in which this member has
-    confirmed one, and proposals of outsiders that would split a serving primary.
+    Rejected are epochs at or below the promised one, a second configuration of an epoch for which this member has
+    confirmed one, and proposals by outsiders that would split a serving primary.
     """
-    known = synchrony.recovery.id if synchrony.recovery else None
-    if message.id == known:
+    current_id = synchrony.recovery.id if synchrony.recovery else None
+    if message.id == current_id:
         return send_exchange(synchrony, out)
-    refused = message.id <= synchrony.promised or synchrony.local_member not in message.members
-    if refused or has_confirmed_in_epoch(synchrony, message.id) or would_split_serving_primary(synchrony, message):
+    is_invalid = message.id <= synchrony.promised or synchrony.local_member not in message.members
+    if is_invalid or has_confirmed_in_epoch(synchrony, message.id) or would_split_serving_primary(synchrony, message):
         out.sends.append((sender_name, ProposeRejection(message.id, synchrony.promised)))
         return
     if synchrony.proposal and synchrony.proposal.id < message.id:
@@ -102,21 +108,21 @@
 
 
 def would_split_serving_primary(synchrony, message):
-    """Whether an outsider's proposal would part this daemon from a member of the serving primary that it still hears.
+    """Return whether an outsider's proposal omits a member of the serving primary that is still desired.
 
-    A member's own proposal is never refused for this: its proposer has left the primary, which must be replaced.
+    Proposals by members are not rejected on these grounds: their proposer has left the primary, which must be replaced.
     """
     members = synchrony.configuration.members
     if not is_serving(synchrony) or Member(message.id.proposer, message.id.incarnation) in members:
         return False
-    wanted = desired_members(synchrony)
-    return any(member in wanted and member not in message.members for member in members)
+    desired = desired_members(synchrony)
+    return any(member in desired and member not in message.members for member in members)
 
 
 def has_confirmed_in_epoch(synchrony, id):
-    """Whether this member has confirmed another configuration of the same epoch, which may open a primary.
+    """Return whether this member has confirmed another configuration of the same epoch, which may open a primary.
 
-    An opened primary was confirmed by a majority of the voters, so no second one can be opened in its epoch.
+    An open primary was confirmed by a majority of the voters, so no second one can open in its epoch.
     """
     if id.epoch != synchrony.promised.epoch:
         return False
@@ -124,7 +130,7 @@
 
 
 def promise(synchrony, out, sender_name, message):
-    """Bind this member to the proposal; the promise is on disk before the recovery is confirmed."""
+    """Promise the proposed configuration; the promise is synced before the recovery is confirmed."""
     synchrony.promised = message.id
     synchrony.recovery = Recovery(
         message.id, sender_name, message.members, message.sequencer, synchrony.now_ms, synchrony.now_ms
@@ -135,14 +141,14 @@
 
 
 def send_exchange(synchrony, out):
-    """Tell the proposer what this member holds."""
+    """Send this member's state to the proposer."""
     order, id = synchrony.order, synchrony.recovery.id
-    extra = tuple(sorted(o for o in order.pending if o > order.received_watermark))
-    said = RecoveryExchange(
+    above_gap = tuple(sorted(ordinal for ordinal in order.pending if ordinal > order.received_watermark))
+    exchange = RecoveryExchange(
         id,
         synchrony.configuration.id,
         order.received_watermark,
-        extra,
+        above_gap,
         order.safe_watermark,
         tuple(sorted(synchrony.obligations)),
         durable_state_of(synchrony.log) if synchrony.has_log else None,
@@ -150,11 +156,11 @@
         synchrony.voters or synchrony.bootstrap_voters,
         voters_in(order.pending.values()),
     )
-    out.sends.append((synchrony.recovery.proposer, said))
+    out.sends.append((synchrony.recovery.proposer, exchange))
 
 
 def on_recovery_exchange(synchrony, out, sender_name, message):
-    """At the proposer: once all members have told what they hold, send the plan."""
+    """At the proposer, record a member's state and send the plan once all members have replied."""
     proposal = synchrony.proposal
     if proposal is None or proposal.id != message.id:
         return
@@ -165,7 +171,7 @@
 
 
 def send_plan(synchrony, out):
-    """Send the plan to the members that haven't completed the recovery."""
+    """Send the plan to the members that have not completed the recovery."""
     proposal = synchrony.proposal
     plan = RecoveryPlan(proposal.id, dict(proposal.exchanges))
     for member in proposal.members:
@@ -174,7 +180,7 @@
 
 
 def on_recovery_complete(synchrony, out, sender_name, message):
-    """At the proposer: once all members have completed the recovery, let them install."""
+    """At the proposer, request the installation once all members have completed the recovery."""
     proposal = synchrony.proposal
     if proposal is None:
         if message.id == synchrony.configuration.id:
@@ -190,7 +196,7 @@
 
 
 def on_propose_rejection(synchrony, out, sender_name, message):
-    """Give the proposal up, and propose above the promised epoch next time."""
+    """Abandon the proposal, and record the promised epoch for the next one."""
     peer = synchrony.peers.get(sender_name)
     if peer:
         peer.promised = max(peer.promised, message.promised)
@@ -201,20 +207,20 @@
 
 
 def check_proposal(synchrony, out):
-    """Send the proposal again, or after `proposal_ms` propose without the members that haven't answered."""
+    """Resend the proposal, or after `proposal_ms` replace it by one without the members that have not answered."""
     proposal = synchrony.proposal
     if proposal is None:
         return
-    wait_ms = synchrony.now_ms - proposal.started_ms
-    if wait_ms >= synchrony.bounds.proposal_ms:
-        heard = proposal.completed_members if proposal.plan_sent else set(proposal.exchanges)
-        missing = [m for m in proposal.members if m.name not in heard]
+    elapsed_ms = synchrony.now_ms - proposal.started_ms
+    if elapsed_ms >= synchrony.bounds.proposal_ms:
+        answered = proposal.completed_members if proposal.plan_sent else set(proposal.exchanges)
+        missing = [member for member in proposal.members if member.name not in answered]
         for member in missing:
             exclude_temporarily(synchrony, member)
         increment_counter(synchrony, "shrunk")
         synchrony.proposal = None
-        kept = [m for m in desired_members(synchrony) if m not in missing]
-        propose(synchrony, out, kept or [synchrony.local_member])
+        remaining = [member for member in desired_members(synchrony) if member not in missing]
+        propose(synchrony, out, remaining or [synchrony.local_member])
         return
     if synchrony.now_ms - proposal.sent_ms >= synchrony.bounds.resend_ms:
         proposal.sent_ms = synchrony.now_ms
@@ -227,7 +233,7 @@
 
 
 def exclude_temporarily(synchrony, member):
-    """Leave a member that kept a proposal waiting out of the wanted ones; each time for longer."""
+    """Exclude a member that delayed a proposal from the desired members, each time for longer."""
     peer = synchrony.peers.get(member.name)
     if peer is None or peer.endpoint.member != member:
         return
--- a/frostpost/virtual_synchrony/recovery.py
+++ b/frostpost/virtual_synchrony/recovery.py
@@ -1,7 +1,8 @@
-"""A member's side of a recovery: entries handed on, the transitional configuration, the new configuration.
+"""A member's side of a recovery: retransmission, the transitional configuration, and the new configuration.
 
-Steps 3 to 6 of the paper's recovery algorithm: members from the same configuration exchange the entries that one of
-them lacks, confirm, deliver what is safe in the old configuration and the rest in the transitional one, and begin anew.
+Implements steps 3 to 6 of the recovery algorithm of extended virtual synchrony. Members that come from the same
+configuration exchange entries that some of them lack, confirm, deliver safe entries in the old configuration and the
+rest in the transitional one, and then install the new configuration.
 """
 
 from .configuration import Configuration
@@ -16,31 +17,33 @@
 
 
 def has_entry(exchange, ordinal):
-    """Whether the member that sent this exchange holds an entry."""
+    """Return whether the member that sent this exchange holds the entry with this ordinal."""
     return ordinal <= exchange.received_watermark or ordinal in exchange.ordinals_above_gap
 
 
 def on_recovery_plan(synchrony, out, sender_name, message):
-    """Work out which entries are wanted and who hands them on, then hand on this member's share."""
+    """Determine the required entries and their senders, then rebroadcast this member's share."""
     recovery = synchrony.recovery
     if recovery is None or recovery.id != message.id:
         return
     if recovery.plan is None:
-        last = synchrony.configuration.id
-        if message.exchanges[synchrony.name].last_configuration != last:
+        current_id = synchrony.configuration.id
+        if message.exchanges[synchrony.name].last_configuration != current_id:
             increment_counter(synchrony, "foreign")
             return
         recovery.plan = message.exchanges
         recovery.transitional_members = tuple(
-            m for m in recovery.members if message.exchanges[m.name].last_configuration == last
+            member for member in recovery.members if message.exchanges[member.name].last_configuration == current_id
         )
-        said = {m.name: message.exchanges[m.name] for m in recovery.transitional_members}
-        floor = min(e.received_watermark for e in said.values())
-        union = set(range(floor + 1, max(e.received_watermark for e in said.values()) + 1))
-        for exchange in said.values():
-            union.update(exchange.ordinals_above_gap)
-        recovery.required_ordinals = frozenset(union)
-        recovery.ordinals_to_rebroadcast = assign_rebroadcasts(synchrony, said, union)
+        exchanges = {member.name: message.exchanges[member.name] for member in recovery.transitional_members}
+        low_watermark = min(exchange.received_watermark for exchange in exchanges.values())
+        ordinals = set(
+            range(low_watermark + 1, max(exchange.received_watermark for exchange in exchanges.values()) + 1)
+        )
+        for exchange in exchanges.values():
+            ordinals.update(exchange.ordinals_above_gap)
+        recovery.required_ordinals = frozenset(ordinals)
+        recovery.ordinals_to_rebroadcast = assign_rebroadcasts(synchrony, exchanges, ordinals)
     if recovery.is_complete:
         send_complete(synchrony, out)
     else:
@@ -48,31 +51,34 @@
         complete_if_ready(synchrony, out)
 
 
-def assign_rebroadcasts(synchrony, said, union):
-    """The ordinals that this member hands on, by receiver: of each entry the first holder by name does."""
-    mine: dict[str, list[int]] = {}
-    for ordinal in sorted(union):
-        holders = sorted(n for n, e in said.items() if has_entry(e, ordinal))
+def assign_rebroadcasts(synchrony, exchanges, required):
+    """Return the ordinals that this member must rebroadcast, by receiver.
+
+    Each entry is assigned to the first of its holders in the order of their names.
+    """
+    assigned: dict[str, list[int]] = {}
+    for ordinal in sorted(required):
+        holders = sorted(name for name, exchange in exchanges.items() if has_entry(exchange, ordinal))
         if holders and holders[0] == synchrony.name:
-            for name, exchange in said.items():
+            for name, exchange in exchanges.items():
                 if not has_entry(exchange, ordinal):
-                    mine.setdefault(name, []).append(ordinal)
-    return {name: tuple(o) for name, o in mine.items()}
+                    assigned.setdefault(name, []).append(ordinal)
+    return {name: tuple(receiver_ordinals) for name, receiver_ordinals in assigned.items()}
 
 
 def send_rebroadcasts(synchrony, out):
-    """Hand on the entries that others lack."""
-    recovery, held = synchrony.recovery, synchrony.order.pending
+    """Send the entries assigned to this member to the members that lack them."""
+    recovery, pending = synchrony.recovery, synchrony.order.pending
     for name, ordinals in recovery.ordinals_to_rebroadcast.items():
-        entries = [held[o] for o in ordinals if o in held]
-        for at in range(0, len(entries), synchrony.bounds.batch):
-            part = tuple(entries[at : at + synchrony.bounds.batch])
-            increment_counter(synchrony, "rebroadcast", len(part))
-            out.sends.append((name, Rebroadcast(recovery.id, part)))
+        entries = [pending[ordinal] for ordinal in ordinals if ordinal in pending]
+        for start in range(0, len(entries), synchrony.bounds.batch):
+            batch = tuple(entries[start : start + synchrony.bounds.batch])
+            increment_counter(synchrony, "rebroadcast", len(batch))
+            out.sends.append((name, Rebroadcast(recovery.id, batch)))
 
 
 def on_rebroadcast(synchrony, out, sender_name, message):
-    """Keep entries that another member hands on."""
+    """Store entries rebroadcast by another member."""
     recovery = synchrony.recovery
     if recovery is None or recovery.id != message.id:
         return
@@ -83,14 +89,17 @@
 
 
 def complete_if_ready(synchrony, out):
-    """Confirm the recovery once all wanted entries are here and synced.
+    """Confirm the recovery once all required entries are received and synced.
 
-    The obligations are taken over first: a member that has confirmed must deliver what the others may have delivered.
+    The obligations are adopted before confirming: a member that has confirmed must deliver all entries that the others
+    may have delivered.
     """
     recovery, order = synchrony.recovery, synchrony.order
     if recovery is None or recovery.plan is None or recovery.is_complete:
         return
-    if any(o > order.received_watermark and o not in order.pending for o in recovery.required_ordinals):
+    if any(
+        ordinal > order.received_watermark and ordinal not in order.pending for ordinal in recovery.required_ordinals
+    ):
         return
     advance_received_watermark(synchrony, out)
     if recovery.sync_target < 0:
@@ -106,7 +115,7 @@
 
 
 def send_complete(synchrony, out):
-    """Tell the proposer that this member has completed the recovery."""
+    """Report to the proposer that this member has completed the recovery."""
     out.sends.append((synchrony.recovery.proposer, RecoveryComplete(synchrony.recovery.id)))
 
 
@@ -118,64 +127,70 @@
 
 
 def deliver_and_install(synchrony, out):
-    """Deliver the rest of the old configuration, then begin the new one.
+    """Deliver the remaining entries of the old configuration, then install the new one.
 
-    Entries that some member knows to be safe are delivered in the old configuration. Of the others, after the
-    transitional configuration, those count in the primary that a majority of its voters is certain to keep; entries
-    behind a gap are delivered only from members that this one is obliged to.
+    Entries that some member reported as safe are delivered in the old configuration. The others follow after the
+    transitional configuration. They take effect in the primary as long as a majority of its voters is certain to retain
+    them; entries after a gap are delivered only if their sequencer is in the obligation set.
     """
     recovery, order = synchrony.recovery, synchrony.order
-    group = [m.name for m in recovery.transitional_members]
-    safe = max(recovery.plan[n].safe_watermark for n in group)
-    acting, changes = synchrony.primary.eligible, []
-    while order.delivered_watermark < safe and order.delivered_watermark + 1 in order.pending:
+    transitional_names = [member.name for member in recovery.transitional_members]
+    safe_watermark = max(recovery.plan[name].safe_watermark for name in transitional_names)
+    was_eligible, voter_changes = synchrony.primary.eligible, []
+    while order.delivered_watermark < safe_watermark and order.delivered_watermark + 1 in order.pending:
         order.delivered_watermark += 1
         entry = order.pending[order.delivered_watermark]
-        out.notifications.append(EntryDelivered(entry, False, acting))
-        changes += voters_in([entry])
-        if acting:
+        out.notifications.append(EntryDelivered(entry, False, was_eligible))
+        voter_changes += voters_in([entry])
+        if was_eligible:
             queue_for_apply(synchrony, out, entry)
     out.notifications.append(
         ConfigurationChanged(
             Configuration(synchrony.configuration.id, recovery.transitional_members, sequencer_of(synchrony)), True
         )
     )
-    full = full_voters(synchrony, group)
-    keeping = acting and has_quorums(synchrony.primary, full) and all(is_majority(v, full) for v in changes)
-    gap = False
-    for ordinal in sorted(o for o in order.pending if o > order.delivered_watermark):
+    complete_voters = full_voters(synchrony, transitional_names)
+    takes_effect = (
+        was_eligible
+        and has_quorums(synchrony.primary, complete_voters)
+        and all(is_majority(voters, complete_voters) for voters in voter_changes)
+    )
+    after_gap = False
+    for ordinal in sorted(
+        pending_ordinal for pending_ordinal in order.pending if pending_ordinal > order.delivered_watermark
+    ):
         if ordinal != order.delivered_watermark + 1:
-            gap = True
-        if gap and not is_obligated(synchrony, order.pending[ordinal]):
+            after_gap = True
+        if after_gap and not is_obligated(synchrony, order.pending[ordinal]):
             increment_counter(synchrony, "discarded")
             continue
         order.delivered_watermark = ordinal
         entry = order.pending[ordinal]
-        out.notifications.append(EntryDelivered(entry, True, keeping and not gap))
-        if keeping and not gap:
+        out.notifications.append(EntryDelivered(entry, True, takes_effect and not after_gap))
+        if takes_effect and not after_gap:
             queue_for_apply(synchrony, out, entry)
-            keeping = all(is_majority(voters, full) for voters in voters_in([entry]))
+            takes_effect = all(is_majority(voters, complete_voters) for voters in voters_in([entry]))
     install_configuration(synchrony, out)
 
 
 def is_obligated(synchrony, entry):
-    """Whether an entry's sequencer is among the members whose entries must be delivered."""
-    first = sequencer_of(synchrony)
-    return any(m.name == first for m in synchrony.obligations)
+    """Return whether the entry's sequencer is in the obligation set, so that the entry must be delivered."""
+    sequencer = sequencer_of(synchrony)
+    return any(member.name == sequencer for member in synchrony.obligations)
 
 
-def full_voters(synchrony, group):
-    """Members whose logs hold what this configuration ordered, and that have confirmed no other recovery from it.
+def full_voters(synchrony, names):
+    """Return the members whose logs hold this configuration's entries and that confirmed no other recovery from it.
 
-    One that has may already count for a primary that begins without the entries that would be kept here.
+    A member that confirmed another recovery may already count for a primary that starts without these entries.
     """
-    plan, last = synchrony.recovery.plan, synchrony.configuration.id
-    full = [n for n in group if plan[n].durable_state and plan[n].durable_state.primary == last]
-    return [n for n in full if not plan[n].obligations]
+    plan, current_id = synchrony.recovery.plan, synchrony.configuration.id
+    complete = [name for name in names if plan[name].durable_state and plan[name].durable_state.primary == current_id]
+    return [name for name in complete if not plan[name].obligations]
 
 
 def install_configuration(synchrony, out):
-    """Begin the promised configuration with an empty order, and decide whether it is a primary."""
+    """Install the promised configuration with an empty order, and decide whether it is a primary."""
     recovery = synchrony.recovery
     synchrony.configuration = Configuration(recovery.id, recovery.members, recovery.sequencer)
     synchrony.installed_ms, synchrony.peers_changed = synchrony.now_ms, True
@@ -192,7 +207,7 @@
 
 
 def resend_due(synchrony, out):
-    """Send again what the recovery waits for."""
+    """Resend the messages that the recovery is waiting for."""
     recovery = synchrony.recovery
     if recovery is None or synchrony.now_ms - recovery.sent_ms < synchrony.bounds.resend_ms:
         return
