--- a/frostpost/virtual_synchrony/agent_messages.py
+++ b/frostpost/virtual_synchrony/agent_messages.py
@@ -1,7 +1,7 @@
-"""Messages between replicas and agents, and between seeds at the first start.
+"""Messages between replicas and agents, and between seeds during bootstrap.
 
-Replicas are the members of the protocol (role storage); agents are the daemons that hold a lease from them. As in
-`messages`, tags and the order of fields must not change.
+Replicas are the members of the protocol (role storage); agents are the daemons that hold a lease granted by the
+replicas. As in `messages`, tags and the order of fields must not change.
 """
 
 from msgspec import Struct
@@ -10,23 +10,24 @@
 
 
 class DirectoryRequest(Struct, frozen=True, array_like=True, tag=22):
-    """Asks for the replicas that the receiver knows; also greets an agent that the sender knows."""
+    """Requests the receiver's directory of replicas; also announces the sender to an agent."""
 
 
 class DirectoryReply(Struct, frozen=True, array_like=True, tag=23):
-    """endpoints: the replicas that the sender knows. bootstrap_voters: the founding voters, if it knows them."""
+    """endpoints: the replicas in the sender's directory. bootstrap_voters: the initial voters, empty if unknown."""
 
     endpoints: tuple[Endpoint, ...]
     bootstrap_voters: tuple[str, ...] = ()
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag=24):
-    """An agent asks for its lease and tells which routing it honours.
+    """Requests a lease for an agent and reports the version of the routing that it has applied.
 
-    sent_ms: on the agent's clock. version: of the routing. epoch: of the replicas' configuration whose endpoints it
-    knows. draining: runners that the platform's list shows it as draining. list_digest, list_age_ms: of the list of
-    runners as it read it last, and how long ago; -1 where it has read none. list_period_ms: how far apart all agents'
-    turns at reading the list are to lie; 0 if the sender can take no turn now.
+    sent_ms: time of sending by the agent's clock. version: version of the routing. epoch: epoch of the replica
+    configuration whose endpoints the agent has. draining: runners marked as draining in the platform's runner list.
+    list_digest: digest of the runner list as the agent last read it. list_age_ms: age of that list; -1 if the agent has
+    read none. list_period_ms: desired interval between two reads of the list, counted over all agents; 0 if the sender
+    cannot read the list at present.
     """
 
     sent_ms: int
@@ -39,12 +40,13 @@
 
 
 class LeaseReply(Struct, frozen=True, array_like=True, tag=25):
-    """The sequencer's answer; another replica names the sequencer that it knows, with no lease.
+    """The sequencer's reply to a lease request; other replicas name the sequencer and grant no lease.
 
-    lease_ms: from `sent_ms` on the agent's clock, 0 if none may be granted. version: of the routing in force; honoured:
-    the newest that every agent with a running lease honours. leaves: how many agents hold a lease. draining: runners
-    that any agent told of. list_digest, list_age_ms: of the newest list of runners that any agent told of.
-    list_turn: whether the agent is to read the list now.
+    lease_ms: duration counted from `sent_ms` on the agent's clock; 0 if no lease can be granted. version: version of
+    the routing in force. honoured: newest version that every agent with a running lease has applied. agent_count:
+    number of agents that hold a lease. draining: runners that any agent reported as draining. list_digest, list_age_ms:
+    digest and age of the newest runner list that any agent reported. list_turn: whether this agent is to read the list
+    now.
     """
 
     sent_ms: int
@@ -63,7 +65,7 @@
 
 
 class OperationRequest(Struct, frozen=True, array_like=True, tag=26):
-    """An agent submits an operation; the same number may come again and has one effect."""
+    """An operation submitted by an agent; a request repeated under the same number is executed once."""
 
     incarnation: int
     number: int
@@ -71,7 +73,7 @@
 
 
 class OperationReply(Struct, frozen=True, array_like=True, tag=27):
-    """The result of an operation; `fault` names why there is none, and is empty where `verdict` stands."""
+    """Result of an operation. error: name of the failure; empty if `result` is set."""
 
     incarnation: int
     number: int
@@ -80,20 +82,20 @@
 
 
 class RoutingRequest(Struct, frozen=True, array_like=True, tag=28):
-    """Asks for a routing newer than this version."""
+    """Requests the routing if it is newer than `version`."""
 
     version: int
 
 
 class RoutingUpdate(Struct, frozen=True, array_like=True, tag=29):
-    """A routing and its version; body: as it was committed."""
+    """A routing and its version. body: the routing as it was committed."""
 
     version: int
     body: bytes
 
 
 class PutBodyRequest(Struct, frozen=True, array_like=True, tag=30):
-    """Asks a replica to keep the body of a turn."""
+    """Requests that a replica store the body of a turn."""
 
     incarnation: int
     number: int
@@ -102,7 +104,7 @@
 
 
 class PutBodyReply(Struct, frozen=True, array_like=True, tag=31):
-    """synced: whether the body is on the replica's disk; False if it could not be kept."""
+    """synced: whether the replica has synced the body; False if it could not be stored."""
 
     incarnation: int
     number: int
@@ -110,7 +112,7 @@
 
 
 class GetBodiesRequest(Struct, frozen=True, array_like=True, tag=32):
-    """Asks for bodies of turns."""
+    """Requests the bodies of turns."""
 
     incarnation: int
     number: int
@@ -118,7 +120,7 @@
 
 
 class GetBodiesReply(Struct, frozen=True, array_like=True, tag=33):
-    """Bodies by turn; those that the replica lacks, and those past a bound in bytes, are left out."""
+    """Bodies by turn. Bodies missing on the replica, or beyond the size limit of a reply, are omitted."""
 
     incarnation: int
     number: int
@@ -126,23 +128,26 @@
 
 
 class StatusRequest(Struct, frozen=True, array_like=True, tag=34):
-    """An operator's tool asks for the daemon's status."""
+    """Requests the status of a daemon; sent by the administration commands."""
 
 
 class StatusReply(Struct, frozen=True, array_like=True, tag=35):
-    """facts: a JSON object."""
+    """status_json: the status as a JSON object."""
 
     status_json: bytes
 
 
 class BootstrapRequest(Struct, frozen=True, array_like=True, tag=40):
-    """The founder asks another seed which bootstrap record it keeps, or to keep these voters if any are named."""
+    """Requests another seed's bootstrap record; sent by the seed that coordinates the bootstrap.
+
+    names: if not empty, the voters that the receiver is to store in its bootstrap record.
+    """
 
     names: tuple[str, ...] = ()
 
 
 class BootstrapReply(Struct, frozen=True, array_like=True, tag=41):
-    """The founding voters that a seed keeps on its disk; empty if it keeps none."""
+    """names: the initial voters in the seed's bootstrap record; empty if it has none."""
 
     names: tuple[str, ...] = ()
 
--- a/frostpost/virtual_synchrony/bounds.py
+++ b/frostpost/virtual_synchrony/bounds.py
@@ -1,16 +1,17 @@
-"""Times, counts and sizes of the protocol."""
+"""Timeouts, window sizes and transfer limits of the protocol."""
 
 from msgspec import Struct
 
 
 class Bounds(Struct, frozen=True):
-    """Times, counts and sizes of the protocol; the fields are names in settings files.
-
-    detect_ms: silence after which a peer counts as unreachable. proposal_ms: how long a proposal waits for a member.
-    window: how many operations a member may have pending; held: how many entries may be ordered and not delivered.
-    batch: entries in a message. piece_bytes: of a snapshot chunk. rewrite_entries: applied entries after which the log
-    is replaced by a snapshot. refill_bytes_s: the rate of snapshot transfer. slice_records: records that a snapshot
-    encodes in one step. receipt_ack_ms: a sync that takes longer isn't waited for, see `acknowledgements`.
+    """Timeouts, window sizes and transfer limits; the field names are setting names.
+
+    detect_ms: silence after which a peer counts as unreachable. proposal_ms: time that a proposal waits for its
+    members. lease_ms: duration of a lease. window: maximum number of a member's pending operations. held: maximum
+    number of entries that are ordered and not yet safe. batch: maximum number of entries in a message. piece_bytes:
+    size of a snapshot chunk. rewrite_entries: applied entries after which the log is compacted into a snapshot.
+    refill_bytes_s: rate of snapshot transfer. slice_records: records that a snapshot encodes in one step.
+    receipt_ack_ms: duration of a sync after which entries are acknowledged on receipt, see `acknowledgements`.
     """
 
     detect_ms: int = 500
@@ -27,15 +28,15 @@
 
     @property
     def heartbeat_ms(self):
-        """The period of heartbeats."""
+        """Interval between heartbeats."""
         return self.detect_ms // 5
 
     @property
     def join_ms(self):
-        """How long a member waits before it proposes to take newcomers in."""
+        """Delay before a configuration with new members is proposed."""
         return self.detect_ms // 2
 
     @property
     def resend_ms(self):
-        """After how long without an effect a message is sent again."""
+        """Interval after which an unanswered message is sent again."""
         return self.detect_ms // 5
--- a/frostpost/virtual_synchrony/catch_up.py
+++ b/frostpost/virtual_synchrony/catch_up.py
@@ -1,4 +1,4 @@
-"""A replica that lacks entries of a primary: it fetches them, or a snapshot, from a member that has them."""
+"""Catch-up of a replica that lacks entries of the primary, from the log or a snapshot of another member."""
 
 from . import delivery, primary_component
 from .events import SnapshotInstalled, SnapshotReceived, SnapshotRecord, SnapshotRequested
@@ -8,7 +8,7 @@
 
 
 def first_missing_index(synchrony):
-    """The first index that this member lacks of the primary's history; 0 if it lacks none."""
+    """Return the first index of the primary's history that this member lacks; 0 if it lacks none."""
     primary = synchrony.primary
     if not primary.eligible:
         return 0
@@ -20,10 +20,10 @@
 
 
 def request_missing(synchrony, out):
-    """Ask a ready member, else the donor, for the missing entries or the rest of a snapshot."""
-    first = first_missing_index(synchrony)
+    """Request the missing entries or the rest of a snapshot from a ready member, or else from the donor."""
+    first_missing = first_missing_index(synchrony)
     if (
-        not first
+        not first_missing
         or synchrony.recovery
         or synchrony.primary.loading_snapshot
         or synchrony.primary.donor == synchrony.name
@@ -36,32 +36,36 @@
         request_own_snapshot(synchrony, out)
         return
     ready = sorted(
-        n
-        for n in member_names(synchrony.configuration)
-        if n in synchrony.peers
-        and synchrony.peers[n].ready
-        and synchrony.peers[n].configuration == synchrony.configuration.id
+        name
+        for name in member_names(synchrony.configuration)
+        if name in synchrony.peers
+        and synchrony.peers[name].ready
+        and synchrony.peers[name].configuration == synchrony.configuration.id
     )
     if synchrony.primary.fetch_source not in ready:
-        spot = sum(synchrony.name.encode()) % len(ready) if ready else 0
-        synchrony.primary.fetch_source = ready[spot] if ready else synchrony.primary.donor
+        position = sum(synchrony.name.encode()) % len(ready) if ready else 0
+        synchrony.primary.fetch_source = ready[position] if ready else synchrony.primary.donor
         synchrony.primary.snapshot_buffer = bytearray()
     out.sends.append(
         (
             synchrony.primary.fetch_source,
-            EntriesRequest(synchrony.configuration.id, first, len(synchrony.primary.snapshot_buffer)),
+            EntriesRequest(synchrony.configuration.id, first_missing, len(synchrony.primary.snapshot_buffer)),
         )
     )
 
 
 def request_own_snapshot(synchrony, out):
-    """All that this member's log lacks is in its state: a snapshot of another would be behind it under traffic."""
+    """Rebuild the log from this member's own state.
+
+    The applied state covers all entries that the log lacks; another member's snapshot would already be outdated under
+    load.
+    """
     synchrony.primary.loading_snapshot = True
     out.notifications.append(SnapshotRequested(synchrony.name, synchrony.configuration.id, 0))
 
 
 def on_entries_request(synchrony, out, sender_name, message):
-    """Answer with entries of the log, or have a snapshot sent where the log begins later."""
+    """Reply with entries of the log, or request a snapshot for the sender if the log starts after them."""
     log, primary = synchrony.log, synchrony.primary
     if message.id != synchrony.configuration.id or primary.ready_record_number < 0:
         return
@@ -73,7 +77,7 @@
 
 
 def on_entries_reply(synchrony, out, sender_name, message):
-    """Take fetched entries into the log, or apply them where the role keeps none."""
+    """Append fetched entries to the log, or apply them if the role keeps no log."""
     primary, log = synchrony.primary, synchrony.log
     if message.id != synchrony.configuration.id or not first_missing_index(synchrony):
         return
@@ -81,8 +85,8 @@
     if synchrony.has_log:
         delivery.append_fetched_to_log(synchrony, out, message.entries)
         if not primary.log_matches:
-            last = message.entries[-1].index if message.entries else primary.base
-            del log.entries[max(0, last - log.snapshot_index) :]
+            last_index = message.entries[-1].index if message.entries else primary.base
+            del log.entries[max(0, last_index - log.snapshot_index) :]
             primary.log_matches = True
         if log.length >= primary.base:
             primary_component.become_ready(synchrony, out)
@@ -96,7 +100,7 @@
 
 
 def on_snapshot_chunk(synchrony, out, sender_name, message):
-    """Collect a snapshot; the next chunk is asked for at the pace of `refill_bytes_s`."""
+    """Collect a snapshot; the next chunk is requested at the rate given by `refill_bytes_s`."""
     primary = synchrony.primary
     if message.id != synchrony.configuration.id or primary.loading_snapshot or not first_missing_index(synchrony):
         return
@@ -115,7 +119,7 @@
 
 
 def install_snapshot(synchrony, out, index, state):
-    """Replace the state and the log by a snapshot, once the shell has decoded its state."""
+    """Replace the state and the log by a snapshot whose state the daemon has decoded."""
     log, primary = synchrony.log, synchrony.primary
     if index < synchrony.applied:
         return
@@ -124,7 +128,9 @@
     out.notifications.append(SnapshotInstalled(index, state))
     if index > primary.base and not primary.opened:
         delivery.on_primary_opened(synchrony)
-    synchrony.pending_entries = {i: e for i, e in synchrony.pending_entries.items() if i > index}
+    synchrony.pending_entries = {
+        pending_index: entry for pending_index, entry in synchrony.pending_entries.items() if pending_index > index
+    }
     if synchrony.has_log:
         log.snapshot_index, log.entries, primary.log_matches = index, [], True
         write_record(synchrony, out, SnapshotRecord(index, state))
--- a/frostpost/virtual_synchrony/config_messages.py
+++ b/frostpost/virtual_synchrony/config_messages.py
@@ -1,17 +1,17 @@
-"""Messages by which daemons of the own interface pull configuration documents from each other."""
+"""Messages by which daemons replicate configuration documents."""
 
 from msgspec import Struct
 
 
 class ConfigBodyRequest(Struct, frozen=True, array_like=True, tag=18):
-    """Asks for the body of a configuration document from byte `offset` on, by digest."""
+    """Requests the body of the configuration document with this digest, from byte `offset` on."""
 
     digest: str
     offset: int
 
 
 class ConfigBodyChunk(Struct, frozen=True, array_like=True, tag=19):
-    """Bytes of a configuration document's body; total: its length in bytes."""
+    """A part of the body of a configuration document. total: size of the body in bytes."""
 
     digest: str
     offset: int
@@ -20,12 +20,12 @@
 
 
 class ConfigVersionsRequest(Struct, frozen=True, array_like=True, tag=20):
-    """Asks for versions of configuration documents beyond those in the vector, by path."""
+    """Requests the versions of configuration documents that are not covered by the version vector."""
 
     vector: dict[str, int]
 
 
 class ConfigVersionsReply(Struct, frozen=True, array_like=True, tag=21):
-    """Versions of documents: path, version, digest and size in bytes."""
+    """Versions of documents, each as path, version, digest and size in bytes."""
 
     items: tuple[tuple[str, int, str, int], ...]
--- a/frostpost/virtual_synchrony/configuration.py
+++ b/frostpost/virtual_synchrony/configuration.py
@@ -1,4 +1,4 @@
-"""Configurations, entries of the total order, and what a log holds: types that messages and state share."""
+"""Configurations, entries of the total order, and durable state: types shared by messages and protocol state."""
 
 from msgspec import Struct
 
@@ -6,7 +6,7 @@
 
 
 class ConfigurationId(Struct, frozen=True, array_like=True, order=True):
-    """Names a configuration; ordered by epoch, then proposer. incarnation: of the proposer."""
+    """Identifies a configuration; ordered by epoch, then by proposer. incarnation: the proposer's."""
 
     epoch: int
     proposer: str
@@ -14,7 +14,7 @@
 
 
 class Configuration(Struct, frozen=True, array_like=True):
-    """A membership that was agreed on: its id, its members in order of their sort key, and who sequences."""
+    """An agreed membership: its id, its members in sort order, and the name of its sequencer."""
 
     id: ConfigurationId
     members: tuple[Member, ...]
@@ -24,8 +24,8 @@
 class Entry(Struct, frozen=True, array_like=True):
     """One ordered operation.
 
-    ordinal: its position in the configuration, from 1. index: its position in the log of the primary's history. number:
-    of the operation at its sender, 0 for entries that the protocol makes itself. payload: the encoded operation.
+    ordinal: position in the configuration, from 1. index: position in the log of the primary's history. number: the
+    sender's number of the operation; 0 for entries created by the protocol itself. payload: the encoded operation.
     """
 
     configuration: ConfigurationId
@@ -37,10 +37,10 @@
 
 
 class DurableState(Struct, frozen=True, array_like=True):
-    """What a member's log holds on disk, as told in a recovery.
+    """Summary of a member's log, exchanged in a recovery.
 
-    primary: the last primary that it was part of. length: index of its last entry. pending_voters: sets of voters that
-    uncommitted entries ask for.
+    primary: the last primary that the log belonged to. length: index of the last entry. pending_voters: sets of voters
+    requested by uncommitted entries.
     """
 
     primary: ConfigurationId
--- a/frostpost/virtual_synchrony/discovery.py
+++ b/frostpost/virtual_synchrony/discovery.py
@@ -1,12 +1,12 @@
-"""Who is where: replicas tell it each other and the seeds, often only while it is news.
+"""Discovery of replicas: endpoints are announced to peers and seeds, frequently only after a change.
 
-A replica outside an opened primary tells all that it knows to its peers in every period. In an opened primary a list
-that has changed is told a few times, and then repeated now and then.
+A replica outside an open primary announces all endpoints in its directory to its peers in every period. In an open
+primary a changed directory is announced in the next few periods and refreshed at longer intervals after that.
 
-A seed keeps the places of those that report to it, and answers with its directory. A replica outside an opened primary
-reports in every period and names itself, to which a seed always answers. A member of one reports without any place, to
-which a seed answers only with news: in as many periods after a change as it tells its peers, then now and then, the
-sequencer always.
+A seed records the endpoints of the replicas that report to it and replies with its directory. A replica outside an open
+primary reports its own endpoint in every period, and a seed always replies to such a report. A member of an open
+primary reports without endpoints, to which a seed replies only if its directory has changed. Members report in the same
+periods in which they announce to peers; the sequencer reports in every period.
 """
 
 from .members import sequencer_of
@@ -18,36 +18,36 @@
 
 
 def announce_endpoints(synchrony, out):
-    """Tell peers and seeds of places, as far as it is due in this period."""
+    """Send the announcements to peers and seeds that are due in this period."""
     synchrony.last_announcement_ms = synchrony.now_ms
     endpoints = (synchrony.endpoint, *(peer.endpoint for peer in synchrony.peers.values()))
     if endpoints != synchrony.announced_endpoints:
         synchrony.announced_endpoints, synchrony.announced_periods = endpoints, 0
     synchrony.announced_periods += 1
-    fresh = not is_active_member(synchrony) or synchrony.announced_periods <= ANNOUNCEMENT_REPEATS
-    again = synchrony.announced_periods % REFRESH_PERIODS == 0
-    if fresh or again or sequencer_of(synchrony) == synchrony.name:
+    is_announcement_due = not is_active_member(synchrony) or synchrony.announced_periods <= ANNOUNCEMENT_REPEATS
+    is_refresh_due = synchrony.announced_periods % REFRESH_PERIODS == 0
+    if is_announcement_due or is_refresh_due or sequencer_of(synchrony) == synchrony.name:
         report = DiscoveryUpdate(() if is_active_member(synchrony) else (synchrony.endpoint,), synchrony.draining)
         out.sends += [(seed, report) for seed in seeds_to_notify(synchrony)]
-    if fresh or again:
-        whole = DiscoveryUpdate(endpoints, synchrony.draining)
-        out.sends += [(name, whole) for name in synchrony.peers]
+    if is_announcement_due or is_refresh_due:
+        announcement = DiscoveryUpdate(endpoints, synchrony.draining)
+        out.sends += [(name, announcement) for name in synchrony.peers]
 
 
 def is_active_member(synchrony):
-    """Whether this replica stands in an opened primary that it doesn't leave."""
+    """Return whether this replica belongs to an open primary and is neither recovering nor draining."""
     return synchrony.primary.opened and synchrony.recovery is None and not synchrony.draining
 
 
 def seeds_to_notify(synchrony):
-    """The seeds that are neither this replica nor one of its peers."""
+    """Return the seeds that are neither this replica nor one of its peers."""
     endpoints = (synchrony.endpoint, *(peer.endpoint for peer in synchrony.peers.values()))
-    known = {f"@{endpoint.host}:{endpoint.port}" for endpoint in endpoints}
-    return [seed for seed in synchrony.seeds if seed not in known]
+    known_addresses = {f"@{endpoint.host}:{endpoint.port}" for endpoint in endpoints}
+    return [seed for seed in synchrony.seeds if seed not in known_addresses]
 
 
 def on_discovery_update(synchrony, out, sender_name, message):
-    """Take in what another replica knows of places, and whether it leaves."""
+    """Add newly announced replicas to the peers and record whether the sender is draining."""
     peer = synchrony.peers[sender_name]
     if peer.draining != message.draining:
         peer.draining, synchrony.peers_changed = message.draining, True
--- a/frostpost/virtual_synchrony/endpoints.py
+++ b/frostpost/virtual_synchrony/endpoints.py
@@ -1,10 +1,10 @@
-"""Who a daemon is and where it can be reached."""
+"""Identities and network addresses of daemons."""
 
 from msgspec import Struct
 
 
 class Member(Struct, frozen=True, array_like=True, order=True):
-    """One life of a daemon: its name, and the incarnation that tells it from its earlier and later processes."""
+    """One incarnation of a daemon: its name, and the number that distinguishes its successive processes."""
 
     name: str
     incarnation: int
@@ -13,8 +13,9 @@
 class Endpoint(Struct, frozen=True, array_like=True):
     """The address of a member, with its role and failure domain (zone).
 
-    role: "storage" for voters and learners, else "core" or "edge". port: of inner frames; http_port: of the own HTTP
-    interface, 0 where there is none. protocol_revision: the newest rules of the ledger that the daemon understands.
+    role: "storage" for voters and learners, otherwise "core" or "edge". port: port of the internal protocol. http_port:
+    port of the HTTP interface, 0 if there is none. protocol_revision: newest revision of the ledger's rules that the
+    daemon supports.
     """
 
     member: Member
--- a/frostpost/virtual_synchrony/frames.py
+++ b/frostpost/virtual_synchrony/frames.py
@@ -1,4 +1,4 @@
-"""The frame that all inner messages travel in, and the union of its messages."""
+"""The frame of the internal protocol, and the union of its messages."""
 
 from msgspec import Struct
 
@@ -87,7 +87,7 @@
 
 
 class Frame(Struct, frozen=True, array_like=True):
-    """One inner message. endpoint: the sender's; to: name of the receiver, empty where it isn't known yet."""
+    """One message between daemons. endpoint: the sender's. to: name of the receiver, empty if unknown."""
 
     version: int
     endpoint: Endpoint
--- a/frostpost/virtual_synchrony/messages.py
+++ b/frostpost/virtual_synchrony/messages.py
@@ -1,7 +1,7 @@
 """Messages of the ordering protocol between members.
 
-Each message is an array on the wire, told apart by its tag: tags and the order of fields must not change. New fields go
-to the end and have defaults.
+Each message is encoded as an array identified by its tag: tags and the order of fields must not change. New fields are
+appended and have defaults.
 """
 
 from msgspec import Struct
@@ -11,12 +11,12 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=1):
-    """Sent to every peer each heartbeat period; carries the failure detector's view and extends leases.
+    """Sent to every peer in each heartbeat period; carries failure detector state and extends leases.
 
-    reachable: the members that the sender hears. echo_ms: the `sent_ms` of the receiver's last heartbeat, by which the
-    receiver knows until when it was heard. ready: whether the sender's log holds all entries of the primary. status:
-    small counters of the role, by name. serving: whether it stands in an opened primary. last_primary: the newest in
-    its log.
+    reachable: members that the sender receives heartbeats from. echo_ms: `sent_ms` of the last heartbeat received from
+    the receiver, from which time the sender grants the receiver its lease. ready: whether the sender's log holds all
+    entries of the primary. status: counters of the sender's role, by name. serving: whether the sender is in an open
+    primary. last_primary: the newest primary in the sender's log.
     """
 
     configuration: ConfigurationId
@@ -33,14 +33,14 @@
 
 
 class DiscoveryUpdate(Struct, frozen=True, array_like=True, tag=2):
-    """Endpoints that the sender knows, and whether it is draining."""
+    """Endpoints in the sender's directory, and whether the sender is draining."""
 
     endpoints: tuple[Endpoint, ...]
     draining: bool
 
 
 class ProposeRequest(Struct, frozen=True, array_like=True, tag=3):
-    """The proposer asks a member to promise a new configuration (the prepare phase)."""
+    """Requests a member's promise for a new configuration (the prepare phase)."""
 
     id: ConfigurationId
     members: tuple[Member, ...]
@@ -48,18 +48,18 @@
 
 
 class ProposeRejection(Struct, frozen=True, array_like=True, tag=4):
-    """The member has promised another configuration, `promised`, or protects a serving primary."""
+    """The member has promised configuration `promised` instead, or protects a serving primary."""
 
     id: ConfigurationId
     promised: ConfigurationId
 
 
 class RecoveryExchange(Struct, frozen=True, array_like=True, tag=5):
-    """What a member holds at the start of a recovery.
+    """A member's state at the start of a recovery.
 
-    last_configuration: the configuration it comes from. received_watermark: it has all entries up to this ordinal;
-    ordinals_above_gap: those it has beyond. obligations: members whose entries it must deliver. durable_state: None for
-    roles without a log. pending_voters: sets of voters asked for by entries that it has not delivered.
+    last_configuration: the configuration that the member comes from. received_watermark: all entries up to this ordinal
+    are received; ordinals_above_gap: those received beyond it. obligations: members whose entries must be delivered.
+    durable_state: None for roles without a log. pending_voters: sets of voters requested by undelivered entries.
     """
 
     id: ConfigurationId
@@ -75,27 +75,27 @@
 
 
 class RecoveryPlan(Struct, frozen=True, array_like=True, tag=6):
-    """The proposer has all exchanges, by member name: each member can work out alone what to send again."""
+    """The exchanges of all members, by name, from which each member derives the entries it must resend."""
 
     id: ConfigurationId
     exchanges: dict[str, RecoveryExchange]
 
 
 class Rebroadcast(Struct, frozen=True, array_like=True, tag=7):
-    """Entries that the receiver lacks and the sender was chosen to hand on."""
+    """Entries that the receiver lacks and that were assigned to the sender."""
 
     id: ConfigurationId
     entries: tuple[Entry, ...]
 
 
 class RecoveryComplete(Struct, frozen=True, array_like=True, tag=8):
-    """The sender holds, and has synced, all that the plan asks for; it is bound to this configuration."""
+    """The sender holds and has synced all entries required by the plan, and is committed to this configuration."""
 
     id: ConfigurationId
 
 
 class InstallRequest(Struct, frozen=True, array_like=True, tag=9):
-    """All members have completed the recovery: deliver what remains and install the configuration."""
+    """All members have completed the recovery: deliver the remaining entries and install the configuration."""
 
     id: ConfigurationId
 
@@ -103,7 +103,7 @@
 class SubmitRequest(Struct, frozen=True, array_like=True, tag=10):
     """Operations for the sequencer to order.
 
-    first_open: the lowest number that is not applied yet. first: the number of the first payload; the others follow.
+    first_open: lowest operation number that is not applied yet. first: number of the first payload; the rest follow on.
     """
 
     id: ConfigurationId
@@ -113,7 +113,7 @@
 
 
 class EntryBatch(Struct, frozen=True, array_like=True, tag=11):
-    """Ordered entries from the sequencer, with the ordinal up to which the order is safe."""
+    """Ordered entries from the sequencer, and the ordinal up to which the order is safe."""
 
     id: ConfigurationId
     entries: tuple[Entry, ...]
@@ -121,11 +121,11 @@
 
 
 class BatchAck(Struct, frozen=True, array_like=True, tag=12):
-    """How far the sender is with the entries of its configuration, as ordinals.
+    """The sender's progress in its configuration, as ordinals.
 
-    acknowledged_watermark: all up to it are received, and synced if the sender's log is bound to the primary.
-    received_watermark: all up to it are received. synced_watermark: all up to it are on disk in a log that is bound to
-    the primary; 0 without such a log. The build before sends the first one only.
+    acknowledged_watermark: all entries up to it are received, and synced if the sender's log is bound to the primary.
+    received_watermark: all entries up to it are received. synced_watermark: all entries up to it are synced in a log
+    that is bound to the primary; 0 without such a log. The previous release sends only the first field.
     """
 
     id: ConfigurationId
@@ -135,7 +135,7 @@
 
 
 class SafeUpdate(Struct, frozen=True, array_like=True, tag=13):
-    """The order is safe up to this ordinal: entries up to it may be delivered."""
+    """The order is safe up to this ordinal, so entries up to it may be delivered."""
 
     id: ConfigurationId
     safe_watermark: int
@@ -148,7 +148,7 @@
 
 
 class EntriesRequest(Struct, frozen=True, array_like=True, tag=15):
-    """A member lacks entries from index `first` on, or the rest of a snapshot from byte `offset` on."""
+    """Requests entries from index `first` on, or the rest of a snapshot from byte `offset` on."""
 
     id: ConfigurationId
     first: int
@@ -163,9 +163,9 @@
 
 
 class SnapshotChunk(Struct, frozen=True, array_like=True, tag=17):
-    """Bytes of a snapshot of all entries up to `index`.
+    """A part of a snapshot of all entries up to `index`.
 
-    offset and total: in bytes. digest: of the whole snapshot, in hexadecimal.
+    offset, total: in bytes. digest: digest of the whole snapshot, in hexadecimal.
     """
 
     id: ConfigurationId
