--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""What replicas and seeds tell each other of places: all while it is news, little after that."""
+"""Announcements between replicas and seeds: frequent after a change, rare otherwise."""
 
 from types import SimpleNamespace
 
@@ -21,78 +21,80 @@
 MINUTE_MS = 60_000
 
 
-class Watched:
-    """A ring of three with a seed outside it; keeps the rosters sent, each with its time, sender and receiver."""
+class RecordedGroup:
+    """A group of three replicas with a seed outside it; records sent updates with time, sender, receiver and body."""
 
     def __init__(self, monkeypatch):
-        self.rosters = []
+        self.updates = []
         self.world = worlds.make(5, 0, 3, 0)
         for node in self.world.nodes.values():
             node.core.synchrony.seeds += (SEED,)
         perform = worlds.perform
 
-        def watched(world, node, out):
-            self.rosters += [(world.now_ms, node.name, to, b) for to, b in out.sends if isinstance(b, DiscoveryUpdate)]
+        def recording_perform(world, node, out):
+            self.updates += [
+                (world.now_ms, node.name, to, body) for to, body in out.sends if isinstance(body, DiscoveryUpdate)
+            ]
             perform(world, node, out)
 
-        monkeypatch.setattr(worlds, "perform", watched)
+        monkeypatch.setattr(worlds, "perform", recording_perform)
 
     def play(self, until_ms, from_ms=0):
         worlds.run(self.world, until_ms)
-        return [row for row in self.rosters if from_ms <= row[0] < until_ms]
+        return [row for row in self.updates if from_ms <= row[0] < until_ms]
 
     def sequencer(self):
         return next(iter(self.world.nodes.values())).core.synchrony.configuration.sequencer
 
 
-def test_settled_ring_reports_to_a_seed_by_its_sequencer_and_without_places(monkeypatch):
-    ring = Watched(monkeypatch)
-    rows = [row for row in ring.play(60_000, from_ms=20_000) if row[2] == SEED]
-    first = ring.sequencer()
+def test_open_primary_reports_to_a_seed_without_endpoints_mostly_by_its_sequencer(monkeypatch):
+    group = RecordedGroup(monkeypatch)
+    rows = [row for row in group.play(60_000, from_ms=20_000) if row[2] == SEED]
+    sequencer = group.sequencer()
     assert all(body.endpoints == () for _, _, _, body in rows)
-    by_sender = {name: sum(row[1] == name for row in rows) for name in ring.world.nodes}
-    assert by_sender.pop(first) == pytest.approx(80, abs=2)
+    by_sender = {name: sum(row[1] == name for row in rows) for name in group.world.nodes}
+    assert by_sender.pop(sequencer) == pytest.approx(80, abs=2)
     assert all(count == pytest.approx(8, abs=1) for count in by_sender.values())
 
 
-def test_settled_members_repeat_the_list_to_each_other_now_and_then(monkeypatch):
-    ring = Watched(monkeypatch)
-    rows = [row for row in ring.play(60_000, from_ms=20_000) if row[2] != SEED]
+def test_members_of_an_open_primary_refresh_their_directories_rarely(monkeypatch):
+    group = RecordedGroup(monkeypatch)
+    rows = [row for row in group.play(60_000, from_ms=20_000) if row[2] != SEED]
     assert len(rows) == pytest.approx(3 * 2 * 8, abs=6)
     assert all(len(body.endpoints) == 3 for _, _, _, body in rows)
 
 
-def test_change_is_told_to_everybody_several_times(monkeypatch):
-    ring = Watched(monkeypatch)
-    ring.play(20_000)
-    ring.world.nodes["s4"] = Node("s4", "storage", "a")
-    worlds.start(ring.world, "s4")
-    rows = ring.play(26_000, from_ms=20_000)
+def test_change_is_announced_repeatedly_to_seeds_and_peers(monkeypatch):
+    group = RecordedGroup(monkeypatch)
+    group.play(20_000)
+    group.world.nodes["s4"] = Node("s4", "storage", "a")
+    worlds.start(group.world, "s4")
+    rows = group.play(26_000, from_ms=20_000)
     for sender in ("s1", "s2", "s3"):
-        told = [row for row in rows if row[1] == sender]
-        assert sum(row[2] == SEED for row in told) >= discovery.ANNOUNCEMENT_REPEATS
+        sent = [row for row in rows if row[1] == sender]
+        assert sum(row[2] == SEED for row in sent) >= discovery.ANNOUNCEMENT_REPEATS
         peers = {f"s{n}" for n in range(1, 5)} - {sender}
         for peer in peers:
-            assert sum(row[2] == peer and len(row[3].endpoints) == 4 for row in told) >= discovery.ANNOUNCEMENT_REPEATS
+            assert sum(row[2] == peer and len(row[3].endpoints) == 4 for row in sent) >= discovery.ANNOUNCEMENT_REPEATS
 
 
-def test_replica_outside_a_primary_tells_all_in_every_period(monkeypatch):
-    ring = Watched(monkeypatch)
-    ring.play(20_000)
-    worlds.cut(ring.world, ["s3"], ["s1", "s2"])
-    rows = [row for row in ring.play(40_000, from_ms=30_000) if row[1] == "s3"]
-    for to, named in ((SEED, 1), ("s1", 3), ("s2", 3)):
-        told = [body for _, _, receiver, body in rows if receiver == to]
-        assert len(told) == pytest.approx(20, abs=2)
-        assert all(len(body.endpoints) == named for body in told)
+def test_replica_outside_a_primary_announces_in_every_period(monkeypatch):
+    group = RecordedGroup(monkeypatch)
+    group.play(20_000)
+    worlds.cut(group.world, ["s3"], ["s1", "s2"])
+    rows = [row for row in group.play(40_000, from_ms=30_000) if row[1] == "s3"]
+    for receiver_name, endpoint_count in ((SEED, 1), ("s1", 3), ("s2", 3)):
+        sent = [body for _, _, receiver, body in rows if receiver == receiver_name]
+        assert len(sent) == pytest.approx(20, abs=2)
+        assert all(len(body.endpoints) == endpoint_count for body in sent)
 
 
-def endpoint_of(name, incarnation=1):
+def replica_endpoint(name, incarnation=1):
     return Endpoint(Member(name, incarnation), "storage", "z", name, 7, 0, PROTOCOL_REVISION)
 
 
 class Seed:
-    """A core daemon that hears replicas' rosters."""
+    """A core daemon that receives the replicas' discovery updates."""
 
     def __init__(self):
         self.clock, self.out = Clock(), []
@@ -102,39 +104,40 @@
         self.agent.links["send"] = lambda to, body: self.out.append((to, body))
         agents.lease_client.session_of(self.agent)
 
-    def hear(self, name, endpoints=(), incarnation=1):
-        """-> how many places the sender is told, None if it gets no answer."""
+    def receive(self, name, endpoints=(), incarnation=1):
+        """Return the number of endpoints in the reply to the sender; None if there is no reply."""
         self.out.clear()
-        endpoint = endpoint_of(name, incarnation)
+        endpoint = replica_endpoint(name, incarnation)
         agents.on_frame(
-            self.agent, Frame(1, endpoint, "", DiscoveryUpdate(tuple(endpoint_of(p) for p in endpoints), False))
+            self.agent,
+            Frame(1, endpoint, "", DiscoveryUpdate(tuple(replica_endpoint(peer) for peer in endpoints), False)),
         )
-        told = [body for to, body in self.out if isinstance(body, DirectoryReply) and to == f"@{name}:7"]
-        return len(told[-1].endpoints) if told else None
+        replies = [body for to, body in self.out if isinstance(body, DirectoryReply) and to == f"@{name}:7"]
+        return len(replies[-1].endpoints) if replies else None
 
 
-def test_seed_answers_a_report_without_places_only_with_news():
+def test_seed_replies_to_a_report_without_endpoints_only_after_a_change():
     seed = Seed()
-    assert seed.hear("s1") == 1
-    assert seed.hear("s1") is None
-    assert seed.hear("s2") == 2
-    assert seed.hear("s1") == 2
-    assert seed.hear("s1") is None
+    assert seed.receive("s1") == 1
+    assert seed.receive("s1") is None
+    assert seed.receive("s2") == 2
+    assert seed.receive("s1") == 2
+    assert seed.receive("s1") is None
 
 
-def test_seed_answers_a_report_with_places_always():
+def test_seed_always_replies_to_a_report_with_endpoints():
     seed = Seed()
-    seed.hear("s1")
-    assert seed.hear("s1", endpoints=("s1", "s2")) == 1
-    assert seed.hear("s1", endpoints=("s1", "s2")) == 1
+    seed.receive("s1")
+    assert seed.receive("s1", endpoints=("s1", "s2")) == 1
+    assert seed.receive("s1", endpoints=("s1", "s2")) == 1
 
 
-def test_seed_tells_a_new_boot_a_new_charter_and_after_a_minute_again():
+def test_seed_replies_to_a_new_incarnation_after_bootstrap_and_after_a_minute():
     seed = Seed()
-    assert seed.hear("s1") == 1
-    assert seed.hear("s1", incarnation=2) == 1
-    assert seed.hear("s1", incarnation=2) is None
+    assert seed.receive("s1") == 1
+    assert seed.receive("s1", incarnation=2) == 1
+    assert seed.receive("s1", incarnation=2) is None
     seed.agent.bootstrap_voters = ("s1",)
-    assert seed.hear("s1", incarnation=2) == 1
+    assert seed.receive("s1", incarnation=2) == 1
     seed.clock.advance(MINUTE_MS / 1000)
-    assert seed.hear("s1", incarnation=2) == 1
+    assert seed.receive("s1", incarnation=2) == 1
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -6,22 +6,22 @@
 from frostpost.virtual_synchrony.ordering import on_submit_request
 
 
-def test_all_members_follow_the_proposers_sequencer_even_if_roles_are_unknown():
+def test_all_members_use_the_proposed_sequencer_even_if_roles_are_unknown():
     world = worlds.make(3, 2, 3, 2)
     send = worlds.send
 
-    def unlearned(world, node, target, body):
+    def send_without_roles(world, node, target, body):
         other = world.nodes.get(target)
         if other is not None and other.core is not None and target[0] == "s" and target != "s1":
             for peer in other.core.synchrony.peers.values():
                 peer.endpoint = peer.endpoint.__class__(
                     peer.endpoint.member,
                     "edge",
-                    *list(getattr(peer.endpoint, f) for f in ("zone", "host", "port", "http_port")),
+                    *list(getattr(peer.endpoint, field) for field in ("zone", "host", "port", "http_port")),
                 )
         send(world, node, target, body)
 
-    worlds.send = unlearned
+    worlds.send = send_without_roles
     try:
         worlds.run(world, 4000)
     finally:
@@ -30,10 +30,12 @@
     assert {sequencer_of(n.core.synchrony) for n in world.nodes.values()} == {"c1"}
 
 
-def test_a_request_settled_elsewhere_does_not_hold_up_the_next():
+def test_operation_completed_elsewhere_does_not_delay_the_next():
     world = worlds.make(3, 2, 3, 2)
     worlds.run(world, 4000)
     synchrony = world.nodes["c1"].core.synchrony
-    for floor, first in ((1, 2), (2, 2)):
-        on_submit_request(synchrony, Output(), "e1", SubmitRequest(synchrony.configuration.id, floor, first, (b"b",)))
-    assert [e.number for e in synchrony.order.unsent_entries] == [2]
+    for first_open, first in ((1, 2), (2, 2)):
+        on_submit_request(
+            synchrony, Output(), "e1", SubmitRequest(synchrony.configuration.id, first_open, first, (b"b",))
+        )
+    assert [entry.number for entry in synchrony.order.unsent_entries] == [2]
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -1,4 +1,4 @@
-"""One voter whose disk is slow, but not dead, sets the pace of nobody else."""
+"""One voter with a slow but working disk does not delay the others."""
 
 import pytest
 
@@ -12,37 +12,37 @@
 SLOW_MS = 360
 STEP_MS = 1
 OPERATIONS = 300
-GIVE_UP_MS = 5000
-# Detection (500 ms), agreement, and one sync of the slow disk (1.5 times its mean at most), which the recovery awaits.
+DECISION_TIMEOUT_MS = 5000
+# Detection (500 ms), agreement, and the sync of the slow disk (at most 1.5 times its mean) that the recovery awaits.
 LEADER_LOSS_MS = 1150
 
 
-def founded_world(storages, seed=1):
-    world = worlds.make(seed, 0, storages, 0)
+def serving_world(replica_count, seed=1):
+    world = worlds.make(seed, 0, replica_count, 0)
     worlds.run(world, 1500)
     assert all(serves(world, node) for node in world.nodes.values())
     return world
 
 
 def leader_of(world):
-    return sequencer_of(next(n for n in world.nodes.values() if serves(world, n)).core.synchrony)
+    return sequencer_of(next(node for node in world.nodes.values() if serves(world, node)).core.synchrony)
 
 
 def decided_after_ms(world, name):
-    """How long one operation takes that this member hands in; None if it isn't decided."""
-    decided, began_ms = [], world.now_ms
+    """Return the time until an operation submitted by this member is decided; None if it is not."""
+    decided, start_ms = [], world.now_ms
     world.tap = lambda _, node, answer: (
         decided.append(node.name) if isinstance(answer, OperationDecided) and node.name == name else None
     )
-    mark = world.nodes[name].core.ledger.configs.get("templates/t")
-    ask(world, name, SetConfig("templates/t", "d" * 40, 1, mark.version if mark else 0, "me", 1, ()))
-    while not decided and world.now_ms < began_ms + GIVE_UP_MS:
+    current = world.nodes[name].core.ledger.configs.get("templates/t")
+    ask(world, name, SetConfig("templates/t", "d" * 40, 1, current.version if current else 0, "me", 1, ()))
+    while not decided and world.now_ms < start_ms + DECISION_TIMEOUT_MS:
         worlds.run(world, world.now_ms + STEP_MS)
-    return world.now_ms - began_ms if decided else None
+    return world.now_ms - start_ms if decided else None
 
 
 def latencies_ms(world, names):
-    """Latencies of operations, in rising order, handed in by these members by turns, one after another."""
+    """Return the sorted latencies of operations that these members submit in turn, one at a time."""
     return sorted(decided_after_ms(world, names[number % len(names)]) for number in range(OPERATIONS))
 
 
@@ -50,27 +50,27 @@
     return sorted_values[int(len(sorted_values) * ratio)]
 
 
-@pytest.mark.parametrize("storages", [3, 5])
+@pytest.mark.parametrize("replica_count", [3, 5])
 @pytest.mark.parametrize("slow_is_leader", [True, False])
-def test_operations_take_no_longer_than_twice_as_long_beside_a_slow_disk(storages, slow_is_leader):
-    world = founded_world(storages)
+def test_slow_disk_at_most_doubles_the_latency_of_the_others(replica_count, slow_is_leader):
+    world = serving_world(replica_count)
     leader = leader_of(world)
     names = sorted(world.nodes)
-    slow = leader if slow_is_leader else next(n for n in names if n != leader)
-    askers = [name for name in names if name != slow] if not slow_is_leader else names
-    calm = latencies_ms(world, askers)
+    slow = leader if slow_is_leader else next(name for name in names if name != leader)
+    submitters = [name for name in names if name != slow] if not slow_is_leader else names
+    baseline_ms = latencies_ms(world, submitters)
     installs = world.nodes[leader].core.synchrony.counts["installs"]
     world.nodes[slow].disk.delay_ms = SLOW_MS
-    # The first entries meet a disk that nobody knows to be slow yet.
+    # Until the first slow sync is detected, entries wait for it.
     for _ in range(5):
-        decided_after_ms(world, askers[0])
-    beside = latencies_ms(world, askers)
-    assert percentile(beside, 0.99) <= 2 * percentile(calm, 0.99)
+        decided_after_ms(world, submitters[0])
+    with_slow_disk_ms = latencies_ms(world, submitters)
+    assert percentile(with_slow_disk_ms, 0.99) <= 2 * percentile(baseline_ms, 0.99)
     assert world.nodes[leader].core.synchrony.counts["installs"] == installs
 
 
-def test_what_a_slow_voter_has_not_synced_is_on_a_majority_of_disks():
-    world = founded_world(3)
+def test_applied_entries_are_synced_by_a_majority_without_the_slow_voter():
+    world = serving_world(3)
     leader = leader_of(world)
     slow = next(name for name in sorted(world.nodes) if name != leader)
     world.nodes[slow].disk.delay_ms = SLOW_MS
@@ -82,8 +82,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_the_loss_of_the_leader_beside_a_slow_disk_costs_little_more_than_its_detection(seed):
-    world = founded_world(5, seed)
+def test_leader_loss_with_a_slow_disk_is_bounded_by_detection_and_one_sync(seed):
+    world = serving_world(5, seed)
     leader = leader_of(world)
     others = [name for name in sorted(world.nodes) if name != leader]
     world.nodes[others[1]].disk.delay_ms = SLOW_MS
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Ticks that are slept through: the timer that leaves them out, and that each of them would have done nothing."""
+"""The ticker that omits ticks without effect, and the ticks it omits, which must have no effect."""
 
 import pytest
 from msgspec import msgpack
@@ -13,11 +13,11 @@
 from frostpost.virtual_synchrony.events import TimerTick
 
 NEVER_MS = 10_000_000
-MOVING = ("now_ms", "last_tick_ms", "desired_since_ms")
+CLOCK_FIELDS = ("now_ms", "last_tick_ms", "desired_since_ms")
 
 
 class Job:
-    """Notes when it ran; due_ms is what it tells of its next time."""
+    """A job that records its runs. due_in_ms: delay that it reports until its next run."""
 
     def __init__(self, period_s=0.02):
         self.clock, self.ran, self.due_in_ms, self.failures = Clock(), [], 0, []
@@ -32,20 +32,20 @@
             self.clock.advance(step_s)
 
 
-def test_job_that_is_always_due_runs_at_each_tick():
+def test_job_that_is_always_due_runs_on_every_tick():
     job = Job()
     job.play(0.1)
     assert job.ran == pytest.approx([0.02, 0.04, 0.06, 0.08, 0.1], abs=0.0011)
 
 
-def test_job_sleeps_to_the_first_tick_at_which_it_is_due():
+def test_ticks_before_the_job_is_due_are_omitted():
     job = Job()
     job.due_in_ms = 70
     job.play(0.19)
     assert job.ran == pytest.approx([0.02, 0.1, 0.18], abs=0.0011)
 
 
-def test_wake_brings_the_next_tick_and_never_puts_one_off():
+def test_wake_schedules_the_next_tick_and_never_delays_one():
     job = Job()
     job.due_in_ms = NEVER_MS
     job.play(0.145)
@@ -55,16 +55,16 @@
     assert job.ran == pytest.approx([0.02, 0.16], abs=0.0011)
 
 
-def test_wake_from_inside_the_job_is_left_to_what_the_job_tells():
+def test_wake_during_the_job_does_not_override_its_due_time():
     job = Job()
     job.due_in_ms = 50
-    run, ticker = job.run, job.ticker
-    ticker.job = lambda: (run(), ticker.wake())
+    run_job, ticker = job.run, job.ticker
+    ticker.job = lambda: (run_job(), ticker.wake())
     job.play(0.1)
     assert job.ran == pytest.approx([0.02, 0.08], abs=0.0011)
 
 
-def test_error_ends_the_ticking_and_is_told_once():
+def test_error_stops_the_ticker_and_is_reported_once():
     job = Job()
     job.ticker.job = lambda: 1 / 0
     job.play(0.1)
@@ -73,7 +73,7 @@
     job.ticker.stop()
 
 
-def test_lateness_is_measured_from_the_tick_that_was_planned():
+def test_lateness_is_measured_from_the_scheduled_tick():
     job = Job()
     job.due_in_ms = 70
     job.clock.advance(0.02)
@@ -81,7 +81,7 @@
     assert job.ticker.late_ms == pytest.approx(15, abs=0.1)
 
 
-def test_stopped_ticker_runs_no_more():
+def test_stopped_ticker_does_not_run():
     job = Job()
     job.play(0.05)
     job.ticker.stop()
@@ -90,15 +90,15 @@
     assert len(job.ran) == 2
 
 
-class SleptTicks:
-    """Plays on with every tick, and keeps what those did that a Ticker would have slept through."""
+class OmittedTicks:
+    """Runs every tick of a simulation, and records the effects of those that a Ticker would omit."""
 
     def __init__(self, monkeypatch):
-        self.slept, self.ticks, self.effects = 0, 0, []
+        self.omitted_count, self.ticks, self.effects = 0, 0, []
         self.feed = worlds.feed
-        monkeypatch.setattr(worlds, "feed", self.watched)
+        monkeypatch.setattr(worlds, "feed", self.observe)
 
-    def watched(self, world, name, input):
+    def observe(self, world, name, input):
         node = world.nodes[name]
         if not isinstance(input, TimerTick) or node.core is None or node.frozen:
             return self.feed(world, name, input)
@@ -106,52 +106,52 @@
         synchrony = node.core.synchrony
         if timers.due_ms(synchrony) <= input.now_ms:
             return self.feed(world, name, input)
-        self.slept += 1
-        before = facts(synchrony)
+        self.omitted_count += 1
+        before = encoded_fields(synchrony)
         node.core, out = cores.step(node.core, input)
-        after = facts(node.core.synchrony)
+        after = encoded_fields(node.core.synchrony)
         if out.sends or out.writes or out.notifications or before != after:
-            self.effects.append((name, input.now_ms, out.sends, differing(before, after)))
+            self.effects.append((name, input.now_ms, out.sends, changed_fields(before, after)))
         return worlds.perform(world, node, out)
 
 
-def facts(synchrony):
+def encoded_fields(synchrony):
     return {
         field: msgpack.encode(getattr(synchrony, field), enc_hook=list)
         for field in synchrony.__struct_fields__
-        if field not in MOVING
+        if field not in CLOCK_FIELDS
     }
 
 
-def differing(before, after):
+def changed_fields(before, after):
     return [name for name in before if before[name] != after[name]]
 
 
 @pytest.mark.parametrize("seed", range(11, 17))
-def test_tick_that_is_slept_through_would_have_done_nothing(monkeypatch, seed):
-    slept = SleptTicks(monkeypatch)
+def test_omitted_ticks_have_no_effect(monkeypatch, seed):
+    omitted = OmittedTicks(monkeypatch)
     plays.play(seed, 0, 5, 0, gap_ms=1500)
-    assert slept.slept > slept.ticks // 10
-    assert slept.effects == []
+    assert omitted.omitted_count > omitted.ticks // 10
+    assert omitted.effects == []
 
 
-def test_fault_that_forgets_what_a_heartbeat_changed_is_found(monkeypatch):
-    slept = SleptTicks(monkeypatch)
-    beaten = failure_detector.on_heartbeat
+def test_missing_change_flag_after_a_heartbeat_is_detected(monkeypatch):
+    omitted = OmittedTicks(monkeypatch)
+    on_heartbeat = failure_detector.on_heartbeat
 
-    def forgetful(synchrony, out, frm, message):
+    def heartbeat_without_change(synchrony, out, sender_name, message):
         before = synchrony.peers_changed
-        beaten(synchrony, out, frm, message)
+        on_heartbeat(synchrony, out, sender_name, message)
         synchrony.peers_changed = before
 
-    with changed([(failure_detector, "on_heartbeat", forgetful)]):
+    with changed([(failure_detector, "on_heartbeat", heartbeat_without_change)]):
         for seed in range(11, 17):
             plays.play(seed, 0, 5, 0, gap_ms=1500)
-    assert slept.effects
+    assert omitted.effects
 
 
 class RoundingReactor:
-    """A clock whose seconds are rounded such that a tick seems to lie a hair ahead of itself."""
+    """A reactor whose clock is rounded so that a tick seems to run slightly before its time."""
 
     def __init__(self, period_s):
         self.now_s, self.delays_s, self.period_s = 0.0, [], period_s
@@ -169,7 +169,7 @@
         self.job()
 
 
-def test_a_tick_is_not_run_again_for_the_rounding_of_seconds():
+def test_clock_rounding_does_not_repeat_a_tick():
     reactor = RoundingReactor(0.05)
     ticker = Ticker(reactor, 0.05, lambda: None, lambda: 0, None)
     ticker.start()
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("start_s", [0.0, 0.1, 1.8013, 4.89, 1234.567])
-def test_a_tick_is_never_planned_at_the_time_of_the_one_that_runs(start_s):
+def test_next_tick_is_never_scheduled_at_the_current_time(start_s):
     clock, ran_s = Clock(), []
     clock.rightNow = start_s
     ticker = Ticker(clock, 0.05, lambda: ran_s.append(clock.seconds()), lambda: -5, None)
