--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -8,7 +8,7 @@
 from frostpost.daemon.core import holds_lease
 from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Drain
-from frostpost.placement.judge import RunnerHealth
+from frostpost.placement.ranking import RunnerHealth
 
 
 class Report(Struct):
@@ -45,7 +45,7 @@
     if health.failures and clock_ms(ctx) - health.failed_ms > ctx.settings.weights.rest_ms:
         health.failures = 0
     health.instance, health.load, health.room = report.instance, report.load, report.room
-    health.prefixes, health.heard_ms = frozenset(report.prefixes), clock_ms(ctx)
+    health.prefixes, health.reported_ms = frozenset(report.prefixes), clock_ms(ctx)
     health.leaving = report.leaving
     if report.leaving and holds_lease(ctx.core, clock_ms(ctx)):
         key = f"{runner.name}/{runner.instance}"
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -5,7 +5,7 @@
 from expression import Error, Ok
 from msgspec import Struct, ValidationError, convert, field, structs
 
-from frostpost.placement.judge import Weights
+from frostpost.placement.ranking import Weights
 from frostpost.virtual_synchrony.bounds import Bounds
 
 
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -12,7 +12,7 @@
 from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Look
 from frostpost.ledger.programs import whole
-from frostpost.placement.judge import Question, explain
+from frostpost.placement.ranking import PlacementRequest, explain
 from frostpost.virtual_synchrony.members import sequencer_of
 
 from . import errors
@@ -135,7 +135,7 @@
     found = ctx.routes.get((tenant, route))
     if found is None:
         return errors.NoRoute(f"tenant {tenant} has no route {route}")
-    question = Question(
+    question = PlacementRequest(
         found.pools, ctx.settings.zone, (), "explain", clock_ms(ctx), leaving=frozenset(ctx.core.ledger.leaving)
     )
     rows = explain(question, ctx.core.ledger.runners.values(), ctx.runner_health, ctx.settings.weights)
--- a/frostpost/http_api/selecting.py
+++ b/frostpost/http_api/selecting.py
@@ -2,7 +2,7 @@
 
 from frostpost.daemon.context import clock_ms
 from frostpost.ledger.results import BudgetSpent, NoRunner, StaleConfig, TurnOpen
-from frostpost.placement.judge import Question, RunnerHealth, rank
+from frostpost.placement.ranking import PlacementRequest, RunnerHealth, rank
 
 from . import errors
 
@@ -20,7 +20,7 @@
 
 def select(ctx, call, chain, tried):
     """Return the runners for a call, best first."""
-    question = Question(
+    question = PlacementRequest(
         call.route.pools,
         ctx.settings.zone,
         chain,
--- a/frostpost/http_api/stream.py
+++ b/frostpost/http_api/stream.py
@@ -7,7 +7,7 @@
 from frostpost.ledger import programs
 from frostpost.ledger.operations import Settle
 from frostpost.ledger.results import Done
-from frostpost.placement.judge import chain_of
+from frostpost.placement.ranking import history_digests
 
 from . import errors, forward
 from .calls import remaining_ms
@@ -64,7 +64,7 @@
                 "route": self.call.route_name,
                 "tenant": self.call.tenant,
                 "history": [[line.input, line.output] for line in lines],
-                "chain": chain_of(lines),
+                "chain": history_digests(lines),
                 "input": self.call.document["input"],
                 "max_output": self.reserved.amount,
                 "config": dict(self.call.route.marks),
--- a/frostpost/http_api/turns.py
+++ b/frostpost/http_api/turns.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Release, Reserve, Settle
 from frostpost.ledger.results import Reserved
-from frostpost.placement.judge import chain_of
+from frostpost.placement.ranking import history_digests
 
 from . import errors, forward
 from .calls import remaining_ms
@@ -26,7 +26,7 @@
         if remaining_ms(ctx, call) <= 0:
             return errors.DeadlineExceeded()
         held = ctx.core.ledger.programs.get(key)
-        chain = chain_of(held.lines) if held else ()
+        chain = history_digests(held.lines) if held else ()
         ranked = select(ctx, call, chain, tried)
         if not ranked or call.gone:
             return errors.RunnersFull()
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -9,7 +9,7 @@
 from frostpost.http_api import control, errors, forward, lookups, stream, turns
 from frostpost.ledger.operations import Settle, Unclaim
 from frostpost.ledger.results import Done
-from frostpost.placement import judge
+from frostpost.placement import ranking
 
 from . import plants
 
@@ -83,7 +83,7 @@
 
 
 LAST = []
-UNHEEDING = tuple(v for v in judge.VETOES if v is not judge.veto_leaving)
+UNHEEDING = tuple(v for v in ranking.VETOES if v is not ranking.veto_leaving)
 DOORS = {
     "retry_once": [(lookups, "unsent", any_failure)],
     "key_freed": [(lookups, "submit", unclaim_all)],
@@ -93,7 +93,11 @@
     "end_first": [(stream, "submit", hasty)],
     "ack_at_once": [(control, "everywhere", at_once)],
     "heed_nothing": [(control, "if_match", heed_nothing)],
-    "send_leaving": [(forward, "may_run", any_runner), (forward, "proved", any_service), (judge, "VETOES", UNHEEDING)],
+    "send_leaving": [
+        (forward, "may_run", any_runner),
+        (forward, "proved", any_service),
+        (ranking, "VETOES", UNHEEDING),
+    ],
     "any_service": [(forward, "proved", any_service)],
     "leave_early": [(lifecycle, "poll_until", hurried)],
     "no_lease": plants.PLANTS["no_lease"],
--- a/frostpost/simulator/placing.py
+++ b/frostpost/simulator/placing.py
@@ -10,7 +10,7 @@
 
 from frostpost.ledger.entities import Runner
 from frostpost.ledger.programs import line
-from frostpost.placement.judge import Question, RunnerHealth, Weights, chain_of, rank
+from frostpost.placement.ranking import PlacementRequest, RunnerHealth, Weights, history_digests, rank
 
 POLICIES = {
     "ours": Weights(),
@@ -55,7 +55,7 @@
     for runner_health in daemons:
         for back in backs:
             held = runner_health[back.runner.name]
-            held.load, held.heard_ms = float(back.running), now_ms
+            held.load, held.reported_ms = float(back.running), now_ms
             held.prefixes = frozenset(back.held)
 
 
@@ -90,7 +90,7 @@
             back.running -= 1
             health.in_flight -= 1
             lines = [*lines, line(f"{name} {left}", "output")]
-            remember(back, chain_of(lines))
+            remember(back, history_digests(lines))
             if left > 1:
                 push(now_s + random.expovariate(1 / THINK_S), "turn", name, lines, left - 1)
     return backs, tally
@@ -100,8 +100,8 @@
     """Place one turn."""
     name, lines, left = rest
     spot = random.randrange(len(daemons))
-    chain = chain_of(lines)
-    question = Question(("pool",), "abc"[spot % 3], chain, f"{name}/{left}", int(now_s * 1000))
+    chain = history_digests(lines)
+    question = PlacementRequest(("pool",), "abc"[spot % 3], chain, f"{name}/{left}", int(now_s * 1000))
     ranked = rank(question, [b.runner for b in backs], daemons[spot], weights)
     chosen = next((b for r in ranked for b in backs if b.runner is r and b.running < r.room), None)
     if chosen is None:
--- a/tests/test_judgement.py
+++ b/tests/test_judgement.py
@@ -1,8 +1,8 @@
 from frostpost.ledger.entities import Runner
-from frostpost.placement.judge import Question, RunnerHealth, Weights, rank
+from frostpost.placement.ranking import PlacementRequest, RunnerHealth, Weights, rank
 
 RUNNERS = [Runner(n, "i", "127.0.0.1", 1, "pool", "a", 4) for n in ("r1", "r2")]
-ASKED = Question(("pool",), "a", (), "salt", 1000)
+ASKED = PlacementRequest(("pool",), "a", (), "salt", 1000)
 
 
 def names(runner_health):
@@ -21,5 +21,5 @@
 
 
 def test_a_drained_runner_is_not_asked_at_all():
-    asked = Question(("pool",), "a", (), "salt", 1000, leaving=frozenset({"r1/i"}))
+    asked = PlacementRequest(("pool",), "a", (), "salt", 1000, leaving=frozenset({"r1/i"}))
     assert [r.name for r in rank(asked, RUNNERS, {}, Weights())] == ["r2"]
