--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -18,7 +18,7 @@
 from frostpost.http_api.app import build
 from frostpost.http_api.http_client import http_agent
 from frostpost.http_api.lookups import wake
-from frostpost.tenant_config.shelf import Shelf
+from frostpost.tenant_config.body_store import BodyStore
 from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 
@@ -78,7 +78,7 @@
         PROTOCOL_REVISION,
     )
     ctx = Context(settings, reactor, endpoint, machine)
-    ctx.shelf = Shelf(f"{settings.name}.{incarnation}")
+    ctx.shelf = BodyStore(f"{settings.name}.{incarnation}")
     records, ctx.disk = [], disks.NoLogWriter()
     if settings.role == "storage":
         write_ahead_log, records, error = disks.open_log(settings.data, machine.files)
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -7,8 +7,8 @@
 from frostpost.daemon.event_loop import tick
 from frostpost.daemon.polling import poll_until
 from frostpost.daemon.structured_log import log_event
-from frostpost.tenant_config import shelf as shelves
-from frostpost.tenant_config.stamp import stamp
+from frostpost.tenant_config import body_store as shelves
+from frostpost.tenant_config.instantiation import instantiate
 from frostpost.virtual_synchrony.config_messages import (
     ConfigBodyChunk,
     ConfigBodyRequest,
@@ -19,7 +19,7 @@
 from frostpost.write_ahead_log import log as write_ahead_logs
 
 encode = msgpack.Encoder().encode
-decode = msgpack.Decoder(shelves.Store).decode
+decode = msgpack.Decoder(shelves.BodyWrite).decode
 RETENTION_MS = 600000
 
 
@@ -38,7 +38,7 @@
     ctx.bodies = Bodies(write_ahead_log)
     for payload in payloads:
         store = decode(payload)
-        ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
+        ctx.shelf = shelves.record_stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
     return error
 
 
@@ -66,7 +66,7 @@
         return
     if ctx.bodies is None:
         for store in stores:
-            ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
+            ctx.shelf = shelves.record_stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
         publish(ctx)
         honour(ctx)
         return
@@ -91,7 +91,7 @@
     def done(_):
         bodies.busy = False
         for store, answer in batch:
-            ctx.shelf = shelves.stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
+            ctx.shelf = shelves.record_stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
             if answer is not None:
                 answer.callback(store.item)
         publish(ctx)
@@ -110,7 +110,7 @@
 
 def put(ctx, body):
     """Store a new body; Deferred of its item once it is on this daemon's disk."""
-    _, store = shelves.put(ctx.shelf, body)
+    _, store = shelves.new_body(ctx.shelf, body)
     answer = Deferred()
     if ctx.bodies is None:
         keep(ctx, [store])
@@ -138,22 +138,22 @@
     """Handle a peer's message about bodies."""
     match body:
         case ConfigVersionsRequest():
-            send(ctx, shelves.asked(ctx.shelf, sender_name, body))
+            send(ctx, shelves.answer_versions(ctx.shelf, sender_name, body))
         case ConfigVersionsReply():
-            ctx.shelf, sends, stores = shelves.told(ctx.shelf, sender_name, body, clock_ms(ctx))
+            ctx.shelf, sends, stores = shelves.request_bodies(ctx.shelf, sender_name, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
         case ConfigBodyRequest():
-            send(ctx, shelves.body_asked(ctx.shelf, sender_name, body))
+            send(ctx, shelves.answer_body(ctx.shelf, sender_name, body))
         case ConfigBodyChunk():
-            ctx.shelf, sends, stores = shelves.body_pieced(ctx.shelf, sender_name, body, clock_ms(ctx))
+            ctx.shelf, sends, stores = shelves.receive_chunk(ctx.shelf, sender_name, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
 
 
 def heard(ctx, sender_name, vector):
     """Handle a peer's version vector."""
-    send(ctx, shelves.heard(ctx.shelf, sender_name, vector))
+    send(ctx, shelves.request_versions(ctx.shelf, sender_name, vector))
 
 
 def parse_all(bodies):
@@ -182,7 +182,7 @@
         if base not in documents:
             continue
         marks = ((base, documents[base][0]), (path, version))
-        stamped = stamp(path.split("/", 1)[1], documents[base][1], tenant, marks)
+        stamped = instantiate(path.split("/", 1)[1], documents[base][1], tenant, marks)
         if stamped.is_ok():
             for name, route in stamped.ok.items():
                 routes[(route.tenant, name)] = route
@@ -222,12 +222,12 @@
     ctx.pruned_ms = now
     wanted = {m.digest for m in ctx.core.ledger.configs.values()}
     wanted |= {m.digest for marks in ctx.core.ledger.past.values() for m in marks}
-    wanted |= {d for d, since_ms in ctx.shelf.since.items() if now - since_ms < RETENTION_MS}
+    wanted |= {d for d, since_ms in ctx.shelf.stored_ms.items() if now - since_ms < RETENTION_MS}
     ctx.shelf, gone = shelves.prune(ctx.shelf, wanted)
     bodies = ctx.bodies
     if gone and bodies is not None and not bodies.busy and not bodies.queue:
         bodies.busy = True
-        payloads = [encode(s) for s in shelves.records(ctx.shelf)]
+        payloads = [encode(s) for s in shelves.all_writes(ctx.shelf)]
 
         def done(_):
             bodies.busy = False
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -13,8 +13,8 @@
 from frostpost.ledger import config_versions
 from frostpost.ledger.operations import Drain, SetConfig
 from frostpost.ledger.results import ConfigSet, Done, NotHeld, StaleConfig
-from frostpost.tenant_config.shapes import WORD
-from frostpost.tenant_config.stamp import check_template, check_tenant, patch
+from frostpost.tenant_config.instantiation import merge_patch, validate_template, validate_tenant
+from frostpost.tenant_config.schemas import NAME_PATTERN
 
 from . import calls, errors, sets
 
@@ -34,7 +34,7 @@
     """Check a document with those it depends on; return (result, versions it was checked against)."""
     if kind == "tenants":
         template = f"templates/{document.get('template')}" if isinstance(document, dict) else ""
-        result = check_tenant(name, document, document_of(ctx, template))
+        result = validate_tenant(name, document, document_of(ctx, template))
         return result, ((template, version_of(ctx, template)),)
     path = f"templates/{name}"
     tenants = [
@@ -43,7 +43,7 @@
         if p.startswith("tenants/") and d["template"] == name
     ]
     bases = tuple((f"tenants/{t}", version_of(ctx, f"tenants/{t}")) for t, _ in tenants)
-    return check_template(document, tenants), (*bases, *(() if bases else ((path, version_of(ctx, path)),)))
+    return validate_template(document, tenants), (*bases, *(() if bases else ((path, version_of(ctx, path)),)))
 
 
 def if_match(request, held):
@@ -75,7 +75,7 @@
     if error:
         return Error(error)
     path, index = f"{kind}/{name}", ctx.core.ledger.config_index
-    if kind not in ("templates", "tenants") or not WORD.match(name):
+    if kind not in ("templates", "tenants") or not NAME_PATTERN.match(name):
         return Error(errors.NoSuch("configurations are templates/NAME or tenants/NAME"))
     held = version_of(ctx, path)
     version = if_match(request, held)
@@ -96,7 +96,7 @@
         if held == 0:
             return Error(errors.NoSuch(f"there is no {path} to amend"))
         whole = yield ctx.machine.in_thread(json.decode, shelves.body_of(ctx, path))
-        document = patch(whole, document)
+        document = merge_patch(whole, document)
     result, bases = yield ctx.machine.in_thread(judge, ctx, kind, name, document)
     if result.is_error():
         return Error(errors.ConfigInvalid(result.error.errors))
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -11,9 +11,9 @@
 from frostpost.ledger import config_versions
 from frostpost.ledger.operations import Change, SetMany
 from frostpost.ledger.results import ManySet
-from frostpost.tenant_config.shapes import WORD, FieldError
-from frostpost.tenant_config.shelf import digest_of
-from frostpost.tenant_config.stamp import check_template
+from frostpost.tenant_config.body_store import digest_of
+from frostpost.tenant_config.instantiation import validate_template
+from frostpost.tenant_config.schemas import NAME_PATTERN, FieldError
 
 from . import calls, control, errors
 
@@ -26,7 +26,7 @@
             wrong.append(FieldError(f"/{kind}", "give templates and tenants, each an object by name"))
             continue
         for name, one in named.items():
-            if not WORD.match(name):
+            if not NAME_PATTERN.match(name):
                 wrong.append(FieldError(f"/{kind}/{name}", "is no name"))
             found[f"{kind}/{name}"] = one
     return found, wrong
@@ -45,7 +45,7 @@
             if p.startswith("tenants/") and isinstance(d, dict) and d.get("template") == name
         ]
         used |= {f"tenants/{t}" for t, _ in tenants}
-        result = check_template(one, tenants)
+        result = validate_template(one, tenants)
         if result.is_error():
             wrong += [FieldError(f"/{path}{f.path}", f.text) for f in result.error.errors]
     wrong += [
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -71,7 +71,7 @@
 def lose_bodies(ctx, folder):
     """Plant: forget the configuration bodies on disk."""
     fault = KEPT["load"](ctx, folder)
-    ctx.shelf = type(ctx.shelf)(ctx.shelf.me)
+    ctx.shelf = type(ctx.shelf)(ctx.shelf.own_source)
     return fault
 
 
--- a/frostpost/tenant_config/stamp.py
+++ b/frostpost/tenant_config/instantiation.py
@@ -4,7 +4,7 @@
 from expression import Error, Ok
 from msgspec import Struct
 
-from .shapes import DEFAULTS, ROUTE, ConfigInvalid, FieldError, check
+from .schemas import ROUTE_DEFAULTS, ROUTE_SCHEMA, ConfigInvalid, FieldError, validate
 
 
 class Route(Struct, frozen=True):
@@ -25,7 +25,7 @@
     marks: tuple[tuple[str, int], ...] = ()
 
 
-def parameters(template, tenant):
+def resolve_parameters(template, tenant):
     """Return the parameter values of a tenant and the errors in them."""
     values, errors = {}, []
     known = template.get("parameters", {})
@@ -44,7 +44,7 @@
     return values, errors
 
 
-def fill(value, values, path, errors):
+def substitute(value, values, path, errors):
     """Put a parameter's value in the place of a reference to it."""
     if isinstance(value, dict) and "$param" in value:
         name = value["$param"]
@@ -55,16 +55,16 @@
     return value
 
 
-def stamp(tenant_name, template, tenant, marks=()):
+def instantiate(tenant_name, template, tenant, marks=()):
     """Return the routes of a tenant by name, or ConfigInvalid with every error."""
-    values, errors = parameters(template, tenant)
+    values, errors = resolve_parameters(template, tenant)
     routes = {}
     for name, shape in template["routes"].items():
         path = f"/routes/{name}"
-        filled = {k: fill(v, values, f"{path}/{k}", errors) for k, v in {**DEFAULTS, **shape}.items()}
+        filled = {k: substitute(v, values, f"{path}/{k}", errors) for k, v in {**ROUTE_DEFAULTS, **shape}.items()}
         if errors:
             continue
-        validator = Validator(ROUTE)
+        validator = Validator(ROUTE_SCHEMA)
         if not validator.validate(filled):
             for key, said in validator.errors.items():
                 errors += [FieldError(f"{path}/{key}", str(t)) for t in said]
@@ -76,7 +76,7 @@
     return Ok(routes)
 
 
-def patch(document, change):
+def merge_patch(document, change):
     """Apply a JSON merge patch (RFC 7386) and return the new document."""
     if not isinstance(change, dict):
         return change
@@ -85,11 +85,11 @@
         if value is None:
             base.pop(key, None)
         else:
-            base[key] = patch(base.get(key), value)
+            base[key] = merge_patch(base.get(key), value)
     return base
 
 
-def check_tenant(name, tenant, template):
+def validate_tenant(name, tenant, template):
     """Check a tenant against its template, with each of its calendar changes."""
 
     def with_template(document):
@@ -97,26 +97,26 @@
             return Error(ConfigInvalid((FieldError("/template", "no such template"),)))
         for n, calendar in enumerate(document.get("calendars", ())):
             amended = {**document, "parameters": {**document.get("parameters", {}), **calendar["set"]}}
-            stamped = stamp(name, template, amended)
+            stamped = instantiate(name, template, amended)
             if stamped.is_error():
                 return Error(
                     ConfigInvalid(tuple(FieldError(f"/calendars/{n}{f.path}", f.text) for f in stamped.error.errors))
                 )
-        return stamp(name, template, document)
+        return instantiate(name, template, document)
 
-    return check("tenants", tenant).bind(with_template)
+    return validate("tenants", tenant).bind(with_template)
 
 
-def check_template(template, tenants):
+def validate_template(template, tenants):
     """Check a template, alone and with each tenant that uses it."""
 
     def with_tenants(document):
         errors = []
         for name, tenant in [("", {}), *tenants]:
-            stamped = check_tenant(name, tenant, document) if name else stamp(name, document, tenant)
+            stamped = validate_tenant(name, tenant, document) if name else instantiate(name, document, tenant)
             if stamped.is_error():
                 where = f"/tenants/{name}" if name else ""
                 errors += [FieldError(where + f.path, f.text) for f in stamped.error.errors]
         return Error(ConfigInvalid(tuple(errors))) if errors else Ok(document)
 
-    return check("templates", template).bind(with_tenants)
+    return validate("templates", template).bind(with_tenants)
--- a/frostpost/tenant_config/shapes.py
+++ b/frostpost/tenant_config/schemas.py
@@ -7,8 +7,11 @@
 from expression import Error, Ok
 from msgspec import Struct
 
-WORD = re.compile(r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")
-PARAM = {"type": "dict", "schema": {"$param": {"type": "string", "required": True, "regex": WORD.pattern}}}
+NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")
+PARAMETER_REFERENCE = {
+    "type": "dict",
+    "schema": {"$param": {"type": "string", "required": True, "regex": NAME_PATTERN.pattern}},
+}
 
 
 class FieldError(Struct, frozen=True):
@@ -24,38 +27,43 @@
     errors: tuple[FieldError, ...]
 
 
-def either(rule):
+def or_parameter(rule):
     """Allow a value by a rule, or a reference to a parameter in its place."""
-    return {"anyof": [rule, PARAM]}
+    return {"anyof": [rule, PARAMETER_REFERENCE]}
 
 
-def cron(field, value, error):
+def check_cron(field, value, error):
     """Check a cron expression of five fields."""
     if not isinstance(value, str) or len(value.split()) != 5 or not croniter.is_valid(value):
         error(field, "is no cron expression of five fields")
 
 
-def whole(low, high):
+def integer_rule(low, high):
     """Return the rule for an integer in a range."""
     return {"type": "integer", "min": low, "max": high}
 
 
-ROUTE = {
+ROUTE_SCHEMA = {
     "kind": {"type": "string", "allowed": ["turn", "lookup"], "required": True},
-    "pools": {"type": "list", "minlength": 1, "required": True, "schema": {"type": "string", "regex": WORD.pattern}},
-    "repeat": either({"type": "string", "allowed": ["free", "once", "keyed"]}),
-    "urgency": either({"type": "string", "allowed": ["urgent", "normal", "batch"]}),
-    "deadline_ms": either(whole(1, 600000)),
-    "retention_ms": either(whole(1000, 2592000000)),
-    "budget": either(whole(1, 1000000000)),
-    "budget_retention_ms": either(whole(1000, 2592000000)),
-    "max_output": either(whole(1, 100000)),
-    "key_window_ms": either(whole(60000, 3600000)),
+    "pools": {
+        "type": "list",
+        "minlength": 1,
+        "required": True,
+        "schema": {"type": "string", "regex": NAME_PATTERN.pattern},
+    },
+    "repeat": or_parameter({"type": "string", "allowed": ["free", "once", "keyed"]}),
+    "urgency": or_parameter({"type": "string", "allowed": ["urgent", "normal", "batch"]}),
+    "deadline_ms": or_parameter(integer_rule(1, 600000)),
+    "retention_ms": or_parameter(integer_rule(1000, 2592000000)),
+    "budget": or_parameter(integer_rule(1, 1000000000)),
+    "budget_retention_ms": or_parameter(integer_rule(1000, 2592000000)),
+    "max_output": or_parameter(integer_rule(1, 100000)),
+    "key_window_ms": or_parameter(integer_rule(60000, 3600000)),
 }
-TEMPLATE = {
+TEMPLATE_SCHEMA = {
     "parameters": {
         "type": "dict",
-        "keysrules": {"type": "string", "regex": WORD.pattern},
+        "keysrules": {"type": "string", "regex": NAME_PATTERN.pattern},
         "valuesrules": {
             "type": "dict",
             "schema": {
@@ -70,15 +78,15 @@
         "type": "dict",
         "required": True,
         "minlength": 1,
-        "keysrules": {"type": "string", "regex": WORD.pattern},
-        "valuesrules": {"type": "dict", "schema": ROUTE},
+        "keysrules": {"type": "string", "regex": NAME_PATTERN.pattern},
+        "valuesrules": {"type": "dict", "schema": ROUTE_SCHEMA},
     },
 }
-TENANT = {
-    "template": {"type": "string", "required": True, "regex": WORD.pattern},
+TENANT_SCHEMA = {
+    "template": {"type": "string", "required": True, "regex": NAME_PATTERN.pattern},
     "parameters": {
         "type": "dict",
-        "keysrules": {"type": "string", "regex": WORD.pattern},
+        "keysrules": {"type": "string", "regex": NAME_PATTERN.pattern},
         "valuesrules": {"type": ["integer", "string"]},
     },
     "calendars": {
@@ -87,20 +95,20 @@
         "schema": {
             "type": "dict",
             "schema": {
-                "cron": {"type": "string", "required": True, "check_with": cron},
+                "cron": {"type": "string", "required": True, "check_with": check_cron},
                 "set": {
                     "type": "dict",
                     "required": True,
                     "minlength": 1,
-                    "keysrules": {"type": "string", "regex": WORD.pattern},
+                    "keysrules": {"type": "string", "regex": NAME_PATTERN.pattern},
                     "valuesrules": {"type": ["integer", "string"]},
                 },
             },
         },
     },
 }
-SHAPES = {"templates": TEMPLATE, "tenants": TENANT}
-DEFAULTS = {
+SCHEMAS = {"templates": TEMPLATE_SCHEMA, "tenants": TENANT_SCHEMA}
+ROUTE_DEFAULTS = {
     "repeat": "once",
     "urgency": "normal",
     "deadline_ms": 30000,
@@ -112,24 +120,24 @@
 }
 
 
-def flatten(errors, path):
+def flatten_errors(errors, path):
     """Yield the validator's nested errors as one list with pointers."""
     for key, said in errors.items():
         here = f"{path}/{key}"
         for one in said:
             if isinstance(one, dict):
-                yield from flatten(one, here)
+                yield from flatten_errors(one, here)
             else:
                 yield FieldError(here, str(one))
 
 
-def check(kind, document):
+def validate(kind, document):
     """Check a document of a kind against its schema."""
     if not isinstance(document, dict):
         return Error(ConfigInvalid((FieldError("/", "must be an object"),)))
     if not isinstance(document.get("notes", {}), dict):
         return Error(ConfigInvalid((FieldError("/notes", "must be of dict type"),)))
-    validator = Validator(SHAPES[kind], require_all=False, allow_unknown=False)
+    validator = Validator(SCHEMAS[kind], require_all=False, allow_unknown=False)
     if validator.validate({k: v for k, v in document.items() if k != "notes"}):
         return Ok(document)
-    return Error(ConfigInvalid(tuple(flatten(validator.errors, ""))))
+    return Error(ConfigInvalid(tuple(flatten_errors(validator.errors, ""))))
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -3,7 +3,7 @@
 import pytest
 
 from frostpost.background.calendars import amended, due_s
-from frostpost.tenant_config.stamp import check_tenant
+from frostpost.tenant_config.instantiation import validate_tenant
 from frostpost.testbed.templates import TEMPLATES
 
 
@@ -45,10 +45,10 @@
 
 
 def test_calendars_are_checked():
-    assert check_tenant("t", TENANT, TEMPLATES["clerks"]).is_ok()
+    assert validate_tenant("t", TENANT, TEMPLATES["clerks"]).is_ok()
     for calendar, path in (
         ({"cron": "0 6 * *", "set": {"retention_ms": 900000}}, "/calendars/0/cron"),
         ({"cron": "0 6 * * *", "set": {"retention_ms": 1}}, "/calendars/0/parameters/retention_ms"),
     ):
-        errors = check_tenant("t", {"template": "clerks", "calendars": [calendar]}, TEMPLATES["clerks"]).error
+        errors = validate_tenant("t", {"template": "clerks", "calendars": [calendar]}, TEMPLATES["clerks"]).error
         assert [f.path for f in errors.errors] == [path]
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -11,7 +11,7 @@
 from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Settle
 from frostpost.ledger.results import Done, Reserved
-from frostpost.tenant_config.stamp import Route
+from frostpost.tenant_config.instantiation import Route
 
 RUNNER = Runner("r", "i", "127.0.0.1", 1, "pool", "a", 4)
 SETTINGS = Settings("e1", "edge", "a", "127.0.0.1", 1, 2, ["127.0.0.1:1"], ["s1"])
--- a/tests/test_tenant_config.py
+++ b/tests/test_tenant_config.py
@@ -1,7 +1,7 @@
 import pytest
 
-from frostpost.tenant_config import shelf as shelves
-from frostpost.tenant_config.stamp import check_template, check_tenant, patch
+from frostpost.tenant_config import body_store as shelves
+from frostpost.tenant_config.instantiation import merge_patch, validate_template, validate_tenant
 from frostpost.testbed.templates import TEMPLATES, TENANTS
 
 
@@ -12,9 +12,9 @@
 
 def test_both_deployments_stamp():
     for name, tenant in TENANTS.items():
-        routes = check_tenant(name, tenant, TEMPLATES[tenant["template"]])
+        routes = validate_tenant(name, tenant, TEMPLATES[tenant["template"]])
         assert routes.is_ok() and len(routes.ok) == 5
-    routes = check_tenant("hlidar", TENANTS["hlidar"], TEMPLATES["clerks"]).ok
+    routes = validate_tenant("hlidar", TENANTS["hlidar"], TEMPLATES["clerks"]).ok
     assert routes["check"].retention_ms == 900000 and routes["flags"].repeat == "free"
 
 
@@ -29,7 +29,7 @@
     ],
 )
 def test_tenant_faults_name_their_path(document, path):
-    assert path in errors_of(check_tenant("t", document, TEMPLATES["clerks"]))
+    assert path in errors_of(validate_tenant("t", document, TEMPLATES["clerks"]))
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
     ],
 )
 def test_template_faults_name_their_path(route, path):
-    assert path in errors_of(check_template({"routes": {"l": route}}, []))
+    assert path in errors_of(validate_template({"routes": {"l": route}}, []))
 
 
 def test_template_that_breaks_a_tenant_is_turned_away():
@@ -51,7 +51,7 @@
     routes = {n: {k: v for k, v in route.items() if not isinstance(v, dict)} for n, route in template["routes"].items()}
     template["routes"] = routes
     assert "/tenants/hlidar/parameters/retention_ms" in errors_of(
-        check_template(template, [("hlidar", TENANTS["hlidar"])])
+        validate_template(template, [("hlidar", TENANTS["hlidar"])])
     )
 
 
@@ -67,31 +67,31 @@
     ],
 )
 def test_patch_merges_as_rfc_7386(held, change, after):
-    assert patch(held, change) == after
+    assert merge_patch(held, change) == after
 
 
 def test_shelf_pulls_what_it_lacks_in_pieces():
-    told, asker = shelves.Shelf("a.1", chunk=10), shelves.Shelf("b.2", chunk=10)
-    told, store = shelves.put(told, b"x" * 35)
-    told = shelves.stored(told, store.item, store.body, 0)
-    wire = [("a.1", body) for _, body in shelves.heard(asker, "a.1", told.vector)]
+    told, asker = shelves.BodyStore("a.1", chunk_bytes=10), shelves.BodyStore("b.2", chunk_bytes=10)
+    told, store = shelves.new_body(told, b"x" * 35)
+    told = shelves.record_stored(told, store.item, store.body, 0)
+    wire = [("a.1", body) for _, body in shelves.request_versions(asker, "a.1", told.vector)]
     pulled, hops = [], 0
     while wire:
         hops += 1
         to, body = wire.pop(0)
         if isinstance(body, shelves.ConfigVersionsRequest):
-            wire += [("b.2", b) for _, b in shelves.asked(told, "b.2", body)]
+            wire += [("b.2", b) for _, b in shelves.answer_versions(told, "b.2", body)]
         elif isinstance(body, shelves.ConfigVersionsReply):
-            asker, sends, _ = shelves.told(asker, "a.1", body, 0)
+            asker, sends, _ = shelves.request_bodies(asker, "a.1", body, 0)
             wire += [("a.1", b) for _, b in sends]
         elif isinstance(body, shelves.ConfigBodyRequest):
-            wire += [("b.2", b) for _, b in shelves.body_asked(told, "b.2", body)]
+            wire += [("b.2", b) for _, b in shelves.answer_body(told, "b.2", body)]
         else:
-            asker, sends, stores = shelves.body_pieced(asker, "a.1", body, 0)
+            asker, sends, stores = shelves.receive_chunk(asker, "a.1", body, 0)
             wire += [("a.1", b) for _, b in sends]
             pulled += stores
     assert [s.body for s in pulled] == [b"x" * 35] and hops == 10
-    asker = shelves.stored(asker, pulled[0].item, pulled[0].body, 0)
-    assert asker.vector == told.vector and shelves.heard(asker, "a.1", told.vector) == []
+    asker = shelves.record_stored(asker, pulled[0].item, pulled[0].body, 0)
+    assert asker.vector == told.vector and shelves.request_versions(asker, "a.1", told.vector) == []
     asker, gone = shelves.prune(asker, set())
     assert gone and asker.vector == told.vector
