--- a/frostpost/cluster/admission_queue.py
+++ b/frostpost/cluster/admission_queue.py
@@ -11,9 +11,9 @@
 
 from msgspec import Struct
 
+from frostpost.program_ledger.messages import NoCapacity
 from frostpost.program_ledger.placement import free_slots
-from frostpost.program_ledger.turns import lacks_only_a_slot
-from frostpost.program_ledger.words import NoCapacity
+from frostpost.program_ledger.turns import is_waiting_for_slot
 
 # Begins that may wait at a time; more are refused at once.
 MOST_WAITING = 2048
@@ -49,7 +49,7 @@
 
 def urgency(op, now_ms):
     """Sort key: what can still end by its program's deadline first, then by rank, then by the earlier deadline."""
-    return op.due_in_ms < 0, op.rank, now_ms + op.due_in_ms
+    return op.deadline_in_ms < 0, op.rank, now_ms + op.deadline_in_ms
 
 
 def enqueue(queue, waiting, now_ms, call_later):
@@ -107,7 +107,7 @@
 def may_wait(queue, program_ledger, op):
     """Whether a begin can't be decided now but for want of a slot."""
     taken = queue.undecided.get(op.pool, 0)
-    if taken == 0 and not lacks_only_a_slot(program_ledger, op):
+    if taken == 0 and not is_waiting_for_slot(program_ledger, op):
         return False
     return free_slots(program_ledger, op.candidates) <= taken
 
--- a/frostpost/cluster/control_client.py
+++ b/frostpost/cluster/control_client.py
@@ -7,7 +7,7 @@
 from expression import Error, Ok
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     ReadRetirement,
     ReadRouting,
     RetireReplica,
--- a/frostpost/cluster/operation_client.py
+++ b/frostpost/cluster/operation_client.py
@@ -4,7 +4,7 @@
 from msgspec import Struct, msgpack
 from twisted.internet.defer import Deferred
 
-from frostpost.program_ledger.words import ProgramResult
+from frostpost.program_ledger.messages import ProgramResult
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import OperationRequest
 
--- a/frostpost/cluster/operation_server.py
+++ b/frostpost/cluster/operation_server.py
@@ -7,7 +7,7 @@
 from frostpost.daemon.errors import NoPrimary
 from frostpost.daemon.event_loop import submit
 from frostpost.ledger.apply import decode_op
-from frostpost.program_ledger.words import AbortAttempt, BeginAttempt, NoCapacity
+from frostpost.program_ledger.messages import AbortAttempt, BeginAttempt, NoCapacity
 from frostpost.virtual_synchrony.agent_messages import OperationReply
 
 from . import admission_queue
@@ -47,7 +47,7 @@
 
 def submit_begin(ctx, sessions, op, decided):
     """Submit a begin, or let it wait here while only a slot is lacking; decided(result) is called once."""
-    queue, until_ms = sessions.admission, clock_ms(ctx) + op.hold_ms
+    queue, until_ms = sessions.admission, clock_ms(ctx) + op.max_queue_ms
 
     def submit_now(waiting):
         admission_queue.on_submitted(queue, op)
@@ -69,7 +69,7 @@
         admission_queue.enqueue(queue, waiting, clock_ms(ctx), ctx.reactor.callLater)
 
     program_ledger = ctx.core.ledger.program_ledger
-    if op.hold_ms > 0 and is_sequencer(ctx) and admission_queue.may_wait(queue, program_ledger, op):
+    if op.max_queue_ms > 0 and is_sequencer(ctx) and admission_queue.may_wait(queue, program_ledger, op):
         wait_for_slot()
     else:
         submit_now(None)
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -8,7 +8,7 @@
 from frostpost.daemon.structured_log import log_event
 from frostpost.ledger.operations import SWAP_RULES, Look
 from frostpost.ledger.results import Done
-from frostpost.program_ledger.words import CompleteRetirement
+from frostpost.program_ledger.messages import CompleteRetirement
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
 from frostpost.virtual_synchrony.members import member_names
 
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -50,9 +50,9 @@
 
 def act(ledger, entry, op) -> Result:
     """Carry out the operation of an entry and return its result."""
-    if program_ledgers.knows(op):
+    if program_ledgers.handles(op):
         members = tuple(m.name for m in ledger.members)
-        return program_ledgers.act(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
+        return program_ledgers.apply_operation(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
     match op:
         case OpenPrimary(members, cores, voters):
             stopped = bool(ledger.members) and not set(ledger.members) & set(members)
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.program_ledger.words import ProgramOperation
+from frostpost.program_ledger.messages import ProgramOperation
 from frostpost.virtual_synchrony.events import OpenPrimary, SetVoters
 
 from .entities import Line, Runner
--- a/frostpost/ledger/results.py
+++ b/frostpost/ledger/results.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from frostpost.program_ledger.words import ProgramResult
+from frostpost.program_ledger.messages import ProgramResult
 
 from .entities import Line, Runner
 
--- a/frostpost/program_ledger/accepted_changes.py
+++ b/frostpost/program_ledger/accepted_changes.py
@@ -6,34 +6,34 @@
 forgotten number may have been taken, so it is neither acknowledged nor refused.
 """
 
-from .state import TakenChange
+from .state import AcceptedChange
 
-LEAST_REMEMBERED = 1024
-MOST_REMEMBERED = 8192
+MIN_RETAINED_CHANGES = 1024
+MAX_RETAINED_CHANGES = 8192
 
 
-def was_taken(program_ledger, version, digest):
+def was_accepted(program_ledger, version, digest):
     """Whether this very change led to this version."""
     found = program_ledger.taken.get(version)
     return found is not None and found.digest == digest
 
 
-def may_be_forgotten(program_ledger, version):
+def may_be_evicted(program_ledger, version):
     """Whether a change of this number, if it isn't remembered, may have been taken all the same."""
     return version <= program_ledger.forgotten_version
 
 
-def remember(program_ledger, now_ms, version, digest, keep_ms):
+def record(program_ledger, now_ms, version, digest, keep_ms):
     """Note a change that has just been taken, and forget the oldest ones."""
-    program_ledger.taken[version] = TakenChange(digest, now_ms + keep_ms)
-    while len(program_ledger.taken) > MOST_REMEMBERED or oldest_is_due(program_ledger, now_ms):
+    program_ledger.taken[version] = AcceptedChange(digest, now_ms + keep_ms)
+    while len(program_ledger.taken) > MAX_RETAINED_CHANGES or is_oldest_evictable(program_ledger, now_ms):
         oldest = next(iter(program_ledger.taken))
         del program_ledger.taken[oldest]
         program_ledger.forgotten_version = oldest
 
 
-def oldest_is_due(program_ledger, now_ms):
+def is_oldest_evictable(program_ledger, now_ms):
     """Whether the oldest change has been remembered for its time, and enough newer ones were taken."""
-    if len(program_ledger.taken) <= LEAST_REMEMBERED:
+    if len(program_ledger.taken) <= MIN_RETAINED_CHANGES:
         return False
     return program_ledger.taken[next(iter(program_ledger.taken))].until_ms <= now_ms
--- a/frostpost/program_ledger/keys.py
+++ b/frostpost/program_ledger/keys.py
@@ -2,19 +2,19 @@
 
 from heapq import heappush
 
-from .state import Key
-from .turns import entomb
-from .words import AttemptEnded, KeyAnswered, KeyClaimed, KeyInProgress, NoAttempt
+from .messages import AttemptEnded, KeyAnswered, KeyClaimed, KeyInProgress, NoAttempt
+from .state import OperationKey
+from .turns import add_tombstone
 
 
 def claim(program_ledger, now_ms, op):
     """Give a key to its first attempt; others learn that it is at work, or its answer."""
-    if tomb(op) in program_ledger.tombs:
+    if tombstone_name(op) in program_ledger.tombs:
         return NoAttempt(op.attempt)
     held = program_ledger.keys.get(op.key)
     if held is None:
         until_ms = now_ms + op.window_ms
-        program_ledger.keys[op.key] = Key(op.attempt, until_ms)
+        program_ledger.keys[op.key] = OperationKey(op.attempt, until_ms)
         heappush(program_ledger.expiries, (until_ms, "key", op.key))
         return KeyClaimed()
     if held.answered:
@@ -22,7 +22,7 @@
     return KeyClaimed() if held.attempt == op.attempt else KeyInProgress()
 
 
-def tomb(op):
+def tombstone_name(op):
     """Return the name under which an attempt is remembered as having given up a key."""
     return f"{op.attempt}|{op.key}"
 
@@ -37,14 +37,14 @@
     return AttemptEnded()
 
 
-def disclaim(program_ledger, now_ms, op):
+def release(program_ledger, now_ms, op):
     """Give up a key whose work was not run; a late claim of the same attempt is refused."""
     held = program_ledger.keys.get(op.key)
     if held is not None and held.attempt == op.attempt:
         if held.answered:
             return NoAttempt(op.attempt)
         del program_ledger.keys[op.key]
-    entomb(program_ledger, now_ms, tomb(op))
+    add_tombstone(program_ledger, now_ms, tombstone_name(op))
     return AttemptEnded()
 
 
--- a/frostpost/program_ledger/words.py
+++ b/frostpost/program_ledger/messages.py
@@ -26,7 +26,7 @@
     budget: int
     amount: int
     previous: str
-    left_ms: int
+    remaining_ms: int
     candidates: tuple[Candidate, ...]
     parts: tuple[tuple[str, int], ...] = ()
     line: str = ""
@@ -34,8 +34,8 @@
     cache_tokens: int = 0
     pool: str = ""
     rank: int = 0
-    hold_ms: int = 0
-    due_in_ms: int = 0
+    max_queue_ms: int = 0
+    deadline_in_ms: int = 0
 
 
 class ReassignAttempt(Struct, array_like=True, frozen=True, tag="move"):
@@ -106,7 +106,7 @@
 
     name: str
     known: bool
-    least: int
+    min_remaining: int
 
 
 class CompleteRetirement(Struct, array_like=True, frozen=True, tag="retired"):
--- a/frostpost/program_ledger/placement.py
+++ b/frostpost/program_ledger/placement.py
@@ -6,9 +6,9 @@
 
 from .state import RunnerUse
 
-ACTIVE_TOKENS = 1500
-CACHE_TOKENS = 200000
-FORGET_MS = 60000
+ACTIVE_ATTEMPT_COST_TOKENS = 1500
+DEFAULT_CACHE_TOKENS = 200000
+IDLE_RUNNER_RETENTION_MS = 60000
 
 
 def place(program_ledger, now_ms, op, attempt=None):
@@ -22,10 +22,10 @@
         active = use.active if use else 0
         if active >= candidate.slots:
             continue
-        held = held_tokens(use, parts)
+        held = cached_prefix_tokens(use, parts)
         if turn is not None and turn.runner == candidate.runner:
             held = max(held, turn.tokens)
-        cost = candidate.penalty + active * ACTIVE_TOKENS * 16 // max(1, candidate.slots) - held
+        cost = candidate.penalty + active * ACTIVE_ATTEMPT_COST_TOKENS * 16 // max(1, candidate.slots) - held
         if best is None or cost < best_cost:
             best, best_cost = candidate.runner, cost
     if best is None:
@@ -34,7 +34,7 @@
     use.active += 1
     use.used_ms = now_ms
     if not attempt:
-        read(use, parts, op.cache_tokens or CACHE_TOKENS)
+        record_cached_parts(use, parts, op.cache_tokens or DEFAULT_CACHE_TOKENS)
     return best
 
 
@@ -47,7 +47,7 @@
     return free
 
 
-def held_tokens(use, parts):
+def cached_prefix_tokens(use, parts):
     """Return how many tokens of the leading prompt parts a runner has read."""
     if use is None:
         return 0
@@ -59,7 +59,7 @@
     return tokens
 
 
-def read(use, parts, most_tokens):
+def record_cached_parts(use, parts, most_tokens):
     """Count prompt parts as read by a runner; the least recently used drop out above `most_tokens`."""
     for part, size in parts:
         before = use.parts.pop(part, 0)
@@ -70,14 +70,16 @@
         use.tokens -= use.parts.pop(oldest)
 
 
-def leave(program_ledger, runner):
+def release_slot(program_ledger, runner):
     """Count one running attempt less at a runner."""
     use = program_ledger.runners.get(runner)
     if use is not None and use.active:
         use.active -= 1
 
 
-def forget(program_ledger, now_ms):
+def expire_idle_runners(program_ledger, now_ms):
     """Forget runners without attempts that were not used for a while."""
-    for name in [n for n, u in program_ledger.runners.items() if not u.active and now_ms - u.used_ms > FORGET_MS]:
+    for name in [
+        n for n, u in program_ledger.runners.items() if not u.active and now_ms - u.used_ms > IDLE_RUNNER_RETENTION_MS
+    ]:
         del program_ledger.runners[name]
--- a/frostpost/program_ledger/state.py
+++ b/frostpost/program_ledger/state.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from .words import NoTurn, TokensSpent
+from .messages import NoTurn, TokensSpent
 
 
 class Turn(Struct, array_like=True):
@@ -38,7 +38,7 @@
     open: int = 0
 
 
-class Key(Struct, array_like=True):
+class OperationKey(Struct, array_like=True):
     """An operation key: the attempt that owns it, the end of its window, and the answer once there is one."""
 
     attempt: str
@@ -56,7 +56,7 @@
     used_ms: int = 0
 
 
-class TakenChange(Struct, array_like=True):
+class AcceptedChange(Struct, array_like=True):
     """A change of the routing that was taken. digest: what it said; until_ms: end of the time to remember it."""
 
     digest: bytes
@@ -70,7 +70,7 @@
     turns: dict[str, Turn] = {}
     attempts: dict[str, Attempt] = {}
     accounts: dict[str, Account] = {}
-    keys: dict[str, Key] = {}
+    keys: dict[str, OperationKey] = {}
     runners: dict[str, RunnerUse] = {}
     tombs: dict[str, int] = {}
     refused: dict[str, TokensSpent | NoTurn] = {}
@@ -78,5 +78,5 @@
     routing_body: bytes = b""
     retiring: dict[str, str] = {}
     expiries: list[tuple[int, str, str]] = []
-    taken: dict[int, TakenChange] = {}
+    taken: dict[int, AcceptedChange] = {}
     forgotten_version: int = 0
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -5,7 +5,7 @@
 
 from frostpost.cluster.agent_context import now_ms
 from frostpost.cluster.operation_client import call_replicas, submit_until_decided
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AttemptEnded,
     ClaimOperationKey,
     KeyAnswered,
--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.cluster.agent_context import now_ms
-from frostpost.program_ledger.words import Candidate
+from frostpost.program_ledger.messages import Candidate
 
 from .outcomes import Broken, Late, NotRun, NotSent
 from .slot_overhead import countable_slots, overhead_of
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -5,7 +5,7 @@
 
 from frostpost.cluster.agent_context import now_ms
 from frostpost.cluster.operation_client import call_replicas, submit_until_decided
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AbortAttempt,
     AttemptBegun,
     AttemptEnded,
@@ -94,7 +94,7 @@
             budget=call.budget,
             amount=call.most_tokens,
             previous=call.previous,
-            left_ms=left_ms,
+            remaining_ms=left_ms,
             candidates=offered,
             parts=call.parts,
             line=call.line,
@@ -102,8 +102,8 @@
             cache_tokens=service.cache_tokens,
             pool=service.name,
             rank=route.rank,
-            hold_ms=begin_hold_ms(left_ms),
-            due_in_ms=due_in_ms(agent, call),
+            max_queue_ms=begin_hold_ms(left_ms),
+            deadline_in_ms=due_in_ms(agent, call),
         )
 
     verdict = yield decide(agent, route, service, call, (), operation, until_ms, waits_at_leader=True)
--- a/tests/encoded_messages.py
+++ b/tests/encoded_messages.py
@@ -13,7 +13,7 @@
 from msgspec import inspect
 
 from frostpost.ledger.operations import Op
-from frostpost.program_ledger.words import ProgramResult
+from frostpost.program_ledger.messages import ProgramResult
 from frostpost.virtual_synchrony.events import Record
 from frostpost.virtual_synchrony.frames import Frame, Message
 
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -8,7 +8,7 @@
 from frostpost.platform.server import reply
 from frostpost.program_ledger import accepted_changes, routing_versions, turns
 from frostpost.program_ledger import apply as ledger
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     ClaimOperationKey,
     EndAttempt,
     KeyClaimed,
@@ -38,17 +38,19 @@
 
 
 def claim_skipped():
-    return [(ledger, "STEPS", {**ledger.STEPS, ClaimOperationKey: lambda program_ledger, now_ms, op: KeyClaimed()})]
+    return [
+        (ledger, "HANDLERS", {**ledger.HANDLERS, ClaimOperationKey: lambda program_ledger, now_ms, op: KeyClaimed()})
+    ]
 
 
 def base_ignored():
     def set_routing(program_ledger, now_ms, op):
         if op.version > program_ledger.routing_version:
             program_ledger.routing_version, program_ledger.routing_body = op.version, op.body
-            accepted_changes.remember(program_ledger, now_ms, op.version, op.digest, op.keep_ms)
+            accepted_changes.record(program_ledger, now_ms, op.version, op.digest, op.keep_ms)
         return RoutingSet(op.version)
 
-    return [(ledger, "STEPS", {**ledger.STEPS, SetRouting: set_routing})]
+    return [(ledger, "HANDLERS", {**ledger.HANDLERS, SetRouting: set_routing})]
 
 
 def lease_ignored():
@@ -106,12 +108,12 @@
 
 
 def tokens_forgotten():
-    kept = turns.close
+    kept = turns.close_attempt
 
     def close(program_ledger, name, tokens):
         return kept(program_ledger, name, 0)
 
-    return [(turns, "close", close)]
+    return [(turns, "close_attempt", close)]
 
 
 def every_voter():
@@ -180,14 +182,14 @@
 
 def orders_forgotten():
     """A change that was taken isn't known again."""
-    return [(accepted_changes, "was_taken", lambda program_ledger, version, digest: False)]
+    return [(accepted_changes, "was_accepted", lambda program_ledger, version, digest: False)]
 
 
 def orders_counted():
     """Only the last few changes that were taken are known again; older ones are refused."""
     return [
-        (accepted_changes, "MOST_REMEMBERED", 64),
-        (accepted_changes, "may_be_forgotten", lambda program_ledger, version: False),
+        (accepted_changes, "MAX_RETAINED_CHANGES", 64),
+        (accepted_changes, "may_be_evicted", lambda program_ledger, version: False),
     ]
 
 
@@ -209,7 +211,7 @@
         op = operation_server.decode_op(message.payload)
         if not isinstance(op, ReadRouting):
             return kept(ctx, sessions, address, message)
-        verdict = routing_versions.look_routing(ctx.core.ledger.program_ledger, 0, op)
+        verdict = routing_versions.read_routing(ctx.core.ledger.program_ledger, 0, op)
         return ctx.links["send"](
             address, OperationReply(message.incarnation, message.number, operation_server.encode(verdict))
         )
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -2,7 +2,7 @@
 
 from frostpost.cluster.agent_sessions import is_sequencer
 from frostpost.daemon.event_loop import submit
-from frostpost.program_ledger.words import BeginAttempt, Candidate, EndAttempt
+from frostpost.program_ledger.messages import BeginAttempt, Candidate, EndAttempt
 from frostpost.turn_store import store
 
 from . import bearing
--- a/tests/test_cluster_admission_queue.py
+++ b/tests/test_cluster_admission_queue.py
@@ -12,9 +12,8 @@
 from frostpost.cluster import admission_queue, operation_server
 from frostpost.daemon.errors import NoPrimary, Undecided
 from frostpost.program_ledger import turns
-from frostpost.program_ledger.apply import act
-from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.apply import apply_operation
+from frostpost.program_ledger.messages import (
     AbortAttempt,
     AttemptBegun,
     BeginAttempt,
@@ -24,6 +23,7 @@
     NoTurn,
     TokensSpent,
 )
+from frostpost.program_ledger.state import ProgramLedger
 from frostpost.virtual_synchrony.agent_messages import OperationReply, OperationRequest
 
 ONE_SLOT = (Candidate("r", 1),)
@@ -36,11 +36,11 @@
         budget=0,
         amount=1,
         previous="",
-        left_ms=3000,
+        remaining_ms=3000,
         candidates=ONE_SLOT,
         pool="s",
-        hold_ms=1000,
-        due_in_ms=2000,
+        max_queue_ms=1000,
+        deadline_in_ms=2000,
     )
     return BeginAttempt(**(fields | more))
 
@@ -72,7 +72,7 @@
     def decide(self):
         """Apply and answer what was submitted first, as the order does."""
         op, answer = self.submitted.pop(0)
-        result = act(self.ledger, int(self.clock.seconds() * 1000), (), (), op)
+        result = apply_operation(self.ledger, int(self.clock.seconds() * 1000), (), (), op)
         answer.callback(Ok(result))
         admission_queue.dispatch(self.sessions.admission, self.ledger)
         return result
@@ -159,7 +159,7 @@
 
 def test_an_agent_that_knows_no_hold_is_answered_by_the_order(leader):
     fill(leader)
-    number = leader.ask(a_begin("second", hold_ms=0))
+    number = leader.ask(a_begin("second", max_queue_ms=0))
     assert leader.decide() == NoCapacity(20)
     assert leader.verdict(number) == "NoPlace"
 
@@ -179,10 +179,10 @@
 
 def test_the_most_urgent_one_goes_first(leader):
     fill(leader)
-    leader.ask(a_begin("late", due_in_ms=-1, rank=0))
-    leader.ask(a_begin("less", rank=1, due_in_ms=100))
-    leader.ask(a_begin("later", rank=0, due_in_ms=900))
-    leader.ask(a_begin("sooner", rank=0, due_in_ms=500))
+    leader.ask(a_begin("late", deadline_in_ms=-1, rank=0))
+    leader.ask(a_begin("less", rank=1, deadline_in_ms=100))
+    leader.ask(a_begin("later", rank=0, deadline_in_ms=900))
+    leader.ask(a_begin("sooner", rank=0, deadline_in_ms=500))
     begun, running = [], "first"
     for _ in range(4):
         leader.ask(EndAttempt(running, 3))
@@ -211,16 +211,16 @@
 def test_only_the_want_of_a_slot_makes_a_turn_wait():
     ledger = ProgramLedger()
     begun = a_begin("a", program="p", budget=2, amount=2)
-    assert not turns.lacks_only_a_slot(ledger, begun)
-    act(ledger, 0, (), (), begun)
-    assert turns.lacks_only_a_slot(ledger, a_begin("b"))
+    assert not turns.is_waiting_for_slot(ledger, begun)
+    apply_operation(ledger, 0, (), (), begun)
+    assert turns.is_waiting_for_slot(ledger, a_begin("b"))
     for op, result in (
         (begun, AttemptBegun),
         (a_begin("b", program="p", budget=2), TokensSpent),
         (a_begin("c", previous="none"), NoTurn),
     ):
-        assert not turns.lacks_only_a_slot(ledger, op)
-        assert isinstance(act(ledger, 0, (), (), op), result)
+        assert not turns.is_waiting_for_slot(ledger, op)
+        assert isinstance(apply_operation(ledger, 0, (), (), op), result)
 
 
 STEPS = st.lists(st.tuples(st.sampled_from(["ask", "end", "abort", "decide", "wait"]), st.integers(0, 5)), max_size=60)
--- a/tests/test_cluster_operation_client.py
+++ b/tests/test_cluster_operation_client.py
@@ -6,7 +6,7 @@
 from frostpost.cluster import agent as assembly
 from frostpost.cluster import operation_client
 from frostpost.ledger.apply import decode_op
-from frostpost.program_ledger.words import AbortAttempt, AttemptEnded, BeginAttempt, EndAttempt, ReadRouting
+from frostpost.program_ledger.messages import AbortAttempt, AttemptEnded, BeginAttempt, EndAttempt, ReadRouting
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import LeaseReply, OperationReply, OperationRequest
 from frostpost.virtual_synchrony.frames import Frame
--- a/tests/test_cluster_voter_reconfiguration.py
+++ b/tests/test_cluster_voter_reconfiguration.py
@@ -12,7 +12,7 @@
 from frostpost.ledger.operations import SWAP_RULES, Look
 from frostpost.ledger.results import Done
 from frostpost.ledger.state import Ledger
-from frostpost.program_ledger.words import CompleteRetirement
+from frostpost.program_ledger.messages import CompleteRetirement
 from frostpost.virtual_synchrony.bounds import Bounds
 from frostpost.virtual_synchrony.configuration import Configuration, ConfigurationId
 from frostpost.virtual_synchrony.endpoints import Member
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 
 from frostpost.cluster import lease_client, operation_client
-from frostpost.program_ledger.words import BeginAttempt, ClaimOperationKey, EndAttempt, ResolveOperationKey
+from frostpost.program_ledger.messages import BeginAttempt, ClaimOperationKey, EndAttempt, ResolveOperationKey
 from frostpost.proxy import pool
 from frostpost.proxy.exchange import Exchange
 from frostpost.proxy.hold_policy import HOLD_RATIO, LEASE_OUTAGES
--- a/tests/test_fleet_simulator_edges.py
+++ b/tests/test_fleet_simulator_edges.py
@@ -12,9 +12,9 @@
 from fleet_simulator.crowd import MOST_TOKENS
 from fleet_simulator.notes import Trouble
 
-from frostpost.program_ledger.apply import act
+from frostpost.program_ledger.apply import apply_operation
+from frostpost.program_ledger.messages import AttemptBegun, AttemptEnded, BeginAttempt, Candidate, EndAttempt
 from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import AttemptBegun, AttemptEnded, BeginAttempt, Candidate, EndAttempt
 
 PHASES_MS = (0, 90, 180, 270, 360, 450)
 
@@ -115,6 +115,9 @@
 
 def test_an_end_handed_in_again_is_decided_as_before():
     program_ledger = ProgramLedger()
-    begun = act(program_ledger, 0, (), (), BeginAttempt("a", "p", 100, 10, "", 1000, (Candidate("r", 4),)))
+    begun = apply_operation(program_ledger, 0, (), (), BeginAttempt("a", "p", 100, 10, "", 1000, (Candidate("r", 4),)))
     assert isinstance(begun, AttemptBegun)
-    assert [act(program_ledger, 5, (), (), EndAttempt("a", 7)) for _ in range(2)] == [AttemptEnded(), AttemptEnded()]
+    assert [apply_operation(program_ledger, 5, (), (), EndAttempt("a", 7)) for _ in range(2)] == [
+        AttemptEnded(),
+        AttemptEnded(),
+    ]
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -17,7 +17,7 @@
 from frostpost.cluster import agent as assembly
 from frostpost.cluster import operation_client, replica_daemon, status
 from frostpost.command import main
-from frostpost.program_ledger.words import EndAttempt
+from frostpost.program_ledger.messages import EndAttempt
 from frostpost.virtual_synchrony.agent_messages import (
     DirectoryReply,
     DirectoryRequest,
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -11,9 +11,9 @@
 from frostpost.daemon.machine import Machine
 from frostpost.platform import control, routing
 from frostpost.program_ledger import accepted_changes
-from frostpost.program_ledger.apply import act
+from frostpost.program_ledger.apply import apply_operation
+from frostpost.program_ledger.messages import ReadRouting, RoutingConflict, RoutingForgotten, RoutingSet, SetRouting
 from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import ReadRouting, RoutingConflict, RoutingForgotten, RoutingSet, SetRouting
 from frostpost.proxy.failures import Unavailable
 
 SERVICES = [{"name": "s1", "max-connections": 9}]
@@ -42,14 +42,14 @@
     def read_routing(self, agent, wait_ms, version=0, digest=b""):
         self.calls.append(wait_ms)
         look = ReadRouting(version, digest)
-        return succeed(Error(Unavailable(250)) if self.down else Ok(act(self.ledger, 0, (), (), look)))
+        return succeed(Error(Unavailable(250)) if self.down else Ok(apply_operation(self.ledger, 0, (), (), look)))
 
     def set_routing(self, agent, base, version, body, digest, wait_ms):
         self.calls.append(wait_ms)
         race, self.race = self.race, None
         if race is not None:
-            act(self.ledger, 0, (), (), race)
-        verdict = act(self.ledger, 0, (), (), SetRouting(base, version, body, digest, 1000))
+            apply_operation(self.ledger, 0, (), (), race)
+        verdict = apply_operation(self.ledger, 0, (), (), SetRouting(base, version, body, digest, 1000))
         return succeed(Ok(version) if isinstance(verdict, RoutingSet) else Error(verdict))
 
     def wait_until_honoured(self, agent, version, wait_ms):
@@ -178,7 +178,7 @@
 
 
 def test_a_change_of_a_forgotten_number_is_left_unclear(ring, monkeypatch):
-    monkeypatch.setattr(accepted_changes, "MOST_REMEMBERED", 3)
+    monkeypatch.setattr(accepted_changes, "MAX_RETAINED_CHANGES", 3)
     for issue in range(7, 12):
         assert replace(whole(issue), issue - 1 if issue > 7 else 0) == 200
     assert [replace(whole(issue), issue - 1 if issue > 7 else 0) for issue in range(7, 12)] == [503, 503, 200, 200, 200]
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -10,7 +10,7 @@
 
 from frostpost.cluster import attempt_tracing, operation_client
 from frostpost.platform import main, settings
-from frostpost.program_ledger.words import AttemptEnded, EndAttempt, ReadRouting
+from frostpost.program_ledger.messages import AttemptEnded, EndAttempt, ReadRouting
 from frostpost.virtual_synchrony.agent_messages import OperationReply
 
 
--- a/tests/test_program_ledger_faults.py
+++ b/tests/test_program_ledger_faults.py
@@ -1,9 +1,7 @@
 """Cases at the edges of the turn ledger's times."""
 
 from frostpost.program_ledger import apply as program_ledgers
-from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.turns import CHAIN_SLACK_MS
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AbortAttempt,
     AttemptBegun,
     AttemptEnded,
@@ -15,12 +13,14 @@
     ReassignAttempt,
     TokensSpent,
 )
+from frostpost.program_ledger.state import ProgramLedger
+from frostpost.program_ledger.turns import CHAIN_RETENTION_MARGIN_MS
 
 ONE = (Candidate("r", 4),)
 
 
 def act(program_ledger, now_ms, op):
-    return program_ledgers.act(program_ledger, now_ms, (), (), op)
+    return program_ledgers.apply_operation(program_ledger, now_ms, (), (), op)
 
 
 def begin(name, previous="", budget=100, amount=10, left_ms=5000, program="p"):
@@ -119,7 +119,7 @@
     assert act(program_ledger, 8999, begin("d", "b")) == AttemptBegun("r", ("a", "b"))
     act(program_ledger, 8999, AbortAttempt("d"))
     held_ms = program_ledger.turns["a"].kept_until_ms
-    assert held_ms >= 9000 + CHAIN_SLACK_MS and program_ledger.turns["b"].kept_until_ms == held_ms
+    assert held_ms >= 9000 + CHAIN_RETENTION_MARGIN_MS and program_ledger.turns["b"].kept_until_ms == held_ms
     program_ledgers.expire(program_ledger, held_ms)
     assert program_ledger.turns == {} and act(program_ledger, held_ms, begin("e", "b")) == NoTurn("b")
 
--- a/tests/test_program_ledger_model.py
+++ b/tests/test_program_ledger_model.py
@@ -7,8 +7,7 @@
 from frostpost.ledger.apply import decode_state, encode
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger import apply as program_ledgers
-from frostpost.program_ledger.turns import CHAIN_SLACK_MS
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AbortAttempt,
     AttemptBegun,
     AttemptEnded,
@@ -27,6 +26,7 @@
     ResolveOperationKey,
     TokensSpent,
 )
+from frostpost.program_ledger.turns import CHAIN_RETENTION_MARGIN_MS
 
 BUDGETS = {"p0": 150, "p1": 900, "p2": 0}
 SLOTS = {"r0": 2, "r1": 3, "r2": 4}
@@ -85,10 +85,10 @@
         if not self.room(op):
             return isinstance(verdict, NoCapacity)
         self.placed(op, verdict, self.chain(op.previous))
-        until_ms = self.clock + op.left_ms + 1000
+        until_ms = self.clock + op.remaining_ms + 1000
         self.attempts[op.attempt] = (op, verdict.runner, until_ms)
         if op.previous:
-            self.holds[op.previous] = max(self.holds.get(op.previous, 0), until_ms + CHAIN_SLACK_MS)
+            self.holds[op.previous] = max(self.holds.get(op.previous, 0), until_ms + CHAIN_RETENTION_MARGIN_MS)
         return True
 
     def move(self, op, verdict):
@@ -101,7 +101,7 @@
         if not self.room(op):
             return isinstance(verdict, NoCapacity)
         self.placed(op, verdict, self.chain(begun.previous))
-        until_ms = until_ms if until_ms > self.clock else self.clock + CHAIN_SLACK_MS
+        until_ms = until_ms if until_ms > self.clock else self.clock + CHAIN_RETENTION_MARGIN_MS
         self.attempts[op.attempt] = (begun, verdict.runner, until_ms)
         self.moved.add(op.attempt)
         return True
@@ -234,10 +234,10 @@
                 pending += [op] if op else []
                 op = random.choice(recent[-30:] or [AbortAttempt(f"x{step}")])
             said.append((op, next((t for o, t in said if o == op), model.clock)))
-            verdict = program_ledgers.act(ledger.program_ledger, model.clock, (), (), op)
+            verdict = program_ledgers.apply_operation(ledger.program_ledger, model.clock, (), (), op)
             kinds.add(type(verdict))
             assert CHECKS[type(op)](model, op, verdict), (step, op, verdict)
-            assert program_ledgers.act(twin.program_ledger, model.clock, (), (), op) == verdict
+            assert program_ledgers.apply_operation(twin.program_ledger, model.clock, (), (), op) == verdict
         check_whole(ledger.program_ledger, model)
         twin = decode_state(encode(twin))
         assert twin == ledger and encode(twin) == encode(ledger)
@@ -253,5 +253,8 @@
         KeyAnswered,
     }
     for name in list(model.attempts):
-        assert program_ledgers.act(ledger.program_ledger, model.clock, (), (), AbortAttempt(name)) == AttemptEnded()
+        assert (
+            program_ledgers.apply_operation(ledger.program_ledger, model.clock, (), (), AbortAttempt(name))
+            == AttemptEnded()
+        )
     assert not any(u.active for u in ledger.program_ledger.runners.values()) and not ledger.program_ledger.attempts
--- a/tests/test_program_ledger_placement.py
+++ b/tests/test_program_ledger_placement.py
@@ -1,8 +1,7 @@
 import pytest
 
 from frostpost.program_ledger import apply as program_ledgers
-from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AbortAttempt,
     AttemptBegun,
     BeginAttempt,
@@ -11,6 +10,7 @@
     NoCapacity,
     ReassignAttempt,
 )
+from frostpost.program_ledger.state import ProgramLedger
 
 TWO = (Candidate("r0", 4), Candidate("r1", 4))
 PARTS = (("system", 5000), ("tools", 4000), ("first", 3000))
@@ -20,7 +20,7 @@
     op = BeginAttempt(
         name, name, 0, 1, previous, 5000, candidates, tuple(parts), prompt_tokens=prompt_tokens, cache_tokens=cache
     )
-    verdict = program_ledgers.act(program_ledger, now_ms, (), (), op)
+    verdict = program_ledgers.apply_operation(program_ledger, now_ms, (), (), op)
     return verdict.runner if isinstance(verdict, AttemptBegun) else verdict
 
 
@@ -39,21 +39,21 @@
     assert begin(program_ledger, "x", TWO[1:], PARTS[:1]) == "r1"
     assert begin(program_ledger, "y", TWO[:1], PARTS) == "r0"
     for name in "xy":
-        program_ledgers.act(program_ledger, 0, (), (), AbortAttempt(name))
+        program_ledgers.apply_operation(program_ledger, 0, (), (), AbortAttempt(name))
     assert begin(program_ledger, "z", TWO[::-1], PARTS) == "r0"
 
 
 def test_parts_after_one_that_the_runner_lacks_do_not_count():
     program_ledger = ProgramLedger()
     begin(program_ledger, "x", TWO[1:], PARTS)
-    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("x"))
+    program_ledgers.apply_operation(program_ledger, 0, (), (), AbortAttempt("x"))
     assert begin(program_ledger, "y", TWO, (("other", 1), *PARTS)) == "r0"
 
 
 def test_runner_of_the_turn_before_is_preferred_until_it_costs_more():
     program_ledger = ProgramLedger()
     assert begin(program_ledger, "a", TWO[1:], prompt_tokens=7000) == "r1"
-    program_ledgers.act(program_ledger, 0, (), (), EndAttempt("a", 500, 60000))
+    program_ledgers.apply_operation(program_ledger, 0, (), (), EndAttempt("a", 500, 60000))
     assert [begin(program_ledger, f"b{n}", previous="a") for n in range(3)] == ["r1", "r1", "r0"]
 
 
@@ -63,7 +63,7 @@
     assert [begin(program_ledger, f"a{n}", one, PARTS) for n in range(slots)] == ["r0"] * slots
     assert begin(program_ledger, "more", one, PARTS) == NoCapacity(20)
     assert "more" not in program_ledger.attempts and "more" not in program_ledger.accounts
-    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("a0"))
+    program_ledgers.apply_operation(program_ledger, 0, (), (), AbortAttempt("a0"))
     assert begin(program_ledger, "more", one, PARTS) == "r0"
 
 
@@ -93,7 +93,9 @@
 def test_move_frees_the_old_runner_and_names_the_new_one():
     program_ledger = ProgramLedger()
     assert begin(program_ledger, "a") == "r0"
-    assert program_ledgers.act(program_ledger, 0, (), (), ReassignAttempt("a", TWO[1:])) == AttemptBegun("r1", ())
+    assert program_ledgers.apply_operation(program_ledger, 0, (), (), ReassignAttempt("a", TWO[1:])) == AttemptBegun(
+        "r1", ()
+    )
     assert {n: u.active for n, u in program_ledger.runners.items()} == {"r0": 0, "r1": 1}
 
 
@@ -101,18 +103,18 @@
     program_ledger, one = ProgramLedger(), (Candidate("r1", 1),)
     begin(program_ledger, "full", one)
     begin(program_ledger, "a", TWO[:1])
-    assert program_ledgers.act(program_ledger, 0, (), (), ReassignAttempt("a", one)) == NoCapacity(20)
+    assert program_ledgers.apply_operation(program_ledger, 0, (), (), ReassignAttempt("a", one)) == NoCapacity(20)
     assert program_ledger.runners["r0"].active == 0 and "a" in program_ledger.attempts
-    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("a"))
+    program_ledgers.apply_operation(program_ledger, 0, (), (), AbortAttempt("a"))
     assert {n: u.active for n, u in program_ledger.runners.items()} == {"r0": 0, "r1": 1}
 
 
 def test_idle_runner_is_forgotten_and_a_busy_one_is_not():
     program_ledger = ProgramLedger()
     begin(program_ledger, "a", (Candidate("idle", 1),), PARTS)
-    program_ledgers.act(program_ledger, 0, (), (), AbortAttempt("a"))
+    program_ledgers.apply_operation(program_ledger, 0, (), (), AbortAttempt("a"))
     op = BeginAttempt("b", "b", 0, 1, "", 900000, (Candidate("busy", 1),))
-    program_ledgers.act(program_ledger, 0, (), (), op)
+    program_ledgers.apply_operation(program_ledger, 0, (), (), op)
     program_ledgers.expire(program_ledger, 60000)
     assert set(program_ledger.runners) == {"idle", "busy"}
     program_ledgers.expire(program_ledger, 60001)
--- a/tests/test_program_ledger_taken_changes.py
+++ b/tests/test_program_ledger_taken_changes.py
@@ -3,9 +3,8 @@
 from frostpost.ledger.apply import decode_state, encode
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger import accepted_changes
-from frostpost.program_ledger.apply import act
-from frostpost.program_ledger.state import ProgramLedger
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.apply import apply_operation
+from frostpost.program_ledger.messages import (
     ReadRouting,
     RoutingConflict,
     RoutingForgotten,
@@ -13,9 +12,10 @@
     RoutingState,
     SetRouting,
 )
+from frostpost.program_ledger.state import ProgramLedger
 
 KEEP_MS = 600_000
-LEAST, MOST = accepted_changes.LEAST_REMEMBERED, accepted_changes.MOST_REMEMBERED
+LEAST, MOST = accepted_changes.MIN_RETAINED_CHANGES, accepted_changes.MAX_RETAINED_CHANGES
 
 
 def digest(number):
@@ -28,7 +28,7 @@
 
 
 def order(ledger, op, now_ms=0):
-    return act(ledger, now_ms, (), (), op)
+    return apply_operation(ledger, now_ms, (), (), op)
 
 
 def taken_up_to(last, now_ms=lambda number: 0, ledger=None):
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -5,7 +5,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from frostpost.program_ledger.words import AttemptBegun, ReassignAttempt
+from frostpost.program_ledger.messages import AttemptBegun, ReassignAttempt
 from frostpost.proxy import failures
 from frostpost.proxy.attempts import attempts_for, may_offer, record
 from frostpost.proxy.outcomes import Broken, ClientLeft, Late, NotRun, NotSent
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -5,7 +5,7 @@
 from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred
 
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AttemptBegun,
     AttemptEnded,
     BeginAttempt,
--- a/tests/test_proxy_lookup.py
+++ b/tests/test_proxy_lookup.py
@@ -5,7 +5,7 @@
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AttemptEnded,
     ClaimOperationKey,
     KeyAnswered,
--- a/tests/test_proxy_stage.py
+++ b/tests/test_proxy_stage.py
@@ -9,7 +9,7 @@
 from frostpost.cluster import lease_client
 from frostpost.cluster.agent_context import AgentContext
 from frostpost.daemon.machine import Machine
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AttemptBegun,
     AttemptEnded,
     BeginAttempt,
--- a/tests/test_proxy_strikes.py
+++ b/tests/test_proxy_strikes.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from frostpost.program_ledger.words import AttemptBegun, ReassignAttempt
+from frostpost.program_ledger.messages import AttemptBegun, ReassignAttempt
 from frostpost.proxy import exchange, failures, lookup, outcomes, sending, stream
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.connection import Connection
--- a/tests/test_proxy_waiting.py
+++ b/tests/test_proxy_waiting.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.cluster import lease_client, lease_waiters
-from frostpost.program_ledger.words import (
+from frostpost.program_ledger.messages import (
     AbortAttempt,
     AttemptBegun,
     BeginAttempt,
@@ -157,7 +157,7 @@
     s.serve(program="g", budget=9, most_tokens=5, program_left_ms=2500)
     assert kinds(s.seen) == [failures.Overloaded] and s.told == [AbortAttempt("a1")]
     (begin,) = s.asked
-    assert (begin.pool, begin.rank, begin.hold_ms, begin.due_in_ms) == ("s", 2, 1280, 2500)
+    assert (begin.pool, begin.rank, begin.max_queue_ms, begin.deadline_in_ms) == ("s", 2, 1280, 2500)
 
 
 def test_the_wait_for_another_slot_begins_when_the_order_has_said_that_there_is_none(monkeypatch):
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -13,7 +13,7 @@
 from frostpost.ledger.apply import decode_state, encode
 from frostpost.ledger.entities import Mark
 from frostpost.ledger.state import Ledger
-from frostpost.program_ledger.state import Account, Key, ProgramLedger, Turn
+from frostpost.program_ledger.state import Account, OperationKey, ProgramLedger, Turn
 from frostpost.virtual_synchrony.endpoints import Member
 from frostpost.virtual_synchrony.events import SnapshotReceived
 
@@ -24,7 +24,7 @@
     inner = ProgramLedger(
         turns={n: Turn("p", "", random.randrange(1 << 40), "r", 7) for n in names},
         accounts={n: Account(random.randrange(1 << 40)) for n in names[: turns // 2]},
-        keys={n: Key(n, 5, b"x" * random.randrange(300)) for n in names[:3]},
+        keys={n: OperationKey(n, 5, b"x" * random.randrange(300)) for n in names[:3]},
         expiries=[(n, "turn", name) for n, name in enumerate(names)],
         routing_version=9,
     )
