--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -64,7 +64,7 @@
 @inlineCallbacks
 def calendars(ctx):
     """Look through all tenants' calendars, if this daemon holds that duty."""
-    fence = singleton_roles.held(ctx.core.ledger, "calendars", ctx.endpoint.member)
+    fence = singleton_roles.fencing_token(ctx.core.ledger, "calendars", ctx.endpoint.member)
     if not fence or not holds_lease(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.core.ledger.config_index:
         return
     for path in [p for p, (_, d) in ctx.documents.items() if d.get("calendars")]:
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -34,7 +34,7 @@
 @inlineCallbacks
 def list_(ctx):
     """Fetch the list if this daemon holds that duty, and order it if it changed."""
-    fence = singleton_roles.held(ctx.core.ledger, "list", ctx.endpoint.member)
+    fence = singleton_roles.fencing_token(ctx.core.ledger, "list", ctx.endpoint.member)
     now = clock_ms(ctx)
     if not fence or not ctx.settings.list or now < ctx.list_ms or not holds_lease(ctx.core, now):
         return
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -9,7 +9,7 @@
 
 def tick_ledger(ctx):
     """Order the milliseconds since the last tick, if this daemon holds that duty."""
-    fence = singleton_roles.held(ctx.core.ledger, "ticks", ctx.endpoint.member)
+    fence = singleton_roles.fencing_token(ctx.core.ledger, "ticks", ctx.endpoint.member)
     now = clock_ms(ctx)
     if not fence or not holds_lease(ctx.core, now):
         ctx.tick_ms = 0
--- a/frostpost/cluster/operation_server.py
+++ b/frostpost/cluster/operation_server.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.errors import NoPrimary
 from frostpost.daemon.event_loop import submit
-from frostpost.ledger.apply import decode_op
+from frostpost.ledger.apply import decode_operation
 from frostpost.program_ledger.messages import AbortAttempt, BeginAttempt, NoCapacity
 from frostpost.virtual_synchrony.agent_messages import OperationReply
 
@@ -23,7 +23,7 @@
     if operation_key in sessions.operations_in_progress:
         return
     try:
-        op = decode_op(message.payload)
+        op = decode_operation(message.payload)
     except DecodeError:
         ctx.links["send"](address, OperationReply(message.incarnation, message.number, b"", "Unreadable"))
         return
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.event_loop import feed_input, submit
 from frostpost.daemon.structured_log import log_event
-from frostpost.ledger.operations import SWAP_RULES, Look
+from frostpost.ledger.operations import VOTER_EXCHANGE_RULES, Look
 from frostpost.ledger.results import Done
 from frostpost.program_ledger.messages import CompleteRetirement
 from frostpost.virtual_synchrony.events import DrainRequested, SetVoters
@@ -94,7 +94,7 @@
     present = member_names(ctx.core.synchrony.configuration)
     others = [replica_view(ctx, changes, n, settings.regions) for n in present if n not in changes.voters]
     waits = AbsenceLimits(settings.catch_up_ms // TO_NEWCOMER_SHARE, settings.catch_up_ms)
-    return next_voters(voters, others, settings.tolerance, waits, ctx.core.ledger.rules >= SWAP_RULES)
+    return next_voters(voters, others, settings.tolerance, waits, ctx.core.ledger.rules >= VOTER_EXCHANGE_RULES)
 
 
 def remaining_members(ctx):
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -58,7 +58,7 @@
 def begin(endpoint, bounds, seeds, voters, log, now_ms):
     """Return (core, output) of a daemon that starts with the log read from its disk."""
     synchrony, out = synchronies.create_synchrony(endpoint, bounds, seeds, voters, log, now_ms)
-    ledger = snapshots.run(snapshots.decoding(log.snapshot)) if log.snapshot else Ledger()
+    ledger = snapshots.run_to_completion(snapshots.decode_in_slices(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.commit_index - log.snapshot_index)]:
         ledger, _ = apply(ledger, entry)
     log.snapshot = b""
@@ -134,7 +134,7 @@
     if not synchrony.primary.opened or synchrony.recovery or synchrony.draining:
         return []
     asks = []
-    for duty, round, candidate in singleton_roles.owed(ledger, synchrony.local_member):
+    for duty, round, candidate in singleton_roles.pending_ballots(ledger, synchrony.local_member):
         mark = (synchrony.configuration.id.epoch << 20) + round
         if core.balloted.get(duty) != mark:
             core.balloted[duty] = mark
@@ -148,7 +148,7 @@
     if (
         ledger.rules >= PROTOCOL_REVISION
         or core.ruled == synchrony.configuration.id
-        or not singleton_roles.held(ledger, "ticks", synchrony.local_member)
+        or not singleton_roles.fencing_token(ledger, "ticks", synchrony.local_member)
     ):
         return []
     endpoints = {p.endpoint.member: p.endpoint for p in synchrony.peers.values()} | {
--- a/frostpost/daemon/snapshot_state.py
+++ b/frostpost/daemon/snapshot_state.py
@@ -69,7 +69,7 @@
 
 def take(ledger: Ledger, slice_records: int) -> Generator[None, None, tuple[bytes, str]]:
     """Encode and hash."""
-    state = yield from snapshots.encoding(ledger, slice_records)
+    state = yield from snapshots.encode_in_slices(ledger, slice_records)
     digest = yield from digesting(state)
     return state, digest
 
@@ -79,4 +79,4 @@
     digest = yield from digesting(received.state)
     if digest != received.digest:
         return None
-    return (yield from snapshots.decoding(received.state))
+    return (yield from snapshots.decode_in_slices(received.state))
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -21,7 +21,7 @@
 
 def version_of(ctx, path):
     """Return the version of a document in the ledger, 0 if there is none."""
-    return config_versions.held(ctx.core.ledger, path)
+    return config_versions.current_version(ctx.core.ledger, path)
 
 
 def document_of(ctx, path):
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -11,7 +11,7 @@
 from frostpost.daemon.core import holds_lease
 from frostpost.daemon.event_loop import submit
 from frostpost.ledger.operations import Look
-from frostpost.ledger.programs import whole
+from frostpost.ledger.programs import is_intact
 from frostpost.placement.ranking import PlacementRequest, explain
 from frostpost.virtual_synchrony.members import sequencer_of
 
@@ -119,7 +119,7 @@
     held = ctx.core.ledger.programs.get(f"{tenant}/{name}")
     if held is None:
         return errors.NoSuch("this program has no history kept here")
-    if not all(whole(line) for line in held.lines):
+    if not all(is_intact(line) for line in held.lines):
         return errors.Internal("kept history failed its checksum")
     return {
         "program": name,
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -66,9 +66,9 @@
     """Store bodies with a majority, order their change as one, and wait until every daemon honours it."""
     doors, changes = ctx.settings.doors, []
     for path, body in bodies.items():
-        held = config_versions.held(ctx.core.ledger, path)
+        held = config_versions.current_version(ctx.core.ledger, path)
         if body is None:
-            changes.append(Change(path, config_versions.REMOVED, 0, held, "", 0))
+            changes.append(Change(path, config_versions.REMOVED_DIGEST, 0, held, "", 0))
             continue
         item = yield shelves.put(ctx, body)
         if not (yield shelves.spread(ctx, item)):
@@ -94,7 +94,7 @@
     index = ctx.core.ledger.config_index
     said = control.if_match(request, index)
     if said.is_ok() and said.ok != index:
-        return Error(errors.ConfigMoved(config_versions.ALL, index))
+        return Error(errors.ConfigMoved(config_versions.ALL_DOCUMENTS, index))
     return said
 
 
@@ -126,7 +126,7 @@
         error = errors.OlderRules()
     if error is not None:
         return Error(error)
-    held, at = config_versions.held(ctx.core.ledger, path), ctx.core.ledger.config_index
+    held, at = config_versions.current_version(ctx.core.ledger, path), ctx.core.ledger.config_index
     version = control.if_match(request, held)
     if version.is_error():
         return version
--- a/frostpost/http_api/stream.py
+++ b/frostpost/http_api/stream.py
@@ -47,7 +47,7 @@
         ctx, runner = self.ctx, self.reserved.runner
         self.attempt = forward.Attempt(runner, lambda: self.reserved.index in ctx.core.ledger.reservations)
         lines = self.reserved.lines
-        if not all(programs.whole(line) for line in lines):
+        if not all(programs.is_intact(line) for line in lines):
             self.bad = errors.Internal("kept history failed its checksum")
             return forward.NeverSent("history")
         health = health_of(ctx, runner.name)
@@ -184,7 +184,7 @@
                 record_failure(ctx, self.attempt.runner.name)
             return self.bad or errors.Unknown()
         health_of(ctx, self.attempt.runner.name).failures = 0
-        line = programs.line(call.document["input"], "".join(self.texts))
+        line = programs.history_line(call.document["input"], "".join(self.texts))
         result = yield submit(ctx, Settle(self.reserved.index, self.units, line), ask_ms)
         if result.is_error() or not isinstance(result.ok, Done):
             return errors.Unknown()
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -8,15 +8,15 @@
 
 from . import config_versions, keys, programs, singleton_roles
 from .operations import (
-    SWAP_RULES,
+    VOTER_EXCHANGE_RULES,
     Ballot,
     ClaimKey,
     Drain,
     Finish,
     Fire,
     Look,
-    Op,
     OpenPrimary,
+    Operation,
     Release,
     Reserve,
     Rules,
@@ -31,8 +31,8 @@
 from .results import Done, NotHeld, Result, StaleConfig, VotersSet
 from .state import Ledger
 
-ABSENT_MS = 600000
-decode_op = msgpack.Decoder(Op).decode
+DRAIN_MARK_RETENTION_MS = 600000
+decode_operation = msgpack.Decoder(Operation).decode
 encode = msgpack.Encoder().encode
 decode_state = msgpack.Decoder(Ledger).decode
 
@@ -45,10 +45,10 @@
         if incarnation == entry.sender.incarnation and entry.number <= number:
             return ledger, None
         ledger.sessions[entry.sender.name] = (entry.sender.incarnation, entry.number)
-    return ledger, act(ledger, entry, decode_op(entry.payload))
+    return ledger, apply_operation(ledger, entry, decode_operation(entry.payload))
 
 
-def act(ledger, entry, op) -> Result:
+def apply_operation(ledger, entry, op) -> Result:
     """Carry out the operation of an entry and return its result."""
     if program_ledgers.handles(op):
         members = tuple(m.name for m in ledger.members)
@@ -58,15 +58,15 @@
             stopped = bool(ledger.members) and not set(ledger.members) & set(members)
             ledger.members, ledger.cores = members, cores
             ledger.voters = ledger.voters or voters
-            programs.orphan(ledger)
-            keys.orphan(ledger)
-            singleton_roles.vacate(ledger)
+            programs.end_orphaned_reservations(ledger)
+            keys.end_orphaned_claims(ledger)
+            singleton_roles.vacate_departed(ledger)
             if stopped:
-                keys.anew(ledger)
-                programs.anew(ledger)
+                keys.restart_windows(ledger)
+                programs.restart_retention(ledger)
             return Done(entry.index)
         case Tick():
-            return tick(ledger, entry, op)
+            return advance_clock(ledger, entry, op)
         case Reserve():
             return programs.reserve(ledger, entry, op)
         case Settle():
@@ -80,50 +80,50 @@
         case Unclaim():
             return keys.unclaim(ledger, entry, op)
         case Runners():
-            return list_(ledger, entry, op)
+            return replace_runners(ledger, entry, op)
         case Drain():
-            return drain(ledger, entry, op)
+            return set_draining(ledger, entry, op)
         case SetConfig():
-            return config(ledger, entry, op)
+            return set_config(ledger, entry, op)
         case SetMany():
-            return config_versions.many(ledger, entry, op)
+            return config_versions.set_documents(ledger, entry, op)
         case Rules(version):
             ledger.rules = max(ledger.rules, version)
             return Done(entry.index)
         case Look():
             return Done(entry.index)
         case Fire():
-            return fire(ledger, entry, op)
+            return record_firing(ledger, entry, op)
         case SetVoters():
-            return voters_(ledger, entry, op)
+            return change_voters(ledger, entry, op)
         case Ballot():
-            return singleton_roles.ballot(ledger, entry, op)
+            return singleton_roles.count_ballot(ledger, entry, op)
     raise TypeError(f"no operation of the ledger: {type(op).__name__}")
 
 
-def tick(ledger, entry, op):
+def advance_clock(ledger, entry, op):
     """Advance the ledger's clock by the elapsed milliseconds and remove what has expired by then."""
-    error = singleton_roles.fenced(ledger, "ticks", entry, op.fence)
+    error = singleton_roles.fencing_error(ledger, "ticks", entry, op.fence)
     if error:
         return error
     ledger.clock_ms += max(0, op.elapsed_ms)
     while ledger.expiries and ledger.expiries[0][0] <= ledger.clock_ms:
         _, kind, name = heappop(ledger.expiries)
-        EXPIRE[kind](ledger, name)
+        EXPIRY_HANDLERS[kind](ledger, name)
     program_ledgers.expire(ledger.program_ledger, ledger.clock_ms)
     return Done(entry.index)
 
 
-def list_(ledger, entry, op):
+def replace_runners(ledger, entry, op):
     """Replace the list of runners; drain marks of runners that are gone expire after `ABSENT_MS`."""
-    error = singleton_roles.fenced(ledger, "list", entry, op.fence)
+    error = singleton_roles.fencing_error(ledger, "list", entry, op.fence)
     if error:
         return error
     ledger.runners = {r.name: r for r in op.entries}
     listed = {programs.instance_key(r) for r in op.entries}
     for key in ledger.leaving:
         if key not in listed:
-            heappush(ledger.expiries, (ledger.clock_ms + ABSENT_MS, "leaving", key))
+            heappush(ledger.expiries, (ledger.clock_ms + DRAIN_MARK_RETENTION_MS, "leaving", key))
     return Done(entry.index)
 
 
@@ -133,10 +133,10 @@
         ledger.leaving.pop(key, None)
 
 
-EXPIRE = {"program": programs.expire, "key": keys.expire, "leaving": expire_leaving}
+EXPIRY_HANDLERS = {"program": programs.expire, "key": keys.expire, "leaving": expire_leaving}
 
 
-def drain(ledger, entry, op):
+def set_draining(ledger, entry, op):
     """Mark a runner as draining, or take the mark away."""
     runner = ledger.runners.get(op.runner)
     if runner is None:
@@ -148,28 +148,28 @@
     return Done(entry.index)
 
 
-def fire(ledger, entry, op):
+def record_firing(ledger, entry, op):
     """Record that a calendar fired and take its configuration change, if it has one."""
-    error = singleton_roles.fenced(ledger, "calendars", entry, op.fence)
+    error = singleton_roles.fencing_error(ledger, "calendars", entry, op.fence)
     if error:
         return error
     if op.at_s <= ledger.fired.get(op.path, 0):
         return NotHeld("calendar")
-    said = Done(entry.index) if op.change is None else config(ledger, entry, op.change)
+    said = Done(entry.index) if op.change is None else set_config(ledger, entry, op.change)
     if not isinstance(said, StaleConfig):
         ledger.fired[op.path] = op.at_s
     return said
 
 
-def voters_(ledger, entry, op):
+def change_voters(ledger, entry, op):
     """Change the voters by one step, if the caller saw the current set in the configuration in force."""
-    if op.before != ledger.voters or op.configuration != entry.configuration or not one_step(ledger, op):
+    if op.before != ledger.voters or op.configuration != entry.configuration or not is_single_step(ledger, op):
         return NotHeld("voters")
     ledger.voters = op.after
     return VotersSet(op.after)
 
 
-def one_step(ledger, op):
+def is_single_step(ledger, op):
     """One voter more or less, or one that is no member exchanged for another.
 
     Quorums of the set before, of which the members hold the change, and of the set after then always meet.
@@ -177,10 +177,10 @@
     gone, new = set(op.before) - set(op.after), set(op.after) - set(op.before)
     if len(gone) + len(new) == 1:
         return True
-    exchanged = len(gone) == len(new) == 1 and ledger.rules >= SWAP_RULES
+    exchanged = len(gone) == len(new) == 1 and ledger.rules >= VOTER_EXCHANGE_RULES
     return exchanged and gone.isdisjoint(member.name for member in ledger.members)
 
 
-def config(ledger, entry, op):
+def set_config(ledger, entry, op):
     """Take a new version of one configuration document."""
-    return config_versions.one(ledger, entry, op)
+    return config_versions.set_document(ledger, entry, op)
--- a/frostpost/ledger/entities.py
+++ b/frostpost/ledger/entities.py
@@ -5,7 +5,7 @@
 from frostpost.virtual_synchrony.endpoints import Member
 
 
-class Line(Struct, array_like=True, frozen=True):
+class HistoryLine(Struct, array_like=True, frozen=True):
     """One turn in a program's history: its input, output and checksum."""
 
     input: str
@@ -22,7 +22,7 @@
     reserved: int = 0
     turn: int = 0
     touched_ms: int = 0
-    lines: list[Line] = []
+    lines: list[HistoryLine] = []
     retained_until_ms: int = 0
     budget_retention_ms: int = 0
     budget_retained_until_ms: int = 0
@@ -61,7 +61,7 @@
     room: int
 
 
-class Mark(Struct, array_like=True, frozen=True):
+class ConfigVersion(Struct, array_like=True, frozen=True):
     """One version of a configuration document: its digest, size, source and ledger index."""
 
     version: int
@@ -72,7 +72,7 @@
     index: int
 
 
-class Duty(Struct, array_like=True):
+class SingletonRole(Struct, array_like=True):
     """A background duty with its holder, fencing token and the votes of the open round."""
 
     holder: Member | None = None
--- a/frostpost/ledger/keys.py
+++ b/frostpost/ledger/keys.py
@@ -17,7 +17,7 @@
     return Shared(held.status, held.result)
 
 
-def end(ledger, key, status, result):
+def complete(ledger, key, status, result):
     """Record the final state of a key and schedule its removal."""
     held = ledger.keys[key]
     held.status, held.result, held.ended_ms = status, result, ledger.clock_ms
@@ -29,7 +29,7 @@
     held = ledger.keys.get(op.key)
     if held is None or held.owner != entry.sender or held.status != "held":
         return NotHeld("key")
-    end(ledger, op.key, op.status, op.result)
+    complete(ledger, op.key, op.status, op.result)
     return Done(entry.index)
 
 
@@ -42,18 +42,18 @@
     return Done(entry.index)
 
 
-def orphan(ledger):
+def end_orphaned_claims(ledger):
     """End the keys of members that are gone; their outcome is unknown."""
     for key, held in ledger.keys.items():
         if held.status == "held" and held.owner not in ledger.members:
-            end(ledger, key, "unknown", b"")
+            complete(ledger, key, "unknown", b"")
 
 
-def anew(ledger):
+def restart_windows(ledger):
     """Start the windows of ended keys again, after a time in which no ledger clock ran."""
     for key, held in ledger.keys.items():
         if held.ended_ms >= 0:
-            end(ledger, key, held.status, held.result)
+            complete(ledger, key, held.status, held.result)
 
 
 def expire(ledger, key):
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -5,7 +5,7 @@
 from frostpost.program_ledger.messages import ProgramOperation
 from frostpost.virtual_synchrony.events import OpenPrimary, SetVoters
 
-from .entities import Line, Runner
+from .entities import HistoryLine, Runner
 
 
 class Tick(Struct, array_like=True, frozen=True, tag="tick"):
@@ -24,7 +24,7 @@
     retention_ms: int
     pools: tuple[str, ...]
     candidates: tuple[tuple[str, str], ...]
-    marks: tuple[tuple[str, int], ...]
+    config_versions: tuple[tuple[str, int], ...]
     budget_retention_ms: int = 0
 
 
@@ -33,7 +33,7 @@
 
     reservation: int
     used: int
-    line: Line | None
+    line: HistoryLine | None
 
 
 class Release(Struct, array_like=True, frozen=True, tag="release"):
@@ -124,7 +124,7 @@
 
 
 # The rules of the ledger from which on a voter that is no member may be exchanged in one step.
-SWAP_RULES = 3
+VOTER_EXCHANGE_RULES = 3
 
 
 class Look(Struct, array_like=True, frozen=True, tag="look"):
@@ -134,12 +134,12 @@
 class Ballot(Struct, array_like=True, frozen=True, tag="ballot"):
     """A vote for the holder of a duty."""
 
-    duty: str
+    role: str
     round: int
     candidate: str
 
 
-Op = (
+Operation = (
     OpenPrimary
     | Tick
     | Reserve
--- a/frostpost/ledger/programs.py
+++ b/frostpost/ledger/programs.py
@@ -3,16 +3,16 @@
 from heapq import heappush
 from zlib import crc32
 
-from .entities import Line, Program, Reservation
+from .entities import HistoryLine, Program, Reservation
 from .results import BudgetSpent, Done, NoRunner, NotHeld, Reserved, StaleConfig, TurnOpen
 
 
-def line(input, output):
+def history_line(input, output):
     """Return a history line with the checksum of its input and output."""
-    return Line(input, output, crc32(output.encode(), crc32(input.encode())))
+    return HistoryLine(input, output, crc32(output.encode(), crc32(input.encode())))
 
 
-def whole(kept):
+def is_intact(kept):
     """Tell whether a history line matches its checksum."""
     return crc32(kept.output.encode(), crc32(kept.input.encode())) == kept.sum
 
@@ -22,7 +22,7 @@
     return f"{runner.name}/{runner.instance}"
 
 
-def admissible(ledger, name, instance, pools):
+def admissible_runner(ledger, name, instance, pools):
     """Return the runner of that name if it may take another turn now, else None."""
     runner = ledger.runners.get(name)
     if runner is None or runner.instance != instance or instance_key(runner) in ledger.leaving:
@@ -32,7 +32,7 @@
     return runner
 
 
-def stale(ledger, marks):
+def stale_config(ledger, marks):
     """Return StaleConfig for the first configuration that is not at the caller's version, else None."""
     for path, version in marks:
         mark = ledger.configs.get(path)
@@ -43,7 +43,7 @@
 
 def reserve(ledger, entry, op):
     """Reserve units of a program's budget and a slot of a runner for one turn."""
-    error = stale(ledger, op.marks)
+    error = stale_config(ledger, op.config_versions)
     if error:
         return error
     program = ledger.programs.get(op.program) or Program(op.budget, op.retention_ms)
@@ -57,19 +57,19 @@
     amount = min(op.amount, program.budget - program.spent - program.reserved)
     if amount <= 0:
         return BudgetSpent(program.budget, program.spent)
-    found = (admissible(ledger, n, i, op.pools) for n, i in op.candidates)
+    found = (admissible_runner(ledger, n, i, op.pools) for n, i in op.candidates)
     runner = next((r for r in found if r), None)
     if runner is None:
         return NoRunner(len(op.candidates))
     ledger.programs[op.program] = program
     program.turn, program.reserved = entry.index, program.reserved + amount
-    touch(ledger, op.program, program)
+    extend_retention(ledger, op.program, program)
     ledger.reservations[entry.index] = Reservation(op.program, entry.sender, amount, runner.name)
     ledger.running[runner.name] = ledger.running.get(runner.name, 0) + 1
     return Reserved(entry.index, runner, amount, tuple(program.lines))
 
 
-def touch(ledger, name, program):
+def extend_retention(ledger, name, program):
     """Extend the retention of a program from now on."""
     now = program.touched_ms = ledger.clock_ms
     if ledger.rules < 2:
@@ -80,16 +80,16 @@
         program.budget_retained_until_ms, program.retained_until_ms, now + program.budget_retention_ms
     )
     if not program.due_ms:
-        due(ledger, name, program)
+        schedule_expiry(ledger, name, program)
 
 
-def due(ledger, name, program):
+def schedule_expiry(ledger, name, program):
     """Schedule the next check of a program's retention."""
     program.due_ms = program.retained_until_ms if program.lines or program.turn else program.budget_retained_until_ms
     heappush(ledger.expiries, (program.due_ms, "program", name))
 
 
-def close(ledger, number, used):
+def close_reservation(ledger, number, used):
     """End a reservation, account the units used and return the program."""
     held = ledger.reservations.pop(number)
     program = ledger.programs[held.program]
@@ -97,7 +97,7 @@
     program.spent += min(used, held.amount)
     if program.turn == number:
         program.turn = 0
-    touch(ledger, held.program, program)
+    extend_retention(ledger, held.program, program)
     left = ledger.running.get(held.runner, 0) - 1
     if left > 0:
         ledger.running[held.runner] = left
@@ -111,7 +111,7 @@
     held = ledger.reservations.get(op.reservation)
     if held is None or held.owner != entry.sender:
         return NotHeld("reservation")
-    program = close(ledger, op.reservation, op.used)
+    program = close_reservation(ledger, op.reservation, op.used)
     if op.line is not None:
         program.lines.append(op.line)
     return Done(entry.index)
@@ -122,23 +122,23 @@
     held = ledger.reservations.get(op.reservation)
     if held is None or held.owner != entry.sender:
         return NotHeld("reservation")
-    close(ledger, op.reservation, 0)
+    close_reservation(ledger, op.reservation, 0)
     return Done(entry.index)
 
 
-def orphan(ledger):
+def end_orphaned_reservations(ledger):
     """End the reservations of members that are gone; all that they reserved counts as spent."""
     for number, held in list(ledger.reservations.items()):
         if held.owner not in ledger.members:
-            close(ledger, number, held.amount)
+            close_reservation(ledger, number, held.amount)
 
 
-def anew(ledger):
+def restart_retention(ledger):
     """Start the retention of every program again, after a time in which no ledger clock ran."""
     for name, program in ledger.programs.items():
         program.retained_until_ms += ledger.clock_ms - program.touched_ms
         program.budget_retained_until_ms += ledger.clock_ms - program.touched_ms
-        touch(ledger, name, program)
+        extend_retention(ledger, name, program)
 
 
 def expire(ledger, name):
@@ -158,4 +158,4 @@
     if ledger.clock_ms >= program.budget_retained_until_ms:
         del ledger.programs[name]
     else:
-        due(ledger, name, program)
+        schedule_expiry(ledger, name, program)
--- a/frostpost/ledger/results.py
+++ b/frostpost/ledger/results.py
@@ -4,7 +4,7 @@
 
 from frostpost.program_ledger.messages import ProgramResult
 
-from .entities import Line, Runner
+from .entities import HistoryLine, Runner
 
 
 class Done(Struct, array_like=True, frozen=True, tag="done"):
@@ -19,7 +19,7 @@
     index: int
     runner: Runner
     amount: int
-    lines: tuple[Line, ...]
+    lines: tuple[HistoryLine, ...]
 
 
 class Won(Struct, array_like=True, frozen=True, tag="won"):
@@ -71,7 +71,7 @@
 class NoRunner(Struct, array_like=True, frozen=True, tag="NoRunner"):
     """None of the candidates has room."""
 
-    asked: int
+    candidates: int
 
 
 class StaleConfig(Struct, array_like=True, frozen=True, tag="StaleConfig"):
--- a/frostpost/ledger/singleton_roles.py
+++ b/frostpost/ledger/singleton_roles.py
@@ -2,13 +2,13 @@
 
 from hashlib import blake2b
 
-from .entities import Duty
+from .entities import SingletonRole
 from .results import Done, Fenced, NotHeld
 
-DUTIES = ("list", "ticks", "calendars")
+ROLES = ("list", "ticks", "calendars")
 
 
-def score(duty, round, name):
+def candidate_score(duty, round, name):
     """Return the rank of a member for a duty in a round, as a digest that all members compute alike."""
     return blake2b(f"{duty}/{round}/{name}".encode(), digest_size=8).digest()
 
@@ -20,22 +20,22 @@
 
 def nominee(ledger, duty, round):
     """Return the elector with the highest score for a duty in a round."""
-    return max(electors(ledger), key=lambda n: score(duty, round, n), default="")
+    return max(electors(ledger), key=lambda n: candidate_score(duty, round, n), default="")
 
 
-def vacate(ledger):
+def vacate_departed(ledger):
     """Free the duties of members that are gone and open a new round for each."""
-    for name in DUTIES:
-        duty = ledger.duties.setdefault(name, Duty())
+    for name in ROLES:
+        duty = ledger.duties.setdefault(name, SingletonRole())
         if duty.holder is not None and duty.holder not in ledger.members:
             duty.holder, duty.round = None, duty.round + 1
         if duty.holder is None:
             duty.ballots = {}
 
 
-def ballot(ledger, entry, op):
+def count_ballot(ledger, entry, op):
     """Count one member's vote; a candidate with a majority of the electors holds the duty."""
-    duty = ledger.duties.get(op.duty)
+    duty = ledger.duties.get(op.role)
     if duty is None or duty.holder is not None or duty.round != op.round:
         return NotHeld("round")
     able = electors(ledger)
@@ -53,7 +53,7 @@
     return Done(entry.index)
 
 
-def owed(ledger, me):
+def pending_ballots(ledger, me):
     """Return the (duty, round, candidate) votes that a member has yet to cast."""
     vacant = [(name, duty) for name, duty in ledger.duties.items() if duty.holder is None]
     if not vacant or me.name not in electors(ledger):
@@ -63,13 +63,13 @@
     ]
 
 
-def held(ledger, name, me):
+def fencing_token(ledger, name, me):
     """Return the fencing token of a duty that a member holds, 0 if it does not hold it."""
     duty = ledger.duties.get(name)
     return duty.fence if duty and duty.holder == me else 0
 
 
-def fenced(ledger, name, entry, fence):
+def fencing_error(ledger, name, entry, fence):
     """Return Fenced if an operation does not carry the current fencing token of its duty, else None."""
     duty = ledger.duties.get(name)
     if duty is None or duty.holder != entry.sender or duty.fence != fence:
--- a/frostpost/ledger/snapshots.py
+++ b/frostpost/ledger/snapshots.py
@@ -16,10 +16,10 @@
 SPLITS_KEY = "splits"
 SPLITS_MAGIC = b"\xf0\x59SP"
 LENGTH_BYTES = 4
-SMALL_HEADER_ITEMS, MIDDLE_HEADER_ITEMS = 16, 1 << 16
+FIX_HEADER_ITEMS, HEADER_16_ITEMS = 16, 1 << 16
 
 
-class Table(Struct, frozen=True, array_like=True):
+class TableIndex(Struct, frozen=True, array_like=True):
     """A large table: its field, its bytes with its header, and where each slice ends and how many items it has."""
 
     path: tuple[str, ...]
@@ -28,28 +28,28 @@
     slices: tuple[tuple[int, int], ...]
 
 
-class Output(Struct):
+class EncodedOutput(Struct):
     """What was encoded so far."""
 
     chunks: list[bytes] = []
     size: int = 0
-    tables: list[Table] = []
+    tables: list[TableIndex] = []
 
 
-decode_tables = msgpack.Decoder(list[Table]).decode
+decode_table_index = msgpack.Decoder(list[TableIndex]).decode
 
 
-def encoding(ledger: Ledger, slice_records: int) -> Generator[None, None, bytes]:
+def encode_in_slices(ledger: Ledger, slice_records: int) -> Generator[None, None, bytes]:
     """Encode the ledger, which must not change meanwhile."""
     if not has_large_table(ledger, slice_records):
         return encode(ledger)
-    output, fields = Output(), structs.fields(ledger)
-    put(output, map_header(len(fields) + 1))
+    output, fields = EncodedOutput(), structs.fields(ledger)
+    append_bytes(output, map_header(len(fields) + 1))
     for field in fields:
-        put(output, encode(field.encode_name))
+        append_bytes(output, encode(field.encode_name))
         yield from encode_value(output, (field.name,), getattr(ledger, field.name), slice_records)
-    put(output, encode(SPLITS_KEY))
-    put(output, encode(with_trailer(encode(output.tables))))
+    append_bytes(output, encode(SPLITS_KEY))
+    append_bytes(output, encode(add_trailer(encode(output.tables))))
     return b"".join(output.chunks)
 
 
@@ -72,32 +72,32 @@
         yield from encode_table(output, path, value, slice_records)
     elif isinstance(value, Struct) and has_large_table(value, slice_records):
         fields = structs.fields(value)
-        put(output, list_header(len(fields)))
+        append_bytes(output, list_header(len(fields)))
         for field in fields:
             yield from encode_value(output, (*path, field.name), getattr(value, field.name), slice_records)
     else:
-        put(output, encode(value))
+        append_bytes(output, encode(value))
 
 
 def encode_table(output, path, table, slice_records):
     """Encode one table, slice by slice."""
     start, slices = output.size, []
-    put(output, header_like(table, len(table)))
-    for part in parts(table, slice_records):
-        put(output, encode(part)[header_bytes(len(part)) :])
+    append_bytes(output, header_like(table, len(table)))
+    for part in split_table(table, slice_records):
+        append_bytes(output, encode(part)[header_bytes(len(part)) :])
         slices.append((output.size, len(part)))
         yield
-    output.tables.append(Table(path, start, output.size, tuple(slices)))
+    output.tables.append(TableIndex(path, start, output.size, tuple(slices)))
 
 
-def parts(table: dict | list, slice_records: int) -> Iterator[dict | list]:
+def split_table(table: dict | list, slice_records: int) -> Iterator[dict | list]:
     """Split a table into parts of at most `slice_records` records."""
     items = iter(table.items() if isinstance(table, dict) else table)
     while part := type(table)(islice(items, slice_records)):
         yield part
 
 
-def put(output, data):
+def append_bytes(output, data):
     """Add bytes to the output."""
     output.chunks.append(data)
     output.size += len(data)
@@ -120,29 +120,29 @@
 
 def header_bytes(count):
     """Length of the header that the encoder gives a map or list of that many items."""
-    if count < SMALL_HEADER_ITEMS:
+    if count < FIX_HEADER_ITEMS:
         return 1
-    return 3 if count < MIDDLE_HEADER_ITEMS else 5
+    return 3 if count < HEADER_16_ITEMS else 5
 
 
-def with_trailer(tables):
+def add_trailer(tables):
     """Add the length and mark by which a reader finds the tables."""
     return tables + len(tables).to_bytes(LENGTH_BYTES, "big") + SPLITS_MAGIC
 
 
-def tables_of(state: bytes) -> list[Table]:
+def read_table_index(state: bytes) -> list[TableIndex]:
     """Where the large tables of a snapshot lie; empty if it has none."""
     if not state.endswith(SPLITS_MAGIC):
         return []
     end = len(state) - len(SPLITS_MAGIC) - LENGTH_BYTES
     length = int.from_bytes(state[end : end + LENGTH_BYTES], "big")
-    return decode_tables(state[end - length : end])
+    return decode_table_index(state[end - length : end])
 
 
-def decoding(state: bytes) -> Generator[None, None, Ledger]:
+def decode_in_slices(state: bytes) -> Generator[None, None, Ledger]:
     """Decode a snapshot."""
-    tables = tables_of(state)
-    ledger = decode_state(without(state, tables))
+    tables = read_table_index(state)
+    ledger = decode_state(without_tables(state, tables))
     yield
     for table in tables:
         owner = ledger
@@ -152,7 +152,7 @@
     return ledger
 
 
-def without(state, tables):
+def without_tables(state, tables):
     """The snapshot with empty tables in place of the large ones."""
     if not tables:
         return state
@@ -177,7 +177,7 @@
         yield
 
 
-def run(work: Generator):
+def run_to_completion(work: Generator):
     """Do all steps at once; -> the result."""
     while True:
         try:
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -5,13 +5,13 @@
 from frostpost.program_ledger.state import ProgramLedger
 from frostpost.virtual_synchrony.endpoints import Member
 
-from .entities import Claim, Duty, Mark, Program, Reservation, Runner
+from .entities import Claim, ConfigVersion, Program, Reservation, Runner, SingletonRole
 
 # Names of fields in snapshots, where they differ: snapshots of earlier builds stay readable.
-NAMES_IN_SNAPSHOTS = {"clock_ms": "clockMs", "config_index": "configIndex", "program_ledger": "coppice"}
+SNAPSHOT_FIELD_NAMES = {"clock_ms": "clockMs", "config_index": "configIndex", "program_ledger": "coppice"}
 
 
-class Ledger(Struct, rename=NAMES_IN_SNAPSHOTS):
+class Ledger(Struct, rename=SNAPSHOT_FIELD_NAMES):
     """Everything that replicas agree on: programs, keys, runners, configurations, duties and voters."""
 
     index: int = 0
@@ -26,11 +26,11 @@
     runners: dict[str, Runner] = {}
     leaving: dict[str, int] = {}
     running: dict[str, int] = {}
-    configs: dict[str, Mark] = {}
+    configs: dict[str, ConfigVersion] = {}
     config_index: int = 0
-    duties: dict[str, Duty] = {}
+    duties: dict[str, SingletonRole] = {}
     expiries: list[tuple[int, str, str]] = []
     fired: dict[str, int] = {}
     rules: int = 1
-    past: dict[str, list[Mark]] = {}
+    past: dict[str, list[ConfigVersion]] = {}
     program_ledger: ProgramLedger = field(default_factory=ProgramLedger)
--- a/frostpost/simulator/explore_context.py
+++ b/frostpost/simulator/explore_context.py
@@ -47,7 +47,7 @@
 def finished(work):
     """Work without pauses."""
     yield from ()
-    return snapshots.run(work)
+    return snapshots.run_to_completion(work)
 
 
 SHARED = [
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -187,7 +187,7 @@
     "stale_voters": [(primary_component, "become_ready", stale_voters)],
     "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
-    "any_voters": [(applying, "voters_", any_voters)],
+    "any_voters": [(applying, "change_voters", any_voters)],
     "always_leased": [(leases, "holds_lease", always_leased)],
     "echo_for_all": [(failure_detector, "on_heartbeat", echo_for_all)],
     "lease_from_receipt": [(failure_detector, "on_heartbeat", lease_from_receipt)],
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 
 from frostpost.daemon.core import OperationDecided
-from frostpost.ledger.apply import apply, decode_op, encode
+from frostpost.ledger.apply import apply, decode_operation, encode
 from frostpost.ledger.operations import ClaimKey, OpenPrimary, SetConfig, Settle, Unclaim
 from frostpost.ledger.results import ConfigSet, Done, Reserved, Won
 from frostpost.ledger.state import Ledger
@@ -49,7 +49,7 @@
     """Check that primary configurations have majorities and follow each other."""
     last = None
     for index in sorted(order):
-        op = decode_op(order[index].payload)
+        op = decode_operation(order[index].payload)
         if not isinstance(op, OpenPrimary):
             continue
         id = order[index].configuration
@@ -67,13 +67,13 @@
     """Check that no program spent more than its budget."""
     spent = defaultdict(int)
     for entry in order.values():
-        op = decode_op(entry.payload)
+        op = decode_operation(entry.payload)
         if isinstance(op, Settle):
             entry_of = order[op.reservation]
             granted = results.get((entry_of.sender, entry_of.number))
             if not isinstance(granted, Reserved) or op.used > granted.amount:
                 yield Broken("budget", f"{op.used} handed out against {granted}")
-            spent[decode_op(entry_of.payload).program] += op.used
+            spent[decode_operation(entry_of.payload).program] += op.used
     for program, units in spent.items():
         if units > budget_of:
             yield Broken("budget", f"{program} was handed {units} of {budget_of}")
@@ -84,7 +84,7 @@
     held = {}
     for index in sorted(order):
         entry = order[index]
-        op = decode_op(entry.payload)
+        op = decode_operation(entry.payload)
         said = results.get((entry.sender, entry.number))
         if isinstance(op, ClaimKey) and said and isinstance(said, Won):
             if op.key in held:
@@ -99,7 +99,7 @@
     acked = {}
     for index in sorted(order):
         entry = order[index]
-        op = decode_op(entry.payload)
+        op = decode_operation(entry.payload)
         said = results.get((entry.sender, entry.number))
         if isinstance(op, SetConfig) and said and isinstance(said, ConfigSet):
             key = (op.path, said.version)
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -4,7 +4,7 @@
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger import keys, programs
-from frostpost.ledger.entities import Mark
+from frostpost.ledger.entities import ConfigVersion
 from frostpost.ledger.results import ConfigSet, Won
 from frostpost.virtual_synchrony import (
     acknowledgements,
@@ -68,7 +68,7 @@
     """Plant: take a configuration without comparing its version."""
     mark = ledger.configs.get(op.path)
     version = op.if_version + 1
-    ledger.configs[op.path] = Mark(version, op.digest, op.size, op.source, op.number, entry.index)
+    ledger.configs[op.path] = ConfigVersion(version, op.digest, op.size, op.source, op.number, entry.index)
     return ConfigSet(version, entry.index) if mark is None or version else None
 
 
@@ -124,7 +124,7 @@
     "deliver_unsafe": [(ordering, "deliver_safe_entries", eager_deliver)],
     "no_lease": [(leases, "holds_lease", ever_leased)],
     "free_claim": [(keys, "claim", free_claim)],
-    "no_compare": [(applying, "config", no_compare)],
+    "no_compare": [(applying, "set_config", no_compare)],
     "budget_forgotten": [(programs, "reserve", loose_reserve)],
     "no_rebroadcast": [(recovery, "send_rebroadcasts", no_union)],
     "apply_before_open": [(delivery, "apply_pending", eager_drain)],
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -8,7 +8,7 @@
 from frostpost.ledger import singleton_roles
 from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import (
-    SWAP_RULES,
+    VOTER_EXCHANGE_RULES,
     ClaimKey,
     Drain,
     Finish,
@@ -20,7 +20,7 @@
     Tick,
     Unclaim,
 )
-from frostpost.ledger.programs import line
+from frostpost.ledger.programs import history_line
 from frostpost.ledger.results import Reserved, Won
 from frostpost.virtual_synchrony.events import OperationSubmitted, SetVoters
 from frostpost.virtual_synchrony.quorum import is_majority
@@ -71,10 +71,10 @@
     node = random.choice(able)
     state.asked += 1
     ledger, me = node.core.ledger, node.endpoint.member
-    fence = singleton_roles.held(ledger, "list", me)
+    fence = singleton_roles.fencing_token(ledger, "list", me)
     if fence and not ledger.runners:
         return ask(world, node.name, Runners(fence, RUNNERS))
-    fence = singleton_roles.held(ledger, "ticks", me)
+    fence = singleton_roles.fencing_token(ledger, "ticks", me)
     if fence and random.random() < 0.3:
         return ask(world, node.name, Tick(fence, 50))
     kind = random.random()
@@ -113,7 +113,12 @@
     full = {n for n, p in synchrony.peers.items() if p.ready and p.configuration == synchrony.configuration.id}
     spare = sorted(full - set(before))
     absent = sorted(set(before) - {m.name for m in synchrony.configuration.members})
-    if spare and absent and node.core.ledger.rules >= SWAP_RULES and is_majority(before, full | ready_self(node)):
+    if (
+        spare
+        and absent
+        and node.core.ledger.rules >= VOTER_EXCHANGE_RULES
+        and is_majority(before, full | ready_self(node))
+    ):
         gone = random.choice(absent)
         after = (*(v for v in before if v != gone), random.choice(spare))
     elif spare and len(before) < 5 and random.random() < 0.6:
@@ -155,7 +160,7 @@
         op = (
             Release(result.index)
             if random.random() < 0.2
-            else Settle(result.index, random.randint(0, result.amount), line("in", f"out{result.index}"))
+            else Settle(result.index, random.randint(0, result.amount), history_line("in", f"out{result.index}"))
         )
         worlds.at(world, wait_ms, "call", later, node.name, node.life, op)
     elif isinstance(result, Won):
--- a/tests/encoded_messages.py
+++ b/tests/encoded_messages.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import inspect
 
-from frostpost.ledger.operations import Op
+from frostpost.ledger.operations import Operation
 from frostpost.program_ledger.messages import ProgramResult
 from frostpost.virtual_synchrony.events import Record
 from frostpost.virtual_synchrony.frames import Frame, Message
@@ -20,7 +20,7 @@
 RECORDED = Path(__file__).parent / "data" / "encoded_messages.json"
 # What got fields at its end later, as it was encoded before: a file for each such change.
 EARLIER = sorted(RECORDED.parent.glob("encoded_messages_before_*.json"))
-UNIONS = {"message": Message, "record": Record, "operation": Op, "program result": ProgramResult}
+UNIONS = {"message": Message, "record": Record, "operation": Operation, "program result": ProgramResult}
 DEPTH = 4
 
 
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -208,7 +208,7 @@
     kept = agent_sessions.on_operation_request
 
     def asked(ctx, sessions, address, message):
-        op = operation_server.decode_op(message.payload)
+        op = operation_server.decode_operation(message.payload)
         if not isinstance(op, ReadRouting):
             return kept(ctx, sessions, address, message)
         verdict = routing_versions.read_routing(ctx.core.ledger.program_ledger, 0, op)
--- a/tests/test_cluster_operation_client.py
+++ b/tests/test_cluster_operation_client.py
@@ -5,7 +5,7 @@
 
 from frostpost.cluster import agent as assembly
 from frostpost.cluster import operation_client
-from frostpost.ledger.apply import decode_op
+from frostpost.ledger.apply import decode_operation
 from frostpost.program_ledger.messages import AbortAttempt, AttemptEnded, BeginAttempt, EndAttempt, ReadRouting
 from frostpost.proxy.failures import Unavailable
 from frostpost.virtual_synchrony.agent_messages import LeaseReply, OperationReply, OperationRequest
@@ -50,7 +50,9 @@
 
 def asked(agent):
     return [
-        (to, body.number, decode_op(body.payload)) for to, body in sent(agent) if isinstance(body, OperationRequest)
+        (to, body.number, decode_operation(body.payload))
+        for to, body in sent(agent)
+        if isinstance(body, OperationRequest)
     ]
 
 
--- a/tests/test_cluster_voter_reconfiguration.py
+++ b/tests/test_cluster_voter_reconfiguration.py
@@ -9,7 +9,7 @@
 from frostpost.cluster import voter_reconfiguration
 from frostpost.cluster.voter_policy import Tolerance
 from frostpost.daemon.machine import Machine
-from frostpost.ledger.operations import SWAP_RULES, Look
+from frostpost.ledger.operations import VOTER_EXCHANGE_RULES, Look
 from frostpost.ledger.results import Done
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.messages import CompleteRetirement
@@ -37,7 +37,7 @@
     synchrony.peers = {
         n: Peer(endpoint_of(n), configuration=ID, ready=True, status=dict(WHOLE)) for n in present if n != "s1"
     }
-    ledger = Ledger(voters=voters, rules=SWAP_RULES)
+    ledger = Ledger(voters=voters, rules=VOTER_EXCHANGE_RULES)
     ledger.program_ledger.retiring = dict.fromkeys(retiring, "in_service")
     return SimpleNamespace(
         core=SimpleNamespace(synchrony=synchrony, ledger=ledger), machine=Machine(seconds=(clock or Clock()).seconds)
@@ -136,7 +136,7 @@
 def test_before_all_know_of_exchanges_the_newcomer_is_added_first():
     clock, background = Clock(), voter_reconfiguration.VoterChanges()
     ctx = new_ctx(("s1", "s2", "s4"), VOTERS, clock=clock)
-    ctx.core.ledger.rules = SWAP_RULES - 1
+    ctx.core.ledger.rules = VOTER_EXCHANGE_RULES - 1
     wish(ctx, background)
     clock.advance(AWAY_MS / voter_reconfiguration.TO_NEWCOMER_SHARE / 1000)
     assert wish(ctx, background) == ("s1", "s2", "s3", "s4")
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,9 +1,9 @@
 from msgspec import Struct, msgpack
 
 from frostpost.ledger.apply import apply, decode_state, encode
-from frostpost.ledger.entities import Duty, Runner
+from frostpost.ledger.entities import Runner, SingletonRole
 from frostpost.ledger.operations import Reserve, Rules, Settle, Tick
-from frostpost.ledger.programs import line
+from frostpost.ledger.programs import history_line
 from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
@@ -18,7 +18,7 @@
     def __init__(self, rules=2):
         self.ledger, self.number = Ledger(runners={"r1": RUNNER}), 0
         self.tell(OpenPrimary((ME,), (), ("s1",)))
-        self.ledger.duties["ticks"] = Duty(ME, 5)
+        self.ledger.duties["ticks"] = SingletonRole(ME, 5)
         self.tell(Rules(rules))
 
     def tell(self, op):
@@ -32,7 +32,7 @@
     def turn(self, output="out", retention_ms=60000, budget=100, budget_retention_ms=600000, used=40):
         said = self.tell(Reserve("p", 60, budget, retention_ms, ("pool",), (("r1", "i"),), (), budget_retention_ms))
         if isinstance(said, Reserved):
-            assert isinstance(self.tell(Settle(said.index, used, line("in", output))), Done)
+            assert isinstance(self.tell(Settle(said.index, used, history_line("in", output))), Done)
         return said
 
     def wait(self, wait_ms):
@@ -78,7 +78,7 @@
     book.turn("short", retention_ms=1000)
     book.wait(59000)
     book.tell(OpenPrimary((Member("e9", 9),), (), ("s1",)))
-    book.ledger.duties["ticks"] = Duty(ME, 5)
+    book.ledger.duties["ticks"] = SingletonRole(ME, 5)
     book.wait(900)
     assert book.lines() == ["long", "short"]
 
@@ -121,11 +121,11 @@
 def test_frames_recorded_of_the_version_before_are_understood():
     from pathlib import Path
 
-    from frostpost.ledger.operations import Op
+    from frostpost.ledger.operations import Operation
     from frostpost.virtual_synchrony.frames import Frame
     from frostpost.virtual_synchrony.messages import Heartbeat
 
-    types = {"frame": Frame, "op": Op, "state": Ledger}
+    types = {"frame": Frame, "op": Operation, "state": Ledger}
     rows = (Path(__file__).parent / "traces" / "wire1.frames").read_text().split("\n")
     said = [
         (kind, msgpack.decode(bytes.fromhex(raw), type=types[kind]))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -6,7 +6,7 @@
 from frostpost.ledger.apply import encode as encode_state
 from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Ballot, ClaimKey, Drain, Finish, Reserve, SetConfig, Settle, Tick
-from frostpost.ledger.programs import line
+from frostpost.ledger.programs import history_line
 from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
@@ -66,7 +66,7 @@
 @when(parsers.parse("{who} settles it with {used:d}"))
 def settles(table, who, used):
     index = next(v.index for v in reversed(table.results) if isinstance(v, Reserved))
-    table.deliver(who, Settle(index, used, line("in", "out")))
+    table.deliver(who, Settle(index, used, history_line("in", "out")))
 
 
 @when(parsers.parse("{who} drains {runner}"))
--- a/tests/test_ledger_voters.py
+++ b/tests/test_ledger_voters.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from frostpost.ledger.apply import act
-from frostpost.ledger.operations import SWAP_RULES
+from frostpost.ledger.apply import apply_operation
+from frostpost.ledger.operations import VOTER_EXCHANGE_RULES
 from frostpost.ledger.results import NotHeld, VotersSet
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
@@ -14,10 +14,10 @@
 VOTERS = ("s1", "s2", "s3")
 
 
-def result(after, members=("s1", "s2", "s4"), rules=SWAP_RULES, before=VOTERS, configuration=ID):
+def result(after, members=("s1", "s2", "s4"), rules=VOTER_EXCHANGE_RULES, before=VOTERS, configuration=ID):
     ledger = Ledger(voters=VOTERS, rules=rules, members=tuple(Member(name, 1) for name in members))
     op = SetVoters(configuration, before, after)
-    found = act(ledger, Entry(ID, 2, 2, Member("s1", 1), 1, b""), op)
+    found = apply_operation(ledger, Entry(ID, 2, 2, Member("s1", 1), 1, b""), op)
     assert ledger.voters == (after if isinstance(found, VotersSet) else VOTERS)
     return type(found)
 
@@ -37,7 +37,7 @@
 
 
 def test_nothing_is_exchanged_while_a_daemon_may_not_know_of_it():
-    assert result(("s1", "s2", "s4"), rules=SWAP_RULES - 1) is NotHeld
+    assert result(("s1", "s2", "s4"), rules=VOTER_EXCHANGE_RULES - 1) is NotHeld
 
 
 def test_a_step_counts_for_the_voters_and_the_configuration_that_it_names():
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -11,7 +11,7 @@
 from frostpost.daemon.core import SnapshotSlice
 from frostpost.ledger import snapshots
 from frostpost.ledger.apply import decode_state, encode
-from frostpost.ledger.entities import Mark
+from frostpost.ledger.entities import ConfigVersion
 from frostpost.ledger.state import Ledger
 from frostpost.program_ledger.state import Account, OperationKey, ProgramLedger, Turn
 from frostpost.virtual_synchrony.endpoints import Member
@@ -29,7 +29,7 @@
         routing_version=9,
     )
     sessions = {n: (random.randrange(1 << 50), 3) for n in names[: turns // 3]}
-    past = {"a": [Mark(1, "d", 2, "s", 3, 4)]}
+    past = {"a": [ConfigVersion(1, "d", 2, "s", 3, 4)]}
     return Ledger(7, 8, (Member("s1", 3),), sessions=sessions, past=past, program_ledger=inner)
 
 
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize("slice_records", (1, 15, 16, 17, 400))
 def test_a_snapshot_in_slices_is_read_by_any_reader(turns, slice_records):
     ledger = ledger_of(turns)
-    state = snapshots.run(snapshots.encoding(ledger, slice_records))
+    state = snapshots.run_to_completion(snapshots.encode_in_slices(ledger, slice_records))
     assert decode_state(state) == ledger
-    assert snapshots.run(snapshots.decoding(state)) == ledger
+    assert snapshots.run_to_completion(snapshots.decode_in_slices(state)) == ledger
 
 
 @pytest.mark.parametrize("slice_records", (1, 50))
@@ -47,7 +47,7 @@
     most = []
     real = snapshots.header_bytes
     monkeypatch.setattr(snapshots, "header_bytes", lambda count: most.append(count) or real(count))
-    snapshots.run(snapshots.encoding(ledger_of(300), slice_records))
+    snapshots.run_to_completion(snapshots.encode_in_slices(ledger_of(300), slice_records))
     assert max(most) == slice_records
 
 
@@ -62,7 +62,7 @@
             "coppice": Raw(encode(ProgramLedger(routing_version=4))),
         }
     )
-    ledger = snapshots.run(snapshots.decoding(state))
+    ledger = snapshots.run_to_completion(snapshots.decode_in_slices(state))
     assert (ledger.index, ledger.clock_ms, ledger.config_index, ledger.voters) == (5, 6, 7, ("s1",))
     assert ledger.program_ledger.routing_version == 4
 
