--- a/frostpost/ledger/__init__.py
+++ b/frostpost/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated state of the own HTTP interface; pure functions of (state, ordered entry)."""
+"""Replicated state machine of the HTTP interface: pure functions of the state and one ordered entry."""
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -1,4 +1,4 @@
-"""Apply ordered entries to the ledger: one function of (ledger, entry) that every replica runs alike."""
+"""Application of ordered entries to the ledger; deterministic, so that all replicas reach the same state."""
 
 from heapq import heappop, heappush
 
@@ -38,7 +38,7 @@
 
 
 def apply(ledger, entry):
-    """Apply one ordered entry and return (ledger, result); an entry seen before from its sender has the result None."""
+    """Apply one ordered entry. Returns (ledger, result); the result is None for a duplicate of its sender's."""
     ledger.index = entry.index
     if entry.number:
         incarnation, number = ledger.sessions.get(entry.sender.name, (0, 0))
@@ -49,19 +49,19 @@
 
 
 def apply_operation(ledger, entry, op) -> Result:
-    """Carry out the operation of an entry and return its result."""
+    """Execute the operation of an entry and return its result."""
     if program_ledgers.handles(op):
         members = tuple(m.name for m in ledger.members)
         return program_ledgers.apply_operation(ledger.program_ledger, ledger.clock_ms, members, ledger.voters, op)
     match op:
         case OpenPrimary(members, cores, voters):
-            stopped = bool(ledger.members) and not set(ledger.members) & set(members)
+            all_restarted = bool(ledger.members) and not set(ledger.members) & set(members)
             ledger.members, ledger.cores = members, cores
             ledger.voters = ledger.voters or voters
             programs.end_orphaned_reservations(ledger)
             keys.end_orphaned_claims(ledger)
             singleton_roles.vacate_departed(ledger)
-            if stopped:
+            if all_restarted:
                 keys.restart_windows(ledger)
                 programs.restart_retention(ledger)
             return Done(entry.index)
@@ -98,11 +98,11 @@
             return change_voters(ledger, entry, op)
         case Ballot():
             return singleton_roles.count_ballot(ledger, entry, op)
-    raise TypeError(f"no operation of the ledger: {type(op).__name__}")
+    raise TypeError(f"not a ledger operation: {type(op).__name__}")
 
 
 def advance_clock(ledger, entry, op):
-    """Advance the ledger's clock by the elapsed milliseconds and remove what has expired by then."""
+    """Advance the ledger's clock by the elapsed milliseconds and run the expiries that are due."""
     error = singleton_roles.fencing_error(ledger, "ticks", entry, op.fence)
     if error:
         return error
@@ -115,7 +115,7 @@
 
 
 def replace_runners(ledger, entry, op):
-    """Replace the list of runners; drain marks of runners that are gone expire after `ABSENT_MS`."""
+    """Replace the list of runners; drain marks of unlisted runners expire after DRAIN_MARK_RETENTION_MS."""
     error = singleton_roles.fencing_error(ledger, "list", entry, op.fence)
     if error:
         return error
@@ -127,17 +127,17 @@
     return Done(entry.index)
 
 
-def expire_leaving(ledger, key):
-    """Drop the drain mark of a runner instance that is not listed any more."""
+def expire_drain_mark(ledger, key):
+    """Remove the drain mark of a runner instance that is no longer listed."""
     if key not in {programs.instance_key(r) for r in ledger.runners.values()}:
         ledger.leaving.pop(key, None)
 
 
-EXPIRY_HANDLERS = {"program": programs.expire, "key": keys.expire, "leaving": expire_leaving}
+EXPIRY_HANDLERS = {"program": programs.expire, "key": keys.expire, "leaving": expire_drain_mark}
 
 
 def set_draining(ledger, entry, op):
-    """Mark a runner as draining, or take the mark away."""
+    """Set or clear the drain mark of a runner instance."""
     runner = ledger.runners.get(op.runner)
     if runner is None:
         return NotHeld("runner")
@@ -149,20 +149,20 @@
 
 
 def record_firing(ledger, entry, op):
-    """Record that a calendar fired and take its configuration change, if it has one."""
+    """Record that a calendar fired and apply its configuration change, if any."""
     error = singleton_roles.fencing_error(ledger, "calendars", entry, op.fence)
     if error:
         return error
     if op.at_s <= ledger.fired.get(op.path, 0):
         return NotHeld("calendar")
-    said = Done(entry.index) if op.change is None else set_config(ledger, entry, op.change)
-    if not isinstance(said, StaleConfig):
+    result = Done(entry.index) if op.change is None else set_config(ledger, entry, op.change)
+    if not isinstance(result, StaleConfig):
         ledger.fired[op.path] = op.at_s
-    return said
+    return result
 
 
 def change_voters(ledger, entry, op):
-    """Change the voters by one step, if the caller saw the current set in the configuration in force."""
+    """Change the voters by one step, if the operation names the current voters and the current configuration."""
     if op.before != ledger.voters or op.configuration != entry.configuration or not is_single_step(ledger, op):
         return NotHeld("voters")
     ledger.voters = op.after
@@ -170,17 +170,17 @@
 
 
 def is_single_step(ledger, op):
-    """One voter more or less, or one that is no member exchanged for another.
+    """Return whether a change adds one voter, removes one, or replaces one that is not a member.
 
-    Quorums of the set before, of which the members hold the change, and of the set after then always meet.
+    Every quorum of the old voters then intersects every quorum of the new ones.
     """
-    gone, new = set(op.before) - set(op.after), set(op.after) - set(op.before)
-    if len(gone) + len(new) == 1:
+    removed, added = set(op.before) - set(op.after), set(op.after) - set(op.before)
+    if len(removed) + len(added) == 1:
         return True
-    exchanged = len(gone) == len(new) == 1 and ledger.rules >= VOTER_EXCHANGE_RULES
-    return exchanged and gone.isdisjoint(member.name for member in ledger.members)
+    is_exchange = len(removed) == len(added) == 1 and ledger.rules >= VOTER_EXCHANGE_RULES
+    return is_exchange and removed.isdisjoint(member.name for member in ledger.members)
 
 
 def set_config(ledger, entry, op):
-    """Take a new version of one configuration document."""
+    """Set a new version of one configuration document."""
     return config_versions.set_document(ledger, entry, op)
--- a/frostpost/ledger/config_versions.py
+++ b/frostpost/ledger/config_versions.py
@@ -1,4 +1,4 @@
-"""Versions of configuration documents: compare-and-set, and the last `PAST` versions of each."""
+"""Versions of configuration documents: compare-and-set, with the last RETAINED_VERSIONS versions of each."""
 
 from .entities import ConfigVersion
 from .operations import Change
@@ -11,31 +11,31 @@
 
 
 def current_version(ledger, path):
-    """Return the current version of a document, 0 if there is none."""
-    mark = ledger.configs.get(path)
-    return mark.version if mark and mark.digest != REMOVED_DIGEST else 0
+    """Return the current version number of a document, 0 if it does not exist."""
+    current = ledger.configs.get(path)
+    return current.version if current and current.digest != REMOVED_DIGEST else 0
 
 
 def version_conflict(ledger, path, if_version):
-    """Return StaleConfig if a document is not at the version that the caller expects, else None."""
+    """Return StaleConfig if a document is not at the expected version, else None."""
     version = current_version(ledger, path)
     return StaleConfig(path, version) if version != if_version else None
 
 
 def record_version(ledger, entry, change):
-    """Record a new version of a document and return its number."""
-    before = ledger.configs.get(change.path)
-    version = (before.version if before else 0) + 1
-    mark = ConfigVersion(version, change.digest, change.size, change.source, change.number, entry.index)
-    ledger.configs[change.path] = mark
+    """Record a new version of a document and return its version number."""
+    previous = ledger.configs.get(change.path)
+    number = (previous.version if previous else 0) + 1
+    version = ConfigVersion(number, change.digest, change.size, change.source, change.number, entry.index)
+    ledger.configs[change.path] = version
     ledger.config_index = entry.index
     if ledger.rules >= 2:
-        ledger.past[change.path] = [*ledger.past.get(change.path, ()), mark][-RETAINED_VERSIONS:]
-    return version
+        ledger.past[change.path] = [*ledger.past.get(change.path, ()), version][-RETAINED_VERSIONS:]
+    return number
 
 
 def set_document(ledger, entry, op):
-    """Change one document, if it and the documents it was checked against are unchanged."""
+    """Set one document, if it and the documents it was validated against are unchanged."""
     error = version_conflict(ledger, op.path, op.if_version) or stale_config(ledger, op.bases)
     if error:
         return error
@@ -44,7 +44,7 @@
 
 
 def set_documents(ledger, entry, op):
-    """Change several documents as one, if nothing changed since the caller read them."""
+    """Set several documents atomically, if no document has changed since the caller read them."""
     if op.index != ledger.config_index:
         return StaleConfig(ALL_DOCUMENTS, ledger.config_index)
     for change in op.changes:
--- a/frostpost/ledger/entities.py
+++ b/frostpost/ledger/entities.py
@@ -1,4 +1,4 @@
-"""Records that make up the replicated state of the own interface."""
+"""Records of the replicated state of the HTTP interface."""
 
 from msgspec import Struct
 
@@ -6,7 +6,7 @@
 
 
 class HistoryLine(Struct, array_like=True, frozen=True):
-    """One turn in a program's history: its input, output and checksum."""
+    """One completed turn in a program's history, with a CRC-32 of its input and output."""
 
     input: str
     output: str
@@ -14,7 +14,11 @@
 
 
 class Program(Struct, array_like=True):
-    """Budget in units, retention in milliseconds and history of one program."""
+    """Budget in units, retention and history of one program.
+
+    `turn` is the number of the open reservation, 0 if there is none; `due_ms` is when its next expiry check is
+    scheduled, 0 if none is.
+    """
 
     budget: int
     retention_ms: int
@@ -30,7 +34,7 @@
 
 
 class Reservation(Struct, array_like=True, frozen=True):
-    """Units and a runner's slot that a turn holds while it runs."""
+    """Budget units and a runner's slot reserved by a running turn."""
 
     program: str
     owner: Member
@@ -39,7 +43,10 @@
 
 
 class Claim(Struct, array_like=True):
-    """An idempotency key: its owner, request digest, state and result."""
+    """An idempotency key: its owner, request digest, state and result.
+
+    `ended_ms` is -1 until the key has a final state.
+    """
 
     digest: str
     owner: Member
@@ -50,7 +57,7 @@
 
 
 class Runner(Struct, array_like=True, frozen=True):
-    """A runner as the platform lists it; room: how many calls it takes at once."""
+    """A runner as listed by the platform; `room` is how many calls it accepts at once."""
 
     name: str
     instance: str
@@ -62,7 +69,11 @@
 
 
 class ConfigVersion(Struct, array_like=True, frozen=True):
-    """One version of a configuration document: its digest, size, source and ledger index."""
+    """One version of a configuration document.
+
+    `source` and `number` identify its body, an empty digest stands for a removed document, `index` is its place in the
+    order.
+    """
 
     version: int
     digest: str
@@ -73,7 +84,7 @@
 
 
 class SingletonRole(Struct, array_like=True):
-    """A background duty with its holder, fencing token and the votes of the open round."""
+    """A background role held by one member at a time, with its fencing token and the ballots of the open round."""
 
     holder: Member | None = None
     fence: int = 0
--- a/frostpost/ledger/keys.py
+++ b/frostpost/ledger/keys.py
@@ -7,57 +7,57 @@
 
 
 def claim(ledger, entry, op):
-    """Give a key to its first claimant; later claimants get the state and result of the first."""
-    held = ledger.keys.get(op.key)
-    if held is None:
+    """Give a key to its first claimant; later claimants get its state and result."""
+    existing = ledger.keys.get(op.key)
+    if existing is None:
         ledger.keys[op.key] = Claim(op.digest, entry.sender, op.window_ms)
         return Won(entry.index)
-    if held.digest != op.digest:
+    if existing.digest != op.digest:
         return KeyReused(op.key)
-    return Shared(held.status, held.result)
+    return Shared(existing.status, existing.result)
 
 
 def complete(ledger, key, status, result):
-    """Record the final state of a key and schedule its removal."""
-    held = ledger.keys[key]
-    held.status, held.result, held.ended_ms = status, result, ledger.clock_ms
-    heappush(ledger.expiries, (ledger.clock_ms + held.window_ms, "key", key))
+    """Record the final state of a key and schedule its expiry."""
+    existing = ledger.keys[key]
+    existing.status, existing.result, existing.ended_ms = status, result, ledger.clock_ms
+    heappush(ledger.expiries, (ledger.clock_ms + existing.window_ms, "key", key))
 
 
 def finish(ledger, entry, op):
-    """Record the result of a key that its owner ran."""
-    held = ledger.keys.get(op.key)
-    if held is None or held.owner != entry.sender or held.status != "held":
+    """Record the result of a key, as reported by its owner."""
+    existing = ledger.keys.get(op.key)
+    if existing is None or existing.owner != entry.sender or existing.status != "held":
         return NotHeld("key")
     complete(ledger, op.key, op.status, op.result)
     return Done(entry.index)
 
 
 def unclaim(ledger, entry, op):
-    """Give up a key whose work never ran."""
-    held = ledger.keys.get(op.key)
-    if held is None or held.owner != entry.sender or held.status != "held":
+    """Release a key whose request was never executed."""
+    existing = ledger.keys.get(op.key)
+    if existing is None or existing.owner != entry.sender or existing.status != "held":
         return NotHeld("key")
     del ledger.keys[op.key]
     return Done(entry.index)
 
 
 def end_orphaned_claims(ledger):
-    """End the keys of members that are gone; their outcome is unknown."""
-    for key, held in ledger.keys.items():
-        if held.status == "held" and held.owner not in ledger.members:
+    """End the open keys of departed members with the status "unknown"."""
+    for key, existing in ledger.keys.items():
+        if existing.status == "held" and existing.owner not in ledger.members:
             complete(ledger, key, "unknown", b"")
 
 
 def restart_windows(ledger):
-    """Start the windows of ended keys again, after a time in which no ledger clock ran."""
-    for key, held in ledger.keys.items():
-        if held.ended_ms >= 0:
-            complete(ledger, key, held.status, held.result)
+    """Restart the windows of completed keys after a full stop, during which the ledger's clock did not advance."""
+    for key, existing in ledger.keys.items():
+        if existing.ended_ms >= 0:
+            complete(ledger, key, existing.status, existing.result)
 
 
 def expire(ledger, key):
     """Remove a key whose window has passed."""
-    held = ledger.keys.get(key)
-    if held and held.ended_ms >= 0 and ledger.clock_ms - held.ended_ms >= held.window_ms:
+    existing = ledger.keys.get(key)
+    if existing and existing.ended_ms >= 0 and ledger.clock_ms - existing.ended_ms >= existing.window_ms:
         del ledger.keys[key]
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -1,4 +1,4 @@
-"""Operations on the ledger, in their wire form."""
+"""Operations on the ledger, as encoded in ordered entries."""
 
 from msgspec import Struct
 
@@ -9,14 +9,18 @@
 
 
 class Tick(Struct, array_like=True, frozen=True, tag="tick"):
-    """Advance the ledger's clock by elapsed milliseconds; only the holder of the duty may."""
+    """Advance the ledger's clock; accepted only from the holder of the role "ticks"."""
 
     fence: int
     elapsed_ms: int
 
 
 class Reserve(Struct, array_like=True, frozen=True, tag="reserve"):
-    """Reserve budget and a runner for a turn, from candidates in order of preference."""
+    """Reserve budget units and a runner for a turn.
+
+    `candidates` are pairs of a runner's name and instance in order of preference; `config_versions` are the versions of
+    the documents that the route was made from.
+    """
 
     program: str
     amount: int
@@ -29,7 +33,7 @@
 
 
 class Settle(Struct, array_like=True, frozen=True, tag="settle"):
-    """End a turn that ran: units used and the line for the history, None if it was cut."""
+    """End an executed turn with the units used and its history line, None if the output was incomplete."""
 
     reservation: int
     used: int
@@ -37,7 +41,7 @@
 
 
 class Release(Struct, array_like=True, frozen=True, tag="release"):
-    """End a turn that never ran."""
+    """End a turn that was never executed."""
 
     reservation: int
 
@@ -59,7 +63,7 @@
 
 
 class Unclaim(Struct, array_like=True, frozen=True, tag="unclaim"):
-    """Give up a claimed key whose work never ran."""
+    """Release a claimed key whose request was never executed."""
 
     key: str
 
@@ -72,14 +76,17 @@
 
 
 class Drain(Struct, array_like=True, frozen=True, tag="drain"):
-    """Mark a runner as draining, or take the mark away."""
+    """Set or clear the drain mark of a runner."""
 
     runner: str
     leaving: bool
 
 
 class SetConfig(Struct, array_like=True, frozen=True, tag="config"):
-    """Change one configuration document, compared with its version and those of its bases."""
+    """Set one configuration document, if it and its bases are at the given versions.
+
+    `bases` are the documents that it was validated against; an empty digest removes the document.
+    """
 
     path: str
     digest: str
@@ -91,7 +98,7 @@
 
 
 class Change(Struct, array_like=True, frozen=True):
-    """One document's change within a SetMany."""
+    """Change of one document within a SetMany."""
 
     path: str
     digest: str
@@ -102,20 +109,20 @@
 
 
 class SetMany(Struct, array_like=True, frozen=True, tag="many"):
-    """Change several documents as one, compared with the index of the last change."""
+    """Set several documents atomically, if `index` is still that of the last change."""
 
     changes: tuple[Change, ...]
     index: int
 
 
 class Rules(Struct, array_like=True, frozen=True, tag="rules"):
-    """Raise the version of the rules that the ledger goes by."""
+    """Raise the version of the ledger's rules."""
 
     version: int
 
 
 class Fire(Struct, array_like=True, frozen=True, tag="fire"):
-    """Record that a calendar fired at a wall-clock second, with its change if it has one."""
+    """Record that a calendar fired at a wall-clock second, with its configuration change, if any."""
 
     fence: int
     path: str
@@ -123,16 +130,16 @@
     change: SetConfig | None
 
 
-# The rules of the ledger from which on a voter that is no member may be exchanged in one step.
+# First version of the rules that allows replacing a voter that is not a member in one step.
 VOTER_EXCHANGE_RULES = 3
 
 
 class Look(Struct, array_like=True, frozen=True, tag="look"):
-    """Take a place in the order without changing anything: a linearizable read."""
+    """Ordered no-op, for a linearizable read."""
 
 
 class Ballot(Struct, array_like=True, frozen=True, tag="ballot"):
-    """A vote for the holder of a duty."""
+    """Vote for the holder of a singleton role."""
 
     role: str
     round: int
--- a/frostpost/ledger/programs.py
+++ b/frostpost/ledger/programs.py
@@ -12,18 +12,18 @@
     return HistoryLine(input, output, crc32(output.encode(), crc32(input.encode())))
 
 
-def is_intact(kept):
-    """Tell whether a history line matches its checksum."""
-    return crc32(kept.output.encode(), crc32(kept.input.encode())) == kept.sum
+def is_intact(line):
+    """Return whether a history line matches its checksum."""
+    return crc32(line.output.encode(), crc32(line.input.encode())) == line.sum
 
 
 def instance_key(runner):
-    """Return the name of one instance of a runner, as `NAME/INSTANCE`."""
+    """Return the key of a runner's instance, as `NAME/INSTANCE`."""
     return f"{runner.name}/{runner.instance}"
 
 
 def admissible_runner(ledger, name, instance, pools):
-    """Return the runner of that name if it may take another turn now, else None."""
+    """Return the runner of this name if it can accept another turn, else None."""
     runner = ledger.runners.get(name)
     if runner is None or runner.instance != instance or instance_key(runner) in ledger.leaving:
         return None
@@ -32,17 +32,17 @@
     return runner
 
 
-def stale_config(ledger, marks):
-    """Return StaleConfig for the first configuration that is not at the caller's version, else None."""
-    for path, version in marks:
-        mark = ledger.configs.get(path)
-        held = mark.version if mark and mark.digest else 0
-        if held != version:
-            return StaleConfig(path, held)
+def stale_config(ledger, expected_versions):
+    """Return StaleConfig for the first document that is not at its expected version, else None."""
+    for path, expected in expected_versions:
+        version = ledger.configs.get(path)
+        current = version.version if version and version.digest else 0
+        if current != expected:
+            return StaleConfig(path, current)
 
 
 def reserve(ledger, entry, op):
-    """Reserve units of a program's budget and a slot of a runner for one turn."""
+    """Reserve units of a program's budget and a runner's slot for one turn."""
     error = stale_config(ledger, op.config_versions)
     if error:
         return error
@@ -57,8 +57,8 @@
     amount = min(op.amount, program.budget - program.spent - program.reserved)
     if amount <= 0:
         return BudgetSpent(program.budget, program.spent)
-    found = (admissible_runner(ledger, n, i, op.pools) for n, i in op.candidates)
-    runner = next((r for r in found if r), None)
+    admissible = (admissible_runner(ledger, name, instance, op.pools) for name, instance in op.candidates)
+    runner = next((r for r in admissible if r), None)
     if runner is None:
         return NoRunner(len(op.candidates))
     ledger.programs[op.program] = program
@@ -70,46 +70,46 @@
 
 
 def extend_retention(ledger, name, program):
-    """Extend the retention of a program from now on."""
-    now = program.touched_ms = ledger.clock_ms
+    """Extend the retention of a program and of its budget from the ledger's current time."""
+    now_ms = program.touched_ms = ledger.clock_ms
     if ledger.rules < 2:
-        heappush(ledger.expiries, (now + program.retention_ms, "program", name))
+        heappush(ledger.expiries, (now_ms + program.retention_ms, "program", name))
         return
-    program.retained_until_ms = max(program.retained_until_ms, now + program.retention_ms)
+    program.retained_until_ms = max(program.retained_until_ms, now_ms + program.retention_ms)
     program.budget_retained_until_ms = max(
-        program.budget_retained_until_ms, program.retained_until_ms, now + program.budget_retention_ms
+        program.budget_retained_until_ms, program.retained_until_ms, now_ms + program.budget_retention_ms
     )
     if not program.due_ms:
         schedule_expiry(ledger, name, program)
 
 
 def schedule_expiry(ledger, name, program):
-    """Schedule the next check of a program's retention."""
+    """Schedule the next expiry check of a program."""
     program.due_ms = program.retained_until_ms if program.lines or program.turn else program.budget_retained_until_ms
     heappush(ledger.expiries, (program.due_ms, "program", name))
 
 
 def close_reservation(ledger, number, used):
-    """End a reservation, account the units used and return the program."""
-    held = ledger.reservations.pop(number)
-    program = ledger.programs[held.program]
-    program.reserved -= held.amount
-    program.spent += min(used, held.amount)
+    """End a reservation, charge the units used and return the program."""
+    reservation = ledger.reservations.pop(number)
+    program = ledger.programs[reservation.program]
+    program.reserved -= reservation.amount
+    program.spent += min(used, reservation.amount)
     if program.turn == number:
         program.turn = 0
-    extend_retention(ledger, held.program, program)
-    left = ledger.running.get(held.runner, 0) - 1
-    if left > 0:
-        ledger.running[held.runner] = left
+    extend_retention(ledger, reservation.program, program)
+    running = ledger.running.get(reservation.runner, 0) - 1
+    if running > 0:
+        ledger.running[reservation.runner] = running
     else:
-        ledger.running.pop(held.runner, None)
+        ledger.running.pop(reservation.runner, None)
     return program
 
 
 def settle(ledger, entry, op):
-    """End a turn that ran and append its line to the program's history."""
-    held = ledger.reservations.get(op.reservation)
-    if held is None or held.owner != entry.sender:
+    """End an executed turn and append its line to the program's history."""
+    reservation = ledger.reservations.get(op.reservation)
+    if reservation is None or reservation.owner != entry.sender:
         return NotHeld("reservation")
     program = close_reservation(ledger, op.reservation, op.used)
     if op.line is not None:
@@ -118,23 +118,23 @@
 
 
 def release(ledger, entry, op):
-    """End a turn that never ran; nothing is spent."""
-    held = ledger.reservations.get(op.reservation)
-    if held is None or held.owner != entry.sender:
+    """End a turn that was never executed; no units are charged."""
+    reservation = ledger.reservations.get(op.reservation)
+    if reservation is None or reservation.owner != entry.sender:
         return NotHeld("reservation")
     close_reservation(ledger, op.reservation, 0)
     return Done(entry.index)
 
 
 def end_orphaned_reservations(ledger):
-    """End the reservations of members that are gone; all that they reserved counts as spent."""
-    for number, held in list(ledger.reservations.items()):
-        if held.owner not in ledger.members:
-            close_reservation(ledger, number, held.amount)
+    """End the reservations of departed members and charge them in full, as their outcome is unknown."""
+    for number, reservation in list(ledger.reservations.items()):
+        if reservation.owner not in ledger.members:
+            close_reservation(ledger, number, reservation.amount)
 
 
 def restart_retention(ledger):
-    """Start the retention of every program again, after a time in which no ledger clock ran."""
+    """Restart the retention of all programs after a full stop, during which the ledger's clock did not advance."""
     for name, program in ledger.programs.items():
         program.retained_until_ms += ledger.clock_ms - program.touched_ms
         program.budget_retained_until_ms += ledger.clock_ms - program.touched_ms
@@ -142,7 +142,7 @@
 
 
 def expire(ledger, name):
-    """Drop the history or the whole of a program whose retention has passed."""
+    """Remove a program's history, and the program itself, once their retention has passed."""
     program = ledger.programs.get(name)
     if program is None:
         return
--- a/frostpost/ledger/results.py
+++ b/frostpost/ledger/results.py
@@ -1,4 +1,4 @@
-"""Results of the ledger's operations, in their wire form."""
+"""Results of the ledger's operations, as sent to other daemons."""
 
 from msgspec import Struct
 
@@ -8,13 +8,13 @@
 
 
 class Done(Struct, array_like=True, frozen=True, tag="done"):
-    """The operation took effect at this index."""
+    """The operation took effect at this ledger index."""
 
     index: int
 
 
 class Reserved(Struct, array_like=True, frozen=True, tag="reserved"):
-    """A reservation: its number, runner, units and the program's history so far."""
+    """The turn's reservation: its number, runner, units and the program's history so far."""
 
     index: int
     runner: Runner
@@ -29,21 +29,21 @@
 
 
 class Shared(Struct, array_like=True, frozen=True, tag="shared"):
-    """Another call owns the key: its state and, once done, its result."""
+    """Another call owns the key; the state of the key and, once completed, its result."""
 
     status: str
     result: bytes
 
 
 class ConfigSet(Struct, array_like=True, frozen=True, tag="configSet"):
-    """The new version of a document and its index."""
+    """The new version of a document and its ledger index."""
 
     version: int
     index: int
 
 
 class ManySet(Struct, array_like=True, frozen=True, tag="manySet"):
-    """The new versions of documents that were changed as one."""
+    """The new versions, by path, of documents that were set atomically."""
 
     versions: tuple[tuple[str, int], ...]
     index: int
@@ -56,7 +56,7 @@
 
 
 class BudgetSpent(Struct, array_like=True, frozen=True, tag="BudgetSpent"):
-    """The program's budget leaves nothing to reserve."""
+    """The program's budget is exhausted."""
 
     budget: int
     spent: int
@@ -69,26 +69,26 @@
 
 
 class NoRunner(Struct, array_like=True, frozen=True, tag="NoRunner"):
-    """None of the candidates has room."""
+    """None of the candidates can accept a turn."""
 
     candidates: int
 
 
 class StaleConfig(Struct, array_like=True, frozen=True, tag="StaleConfig"):
-    """A document is at another version than the caller expects."""
+    """A document is at this version, not at the expected one."""
 
     path: str
     version: int
 
 
 class KeyReused(Struct, array_like=True, frozen=True, tag="KeyReused"):
-    """The key was claimed with another request."""
+    """The key was claimed for a different request."""
 
     key: str
 
 
 class NotHeld(Struct, array_like=True, frozen=True, tag="NotHeld"):
-    """What the operation refers to is not held by its sender."""
+    """The sender does not hold what the operation refers to, or its precondition does not apply."""
 
     what: str
 
--- a/frostpost/ledger/singleton_roles.py
+++ b/frostpost/ledger/singleton_roles.py
@@ -1,4 +1,4 @@
-"""Election of the member that holds each background duty; the fencing token is the index of the election."""
+"""Election of the member that holds each background role; the fencing token is the index of the election."""
 
 from hashlib import blake2b
 
@@ -8,9 +8,9 @@
 ROLES = ("list", "ticks", "calendars")
 
 
-def candidate_score(duty, round, name):
-    """Return the rank of a member for a duty in a round, as a digest that all members compute alike."""
-    return blake2b(f"{duty}/{round}/{name}".encode(), digest_size=8).digest()
+def candidate_score(role, round, name):
+    """Return a member's score for a role in a round: a digest that all members compute alike."""
+    return blake2b(f"{role}/{round}/{name}".encode(), digest_size=8).digest()
 
 
 def electors(ledger):
@@ -18,59 +18,62 @@
     return ledger.cores or tuple(m.name for m in ledger.members)
 
 
-def nominee(ledger, duty, round):
-    """Return the elector with the highest score for a duty in a round."""
-    return max(electors(ledger), key=lambda n: candidate_score(duty, round, n), default="")
+def nominee(ledger, role, round):
+    """Return the elector with the highest score for a role in a round."""
+    return max(electors(ledger), key=lambda name: candidate_score(role, round, name), default="")
 
 
 def vacate_departed(ledger):
-    """Free the duties of members that are gone and open a new round for each."""
+    """Vacate the roles of departed members and open a new round for each."""
     for name in ROLES:
-        duty = ledger.duties.setdefault(name, SingletonRole())
-        if duty.holder is not None and duty.holder not in ledger.members:
-            duty.holder, duty.round = None, duty.round + 1
-        if duty.holder is None:
-            duty.ballots = {}
+        role = ledger.duties.setdefault(name, SingletonRole())
+        if role.holder is not None and role.holder not in ledger.members:
+            role.holder, role.round = None, role.round + 1
+        if role.holder is None:
+            role.ballots = {}
 
 
 def count_ballot(ledger, entry, op):
-    """Count one member's vote; a candidate with a majority of the electors holds the duty."""
-    duty = ledger.duties.get(op.role)
-    if duty is None or duty.holder is not None or duty.round != op.round:
+    """Count one member's vote; a candidate with a majority of the electors becomes the holder.
+
+    If all electors have voted without a majority, a new round is opened.
+    """
+    role = ledger.duties.get(op.role)
+    if role is None or role.holder is not None or role.round != op.round:
         return NotHeld("round")
-    able = electors(ledger)
-    if entry.sender.name not in able:
+    voters = electors(ledger)
+    if entry.sender.name not in voters:
         return NotHeld("elector")
-    duty.ballots[entry.sender.name] = op.candidate
-    said = [c for voter, c in duty.ballots.items() if voter in able]
-    for candidate in sorted(set(said)):
+    role.ballots[entry.sender.name] = op.candidate
+    votes = [vote for voter, vote in role.ballots.items() if voter in voters]
+    for candidate in sorted(set(votes)):
         member = next((m for m in ledger.members if m.name == candidate), None)
-        if member and said.count(candidate) * 2 > len(able):
-            duty.holder, duty.fence, duty.ballots = member, entry.index, {}
+        if member and votes.count(candidate) * 2 > len(voters):
+            role.holder, role.fence, role.ballots = member, entry.index, {}
             return Done(entry.index)
-    if len(said) == len(able):
-        duty.round, duty.ballots = duty.round + 1, {}
+    if len(votes) == len(voters):
+        role.round, role.ballots = role.round + 1, {}
     return Done(entry.index)
 
 
 def pending_ballots(ledger, me):
-    """Return the (duty, round, candidate) votes that a member has yet to cast."""
-    vacant = [(name, duty) for name, duty in ledger.duties.items() if duty.holder is None]
+    """Return the votes that a member has yet to cast, as tuples of role, round and candidate."""
+    vacant = [(name, role) for name, role in ledger.duties.items() if role.holder is None]
     if not vacant or me.name not in electors(ledger):
         return []
     return [
-        (name, duty.round, nominee(ledger, name, duty.round)) for name, duty in vacant if me.name not in duty.ballots
+        (name, role.round, nominee(ledger, name, role.round)) for name, role in vacant if me.name not in role.ballots
     ]
 
 
 def fencing_token(ledger, name, me):
-    """Return the fencing token of a duty that a member holds, 0 if it does not hold it."""
-    duty = ledger.duties.get(name)
-    return duty.fence if duty and duty.holder == me else 0
+    """Return the fencing token of a role that a member holds, 0 if it does not hold it."""
+    role = ledger.duties.get(name)
+    return role.fence if role and role.holder == me else 0
 
 
 def fencing_error(ledger, name, entry, fence):
-    """Return Fenced if an operation does not carry the current fencing token of its duty, else None."""
-    duty = ledger.duties.get(name)
-    if duty is None or duty.holder != entry.sender or duty.fence != fence:
-        return Fenced(duty.fence if duty else 0)
+    """Return Fenced if an entry does not carry the current fencing token of its role, else None."""
+    role = ledger.duties.get(name)
+    if role is None or role.holder != entry.sender or role.fence != fence:
+        return Fenced(role.fence if role else 0)
--- a/frostpost/ledger/snapshots.py
+++ b/frostpost/ledger/snapshots.py
@@ -1,8 +1,9 @@
 """Snapshots of the ledger, encoded and decoded a bounded number of records at a time.
 
-The bytes are the ledger as one MessagePack map, which `apply.decode_state` of any build reads in one go. If a table is
-large, the map has one entry more: where the large tables lie and where they may be split. `decoding` uses it to read
-them in slices. Encoders and decoders are generators: each step does one slice, the return value is the result.
+A snapshot is the ledger as one MessagePack map, which `apply.decode_state` of any build can decode in one call. If a
+table is large, the map has an additional entry with the positions of the large tables and of their slices, which
+`decode_in_slices` uses to decode them slice by slice. Encoders and decoders are generators: each step processes one
+slice, and the generator returns the result.
 """
 
 from collections.abc import Generator, Iterator
@@ -20,7 +21,11 @@
 
 
 class TableIndex(Struct, frozen=True, array_like=True):
-    """A large table: its field, its bytes with its header, and where each slice ends and how many items it has."""
+    """Position of a large table in a snapshot.
+
+    `path` names its field, `start` and `end` enclose its bytes with their header, `slices` holds the end and the number
+    of items of each slice.
+    """
 
     path: tuple[str, ...]
     start: int
@@ -29,7 +34,7 @@
 
 
 class EncodedOutput(Struct):
-    """What was encoded so far."""
+    """Encoded chunks, their total size in bytes and the index of the large tables."""
 
     chunks: list[bytes] = []
     size: int = 0
@@ -40,7 +45,7 @@
 
 
 def encode_in_slices(ledger: Ledger, slice_records: int) -> Generator[None, None, bytes]:
-    """Encode the ledger, which must not change meanwhile."""
+    """Encode the ledger, which must not change until the generator has finished."""
     if not has_large_table(ledger, slice_records):
         return encode(ledger)
     output, fields = EncodedOutput(), structs.fields(ledger)
@@ -54,7 +59,7 @@
 
 
 def has_large_table(value, slice_records):
-    """Tell whether a record holds a table that is encoded in slices."""
+    """Return whether a record contains a table that is encoded in slices."""
     return any(
         is_large(inner, slice_records) or isinstance(inner, Struct) and has_large_table(inner, slice_records)
         for inner in (getattr(value, field.name) for field in structs.fields(value))
@@ -62,12 +67,12 @@
 
 
 def is_large(value, slice_records):
-    """Tell whether a value is a table of more records than one slice has."""
+    """Return whether a value is a table with more records than fit into one slice."""
     return isinstance(value, dict | list) and len(value) > slice_records
 
 
 def encode_value(output, path, value, slice_records):
-    """Encode one value; yields between slices."""
+    """Encode one value, yielding between slices."""
     if is_large(value, slice_records):
         yield from encode_table(output, path, value, slice_records)
     elif isinstance(value, Struct) and has_large_table(value, slice_records):
@@ -80,12 +85,12 @@
 
 
 def encode_table(output, path, table, slice_records):
-    """Encode one table, slice by slice."""
+    """Encode one table, yielding after each slice."""
     start, slices = output.size, []
     append_bytes(output, header_like(table, len(table)))
-    for part in split_table(table, slice_records):
-        append_bytes(output, encode(part)[header_bytes(len(part)) :])
-        slices.append((output.size, len(part)))
+    for records in split_table(table, slice_records):
+        append_bytes(output, encode(records)[header_bytes(len(records)) :])
+        slices.append((output.size, len(records)))
         yield
     output.tables.append(TableIndex(path, start, output.size, tuple(slices)))
 
@@ -93,45 +98,45 @@
 def split_table(table: dict | list, slice_records: int) -> Iterator[dict | list]:
     """Split a table into parts of at most `slice_records` records."""
     items = iter(table.items() if isinstance(table, dict) else table)
-    while part := type(table)(islice(items, slice_records)):
-        yield part
+    while records := type(table)(islice(items, slice_records)):
+        yield records
 
 
 def append_bytes(output, data):
-    """Add bytes to the output."""
+    """Append encoded bytes to the output."""
     output.chunks.append(data)
     output.size += len(data)
 
 
 def map_header(count):
-    """Return the msgpack header of a map."""
+    """Return the MessagePack header (map 32) of a map."""
     return b"\xdf" + count.to_bytes(4, "big")
 
 
 def list_header(count):
-    """Return the msgpack header of a list."""
+    """Return the MessagePack header (array 32) of a list."""
     return b"\xdd" + count.to_bytes(4, "big")
 
 
 def header_like(table, count):
-    """Return the msgpack header of a table of that many records."""
+    """Return the MessagePack header of a table of the same type with this many records."""
     return map_header(count) if isinstance(table, dict) else list_header(count)
 
 
 def header_bytes(count):
-    """Length of the header that the encoder gives a map or list of that many items."""
+    """Return the length of the header that msgspec writes for a map or list of this many items."""
     if count < FIX_HEADER_ITEMS:
         return 1
     return 3 if count < HEADER_16_ITEMS else 5
 
 
-def add_trailer(tables):
-    """Add the length and mark by which a reader finds the tables."""
-    return tables + len(tables).to_bytes(LENGTH_BYTES, "big") + SPLITS_MAGIC
+def add_trailer(table_index):
+    """Append the length and the magic bytes by which a decoder finds the index."""
+    return table_index + len(table_index).to_bytes(LENGTH_BYTES, "big") + SPLITS_MAGIC
 
 
 def read_table_index(state: bytes) -> list[TableIndex]:
-    """Where the large tables of a snapshot lie; empty if it has none."""
+    """Return the positions of the large tables of a snapshot; empty if it has none."""
     if not state.endswith(SPLITS_MAGIC):
         return []
     end = len(state) - len(SPLITS_MAGIC) - LENGTH_BYTES
@@ -140,7 +145,7 @@
 
 
 def decode_in_slices(state: bytes) -> Generator[None, None, Ledger]:
-    """Decode a snapshot."""
+    """Decode a snapshot, yielding after each slice."""
     tables = read_table_index(state)
     ledger = decode_state(without_tables(state, tables))
     yield
@@ -153,32 +158,32 @@
 
 
 def without_tables(state, tables):
-    """The snapshot with empty tables in place of the large ones."""
+    """Return the snapshot with the large tables replaced by empty ones."""
     if not tables:
         return state
     chunks: list[bytes] = []
-    at = 0
+    position = 0
     for table in tables:
         empty = b"\x80" if state[table.start : table.start + 1] == map_header(0)[:1] else b"\x90"
-        chunks += (state[at : table.start], empty)
-        at = table.end
-    return b"".join((*chunks, state[at:]))
+        chunks += (state[position : table.start], empty)
+        position = table.end
+    return b"".join((*chunks, state[position:]))
 
 
 def decode_table(state, table, owner, name):
-    """Decode one table into its owner, slice by slice."""
-    held = getattr(owner, name)
+    """Decode one table into the field of its owner, yielding after each slice."""
+    target = getattr(owner, name)
     decoder = msgpack.Decoder(next(f.type for f in structs.fields(owner) if f.name == name))
-    at = table.start + len(map_header(0))
+    position = table.start + len(map_header(0))
     for end, count in table.slices:
-        part = decoder.decode(header_like(held, count) + state[at:end])
-        held.update(part) if isinstance(held, dict) else held.extend(part)
-        at = end
+        part = decoder.decode(header_like(target, count) + state[position:end])
+        target.update(part) if isinstance(target, dict) else target.extend(part)
+        position = end
         yield
 
 
 def run_to_completion(work: Generator):
-    """Do all steps at once; -> the result."""
+    """Run a generator to its end and return its result."""
     while True:
         try:
             next(work)
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -1,4 +1,4 @@
-"""The ledger's state."""
+"""State of the ledger."""
 
 from msgspec import Struct, field
 
@@ -7,12 +7,17 @@
 
 from .entities import Claim, ConfigVersion, Program, Reservation, Runner, SingletonRole
 
-# Names of fields in snapshots, where they differ: snapshots of earlier builds stay readable.
+# Field names in snapshots that differ from those here, so that snapshots of earlier builds remain readable.
 SNAPSHOT_FIELD_NAMES = {"clock_ms": "clockMs", "config_index": "configIndex", "program_ledger": "coppice"}
 
 
 class Ledger(Struct, rename=SNAPSHOT_FIELD_NAMES):
-    """Everything that replicas agree on: programs, keys, runners, configurations, duties and voters."""
+    """Replicated state: programs, keys, runners, configuration versions, singleton roles and voters.
+
+    `sessions` holds the incarnation and the last entry number of each sender, `leaving` the drain marks by runner
+    instance, `running` the open turns by runner, `duties` the singleton roles, `fired` the last second at which each
+    calendar fired.
+    """
 
     index: int = 0
     clock_ms: int = 0
