--- a/frostpost/placement/__init__.py
+++ b/frostpost/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a runner: vetoes, then scores; pure functions."""
+"""Selection of a runner for a call: vetoes exclude runners, scores order the others; pure functions."""
--- a/frostpost/placement/ranking.py
+++ b/frostpost/placement/ranking.py
@@ -1,4 +1,4 @@
-"""Rank the runners for one call: a runner with a veto is left out, the others are ordered by score."""
+"""Ranking of the runners for one call: vetoes exclude runners, scores order the others."""
 
 from hashlib import blake2b
 
@@ -6,7 +6,7 @@
 
 
 class RunnerHealth(Struct):
-    """What a daemon knows of a runner's health: its last load report, recent failures and own calls in flight."""
+    """A daemon's view of a runner: its last load report, its recent failures and the daemon's own calls in flight."""
 
     instance: str = ""
     load: float = 0.0
@@ -20,7 +20,11 @@
 
 
 class Weights(Struct, frozen=True):
-    """Weights of the scores; times in milliseconds."""
+    """Weights of the scores.
+
+    `stale_ms` is the age from which a load report is ignored, `rest_ms` the time per failure for which a failed runner
+    is avoided.
+    """
 
     prefix: float = 1.0
     load: float = 1.5
@@ -31,7 +35,11 @@
 
 
 class PlacementRequest(Struct, frozen=True):
-    """A call to place: its pools, zone, history digests, and what is excluded."""
+    """A call to place.
+
+    `history_digests` are the digests of its history's prefixes, `tried` the runners already tried, `leaving` the
+    draining runner instances. Scores of equal runners vary with `jitter_key`.
+    """
 
     pools: tuple[str, ...]
     zone: str
@@ -43,41 +51,41 @@
 
 
 def history_digests(lines):
-    """Return a digest for each prefix of a history, as runners report for what they have cached."""
-    digests, last = [], b""
+    """Return a digest for each prefix of a history, as runners report them for their cached prefixes."""
+    digests, previous = [], b""
     for line in lines:
-        last = blake2b(last + line.input.encode() + b"\0" + line.output.encode(), digest_size=8).digest()
-        digests.append(last.hex())
+        previous = blake2b(previous + line.input.encode() + b"\0" + line.output.encode(), digest_size=8).digest()
+        digests.append(previous.hex())
     return tuple(digests)
 
 
 def veto_pool(request, runner, health, weights):
-    """The runner is in none of the pools that the route names."""
+    """Exclude a runner that is in none of the route's pools."""
     return runner.pool not in request.pools
 
 
 def veto_tried(request, runner, health, weights):
-    """The runner was tried for this call before."""
+    """Exclude a runner that was already tried for this call."""
     return runner.name in request.tried
 
 
 def veto_leaving(request, runner, health, weights):
-    """The runner is draining."""
+    """Exclude a draining runner."""
     return health.leaving or f"{runner.name}/{runner.instance}" in request.leaving
 
 
 def veto_instance(request, runner, health, weights):
-    """Another instance reports under the runner's name."""
+    """Exclude a listed instance that is not the one whose load report was received."""
     return bool(health.instance) and health.instance != runner.instance
 
 
 def veto_full(request, runner, health, weights):
-    """This daemon already has as many calls there as the runner takes."""
+    """Exclude a runner on which this daemon already has as many calls as the runner accepts."""
     return health.in_flight >= runner.room
 
 
 def veto_resting(request, runner, health, weights):
-    """The runner failed lately; the rest grows with the number of failures."""
+    """Exclude a runner that failed recently; the time grows with the number of failures, up to five."""
     rest_ms = weights.rest_ms * min(health.failures, 5)
     return health.failures > 0 and request.now_ms - health.failed_ms < rest_ms
 
@@ -86,19 +94,19 @@
 
 
 def score_prefix(request, runner, health, weights):
-    """Prefer runners that have the longest prefix of the history cached."""
+    """Prefer runners that have a longer prefix of the history cached."""
     if not request.history_digests:
         return 0.0
-    held = 0
+    cached = 0
     for digest in request.history_digests:
         if digest not in health.prefixes:
             break
-        held += 1
-    return weights.prefix * held / len(request.history_digests)
+        cached += 1
+    return weights.prefix * cached / len(request.history_digests)
 
 
 def score_load(request, runner, health, weights):
-    """Prefer runners with less load; a stale report counts as one unit of load."""
+    """Prefer runners with less load; a stale report counts as a load of 1."""
     fresh = request.now_ms - health.reported_ms < weights.stale_ms
     reported = health.load if fresh else 1.0
     return -weights.load * max(reported, health.in_flight) / max(1, runner.room)
@@ -110,27 +118,29 @@
 
 
 def score_jitter(request, runner, health, weights):
-    """Spread equal choices by a digest of call and runner, the same on every try."""
-    spot = blake2b(f"{request.jitter_key}/{runner.name}".encode(), digest_size=2).digest()
-    return weights.jitter * int.from_bytes(spot, "big") / 65535
+    """Spread calls over equal runners by a digest of call and runner, the same on each attempt."""
+    digest = blake2b(f"{request.jitter_key}/{runner.name}".encode(), digest_size=2).digest()
+    return weights.jitter * int.from_bytes(digest, "big") / 65535
 
 
 SCORES = (score_prefix, score_load, score_zone, score_jitter)
 
 
 def explain(request, runners, runner_health, weights):
-    """Return (runner, vetoes, scores, total) for each runner."""
+    """Return a tuple of runner, names of its vetoes, scores by name and total score for each runner."""
     rows = []
     for runner in runners:
         health = runner_health.get(runner.name) or RunnerHealth()
-        vetoes = [v.__name__ for v in VETOES if v(request, runner, health, weights)]
-        scores = {s.__name__: round(s(request, runner, health, weights), 4) for s in SCORES}
+        vetoes = [veto.__name__ for veto in VETOES if veto(request, runner, health, weights)]
+        scores = {score.__name__: round(score(request, runner, health, weights), 4) for score in SCORES}
         rows.append((runner, vetoes, scores, sum(scores.values())))
     return rows
 
 
 def rank(request, runners, runner_health, weights):
-    """Return the runners without a veto, best first; if none is left, those that are only resting."""
-    judged = explain(request, runners, runner_health, weights)
-    rows = [r for r in judged if not r[1]] or [r for r in judged if r[1] == [veto_resting.__name__]]
+    """Return the runners without a veto, best first; if there is none, those excluded only by recent failures."""
+    explained = explain(request, runners, runner_health, weights)
+    rows = [entry for entry in explained if not entry[1]] or [
+        entry for entry in explained if entry[1] == [veto_resting.__name__]
+    ]
     return [row[0] for row in sorted(rows, key=lambda row: (-row[3], row[0].name))]
--- a/frostpost/tenant_config/__init__.py
+++ b/frostpost/tenant_config/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations of templates and tenants: checks, routes made of them, and their replicated bodies."""
+"""Templates and tenants: validation, the routes instantiated from them, and replication of the documents' bodies."""
--- a/frostpost/tenant_config/body_store.py
+++ b/frostpost/tenant_config/body_store.py
@@ -1,4 +1,8 @@
-"""Bodies of configuration documents, replicated by version vector; pure functions of (store, message)."""
+"""Bodies of configuration documents, replicated between daemons by version vector.
+
+The functions do no I/O. Handlers return the messages to send, as pairs of peer and message; those that change the
+store return it first.
+"""
 
 from hashlib import blake2b
 
@@ -13,7 +17,7 @@
 
 
 class BodyVersion(Struct, frozen=True, array_like=True):
-    """A body's place in its source's sequence; an empty digest stands for a removed body."""
+    """A body's number in its source's sequence; an empty digest stands for a removed body."""
 
     source: str
     number: int
@@ -22,7 +26,7 @@
 
 
 class BodyTransfer(Struct):
-    """A body that is being fetched in pieces."""
+    """A body that is being fetched from a peer in chunks."""
 
     item: BodyVersion
     peer: str
@@ -31,7 +35,11 @@
 
 
 class BodyStore(Struct):
-    """All bodies that a daemon holds; vector: how far each source's sequence is complete here."""
+    """The bodies stored by a daemon.
+
+    `own_source` is this daemon's name as a source, `bodies` and `stored_ms` are by digest, `items` by source and
+    number. `vector` is the number up to which each source's sequence is complete.
+    """
 
     own_source: str
     chunk_bytes: int = 262144
@@ -44,7 +52,7 @@
 
 
 class BodyWrite(Struct, frozen=True):
-    """A body to be written to disk with its item."""
+    """A body to be written to disk, with its version."""
 
     item: BodyVersion
     body: bytes
@@ -56,7 +64,7 @@
 
 
 def new_body(store, body):
-    """Give a new body the next number of this daemon's sequence."""
+    """Assign the next number of this daemon's sequence to a new body. Returns (store, BodyWrite)."""
     number = store.vector.get(store.own_source, 0)
     number = max([number, *store.items.get(store.own_source, {})]) + 1
     item = BodyVersion(store.own_source, number, digest_of(body), len(body))
@@ -64,60 +72,66 @@
 
 
 def record_stored(store, item, body, now_ms):
-    """Take a body in once it is on disk and extend the version vector."""
+    """Add a body that has been written to disk and extend the version vector."""
     if item.digest:
         store.bodies[item.digest] = body
         store.stored_ms[item.digest] = now_ms
     store.items.setdefault(item.source, {})[item.number] = item
-    held = store.items[item.source]
+    versions = store.items[item.source]
     number = store.vector.get(item.source, 0)
-    while number + 1 in held and held[number + 1].digest in {"", *store.bodies}:
+    while number + 1 in versions and versions[number + 1].digest in {"", *store.bodies}:
         number += 1
     store.vector[item.source] = number
     return store
 
 
 def request_versions(store, peer, vector):
-    """Ask a peer for items if its version vector is ahead."""
-    newer = any(n > store.vector.get(s, 0) for s, n in vector.items() if not s.startswith("~"))
-    return [(peer, ConfigVersionsRequest(dict(store.vector)))] if newer else []
+    """Request versions from a peer whose version vector is ahead.
+
+    Keys that begin with "~" are not sources.
+    """
+    is_ahead = any(number > store.vector.get(s, 0) for s, number in vector.items() if not s.startswith("~"))
+    return [(peer, ConfigVersionsRequest(dict(store.vector)))] if is_ahead else []
 
 
 def answer_versions(store, peer, message):
-    """Answer a peer with the items that its version vector lacks."""
-    found = []
-    for source, held in store.items.items():
+    """Answer a peer with the versions that its version vector does not cover."""
+    missing = []
+    for source, versions in store.items.items():
         known = message.vector.get(source, 0)
-        found += [
-            (i.source, i.number, i.digest, i.size)
-            for n, i in sorted(held.items())
-            if n > known and (not i.digest or i.digest in store.bodies)
+        missing += [
+            (item.source, item.number, item.digest, item.size)
+            for number, item in sorted(versions.items())
+            if number > known and (not item.digest or item.digest in store.bodies)
         ]
-    return [(peer, ConfigVersionsReply(tuple(found)))] if found else []
+    return [(peer, ConfigVersionsReply(tuple(missing)))] if missing else []
 
 
 def request_bodies(store, peer, message, now_ms):
-    """Start or resume fetching the bodies of items that a peer told of."""
-    sends, stores = [], []
+    """Start or resume fetching the bodies that a peer offers. Returns (store, messages, BodyWrites).
+
+    Versions that need no transfer are returned for writing at once.
+    """
+    requests, writes = [], []
     for source, number, digest, size in message.items:
         item = BodyVersion(source, number, digest, size)
         if number <= store.vector.get(source, 0) or number in store.items.get(source, {}):
             continue
         if not digest or digest in store.bodies:
-            stores.append(BodyWrite(item, store.bodies.get(digest, b"")))
+            writes.append(BodyWrite(item, store.bodies.get(digest, b"")))
             continue
         transfer = store.transfers.get(digest)
         if transfer is None:
             store.transfers[digest] = BodyTransfer(item, peer, now_ms, bytearray())
-            sends.append((peer, ConfigBodyRequest(digest, 0)))
+            requests.append((peer, ConfigBodyRequest(digest, 0)))
         elif now_ms - transfer.requested_ms > store.resend_ms:
             transfer.peer, transfer.requested_ms = peer, now_ms
-            sends.append((peer, ConfigBodyRequest(digest, len(transfer.data))))
-    return store, sends, stores
+            requests.append((peer, ConfigBodyRequest(digest, len(transfer.data))))
+    return store, requests, writes
 
 
 def answer_body(store, peer, message):
-    """Answer a request for a piece of a body."""
+    """Answer a request for a chunk of a body."""
     body = store.bodies.get(message.digest)
     if body is None:
         return []
@@ -126,7 +140,10 @@
 
 
 def receive_chunk(store, peer, message, now_ms):
-    """Take a piece in; ask for the next, or return the whole body for storing."""
+    """Append a chunk and request the next one, or return the complete body for writing.
+
+    Returns (store, messages, BodyWrites). A body that does not match its digest is discarded.
+    """
     transfer = store.transfers.get(message.digest)
     if transfer is None or message.offset != len(transfer.data):
         return store, [], []
@@ -142,20 +159,25 @@
 
 
 def prune(store, wanted):
-    """Drop the bodies that are not wanted any more; return (store, digests dropped)."""
-    gone = {d for d in store.bodies if d not in wanted}
-    for digest in gone:
+    """Remove the bodies whose digests are not in `wanted`. Returns (store, removed digests).
+
+    Their versions remain, marked as removed, so that the version vector does not change.
+    """
+    removed = {d for d in store.bodies if d not in wanted}
+    for digest in removed:
         del store.bodies[digest]
         store.stored_ms.pop(digest, None)
-    for held in store.items.values():
-        for number, item in held.items():
-            if item.digest in gone:
-                held[number] = BodyVersion(item.source, number, "", 0)
-    return store, gone
+    for versions in store.items.values():
+        for number, item in versions.items():
+            if item.digest in removed:
+                versions[number] = BodyVersion(item.source, number, "", 0)
+    return store, removed
 
 
 def all_writes(store):
-    """Return all items with their bodies, as a snapshot is written."""
+    """Return a BodyWrite for each version in the store, for rewriting the log on disk."""
     return [
-        BodyWrite(i, store.bodies.get(i.digest, b"")) for held in store.items.values() for _, i in sorted(held.items())
+        BodyWrite(item, store.bodies.get(item.digest, b""))
+        for versions in store.items.values()
+        for _, item in sorted(versions.items())
     ]
--- a/frostpost/tenant_config/instantiation.py
+++ b/frostpost/tenant_config/instantiation.py
@@ -1,4 +1,4 @@
-"""Make a tenant's routes of its template and parameters."""
+"""Instantiation of a tenant's routes from its template and parameters."""
 
 from cerberus import Validator
 from expression import Error, Ok
@@ -8,7 +8,10 @@
 
 
 class Route(Struct, frozen=True):
-    """One route of a tenant, with all parameters filled in; times in milliseconds."""
+    """One route of a tenant with all parameters substituted.
+
+    `marks` are the versions, by path, of the documents from which it was instantiated.
+    """
 
     tenant: str
     name: str
@@ -28,24 +31,24 @@
 def resolve_parameters(template, tenant):
     """Return the parameter values of a tenant and the errors in them."""
     values, errors = {}, []
-    known = template.get("parameters", {})
-    given = tenant.get("parameters", {})
-    for name in given:
-        if name not in known:
+    declared = template.get("parameters", {})
+    provided = tenant.get("parameters", {})
+    for name in provided:
+        if name not in declared:
             errors.append(FieldError(f"/parameters/{name}", "the template has no such parameter"))
-    for name, rule in known.items():
-        value = given.get(name, rule["default"])
-        checker = {k: v for k, v in rule.items() if k != "default"}
-        checker["type"] = "integer" if isinstance(rule["default"], int) else "string"
-        validator = Validator({name: checker})
+    for name, rule in declared.items():
+        value = provided.get(name, rule["default"])
+        schema = {k: v for k, v in rule.items() if k != "default"}
+        schema["type"] = "integer" if isinstance(rule["default"], int) else "string"
+        validator = Validator({name: schema})
         if not validator.validate({name: value}):
-            errors += [FieldError(f"/parameters/{name}", str(t)) for t in validator.errors[name]]
+            errors += [FieldError(f"/parameters/{name}", str(text)) for text in validator.errors[name]]
         values[name] = value
     return values, errors
 
 
 def substitute(value, values, path, errors):
-    """Put a parameter's value in the place of a reference to it."""
+    """Return the value of the parameter that `value` refers to, or `value` itself if it is no reference."""
     if isinstance(value, dict) and "$param" in value:
         name = value["$param"]
         if name not in values:
@@ -56,21 +59,21 @@
 
 
 def instantiate(tenant_name, template, tenant, marks=()):
-    """Return the routes of a tenant by name, or ConfigInvalid with every error."""
+    """Return the routes of a tenant by name, or ConfigInvalid with all errors."""
     values, errors = resolve_parameters(template, tenant)
     routes = {}
-    for name, shape in template["routes"].items():
+    for name, declaration in template["routes"].items():
         path = f"/routes/{name}"
-        filled = {k: substitute(v, values, f"{path}/{k}", errors) for k, v in {**ROUTE_DEFAULTS, **shape}.items()}
+        fields = {k: substitute(v, values, f"{path}/{k}", errors) for k, v in {**ROUTE_DEFAULTS, **declaration}.items()}
         if errors:
             continue
         validator = Validator(ROUTE_SCHEMA)
-        if not validator.validate(filled):
-            for key, said in validator.errors.items():
-                errors += [FieldError(f"{path}/{key}", str(t)) for t in said]
+        if not validator.validate(fields):
+            for key, texts in validator.errors.items():
+                errors += [FieldError(f"{path}/{key}", str(text)) for text in texts]
             continue
-        filled["pools"] = tuple(filled["pools"])
-        routes[name] = Route(tenant_name, name, marks=tuple(marks), **filled)
+        fields["pools"] = tuple(fields["pools"])
+        routes[name] = Route(tenant_name, name, marks=tuple(marks), **fields)
     if errors:
         return Error(ConfigInvalid(tuple(errors)))
     return Ok(routes)
@@ -90,17 +93,19 @@
 
 
 def validate_tenant(name, tenant, template):
-    """Check a tenant against its template, with each of its calendar changes."""
+    """Validate a tenant against its template, as it is and with each of its calendar changes applied."""
 
     def with_template(document):
         if template is None:
             return Error(ConfigInvalid((FieldError("/template", "no such template"),)))
-        for n, calendar in enumerate(document.get("calendars", ())):
-            amended = {**document, "parameters": {**document.get("parameters", {}), **calendar["set"]}}
-            stamped = instantiate(name, template, amended)
-            if stamped.is_error():
+        for position, calendar in enumerate(document.get("calendars", ())):
+            changed = {**document, "parameters": {**document.get("parameters", {}), **calendar["set"]}}
+            instantiated = instantiate(name, template, changed)
+            if instantiated.is_error():
                 return Error(
-                    ConfigInvalid(tuple(FieldError(f"/calendars/{n}{f.path}", f.text) for f in stamped.error.errors))
+                    ConfigInvalid(
+                        tuple(FieldError(f"/calendars/{position}{f.path}", f.text) for f in instantiated.error.errors)
+                    )
                 )
         return instantiate(name, template, document)
 
@@ -108,15 +113,15 @@
 
 
 def validate_template(template, tenants):
-    """Check a template, alone and with each tenant that uses it."""
+    """Validate a template, alone and with each tenant that uses it."""
 
     def with_tenants(document):
         errors = []
         for name, tenant in [("", {}), *tenants]:
-            stamped = validate_tenant(name, tenant, document) if name else instantiate(name, document, tenant)
-            if stamped.is_error():
-                where = f"/tenants/{name}" if name else ""
-                errors += [FieldError(where + f.path, f.text) for f in stamped.error.errors]
+            instantiated = validate_tenant(name, tenant, document) if name else instantiate(name, document, tenant)
+            if instantiated.is_error():
+                prefix = f"/tenants/{name}" if name else ""
+                errors += [FieldError(prefix + f.path, f.text) for f in instantiated.error.errors]
         return Error(ConfigInvalid(tuple(errors))) if errors else Ok(document)
 
     return validate("templates", template).bind(with_tenants)
--- a/frostpost/tenant_config/schemas.py
+++ b/frostpost/tenant_config/schemas.py
@@ -1,4 +1,4 @@
-"""Schemas of templates and tenants."""
+"""Schemas of template and tenant documents."""
 
 import re
 
@@ -15,32 +15,32 @@
 
 
 class FieldError(Struct, frozen=True):
-    """One error in a document: where, as a JSON pointer, and what."""
+    """One error in a document; `path` is a JSON pointer."""
 
     path: str
     text: str
 
 
 class ConfigInvalid(Struct, frozen=True, tag="ConfigInvalid"):
-    """A document with errors."""
+    """The document is invalid."""
 
     errors: tuple[FieldError, ...]
 
 
 def or_parameter(rule):
-    """Allow a value by a rule, or a reference to a parameter in its place."""
+    """Return a rule that accepts either a value that satisfies `rule` or a reference to a parameter."""
     return {"anyof": [rule, PARAMETER_REFERENCE]}
 
 
 def check_cron(field, value, error):
-    """Check a cron expression of five fields."""
+    """Report an error unless the value is a cron expression of five fields."""
     if not isinstance(value, str) or len(value.split()) != 5 or not croniter.is_valid(value):
         error(field, "is no cron expression of five fields")
 
 
-def integer_rule(low, high):
-    """Return the rule for an integer in a range."""
-    return {"type": "integer", "min": low, "max": high}
+def integer_rule(minimum, maximum):
+    """Return the rule for an integer in an inclusive range."""
+    return {"type": "integer", "min": minimum, "max": maximum}
 
 
 ROUTE_SCHEMA = {
@@ -121,18 +121,21 @@
 
 
 def flatten_errors(errors, path):
-    """Yield the validator's nested errors as one list with pointers."""
-    for key, said in errors.items():
-        here = f"{path}/{key}"
-        for one in said:
-            if isinstance(one, dict):
-                yield from flatten_errors(one, here)
+    """Yield the validator's nested errors as FieldError records with JSON pointers."""
+    for key, field_errors in errors.items():
+        field_path = f"{path}/{key}"
+        for error in field_errors:
+            if isinstance(error, dict):
+                yield from flatten_errors(error, field_path)
             else:
-                yield FieldError(here, str(one))
+                yield FieldError(field_path, str(error))
 
 
 def validate(kind, document):
-    """Check a document of a kind against its schema."""
+    """Validate a document against the schema of its kind; `notes` may hold any object.
+
+    Returns the document in an Ok, or ConfigInvalid in an Error.
+    """
     if not isinstance(document, dict):
         return Error(ConfigInvalid((FieldError("/", "must be an object"),)))
     if not isinstance(document.get("notes", {}), dict):
