--- a/frostpost/program_ledger/__init__.py
+++ b/frostpost/program_ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated state of programs as trees of turns: attempts, budgets, operation keys, routing; pure functions."""
+"""Replicated state of programs as trees of turns: attempts, budgets, operation keys and routing; pure functions."""
--- a/frostpost/program_ledger/apply.py
+++ b/frostpost/program_ledger/apply.py
@@ -1,4 +1,4 @@
-"""One step of the turn ledger: (program_ledger, clock, members, voters, op) -> verdict."""
+"""Application of operations to the program ledger; deterministic, so that all replicas reach the same state."""
 
 from collections.abc import Callable
 from heapq import heappop
@@ -38,19 +38,22 @@
 
 
 def handles(op):
-    """Tell whether an operation belongs to this ledger."""
+    """Return whether an operation is one of the program ledger."""
     return type(op) in HANDLERS or type(op) in RETIREMENT_HANDLERS
 
 
 def apply_operation(program_ledger, now_ms, members, voters, op):
-    """members, voters: names. Raises KeyError for an operation that isn't the turn ledger's."""
+    """Execute an operation and return its result.
+
+    `members` and `voters` are names. Raises KeyError for an operation that is not one of the program ledger.
+    """
     if type(op) in RETIREMENT_HANDLERS:
         return RETIREMENT_HANDLERS[type(op)](program_ledger, members, voters, op)
     return HANDLERS[type(op)](program_ledger, now_ms, op)
 
 
 def expire_tombstone(program_ledger, now_ms, name):
-    """Forget that an attempt has ended."""
+    """Remove a tombstone, and the result of a refused attempt with it."""
     if program_ledger.tombs.get(name, 0) <= now_ms:
         program_ledger.tombs.pop(name, None)
         program_ledger.refused.pop(name, None)
@@ -66,7 +69,7 @@
 
 
 def expire(program_ledger, now_ms):
-    """Do all that is due by `now_ms` of the ledger's clock."""
+    """Run the expiries that are due by `now_ms` of the ledger's clock."""
     while program_ledger.expiries and program_ledger.expiries[0][0] <= now_ms:
         _, kind, name = heappop(program_ledger.expiries)
         EXPIRY_HANDLERS[kind](program_ledger, now_ms, name)
--- a/frostpost/program_ledger/messages.py
+++ b/frostpost/program_ledger/messages.py
@@ -1,13 +1,14 @@
-"""Operations and verdicts of programs as trees of turns; one total order decides them.
+"""Operations on the program ledger and their results.
 
-Times are milliseconds of the ledger's own clock, tokens are whole numbers, ids are text.
+Times are in milliseconds of the ledger's clock. The structs are encoded by position and tag, so the order of their
+fields is part of the format.
 """
 
 from msgspec import Struct
 
 
 class Candidate(Struct, array_like=True, frozen=True):
-    """A runner that the asking daemon may send to: its id, its slots, extra cost in tokens."""
+    """A runner on which the attempt may be placed; `penalty` is an additional cost in tokens."""
 
     runner: str
     slots: int
@@ -17,8 +18,9 @@
 class BeginAttempt(Struct, array_like=True, frozen=True, tag="begin"):
     """Reserve `amount` tokens of a program's budget and a runner for one attempt at a turn.
 
-    The last four fields are for the leader that it waits at while no candidate has a slot: the service it asks for,
-    the rank of its route (0 first), how long it may wait, and the time left to its program's deadline.
+    `parts` are the prompt's leading parts with their tokens. The last four fields are for the leader, which queues the
+    operation while no candidate has a free slot: the service, the rank of the route (lowest first), the longest time in
+    the queue, and the time remaining until the program's deadline.
     """
 
     attempt: str
@@ -39,7 +41,7 @@
 
 
 class ReassignAttempt(Struct, array_like=True, frozen=True, tag="move"):
-    """Give an open attempt that no runner has run another runner; number: 1 for its first move, and so on."""
+    """Assign another runner to an open attempt that no runner has executed; `number` counts from 1 for each attempt."""
 
     attempt: str
     candidates: tuple[Candidate, ...]
@@ -47,16 +49,16 @@
 
 
 class EndAttempt(Struct, array_like=True, frozen=True, tag="end"):
-    """An attempt put out `tokens`; with `keep_ms` above 0 it becomes a turn that others may follow."""
+    """End an attempt with its output tokens; kept for `retention_ms`, if positive, as a turn to follow."""
 
     attempt: str
     tokens: int
-    keep_ms: int = 0
+    retention_ms: int = 0
     size: int = 0
 
 
 class AbortAttempt(Struct, array_like=True, frozen=True, tag="abort"):
-    """No runner ran the attempt and none will."""
+    """End an attempt that no runner has executed or will execute."""
 
     attempt: str
 
@@ -78,31 +80,34 @@
 
 
 class ReleaseOperationKey(Struct, array_like=True, frozen=True, tag="disclaimKey"):
-    """The claimed key's work was not run and never will be."""
+    """Release a claimed key whose request was not executed and will not be."""
 
     key: str
     attempt: str
 
 
 class SetRouting(Struct, array_like=True, frozen=True, tag="setRouting"):
-    """Replace the routing `base` by `version`. digest: of the change as asked for, remembered for `keep_ms`."""
+    """Replace version `base` of the routing by `version`.
+
+    `digest` identifies the requested change and is retained for `retention_ms`.
+    """
 
     base: int
     version: int
     body: bytes
     digest: bytes
-    keep_ms: int
+    retention_ms: int
 
 
 class ReadRouting(Struct, array_like=True, frozen=True, tag="lookRouting"):
-    """Read the routing, and whether the change of this number and digest was taken."""
+    """Read the routing, and whether the change with this version and digest was accepted."""
 
     version: int = 0
     digest: bytes = b""
 
 
 class RetireReplica(Struct, array_like=True, frozen=True, tag="retire"):
-    """Begin to empty a storage daemon; least: how many others must remain."""
+    """Start the retirement of a storage daemon, if at least `min_remaining` others remain."""
 
     name: str
     known: bool
@@ -110,13 +115,13 @@
 
 
 class CompleteRetirement(Struct, array_like=True, frozen=True, tag="retired"):
-    """A storage daemon has been emptied."""
+    """Record that a storage daemon has completed its retirement."""
 
     name: str
 
 
 class ReadRetirement(Struct, array_like=True, frozen=True, tag="lookRetired"):
-    """Read how far the retirement of a storage daemon is."""
+    """Read the state of a storage daemon's retirement."""
 
     name: str
 
@@ -138,37 +143,37 @@
 
 
 class AttemptBegun(Struct, array_like=True, frozen=True, tag="begun"):
-    """The runner, the turns whose bodies come first (oldest first), and what the program may still put out."""
+    """The attempt is open on this runner; `chain` names the turns that precede it, oldest first."""
 
     runner: str
     chain: tuple[str, ...]
 
 
 class AttemptEnded(Struct, array_like=True, frozen=True, tag="ended"):
-    """The operation took effect, or had before."""
+    """The operation took effect, now or when it was first applied."""
 
 
 class NoTurn(Struct, array_like=True, frozen=True, tag="NoTurn"):
-    """The turn to follow is not kept."""
+    """The turn to follow is not retained."""
 
     turn: str
 
 
 class TokensSpent(Struct, array_like=True, frozen=True, tag="TokensSpent"):
-    """The program's budget leaves no attempt."""
+    """The program's budget is exhausted."""
 
     budget: int
     spent: int
 
 
 class NoCapacity(Struct, array_like=True, frozen=True, tag="NoPlace"):
-    """No candidate has room; `wait_ms` is when to come back."""
+    """No candidate has a free slot; retry after `wait_ms`."""
 
     wait_ms: int
 
 
 class NoAttempt(Struct, array_like=True, frozen=True, tag="NoAttempt"):
-    """There is no such attempt, or it has ended."""
+    """The attempt does not exist or has ended."""
 
     attempt: str
 
@@ -178,7 +183,7 @@
 
 
 class KeyInProgress(Struct, array_like=True, frozen=True, tag="KeyAtWork"):
-    """Another attempt owns the key and has no answer yet."""
+    """Another attempt owns the key, which has no answer yet."""
 
 
 class KeyAnswered(Struct, array_like=True, frozen=True, tag="keyAnswered"):
@@ -188,19 +193,23 @@
 
 
 class RoutingSet(Struct, array_like=True, frozen=True, tag="routingSet"):
-    """The change led to this version."""
+    """The change was accepted as this version."""
 
     version: int
 
 
 class RoutingConflict(Struct, array_like=True, frozen=True, tag="RoutingMoved"):
-    """The routing is at this version, not at the one that the change names."""
+    """The routing is at this version, not at the base of the change."""
 
     version: int
 
 
 class RoutingState(Struct, array_like=True, frozen=True, tag="routingHeld"):
-    """The routing. taken: whether the change asked about led to a version; uncertain: whether that is forgotten."""
+    """The current routing.
+
+    `taken` is whether the change in the operation was accepted, `uncertain` whether it may have been accepted and
+    evicted since.
+    """
 
     version: int
     body: bytes
@@ -209,13 +218,13 @@
 
 
 class RoutingForgotten(Struct, array_like=True, frozen=True, tag="RoutingForgotten"):
-    """The change may have been taken, longer ago than is remembered."""
+    """The change of this version may have been accepted and evicted since."""
 
     version: int
 
 
 class RetirementState(Struct, array_like=True, frozen=True, tag="retireState"):
-    """state: unknown, few, in_service or completed."""
+    """State of a retirement: unknown, few, in_service or completed."""
 
     state: str
 
--- a/frostpost/program_ledger/placement.py
+++ b/frostpost/program_ledger/placement.py
@@ -1,7 +1,8 @@
-"""Which runner takes an attempt, decided at delivery and so the same on every member.
+"""Placement of attempts on runners, computed when the operation is applied and so the same on all members.
 
-Costs are in prompt tokens: what the runner would have to read anew, and what its running attempts cost in slower
-steps. A runner with all slots taken takes nothing, so that what waits, waits where urgency is known.
+Costs are in prompt tokens: running attempts, which slow each other down, add to the cost of a runner, and cached prompt
+tokens reduce it. A runner without a free slot gets no attempt, so that attempts queue at the leader, by priority, and
+not at a runner.
 """
 
 from .state import RunnerUse
@@ -12,7 +13,10 @@
 
 
 def place(program_ledger, now_ms, op, attempt=None):
-    """Name of the runner that costs least, its use counted; None where no candidate has a free slot."""
+    """Take a slot of the candidate with the lowest cost and return its name, None if none has a free slot.
+
+    `attempt` is the open attempt if it is being reassigned; its prompt parts are then not considered.
+    """
     previous = attempt.previous if attempt else op.previous
     turn = program_ledger.turns.get(previous) if previous else None
     parts = () if attempt else op.parts
@@ -22,10 +26,10 @@
         active = use.active if use else 0
         if active >= candidate.slots:
             continue
-        held = cached_prefix_tokens(use, parts)
+        cached = cached_prefix_tokens(use, parts)
         if turn is not None and turn.runner == candidate.runner:
-            held = max(held, turn.tokens)
-        cost = candidate.penalty + active * ACTIVE_ATTEMPT_COST_TOKENS * 16 // max(1, candidate.slots) - held
+            cached = max(cached, turn.tokens)
+        cost = candidate.penalty + active * ACTIVE_ATTEMPT_COST_TOKENS * 16 // max(1, candidate.slots) - cached
         if best is None or cost < best_cost:
             best, best_cost = candidate.runner, cost
     if best is None:
@@ -39,7 +43,7 @@
 
 
 def free_slots(program_ledger, candidates):
-    """Return how many attempts more the candidates could take together."""
+    """Return the total number of free slots of the candidates."""
     free = 0
     for candidate in candidates:
         use = program_ledger.runners.get(candidate.runner)
@@ -48,7 +52,7 @@
 
 
 def cached_prefix_tokens(use, parts):
-    """Return how many tokens of the leading prompt parts a runner has read."""
+    """Return the number of tokens in the leading prompt parts that a runner has cached."""
     if use is None:
         return 0
     tokens = 0
@@ -59,26 +63,26 @@
     return tokens
 
 
-def record_cached_parts(use, parts, most_tokens):
-    """Count prompt parts as read by a runner; the least recently used drop out above `most_tokens`."""
+def record_cached_parts(use, parts, max_tokens):
+    """Record prompt parts as cached by a runner and evict the least recently used ones above `max_tokens`."""
     for part, size in parts:
-        before = use.parts.pop(part, 0)
+        previous_size = use.parts.pop(part, 0)
         use.parts[part] = size
-        use.tokens += size - before
-    while use.tokens > most_tokens and len(use.parts) > 1:
+        use.tokens += size - previous_size
+    while use.tokens > max_tokens and len(use.parts) > 1:
         oldest = next(iter(use.parts))
         use.tokens -= use.parts.pop(oldest)
 
 
 def release_slot(program_ledger, runner):
-    """Count one running attempt less at a runner."""
+    """Release one slot of a runner."""
     use = program_ledger.runners.get(runner)
     if use is not None and use.active:
         use.active -= 1
 
 
 def expire_idle_runners(program_ledger, now_ms):
-    """Forget runners without attempts that were not used for a while."""
+    """Remove runners without attempts that have not been used for IDLE_RUNNER_RETENTION_MS."""
     for name in [
         n for n, u in program_ledger.runners.items() if not u.active and now_ms - u.used_ms > IDLE_RUNNER_RETENTION_MS
     ]:
--- a/frostpost/program_ledger/state.py
+++ b/frostpost/program_ledger/state.py
@@ -1,4 +1,4 @@
-"""The ledger of programs as trees of turns; a pure value that only `apply` changes."""
+"""State of the program ledger, which holds programs as trees of turns; changed only by `apply`."""
 
 from msgspec import Struct
 
@@ -6,7 +6,7 @@
 
 
 class Turn(Struct, array_like=True):
-    """A turn that ended whole. tokens: its prompt and output, which its runner may still hold."""
+    """A completed turn; `tokens` counts its prompt and output, which its runner may still have cached."""
 
     program: str
     previous: str
@@ -16,7 +16,11 @@
 
 
 class Attempt(Struct, array_like=True):
-    """An attempt that was begun and not ended; until_ms: when it no longer occupies its runner."""
+    """An open attempt.
+
+    `until_ms` is when it stops occupying its runner, `placed` whether it occupies it now, `moves` the number of its
+    last reassignment.
+    """
 
     program: str
     amount: int
@@ -29,7 +33,7 @@
 
 
 class Account(Struct, array_like=True):
-    """What a program's attempts put out (spent) and may still put out at the most (reserved)."""
+    """Token budget of a program: `spent` by ended attempts, `reserved` for the `open` ones."""
 
     budget: int
     spent: int = 0
@@ -39,7 +43,7 @@
 
 
 class OperationKey(Struct, array_like=True):
-    """An operation key: the attempt that owns it, the end of its window, and the answer once there is one."""
+    """An operation key: the attempt that owns it, the end of its window, and its answer once there is one."""
 
     attempt: str
     until_ms: int
@@ -48,7 +52,7 @@
 
 
 class RunnerUse(Struct, array_like=True):
-    """parts: prompt parts this runner has read, least recently used first, with their tokens."""
+    """Use of a runner: active attempts, and cached prompt parts with their tokens, least recently used first."""
 
     active: int = 0
     parts: dict[str, int] = {}
@@ -57,15 +61,18 @@
 
 
 class AcceptedChange(Struct, array_like=True):
-    """A change of the routing that was taken. digest: what it said; until_ms: end of the time to remember it."""
+    """An accepted change of the routing: its digest and the end of its retention."""
 
     digest: bytes
     until_ms: int
 
 
 class ProgramLedger(Struct, array_like=True):
-    """tombs: attempts that are over, until when; refused: what those that were refused were told.
-    taken: changes of the routing by the version that they led to, oldest first; see `taken_changes`."""
+    """Turns, attempts, accounts, operation keys, runners and routing.
+
+    `tombs` holds the expiry of the tombstones of ended attempts, `refused` the results of refused attempts, `taken` the
+    accepted changes of the routing by version, oldest first (see `accepted_changes`).
+    """
 
     turns: dict[str, Turn] = {}
     attempts: dict[str, Attempt] = {}
--- a/frostpost/program_ledger/turns.py
+++ b/frostpost/program_ledger/turns.py
@@ -1,7 +1,8 @@
 """Attempts, turns and token budgets.
 
-A program's tokens put out never pass its budget plus the most of one turn: an attempt is begun only while what was
-spent and reserved is below the budget, and an attempt whose end nobody tells stays counted at its most.
+The output tokens of a program never exceed its budget by more than the reservation of one attempt: an attempt begins
+only while the tokens spent and reserved are below the budget, and an attempt whose end is never reported remains
+reserved in full.
 """
 
 from heapq import heappush
@@ -14,29 +15,29 @@
 TOMBSTONE_RETENTION_MS = 60000
 CHAIN_RETENTION_MARGIN_MS = 60000
 SLOT_RELEASE_MARGIN_MS = 1000
-# The budget of a program that names none, in tokens.
+# Budget of a program that has none.
 UNBOUNDED_BUDGET_TOKENS = 1 << 60
 
 
-def chain_of(program_ledger, turn):
-    """Names of a turn's chain, oldest first; None where a part of it is no longer kept."""
+def chain_of(program_ledger, name):
+    """Return the names of a turn and its predecessors, oldest first; None if one of them is no longer retained."""
     names = []
-    while turn:
-        if turn not in program_ledger.turns:
+    while name:
+        if name not in program_ledger.turns:
             return None
-        names.append(turn)
-        turn = program_ledger.turns[turn].previous
+        names.append(name)
+        name = program_ledger.turns[name].previous
     return tuple(reversed(names))
 
 
 def begun_result(program_ledger, name, attempt):
-    """Return the runner and chain of an open attempt, or NoAttempt if a part of the chain is gone."""
+    """Return the runner and chain of an open attempt, or NoAttempt if the chain is no longer retained."""
     chain = chain_of(program_ledger, attempt.previous)
     return NoAttempt(name) if chain is None else AttemptBegun(attempt.runner, chain)
 
 
 def is_waiting_for_slot(program_ledger, op):
-    """Whether `begin` would answer NoCapacity now, which changes nothing."""
+    """Return whether `begin` would return NoCapacity, which leaves the ledger unchanged."""
     name, turns = op.attempt, program_ledger.turns
     if name in program_ledger.tombs or name in turns or name in program_ledger.attempts:
         return False
@@ -48,17 +49,17 @@
 
 
 def is_budget_spent(account, budget):
-    """Whether a program's budget leaves no attempt."""
+    """Return whether a program's budget leaves no tokens for another attempt."""
     return account is not None and account.spent + account.reserved >= budget
 
 
 def begin(program_ledger, now_ms, op):
-    """Reserve budget and a runner for an attempt; the same attempt again gets the same result."""
+    """Reserve budget and a runner for an attempt; idempotent."""
     if op.attempt in program_ledger.tombs or op.attempt in program_ledger.turns:
         return program_ledger.refused.get(op.attempt) or NoAttempt(op.attempt)
-    open_ = program_ledger.attempts.get(op.attempt)
-    if open_ is not None:
-        return begun_result(program_ledger, op.attempt, open_)
+    attempt = program_ledger.attempts.get(op.attempt)
+    if attempt is not None:
+        return begun_result(program_ledger, op.attempt, attempt)
     if op.previous and op.previous not in program_ledger.turns:
         return refuse(program_ledger, now_ms, op.attempt, NoTurn(op.previous))
     account = program_ledger.accounts.get(op.program)
@@ -85,7 +86,7 @@
 
 
 def reassign(program_ledger, now_ms, op):
-    """Give an attempt another runner; the same move again gets the same result."""
+    """Assign another runner to an attempt; idempotent by the number of the reassignment."""
     attempt = program_ledger.attempts.get(op.attempt)
     if attempt is None:
         return NoAttempt(op.attempt)
@@ -104,14 +105,14 @@
 
 
 def release_runner(program_ledger, attempt):
-    """Take an attempt off its runner."""
+    """Release the slot of an attempt's runner, if the attempt occupies one."""
     if attempt.placed:
         attempt.placed = False
         release_slot(program_ledger, attempt.runner)
 
 
 def close_attempt(program_ledger, name, tokens):
-    """Remove an open attempt and account the tokens that it put out."""
+    """Remove an open attempt, charge its output tokens and return it."""
     attempt = program_ledger.attempts.pop(name)
     release_runner(program_ledger, attempt)
     account = program_ledger.accounts.get(attempt.program)
@@ -125,31 +126,31 @@
 
 
 def add_tombstone(program_ledger, now_ms, name):
-    """Remember for a while that an attempt has ended, so that it can't begin again."""
+    """Add a tombstone, which prevents an ended attempt from beginning again."""
     program_ledger.tombs[name] = now_ms + TOMBSTONE_RETENTION_MS
     heappush(program_ledger.expiries, (now_ms + TOMBSTONE_RETENTION_MS, "tomb", name))
 
 
-def refuse(program_ledger, now_ms, name, verdict):
-    """A refused attempt stays refused, however often it is submitted."""
+def refuse(program_ledger, now_ms, name, result):
+    """Record and return the result of a refused attempt, so that it is refused again when resubmitted."""
     add_tombstone(program_ledger, now_ms, name)
-    program_ledger.refused[name] = verdict
-    return verdict
+    program_ledger.refused[name] = result
+    return result
 
 
 def end(program_ledger, now_ms, op):
-    """End an attempt; kept, it becomes a turn that others may follow."""
+    """End an attempt; with a retention it becomes a turn that others may follow."""
     if op.attempt not in program_ledger.attempts:
-        ended = op.attempt in program_ledger.turns or op.keep_ms <= 0 and op.attempt in program_ledger.tombs
+        ended = op.attempt in program_ledger.turns or op.retention_ms <= 0 and op.attempt in program_ledger.tombs
         return AttemptEnded() if ended else NoAttempt(op.attempt)
     attempt = close_attempt(program_ledger, op.attempt, op.tokens)
-    if op.keep_ms <= 0:
+    if op.retention_ms <= 0:
         add_tombstone(program_ledger, now_ms, op.attempt)
         return AttemptEnded()
     if attempt.previous and attempt.previous not in program_ledger.turns:
         add_tombstone(program_ledger, now_ms, op.attempt)
         return NoAttempt(op.attempt)
-    until_ms = now_ms + op.keep_ms
+    until_ms = now_ms + op.retention_ms
     program_ledger.turns[op.attempt] = Turn(
         attempt.program, attempt.previous, until_ms, attempt.runner, attempt.prompt_tokens + op.tokens
     )
@@ -158,18 +159,18 @@
     return AttemptEnded()
 
 
-def extend_chain_retention(program_ledger, turn, until_ms):
-    """Keep a turn and those before it at least until `until_ms`."""
-    while turn and turn in program_ledger.turns:
-        held = program_ledger.turns[turn]
-        if held.kept_until_ms >= until_ms:
+def extend_chain_retention(program_ledger, name, until_ms):
+    """Retain a turn and its predecessors at least until `until_ms`."""
+    while name and name in program_ledger.turns:
+        turn = program_ledger.turns[name]
+        if turn.kept_until_ms >= until_ms:
             return
-        held.kept_until_ms = until_ms
-        turn = held.previous
+        turn.kept_until_ms = until_ms
+        name = turn.previous
 
 
 def abort(program_ledger, now_ms, op):
-    """End an attempt that no runner ran; it can't begin any more."""
+    """End an attempt that no runner executed; it cannot begin afterwards."""
     if op.attempt in program_ledger.attempts:
         close_attempt(program_ledger, op.attempt, 0)
     program_ledger.refused.pop(op.attempt, None)
@@ -179,14 +180,14 @@
 
 
 def expire_attempt(program_ledger, now_ms, name):
-    """Free the runner of an attempt whose time is over; its tokens stay reserved."""
+    """Release the runner of an attempt whose time has passed; its tokens stay reserved."""
     attempt = program_ledger.attempts.get(name)
     if attempt is not None:
         release_runner(program_ledger, attempt)
 
 
 def expire_turn(program_ledger, now_ms, name):
-    """Remove a turn whose retention has passed."""
+    """Remove a turn whose retention has passed, or schedule its next expiry check."""
     turn = program_ledger.turns.get(name)
     if turn is None:
         return
@@ -198,7 +199,7 @@
 
 
 def expire_account(program_ledger, now_ms, name):
-    """Remove the account of a program that was not used for a while."""
+    """Remove the account of a program that has not been used for ACCOUNT_RETENTION_MS."""
     account = program_ledger.accounts.get(name)
     if account is None:
         return
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -147,7 +147,7 @@
 
 def broke_off(agent, call, tokens):
     """It ended without a whole answer, having put out these tokens."""
-    submit_until_decided(agent, EndAttempt(call.attempt, tokens, keep_ms=0))
+    submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=0))
 
 
 def time_order(agent, service, answer):
@@ -183,7 +183,7 @@
     """
     wait_ms = lasting_ms(agent, until_ms)
     keep_ms = route.keep_ms + KEEP_TICKS * agent.settings.tick_ms
-    end = EndAttempt(call.attempt, tokens, keep_ms=keep_ms, size=len(data))
+    end = EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data))
     ended, stored = yield gatherResults(
         [time_order(agent, service, call_replicas(agent, end, wait_ms)), put(agent, call.attempt, data, wait_ms)]
     )
--- a/frostpost/tenant_config/instantiation.py
+++ b/frostpost/tenant_config/instantiation.py
@@ -48,7 +48,10 @@
 
 
 def substitute(value, values, path, errors):
-    """Return the value of the parameter that `value` refers to, or `value` itself if it is no reference."""
+    """Return the value of the parameter that `value` refers to, or `value` itself if it is no reference.
+
+    Returns None for an undeclared parameter, after adding an error to `errors`.
+    """
     if isinstance(value, dict) and "$param" in value:
         name = value["$param"]
         if name not in values:
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -29,7 +29,7 @@
 def end_unawaited():
     def close(agent, route, service, call, tokens, data, until_ms):
         keep_ms = route.keep_ms if route.retained else 0
-        turn.submit_until_decided(agent, EndAttempt(call.attempt, tokens, keep_ms=keep_ms, size=len(data)))
+        turn.submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data)))
         if keep_ms:
             turn.put(agent, call.attempt, data, 5000)
         return succeed(True)
@@ -47,7 +47,7 @@
     def set_routing(program_ledger, now_ms, op):
         if op.version > program_ledger.routing_version:
             program_ledger.routing_version, program_ledger.routing_body = op.version, op.body
-            accepted_changes.record(program_ledger, now_ms, op.version, op.digest, op.keep_ms)
+            accepted_changes.record(program_ledger, now_ms, op.version, op.digest, op.retention_ms)
         return RoutingSet(op.version)
 
     return [(ledger, "HANDLERS", {**ledger.HANDLERS, SetRouting: set_routing})]
@@ -189,7 +189,7 @@
     """Only the last few changes that were taken are known again; older ones are refused."""
     return [
         (accepted_changes, "MAX_RETAINED_CHANGES", 64),
-        (accepted_changes, "may_be_evicted", lambda program_ledger, version: False),
+        (accepted_changes, "may_have_been_evicted", lambda program_ledger, version: False),
     ]
 
 
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -139,7 +139,7 @@
     for at in range(0, count, FILL_TURNS):
         for turn in turns[at : at + FILL_TURNS]:
             submit(leader, BeginAttempt(turn, f"p-{turn}", 0, 1, "", 60000, (Candidate("filler", 1 << 20),)), 5000)
-            submit(leader, EndAttempt(turn, 1, keep_ms=keep_ms), 5000)
+            submit(leader, EndAttempt(turn, 1, retention_ms=keep_ms), 5000)
             for daemon in world.of("storage"):
                 store.put(daemon.owner.turn_store, turn, data)
         world.run(world.now_ms() + 40)
--- a/tests/test_program_ledger_model.py
+++ b/tests/test_program_ledger_model.py
@@ -50,7 +50,7 @@
     def kept_until(self, turn):
         op, at_ms = self.ends[turn][:2]
         after = [self.kept_until(t) for t, end in self.ends.items() if end[2] == turn]
-        return max([at_ms + op.keep_ms, self.holds.get(turn, 0), *after])
+        return max([at_ms + op.retention_ms, self.holds.get(turn, 0), *after])
 
     def found(self, turn):
         return turn in self.ends and self.kept_until(turn) > self.clock
@@ -110,12 +110,12 @@
         if op.attempt not in self.attempts:
             return (
                 verdict in (AttemptEnded(), NoAttempt(op.attempt))
-                if op.keep_ms or op.attempt not in self.closed
+                if op.retention_ms or op.attempt not in self.closed
                 else verdict == AttemptEnded()
             )
         begun, _, _ = self.attempts.pop(op.attempt)
         self.closed[op.attempt] = (begun, op.tokens)
-        if not op.keep_ms:
+        if not op.retention_ms:
             return verdict == AttemptEnded()
         if begun.previous and not self.found(begun.previous):
             return isinstance(verdict, NoAttempt)
