--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -17,123 +17,130 @@
 ID = ConfigurationId(1, "s1", 1)
 
 
-class Table:
+class Replica:
+    """A ledger that is encoded and decoded before each entry, and the results of the entries."""
+
     def __init__(self):
-        self.ledger, self.results, self.number, self.last, self.fence = Ledger(), [], {}, None, {}
-        self.boot = 1
+        self.ledger, self.results, self.numbers, self.last_entry, self.fences = Ledger(), [], {}, None, {}
+        self.incarnation = 1
 
-    def deliver(self, sender, op, quiet=False):
-        self.number[sender] = self.number.get(sender, 0) + 1
-        number = 0 if isinstance(op, OpenPrimary) else self.number[sender]
+    def deliver(self, sender, op, unrecorded=False):
+        self.numbers[sender] = self.numbers.get(sender, 0) + 1
+        number = 0 if isinstance(op, OpenPrimary) else self.numbers[sender]
         entry = Entry(
-            ID, self.ledger.index + 1, self.ledger.index + 1, Member(sender, self.boot), number, msgpack.encode(op)
+            ID,
+            self.ledger.index + 1,
+            self.ledger.index + 1,
+            Member(sender, self.incarnation),
+            number,
+            msgpack.encode(op),
         )
-        self.last = entry
-        self.act(entry, quiet)
+        self.last_entry = entry
+        self.apply(entry, unrecorded)
 
-    def act(self, entry, quiet=False):
+    def apply(self, entry, unrecorded=False):
         self.ledger = decode_state(encode_state(self.ledger))
         self.ledger, result = apply(self.ledger, entry)
-        if not quiet:
+        if not unrecorded:
             self.results.append(result)
 
-    def open(self, names, quiet):
-        members = tuple(Member(n, self.boot) for n in names)
-        self.deliver("c1", OpenPrimary(members, tuple(n for n in names if n[0] == "c"), ("s1",)), quiet)
+    def open_configuration(self, names, unrecorded):
+        members = tuple(Member(n, self.incarnation) for n in names)
+        self.deliver("c1", OpenPrimary(members, tuple(n for n in names if n[0] == "c"), ("s1",)), unrecorded)
 
 
 @fixture
-def table():
-    return Table()
+def replica():
+    return Replica()
 
 
 @given("members c1, c2, e1 and e2")
-def members(table):
-    table.open(["c1", "c2", "e1", "e2"], True)
+def members(replica):
+    replica.open_configuration(["c1", "c2", "e1", "e2"], True)
 
 
-@given("runners r1 and r2 with room for 1 each")
-def runners(table):
-    for n in ("r1", "r2"):
-        table.ledger.runners[n] = Runner(n, "i", "127.0.0.1", 1, "pool", "a", 1)
+@given("runners r1 and r2 that accept 1 call each")
+def runners(replica):
+    for name in ("r1", "r2"):
+        replica.ledger.runners[name] = Runner(name, "i", "127.0.0.1", 1, "pool", "a", 1)
 
 
-@when(parsers.parse("{who} reserves {amount:d} of {budget:d} for {program} on r1 or r2"))
-def reserves(table, who, amount, budget, program):
-    table.deliver(who, Reserve(program, amount, budget, 60000, ("pool",), (("r1", "i"), ("r2", "i")), ()))
+@when(parsers.parse("{sender} reserves {amount:d} of {budget:d} for {program} on r1 or r2"))
+def reserve(replica, sender, amount, budget, program):
+    replica.deliver(sender, Reserve(program, amount, budget, 60000, ("pool",), (("r1", "i"), ("r2", "i")), ()))
 
 
-@when(parsers.parse("{who} settles it with {used:d}"))
-def settles(table, who, used):
-    index = next(v.index for v in reversed(table.results) if isinstance(v, Reserved))
-    table.deliver(who, Settle(index, used, history_line("in", "out")))
+@when(parsers.parse("{sender} settles it with {used:d}"))
+def settle(replica, sender, used):
+    index = next(result.index for result in reversed(replica.results) if isinstance(result, Reserved))
+    replica.deliver(sender, Settle(index, used, history_line("in", "out")))
 
 
-@when(parsers.parse("{who} drains {runner}"))
-def drains(table, who, runner):
-    table.deliver(who, Drain(runner, True))
+@when(parsers.parse("{sender} drains {runner}"))
+def drain(replica, sender, runner):
+    replica.deliver(sender, Drain(runner, True))
 
 
-@when(parsers.parse("a configuration without {who} opens"))
-def without(table, who):
-    table.open([m.name for m in table.ledger.members if m.name != who], False)
+@when(parsers.parse("a configuration without {departed} opens"))
+def open_without(replica, departed):
+    replica.open_configuration([m.name for m in replica.ledger.members if m.name != departed], False)
 
 
-@when("all stop and come back")
-def stop(table):
-    table.boot += 1
-    table.open([m.name for m in table.ledger.members], False)
+@when("all members restart")
+def restart_all(replica):
+    replica.incarnation += 1
+    replica.open_configuration([m.name for m in replica.ledger.members], False)
 
 
-@when(parsers.parse("{who} claims {key} with body {body}"))
-def claims(table, who, key, body):
-    table.deliver(who, ClaimKey(key, body, 60000))
+@when(parsers.parse("{sender} claims {key} with body {body}"))
+def claim(replica, sender, key, body):
+    replica.deliver(sender, ClaimKey(key, body, 60000))
 
 
-@when(parsers.parse("{who} finishes {key}"))
-def finishes(table, who, key):
-    table.deliver(who, Finish(key, "done", b"1"))
+@when(parsers.parse("{sender} finishes {key}"))
+def finish(replica, sender, key):
+    replica.deliver(sender, Finish(key, "done", b"1"))
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
-def passes(table, seconds):
-    if table.ledger.duties["ticks"].holder is None:
-        win(table, "c1", True)
+def advance_clock(replica, seconds):
+    if replica.ledger.duties["ticks"].holder is None:
+        elect(replica, "c1", True)
     for _ in range(seconds):
-        table.deliver("c1", Tick(table.fence["c1"], 1000), True)
+        replica.deliver("c1", Tick(replica.fences["c1"], 1000), True)
 
 
-def win(table, who, quiet=True):
-    duty = table.ledger.duties["ticks"]
-    while duty.holder is None:
-        for voter in table.ledger.cores:
-            table.deliver(voter, Ballot("ticks", table.ledger.duties["ticks"].round, who), quiet)
-        duty = table.ledger.duties["ticks"]
-    table.fence[who] = duty.fence
+def elect(replica, candidate, unrecorded=True):
+    role = replica.ledger.duties["ticks"]
+    while role.holder is None:
+        for voter in replica.ledger.cores:
+            replica.deliver(voter, Ballot("ticks", replica.ledger.duties["ticks"].round, candidate), unrecorded)
+        role = replica.ledger.duties["ticks"]
+    replica.fences[candidate] = role.fence
 
 
-@when(parsers.parse("{who} wins the duty ticks"))
-def wins(table, who):
-    win(table, who)
+@when(parsers.parse("{candidate} is elected to the role ticks"))
+def elect_to_ticks(replica, candidate):
+    elect(replica, candidate)
 
 
-@when(parsers.parse("{who} ticks with its old fence"))
-def old_tick(table, who):
-    table.deliver(who, Tick(table.fence[who], 1000))
+@when(parsers.parse("{sender} ticks with its old fencing token"))
+def tick_with_old_token(replica, sender):
+    replica.deliver(sender, Tick(replica.fences[sender], 1000))
 
 
-@when("the last message is delivered again")
-def again(table):
-    last = table.last
-    table.act(Entry(ID, last.ordinal + 1, last.index + 1, last.sender, last.number, last.payload))
+@when("the last entry is delivered again")
+def redeliver(replica):
+    last = replica.last_entry
+    replica.apply(Entry(ID, last.ordinal + 1, last.index + 1, last.sender, last.number, last.payload))
 
 
-@when(parsers.parse("{who} sets {path} on version {version:d}"))
-def sets(table, who, path, version):
-    table.deliver(who, SetConfig(path, "d", 1, version, who, 1, ()))
+@when(parsers.parse("{sender} sets {path} on version {version:d}"))
+def set_config(replica, sender, path, version):
+    replica.deliver(sender, SetConfig(path, "d", 1, version, sender, 1, ()))
 
 
-def word(result):
+def describe(result):
     if isinstance(result, Reserved):
         return f"Reserved {result.runner.name}"
     if isinstance(result, Shared):
@@ -141,17 +148,17 @@
     return "None" if result is None else type(result).__name__
 
 
-@then(parsers.parse("the results are {words}"))
-def results_are(table, words):
-    assert [word(v) for v in table.results] == words.split(", ")
+@then(parsers.parse("the results are {descriptions}"))
+def check_results(replica, descriptions):
+    assert [describe(result) for result in replica.results] == descriptions.split(", ")
 
 
-@then(parsers.parse("the last result is {said}"))
-def last_is(table, said):
-    assert word(table.results[-1]) == said
+@then(parsers.parse("the last result is {description}"))
+def check_last_result(replica, description):
+    assert describe(replica.results[-1]) == description
 
 
-@then(parsers.parse("the grants are {amounts}"))
-def grants(table, amounts):
-    found = [v.amount for v in table.results if isinstance(v, Reserved)]
-    assert found == [int(a) for a in amounts.split(", ")]
+@then(parsers.parse("the reserved amounts are {amounts}"))
+def check_reserved_amounts(replica, amounts):
+    reserved = [result.amount for result in replica.results if isinstance(result, Reserved)]
+    assert reserved == [int(amount) for amount in amounts.split(", ")]
--- a/tests/test_program_ledger_taken_changes.py
+++ b/tests/test_program_ledger_taken_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the routing that were taken are known again, by number and digest, for their time."""
+"""Accepted changes of the routing are recognized by version and digest until they are evicted."""
 
 from frostpost.ledger.apply import decode_state, encode
 from frostpost.ledger.state import Ledger
@@ -14,75 +14,77 @@
 )
 from frostpost.program_ledger.state import ProgramLedger
 
-KEEP_MS = 600_000
-LEAST, MOST = accepted_changes.MIN_RETAINED_CHANGES, accepted_changes.MAX_RETAINED_CHANGES
+RETENTION_MS = 600_000
+MIN_CHANGES, MAX_CHANGES = accepted_changes.MIN_RETAINED_CHANGES, accepted_changes.MAX_RETAINED_CHANGES
 
 
 def digest(number):
     return number.to_bytes(16, "big")
 
 
-def change(number, base=None, said=None):
-    """Change `number`, on top of the one before it."""
-    return SetRouting(number - 1 if base is None else base, number, b"body", said or digest(number), KEEP_MS)
+def change(number, base=None, other_digest=None):
+    """Return the change that makes version `number`, by default from the version before it."""
+    return SetRouting(
+        number - 1 if base is None else base, number, b"body", other_digest or digest(number), RETENTION_MS
+    )
 
 
-def order(ledger, op, now_ms=0):
+def apply(ledger, op, now_ms=0):
     return apply_operation(ledger, now_ms, (), (), op)
 
 
-def taken_up_to(last, now_ms=lambda number: 0, ledger=None):
-    """A ledger that took changes 1 to `last`."""
+def ledger_with_changes(last, now_ms=lambda number: 0, ledger=None):
+    """Return a ledger that accepted the changes up to version `last`."""
     ledger = ledger or ProgramLedger()
     for number in range(ledger.routing_version + 1, last + 1):
-        assert order(ledger, change(number), now_ms(number)) == RoutingSet(number)
+        assert apply(ledger, change(number), now_ms(number)) == RoutingSet(number)
     return ledger
 
 
-def test_every_change_of_a_long_day_is_known_again_and_nothing_else():
-    ledger = taken_up_to(LEAST)
-    for number in range(1, LEAST + 1):
-        assert order(ledger, change(number)) == RoutingSet(number)
-        assert order(ledger, ReadRouting(number, digest(number))) == RoutingState(LEAST, b"body", True)
-        assert order(ledger, change(number, said=b"other")) == RoutingConflict(LEAST)
-    assert ledger.routing_version == LEAST and len(ledger.taken) == LEAST
+def test_only_accepted_changes_are_acknowledged_again():
+    ledger = ledger_with_changes(MIN_CHANGES)
+    for number in range(1, MIN_CHANGES + 1):
+        assert apply(ledger, change(number)) == RoutingSet(number)
+        assert apply(ledger, ReadRouting(number, digest(number))) == RoutingState(MIN_CHANGES, b"body", True)
+        assert apply(ledger, change(number, other_digest=b"other")) == RoutingConflict(MIN_CHANGES)
+    assert ledger.routing_version == MIN_CHANGES and len(ledger.taken) == MIN_CHANGES
 
 
-def test_of_changes_on_one_base_one_is_taken():
-    ledger = taken_up_to(3)
-    assert order(ledger, change(7, 3)) == RoutingSet(7)
-    assert order(ledger, change(9, 3)) == order(ledger, change(7, 3, b"other")) == RoutingConflict(7)
-    assert order(ledger, change(5, 7)) == RoutingConflict(7)
+def test_one_of_the_changes_from_the_same_base_is_accepted():
+    ledger = ledger_with_changes(3)
+    assert apply(ledger, change(7, 3)) == RoutingSet(7)
+    assert apply(ledger, change(9, 3)) == apply(ledger, change(7, 3, b"other")) == RoutingConflict(7)
+    assert apply(ledger, change(5, 7)) == RoutingConflict(7)
 
 
-def test_within_its_time_a_change_is_known_however_many_came_after():
-    ledger = taken_up_to(MOST, lambda number: number)
-    assert len(ledger.taken) == MOST and ledger.forgotten_version == 0
-    assert order(ledger, change(1), KEEP_MS) == RoutingSet(1)
+def test_change_is_recognized_throughout_its_retention():
+    ledger = ledger_with_changes(MAX_CHANGES, lambda number: number)
+    assert len(ledger.taken) == MAX_CHANGES and ledger.forgotten_version == 0
+    assert apply(ledger, change(1), RETENTION_MS) == RoutingSet(1)
 
 
-def test_a_change_past_its_time_is_forgotten_once_enough_newer_ones_were_taken():
-    ledger = taken_up_to(LEAST + 10)
+def test_change_past_its_retention_is_evicted_once_enough_newer_ones_were_accepted():
+    ledger = ledger_with_changes(MIN_CHANGES + 10)
     assert ledger.forgotten_version == 0
-    taken_up_to(LEAST + 20, lambda number: KEEP_MS, ledger)
-    assert ledger.forgotten_version == 20 and len(ledger.taken) == LEAST
-
-
-def test_what_may_be_forgotten_is_neither_acknowledged_nor_refused():
-    ledger = taken_up_to(MOST + 5)
-    assert len(ledger.taken) == MOST and ledger.forgotten_version == 5
-    for said in (None, b"other"):
-        assert order(ledger, change(5, said=said)) == RoutingForgotten(5)
-        held = order(ledger, ReadRouting(5, said or digest(5)))
-        assert (held.taken, held.uncertain) == (False, True)
-    assert order(ledger, change(6)) == RoutingSet(6)
-    assert order(ledger, change(6, said=b"other")) == RoutingConflict(MOST + 5)
-
-
-def test_memory_of_changes_outlasts_a_snapshot_and_stays_small():
-    ledger = taken_up_to(500)
-    whole = Ledger(program_ledger=ledger)
-    assert decode_state(encode(whole)) == whole
-    small = len(encode(whole)) - len(encode(Ledger()))
-    assert small < 500 * 40
-    assert len(encode(Ledger(program_ledger=taken_up_to(MOST + 500)))) < MOST * 40
+    ledger_with_changes(MIN_CHANGES + 20, lambda number: RETENTION_MS, ledger)
+    assert ledger.forgotten_version == 20 and len(ledger.taken) == MIN_CHANGES
+
+
+def test_change_that_may_have_been_evicted_is_neither_acknowledged_nor_rejected():
+    ledger = ledger_with_changes(MAX_CHANGES + 5)
+    assert len(ledger.taken) == MAX_CHANGES and ledger.forgotten_version == 5
+    for other_digest in (None, b"other"):
+        assert apply(ledger, change(5, other_digest=other_digest)) == RoutingForgotten(5)
+        state = apply(ledger, ReadRouting(5, other_digest or digest(5)))
+        assert (state.taken, state.uncertain) == (False, True)
+    assert apply(ledger, change(6)) == RoutingSet(6)
+    assert apply(ledger, change(6, other_digest=b"other")) == RoutingConflict(MAX_CHANGES + 5)
+
+
+def test_accepted_changes_survive_a_snapshot_within_40_bytes_each():
+    ledger = ledger_with_changes(500)
+    state = Ledger(program_ledger=ledger)
+    assert decode_state(encode(state)) == state
+    size_bytes = len(encode(state)) - len(encode(Ledger()))
+    assert size_bytes < 500 * 40
+    assert len(encode(Ledger(program_ledger=ledger_with_changes(MAX_CHANGES + 500)))) < MAX_CHANGES * 40
--- a/tests/test_tenant_config.py
+++ b/tests/test_tenant_config.py
@@ -1,16 +1,16 @@
 import pytest
 
-from frostpost.tenant_config import body_store as shelves
+from frostpost.tenant_config import body_store
 from frostpost.tenant_config.instantiation import merge_patch, validate_template, validate_tenant
 from frostpost.testbed.templates import TEMPLATES, TENANTS
 
 
-def errors_of(result):
+def error_paths(result):
     assert result.is_error()
-    return {f.path for f in result.error.errors}
+    return {error.path for error in result.error.errors}
 
 
-def test_both_deployments_stamp():
+def test_example_tenants_are_instantiated():
     for name, tenant in TENANTS.items():
         routes = validate_tenant(name, tenant, TEMPLATES[tenant["template"]])
         assert routes.is_ok() and len(routes.ok) == 5
@@ -28,8 +28,8 @@
         ({"template": "clerks", "parameters": {"audit_urgency": "urgent"}}, "/parameters/audit_urgency"),
     ],
 )
-def test_tenant_faults_name_their_path(document, path):
-    assert path in errors_of(validate_tenant("t", document, TEMPLATES["clerks"]))
+def test_tenant_errors_have_the_path_of_the_field(document, path):
+    assert path in error_paths(validate_tenant("t", document, TEMPLATES["clerks"]))
 
 
 @pytest.mark.parametrize(
@@ -42,21 +42,21 @@
         ({"kind": "lookup", "pools": ["p"], "key_window_ms": 1000}, "/routes/l/key_window_ms"),
     ],
 )
-def test_template_faults_name_their_path(route, path):
-    assert path in errors_of(validate_template({"routes": {"l": route}}, []))
+def test_template_errors_have_the_path_of_the_field(route, path):
+    assert path in error_paths(validate_template({"routes": {"l": route}}, []))
 
 
-def test_template_that_breaks_a_tenant_is_turned_away():
+def test_template_that_invalidates_a_tenant_is_rejected():
     template = dict(TEMPLATES["clerks"], parameters={})
     routes = {n: {k: v for k, v in route.items() if not isinstance(v, dict)} for n, route in template["routes"].items()}
     template["routes"] = routes
-    assert "/tenants/hlidar/parameters/retention_ms" in errors_of(
+    assert "/tenants/hlidar/parameters/retention_ms" in error_paths(
         validate_template(template, [("hlidar", TENANTS["hlidar"])])
     )
 
 
 @pytest.mark.parametrize(
-    "held,change,after",
+    "document,change,patched",
     [
         ({"a": "b"}, {"a": "c"}, {"a": "c"}),
         ({"a": "b"}, {"b": "c"}, {"a": "b", "b": "c"}),
@@ -66,32 +66,32 @@
         ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}}),
     ],
 )
-def test_patch_merges_as_rfc_7386(held, change, after):
-    assert merge_patch(held, change) == after
+def test_merge_patch_follows_rfc_7386(document, change, patched):
+    assert merge_patch(document, change) == patched
 
 
-def test_shelf_pulls_what_it_lacks_in_pieces():
-    told, asker = shelves.BodyStore("a.1", chunk_bytes=10), shelves.BodyStore("b.2", chunk_bytes=10)
-    told, store = shelves.new_body(told, b"x" * 35)
-    told = shelves.record_stored(told, store.item, store.body, 0)
-    wire = [("a.1", body) for _, body in shelves.request_versions(asker, "a.1", told.vector)]
-    pulled, hops = [], 0
-    while wire:
-        hops += 1
-        to, body = wire.pop(0)
-        if isinstance(body, shelves.ConfigVersionsRequest):
-            wire += [("b.2", b) for _, b in shelves.answer_versions(told, "b.2", body)]
-        elif isinstance(body, shelves.ConfigVersionsReply):
-            asker, sends, _ = shelves.request_bodies(asker, "a.1", body, 0)
-            wire += [("a.1", b) for _, b in sends]
-        elif isinstance(body, shelves.ConfigBodyRequest):
-            wire += [("b.2", b) for _, b in shelves.answer_body(told, "b.2", body)]
+def test_store_fetches_missing_bodies_in_chunks():
+    source, replica = body_store.BodyStore("a.1", chunk_bytes=10), body_store.BodyStore("b.2", chunk_bytes=10)
+    source, write = body_store.new_body(source, b"x" * 35)
+    source = body_store.record_stored(source, write.item, write.body, 0)
+    messages = [("a.1", body) for _, body in body_store.request_versions(replica, "a.1", source.vector)]
+    fetched, deliveries = [], 0
+    while messages:
+        deliveries += 1
+        target, body = messages.pop(0)
+        if isinstance(body, body_store.ConfigVersionsRequest):
+            messages += [("b.2", reply) for _, reply in body_store.answer_versions(source, "b.2", body)]
+        elif isinstance(body, body_store.ConfigVersionsReply):
+            replica, replies, _ = body_store.request_bodies(replica, "a.1", body, 0)
+            messages += [("a.1", reply) for _, reply in replies]
+        elif isinstance(body, body_store.ConfigBodyRequest):
+            messages += [("b.2", reply) for _, reply in body_store.answer_body(source, "b.2", body)]
         else:
-            asker, sends, stores = shelves.receive_chunk(asker, "a.1", body, 0)
-            wire += [("a.1", b) for _, b in sends]
-            pulled += stores
-    assert [s.body for s in pulled] == [b"x" * 35] and hops == 10
-    asker = shelves.record_stored(asker, pulled[0].item, pulled[0].body, 0)
-    assert asker.vector == told.vector and shelves.request_versions(asker, "a.1", told.vector) == []
-    asker, gone = shelves.prune(asker, set())
-    assert gone and asker.vector == told.vector
+            replica, replies, writes = body_store.receive_chunk(replica, "a.1", body, 0)
+            messages += [("a.1", reply) for _, reply in replies]
+            fetched += writes
+    assert [body_write.body for body_write in fetched] == [b"x" * 35] and deliveries == 10
+    replica = body_store.record_stored(replica, fetched[0].item, fetched[0].body, 0)
+    assert replica.vector == source.vector and body_store.request_versions(replica, "a.1", source.vector) == []
+    replica, removed = body_store.prune(replica, set())
+    assert removed and replica.vector == source.vector
