--- a/frostpost/http_api/stream.py
+++ b/frostpost/http_api/stream.py
@@ -184,7 +184,7 @@
                 record_failure(ctx, self.attempt.runner.name)
             return self.bad or errors.Unknown()
         health_of(ctx, self.attempt.runner.name).failures = 0
-        line = programs.history_line(call.document["input"], "".join(self.texts))
+        line = programs.history_entry(call.document["input"], "".join(self.texts))
         result = yield submit(ctx, Settle(self.reserved.index, self.units, line), ask_ms)
         if result.is_error() or not isinstance(result.ok, Done):
             return errors.Unknown()
--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -31,7 +31,7 @@
 from .results import Done, NotHeld, Result, StaleConfig, VotersSet
 from .state import Ledger
 
-DRAIN_MARK_RETENTION_MS = 600000
+DRAIN_RETENTION_MS = 600000
 decode_operation = msgpack.Decoder(Operation).decode
 encode = msgpack.Encoder().encode
 decode_state = msgpack.Decoder(Ledger).decode
@@ -115,7 +115,7 @@
 
 
 def replace_runners(ledger, entry, op):
-    """Replace the list of runners; drain marks of unlisted runners expire after DRAIN_MARK_RETENTION_MS."""
+    """Replace the list of runners; the draining state of unlisted ones expires after DRAIN_RETENTION_MS."""
     error = singleton_roles.fencing_error(ledger, "list", entry, op.fence)
     if error:
         return error
@@ -123,21 +123,21 @@
     listed = {programs.instance_key(r) for r in op.entries}
     for key in ledger.leaving:
         if key not in listed:
-            heappush(ledger.expiries, (ledger.clock_ms + DRAIN_MARK_RETENTION_MS, "leaving", key))
+            heappush(ledger.expiries, (ledger.clock_ms + DRAIN_RETENTION_MS, "leaving", key))
     return Done(entry.index)
 
 
-def expire_drain_mark(ledger, key):
-    """Remove the drain mark of a runner instance that is no longer listed."""
+def expire_drain(ledger, key):
+    """Remove the draining state of a runner instance that is no longer listed."""
     if key not in {programs.instance_key(r) for r in ledger.runners.values()}:
         ledger.leaving.pop(key, None)
 
 
-EXPIRY_HANDLERS = {"program": programs.expire, "key": keys.expire, "leaving": expire_drain_mark}
+EXPIRY_HANDLERS = {"program": programs.expire, "key": keys.expire, "leaving": expire_drain}
 
 
 def set_draining(ledger, entry, op):
-    """Set or clear the drain mark of a runner instance."""
+    """Set or clear the draining state of a runner instance."""
     runner = ledger.runners.get(op.runner)
     if runner is None:
         return NotHeld("runner")
--- a/frostpost/ledger/entities.py
+++ b/frostpost/ledger/entities.py
@@ -5,7 +5,7 @@
 from frostpost.virtual_synchrony.endpoints import Member
 
 
-class HistoryLine(Struct, array_like=True, frozen=True):
+class HistoryEntry(Struct, array_like=True, frozen=True):
     """One completed turn in a program's history, with a CRC-32 of its input and output."""
 
     input: str
@@ -26,7 +26,7 @@
     reserved: int = 0
     turn: int = 0
     touched_ms: int = 0
-    lines: list[HistoryLine] = []
+    lines: list[HistoryEntry] = []
     retained_until_ms: int = 0
     budget_retention_ms: int = 0
     budget_retained_until_ms: int = 0
--- a/frostpost/ledger/operations.py
+++ b/frostpost/ledger/operations.py
@@ -5,7 +5,7 @@
 from frostpost.program_ledger.messages import ProgramOperation
 from frostpost.virtual_synchrony.events import OpenPrimary, SetVoters
 
-from .entities import HistoryLine, Runner
+from .entities import HistoryEntry, Runner
 
 
 class Tick(Struct, array_like=True, frozen=True, tag="tick"):
@@ -33,11 +33,11 @@
 
 
 class Settle(Struct, array_like=True, frozen=True, tag="settle"):
-    """End an executed turn with the units used and its history line, None if the output was incomplete."""
+    """End an executed turn with the units used and its history entry, None if the output was incomplete."""
 
     reservation: int
     used: int
-    line: HistoryLine | None
+    line: HistoryEntry | None
 
 
 class Release(Struct, array_like=True, frozen=True, tag="release"):
@@ -76,7 +76,7 @@
 
 
 class Drain(Struct, array_like=True, frozen=True, tag="drain"):
-    """Set or clear the drain mark of a runner."""
+    """Set or clear the draining state of a runner."""
 
     runner: str
     leaving: bool
--- a/frostpost/ledger/programs.py
+++ b/frostpost/ledger/programs.py
@@ -3,18 +3,18 @@
 from heapq import heappush
 from zlib import crc32
 
-from .entities import HistoryLine, Program, Reservation
+from .entities import HistoryEntry, Program, Reservation
 from .results import BudgetSpent, Done, NoRunner, NotHeld, Reserved, StaleConfig, TurnOpen
 
 
-def history_line(input, output):
-    """Return a history line with the checksum of its input and output."""
-    return HistoryLine(input, output, crc32(output.encode(), crc32(input.encode())))
+def history_entry(input, output):
+    """Return a history entry with the checksum of its input and output."""
+    return HistoryEntry(input, output, crc32(output.encode(), crc32(input.encode())))
 
 
-def is_intact(line):
-    """Return whether a history line matches its checksum."""
-    return crc32(line.output.encode(), crc32(line.input.encode())) == line.sum
+def is_intact(turn):
+    """Return whether a history entry matches its checksum."""
+    return crc32(turn.output.encode(), crc32(turn.input.encode())) == turn.sum
 
 
 def instance_key(runner):
@@ -107,7 +107,7 @@
 
 
 def settle(ledger, entry, op):
-    """End an executed turn and append its line to the program's history."""
+    """End an executed turn and append it to the program's history."""
     reservation = ledger.reservations.get(op.reservation)
     if reservation is None or reservation.owner != entry.sender:
         return NotHeld("reservation")
--- a/frostpost/ledger/results.py
+++ b/frostpost/ledger/results.py
@@ -4,7 +4,7 @@
 
 from frostpost.program_ledger.messages import ProgramResult
 
-from .entities import HistoryLine, Runner
+from .entities import HistoryEntry, Runner
 
 
 class Done(Struct, array_like=True, frozen=True, tag="done"):
@@ -19,7 +19,7 @@
     index: int
     runner: Runner
     amount: int
-    lines: tuple[HistoryLine, ...]
+    lines: tuple[HistoryEntry, ...]
 
 
 class Won(Struct, array_like=True, frozen=True, tag="won"):
--- a/frostpost/ledger/snapshots.py
+++ b/frostpost/ledger/snapshots.py
@@ -176,8 +176,8 @@
     decoder = msgpack.Decoder(next(f.type for f in structs.fields(owner) if f.name == name))
     position = table.start + len(map_header(0))
     for end, count in table.slices:
-        part = decoder.decode(header_like(target, count) + state[position:end])
-        target.update(part) if isinstance(target, dict) else target.extend(part)
+        records = decoder.decode(header_like(target, count) + state[position:end])
+        target.update(records) if isinstance(target, dict) else target.extend(records)
         position = end
         yield
 
--- a/frostpost/ledger/state.py
+++ b/frostpost/ledger/state.py
@@ -14,9 +14,9 @@
 class Ledger(Struct, rename=SNAPSHOT_FIELD_NAMES):
     """Replicated state: programs, keys, runners, configuration versions, singleton roles and voters.
 
-    `sessions` holds the incarnation and the last entry number of each sender, `leaving` the drain marks by runner
-    instance, `running` the open turns by runner, `duties` the singleton roles, `fired` the last second at which each
-    calendar fired.
+    `sessions` holds the incarnation and the last entry number of each sender, `leaving` the index at which each
+    draining runner instance was marked, `running` the number of open turns by runner, `duties` the singleton roles,
+    `fired` the last second at which each calendar fired.
     """
 
     index: int = 0
--- a/frostpost/program_ledger/placement.py
+++ b/frostpost/program_ledger/placement.py
@@ -12,7 +12,7 @@
 IDLE_RUNNER_RETENTION_MS = 60000
 
 
-def place(program_ledger, now_ms, op, attempt=None):
+def assign_runner(program_ledger, now_ms, op, attempt=None):
     """Take a slot of the candidate with the lowest cost and return its name, None if none has a free slot.
 
     `attempt` is the open attempt if it is being reassigned; its prompt parts are then not considered.
--- a/frostpost/program_ledger/turns.py
+++ b/frostpost/program_ledger/turns.py
@@ -8,7 +8,7 @@
 from heapq import heappush
 
 from .messages import AttemptBegun, AttemptEnded, NoAttempt, NoCapacity, NoTurn, TokensSpent
-from .placement import free_slots, place, release_slot
+from .placement import assign_runner, free_slots, release_slot
 from .state import Account, Attempt, Turn
 
 ACCOUNT_RETENTION_MS = 7200000
@@ -30,7 +30,7 @@
     return tuple(reversed(names))
 
 
-def begun_result(program_ledger, name, attempt):
+def begin_result(program_ledger, name, attempt):
     """Return the runner and chain of an open attempt, or NoAttempt if the chain is no longer retained."""
     chain = chain_of(program_ledger, attempt.previous)
     return NoAttempt(name) if chain is None else AttemptBegun(attempt.runner, chain)
@@ -59,7 +59,7 @@
         return program_ledger.refused.get(op.attempt) or NoAttempt(op.attempt)
     attempt = program_ledger.attempts.get(op.attempt)
     if attempt is not None:
-        return begun_result(program_ledger, op.attempt, attempt)
+        return begin_result(program_ledger, op.attempt, attempt)
     if op.previous and op.previous not in program_ledger.turns:
         return refuse(program_ledger, now_ms, op.attempt, NoTurn(op.previous))
     account = program_ledger.accounts.get(op.program)
@@ -67,7 +67,7 @@
     if is_budget_spent(account, budget):
         account.touched_ms = now_ms
         return refuse(program_ledger, now_ms, op.attempt, TokensSpent(budget, account.spent))
-    runner = place(program_ledger, now_ms, op)
+    runner = assign_runner(program_ledger, now_ms, op)
     if runner is None:
         return NoCapacity(wait_ms=20)
     if account is None:
@@ -82,7 +82,7 @@
     )
     heappush(program_ledger.expiries, (until_ms, "attempt", op.attempt))
     extend_chain_retention(program_ledger, op.previous, until_ms + CHAIN_RETENTION_MARGIN_MS)
-    return begun_result(program_ledger, op.attempt, program_ledger.attempts[op.attempt])
+    return begin_result(program_ledger, op.attempt, program_ledger.attempts[op.attempt])
 
 
 def reassign(program_ledger, now_ms, op):
@@ -91,17 +91,17 @@
     if attempt is None:
         return NoAttempt(op.attempt)
     if op.number <= attempt.moves:
-        return begun_result(program_ledger, op.attempt, attempt)
+        return begin_result(program_ledger, op.attempt, attempt)
     release_runner(program_ledger, attempt)
     attempt.runner = ""
-    runner = place(program_ledger, now_ms, op, attempt)
+    runner = assign_runner(program_ledger, now_ms, op, attempt)
     if runner is None:
         return NoCapacity(wait_ms=20)
     attempt.runner, attempt.placed, attempt.moves = runner, True, op.number
     if attempt.until_ms <= now_ms:
         attempt.until_ms = now_ms + CHAIN_RETENTION_MARGIN_MS
         heappush(program_ledger.expiries, (attempt.until_ms, "attempt", op.attempt))
-    return begun_result(program_ledger, op.attempt, attempt)
+    return begin_result(program_ledger, op.attempt, attempt)
 
 
 def release_runner(program_ledger, attempt):
--- a/frostpost/simulator/placing.py
+++ b/frostpost/simulator/placing.py
@@ -9,7 +9,7 @@
 from msgspec import Struct, json
 
 from frostpost.ledger.entities import Runner
-from frostpost.ledger.programs import history_line
+from frostpost.ledger.programs import history_entry
 from frostpost.placement.ranking import PlacementRequest, RunnerHealth, Weights, history_digests, rank
 
 POLICIES = {
@@ -81,7 +81,7 @@
             push(now_s + REPORT_S, "report")
         elif kind == "program":
             push(now_s + random.expovariate(per_second), "program")
-            shared = [history_line(f"prompt {random.randrange(6)} part {n}", "ok") for n in range(2)]
+            shared = [history_entry(f"prompt {random.randrange(6)} part {n}", "ok") for n in range(2)]
             push(now_s, "turn", f"p{serial}", shared, 2 + random.randrange(4))
         elif kind == "turn":
             turn(now_s, rest, weights, random, backs, daemons, tally, push)
@@ -89,7 +89,7 @@
             back, health, name, lines, left = rest
             back.running -= 1
             health.in_flight -= 1
-            lines = [*lines, history_line(f"{name} {left}", "output")]
+            lines = [*lines, history_entry(f"{name} {left}", "output")]
             remember(back, history_digests(lines))
             if left > 1:
                 push(now_s + random.expovariate(1 / THINK_S), "turn", name, lines, left - 1)
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -20,7 +20,7 @@
     Tick,
     Unclaim,
 )
-from frostpost.ledger.programs import history_line
+from frostpost.ledger.programs import history_entry
 from frostpost.ledger.results import Reserved, Won
 from frostpost.virtual_synchrony.events import OperationSubmitted, SetVoters
 from frostpost.virtual_synchrony.quorum import is_majority
@@ -160,7 +160,7 @@
         op = (
             Release(result.index)
             if random.random() < 0.2
-            else Settle(result.index, random.randint(0, result.amount), history_line("in", f"out{result.index}"))
+            else Settle(result.index, random.randint(0, result.amount), history_entry("in", f"out{result.index}"))
         )
         worlds.at(world, wait_ms, "call", later, node.name, node.life, op)
     elif isinstance(result, Won):
--- a/frostpost/testbed/runner.py
+++ b/frostpost/testbed/runner.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Site
 
-from frostpost.ledger.programs import history_line
+from frostpost.ledger.programs import history_entry
 from frostpost.placement.ranking import history_digests
 
 from .notes import Notes
@@ -74,7 +74,7 @@
     def turn(request, asked, run_id, total):
         done, state = Deferred(), {"gone": False}
         history = asked["history"]
-        chain = history_digests([history_line(i, o) for i, o in history])
+        chain = history_digests([history_entry(i, o) for i, o in history])
         held = 0
         for digest in chain:
             if digest not in runner.prefixes:
@@ -110,7 +110,7 @@
                 text = "".join(f"{run_id}:{k} " for k in range(1, total + 1))
                 remember(
                     runner,
-                    history_digests([history_line(i, o) for i, o in history] + [history_line(asked["input"], text)]),
+                    history_digests([history_entry(i, o) for i, o in history] + [history_entry(asked["input"], text)]),
                 )
                 request.write(json.encode({"end": True, "used": total}) + b"\n")
                 return finish("whole")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -6,7 +6,7 @@
 from frostpost.ledger.apply import encode as encode_state
 from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Ballot, ClaimKey, Drain, Finish, Reserve, SetConfig, Settle, Tick
-from frostpost.ledger.programs import history_line
+from frostpost.ledger.programs import history_entry
 from frostpost.ledger.results import Reserved, Shared
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
@@ -73,7 +73,7 @@
 @when(parsers.parse("{sender} settles it with {used:d}"))
 def settle(replica, sender, used):
     index = next(result.index for result in reversed(replica.results) if isinstance(result, Reserved))
-    replica.deliver(sender, Settle(index, used, history_line("in", "out")))
+    replica.deliver(sender, Settle(index, used, history_entry("in", "out")))
 
 
 @when(parsers.parse("{sender} drains {runner}"))
--- a/tests/test_ledger_retention.py
+++ b/tests/test_ledger_retention.py
@@ -5,7 +5,7 @@
 from frostpost.ledger.apply import apply, decode_state, encode
 from frostpost.ledger.entities import Runner, SingletonRole
 from frostpost.ledger.operations import Reserve, Rules, Settle, Tick
-from frostpost.ledger.programs import history_line
+from frostpost.ledger.programs import history_entry
 from frostpost.ledger.results import BudgetSpent, Done, Reserved
 from frostpost.ledger.state import Ledger
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
@@ -36,7 +36,7 @@
     def run_turn(self, output="out", retention_ms=60000, budget=100, budget_retention_ms=600000, used=40):
         result = self.apply(Reserve("p", 60, budget, retention_ms, ("pool",), (("r1", "i"),), (), budget_retention_ms))
         if isinstance(result, Reserved):
-            assert isinstance(self.apply(Settle(result.index, used, history_line("in", output))), Done)
+            assert isinstance(self.apply(Settle(result.index, used, history_entry("in", output))), Done)
         return result
 
     def advance_clock(self, elapsed_ms):
