--- a/frostpost/ledger/apply.py
+++ b/frostpost/ledger/apply.py
@@ -38,7 +38,7 @@
 
 
 def apply(ledger, entry):
-    """Apply one ordered entry. Returns (ledger, result); the result is None for a duplicate of its sender's."""
+    """Apply one ordered entry. Returns (ledger, result); the result of a duplicate entry is None."""
     ledger.index = entry.index
     if entry.number:
         incarnation, number = ledger.sessions.get(entry.sender.name, (0, 0))
