--- a/frostpost/program_ledger/accepted_changes.py
+++ b/frostpost/program_ledger/accepted_changes.py
@@ -2,7 +2,7 @@
 
 Each version is made by one change, and versions increase, so a change is looked up by its version and identified by its
 digest. It is retained until its retention has passed and MIN_RETAINED_CHANGES newer ones have been accepted, or until
-there are MAX_RETAINED_CHANGES newer ones. The highest evicted version is kept: a change at or below it that is not
+there are MAX_RETAINED_CHANGES newer ones. The highest evicted version is recorded: a change at or below it that is not
 retained may have been accepted, so it is neither acknowledged nor rejected.
 """
 
--- a/tests/test_program_ledger_placement.py
+++ b/tests/test_program_ledger_placement.py
@@ -77,8 +77,8 @@
 
 def test_least_recently_used_parts_are_evicted_above_the_cache_size():
     program_ledger = ProgramLedger()
-    for n, part in enumerate("abcab"):
-        begin(program_ledger, f"x{n}", (Candidate("r0", 99),), [(part, 100)], cache=300)
+    for number, part in enumerate("abcab"):
+        begin(program_ledger, f"x{number}", (Candidate("r0", 99),), [(part, 100)], cache=300)
     begin(program_ledger, "d", (Candidate("r0", 99),), [("d", 150)], cache=300)
     use = program_ledger.runners["r0"]
     assert list(use.parts.items()) == [("b", 100), ("d", 150)] and use.tokens == 250
@@ -86,8 +86,8 @@
 
 def test_part_above_the_cache_size_is_kept_alone_and_repeated_parts_count_once():
     program_ledger = ProgramLedger()
-    for n in range(3):
-        begin(program_ledger, f"x{n}", (Candidate("r0", 9),), [("a", 10), ("big", 1000)], cache=300)
+    for number in range(3):
+        begin(program_ledger, f"x{number}", (Candidate("r0", 9),), [("a", 10), ("big", 1000)], cache=300)
     use = program_ledger.runners["r0"]
     assert use.parts == {"big": 1000} and use.tokens == 1000
 
