--- a/frostpost/daemon/log_compaction.py
+++ b/frostpost/daemon/log_compaction.py
@@ -63,9 +63,9 @@
 
 def prepare(log: write_ahead_logs.WriteAheadLog, rewrite: RewriteLog) -> write_ahead_logs.WriteAheadLog:
     """Write and sync the new file; runs in a thread beside appends to the log."""
-    return write_ahead_logs.prepare(log, [encode(r) for r in rewrite.records])
+    return write_ahead_logs.prepare_replacement(log, [encode(r) for r in rewrite.records])
 
 
 def adopt(log: write_ahead_logs.WriteAheadLog, fresh: write_ahead_logs.WriteAheadLog, tail: list[Record]) -> None:
     """Put the new file in the log's place; runs in a thread, with no append under way."""
-    write_ahead_logs.adopt(log, fresh, [encode(r) for r in tail])
+    write_ahead_logs.install_replacement(log, fresh, [encode(r) for r in tail])
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -49,7 +49,7 @@
     """-> log, index, sizes by segment number, faults; the last segment is the open one."""
     log, index, sizes, faults = SegmentLog(folder, files, segment_bytes), {}, {}, []
     files.makedirs(folder, exist_ok=True)
-    write_ahead_logs.sync_folder(files, os.path.dirname(folder))
+    write_ahead_logs.sync_directory(files, os.path.dirname(folder))
     for number in sorted(int(name) for name in files.listdir(folder) if name.isdigit()):
         close_log(log)
         log.write_ahead_log, found, fault = write_ahead_logs.open_records(folder, name_of(number), files)
@@ -127,7 +127,7 @@
             log.files.close(fd)
     except OSError:
         return None
-    found = records.read_at(raw, 0)
+    found = records.read_record(raw, 0)
     if found is None or found.end != length:
         return None
     try:
--- a/frostpost/write_ahead_log/__init__.py
+++ b/frostpost/write_ahead_log/__init__.py
@@ -1,1 +1,1 @@
-"""An append-only checksummed log with snapshots by rewriting."""
+"""An append-only log with checksummed records, compacted by writing a replacement file."""
--- a/frostpost/write_ahead_log/log.py
+++ b/frostpost/write_ahead_log/log.py
@@ -1,7 +1,8 @@
-"""An append-only log in one file: opened, appended to, synced, and replaced by a rewritten one.
+"""An append-only log in a single file: open, append, sync and atomic replacement.
 
-What a sync covered outlasts a power failure. What is read when the log is opened may never have been synced, by a
-process that was killed or whose sync failed: it is written once more and synced before it is believed.
+Synced records survive a power failure. Records read from an existing file may never have been synced, because the
+process that wrote them was killed or its sync failed; opening the log writes them again and syncs them before it
+returns them.
 """
 
 import os
@@ -10,23 +11,23 @@
 
 from frostpost.daemon.machine import Files
 
-from .records import Record, Scan, scan, seal, seal_mark
+from .records import Record, Scan, encode_header, encode_sync_marker, scan
 
-# Records are joined into writes of about this size, so that a large snapshot is copied once and not with all the rest.
-JOIN_BYTES = 1 << 20
+# Bounds the copies of payload bytes that are held while a large snapshot is written.
+WRITE_CHUNK_BYTES = 1 << 20
 FILES = Files()
-APPENDING = os.O_WRONLY | os.O_CREAT | os.O_APPEND
+APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND
 
 
 class Torn(Struct, frozen=True, tag="Torn"):
-    """The file went on past the last believed record with bytes that no sync had covered; they were cut off."""
+    """The file ended in bytes that form no valid record and had not been synced; they were truncated."""
 
     path: str
     offset: int
 
 
 class Corrupt(Struct, frozen=True, tag="Corrupt"):
-    """Synced bytes were damaged; the whole file was moved aside and the log begins empty."""
+    """Synced bytes were damaged; the file was moved aside and the log starts empty."""
 
     path: str
     offset: int
@@ -34,16 +35,18 @@
 
 
 class SyncLostError(OSError):
-    """Whether what was written will last is unknown: the process has to end and read its disk again."""
+    """It is unknown which of the written bytes are durable; the process has to exit and read the file again."""
 
 
 class WriteAheadLog(Struct):
-    """An open log. `synced_bytes`: how much of the file is known to be synced; `checksum`: of the last record.
+    """An open log.
 
-    `paced`: each large write is synced by itself, so that a large file holds up the syncs of others but shortly.
+    `synced_bytes` is how much of the file is known to be synced, `checksum` that of the last record. With
+    `sync_each_chunk`, each chunk of a large write is synced separately, so that other syncs on the same disk are
+    delayed only briefly.
     """
 
-    folder: str
+    directory: str
     name: str
     files: Files = Files()
     fd: int = -1
@@ -51,64 +54,66 @@
     size: int = 0
     synced_bytes: int = 0
     checksum: int = 0
-    paced: bool = False
+    sync_each_chunk: bool = False
 
     @property
     def path(self) -> str:
         """Path of the log's file."""
-        return os.path.join(self.folder, self.name)
+        return os.path.join(self.directory, self.name)
 
 
-def open_log(folder: str, name: str, files: Files = FILES) -> tuple[WriteAheadLog, list[bytes], Torn | Corrupt | None]:
-    """Return the open log, the payloads read from it, and what was wrong with its file."""
-    log, records, fault = open_records(folder, name, files)
-    return log, [record.payload for record in records], fault
+def open_log(
+    directory: str, name: str, files: Files = FILES
+) -> tuple[WriteAheadLog, list[bytes], Torn | Corrupt | None]:
+    """Return the open log, the payloads of its records, and the damage found in its file, if any."""
+    log, records, damage = open_records(directory, name, files)
+    return log, [record.payload for record in records], damage
 
 
 def open_records(
-    folder: str, name: str, files: Files = FILES
+    directory: str, name: str, files: Files = FILES
 ) -> tuple[WriteAheadLog, list[Record], Torn | Corrupt | None]:
-    """Like `open_`, with the records as they lie in the file."""
-    files.makedirs(folder, exist_ok=True)
-    log = WriteAheadLog(folder, name, files)
+    """Open a log like `open_log`, but return whole records with their offsets."""
+    files.makedirs(directory, exist_ok=True)
+    log = WriteAheadLog(directory, name, files)
     data = files.read(log.path) if files.exists(log.path) else b""
-    found, fault = scan(data), None
-    if found.corrupt:
-        fault = set_aside(log, found.end)
-        data, found = b"", Scan()
-    elif found.end < len(data):
-        fault = Torn(log.path, found.end)
-    log.fd = files.open(log.path, APPENDING, 0o644)
-    sync_believed(log, data, found)
-    log.serial, log.checksum = found.serial, found.checksum
-    log.size = log.synced_bytes = found.end
-    sync_folder(files, folder)
-    return log, found.records, fault
-
-
-def set_aside(log, offset):
-    """Move a damaged file aside and return the error."""
+    scanned, damage = scan(data), None
+    if scanned.corrupt:
+        damage = quarantine(log, scanned.end)
+        data, scanned = b"", Scan()
+    elif scanned.end < len(data):
+        damage = Torn(log.path, scanned.end)
+    log.fd = files.open(log.path, APPEND_FLAGS, 0o644)
+    sync_recovered(log, data, scanned)
+    log.serial, log.checksum = scanned.serial, scanned.checksum
+    log.size = log.synced_bytes = scanned.end
+    sync_directory(files, directory)
+    return log, scanned.records, damage
+
+
+def quarantine(log, offset):
+    """Rename a corrupt file, so that the log starts empty, and return the Corrupt that describes it."""
     moved_to = f"{log.path}.corrupt-{offset}"
     log.files.replace(log.path, moved_to)
     return Corrupt(log.path, offset, moved_to)
 
 
-def sync_believed(log, data, found):
-    """Cut off what is not believed, write again what may be only in the page cache, and sync.
+def sync_recovered(log, data, scanned):
+    """Truncate the torn end of the file, write again what isn't proven to be synced, and sync.
 
-    After a failed sync the kernel may hold pages as clean that never reached the disk: a sync alone would skip them.
+    After a failed sync the kernel may mark pages clean that never reached the disk; a sync alone would skip those.
     """
     if not data:
         return
-    if found.end < len(data):
-        log.files.ftruncate(log.fd, found.end)
-    if found.synced_bytes < found.end:
-        write_again(log, data[found.synced_bytes : found.end], found.synced_bytes)
+    if scanned.end < len(data):
+        log.files.ftruncate(log.fd, scanned.end)
+    if scanned.synced_bytes < scanned.end:
+        write_again(log, data[scanned.synced_bytes : scanned.end], scanned.synced_bytes)
     log.files.fsync(log.fd)
 
 
 def write_again(log, data, offset):
-    """Write the believed bytes again, so that no page counts as clean that never reached the disk."""
+    """Overwrite part of the file with the bytes read from it, which marks its pages dirty."""
     fd = log.files.open(log.path, os.O_WRONLY)
     try:
         view = memoryview(data)
@@ -119,9 +124,9 @@
         log.files.close(fd)
 
 
-def sync_folder(files: Files, folder: str) -> None:
-    """Make the names in a folder durable."""
-    fd = files.open(folder, os.O_RDONLY)
+def sync_directory(files: Files, directory: str) -> None:
+    """Make the entries of a directory durable."""
+    fd = files.open(directory, os.O_RDONLY)
     try:
         files.fsync(fd)
     finally:
@@ -129,106 +134,109 @@
 
 
 def append(log: WriteAheadLog, payloads: list[bytes]) -> None:
-    """Write records at the end of the file; a failed write leaves the log as it was."""
-    parts: list[bytes] = []
-    serial, checksum, size, held_bytes = log.serial, log.checksum, log.size, 0
+    """Write records at the end of the file, without a sync; a failed write leaves the log unchanged."""
+    buffers: list[bytes] = []
+    serial, checksum, size, buffered_bytes = log.serial, log.checksum, log.size, 0
     try:
         for payload in payloads:
             serial += 1
-            header, checksum = seal(serial, payload, log.synced_bytes, checksum)
-            parts += (header, payload)
-            held_bytes += len(header) + len(payload)
-            if held_bytes >= JOIN_BYTES:
-                size += write_all(log, parts)
-                parts, held_bytes = [], 0
-        size += write_all(log, parts)
+            header, checksum = encode_header(serial, payload, log.synced_bytes, checksum)
+            buffers += (header, payload)
+            buffered_bytes += len(header) + len(payload)
+            if buffered_bytes >= WRITE_CHUNK_BYTES:
+                size += write_all(log, buffers)
+                buffers, buffered_bytes = [], 0
+        size += write_all(log, buffers)
     except OSError:
-        undo_write(log)
+        truncate_failed_write(log)
         raise
     log.serial, log.checksum, log.size = serial, checksum, size
 
 
-def write_all(log, parts):
-    """Write the parts to the end of the file; return how many bytes they are."""
-    data = b"".join(parts)
+def write_all(log, buffers):
+    """Write the buffers to the end of the file and return their total size in bytes."""
+    data = b"".join(buffers)
     view = memoryview(data)
     while view:
-        view = view[log.files.write(log.fd, view[:JOIN_BYTES]) :]
-        if log.paced and view:
+        view = view[log.files.write(log.fd, view[:WRITE_CHUNK_BYTES]) :]
+        if log.sync_each_chunk and view:
             log.files.fdatasync(log.fd)
     return len(data)
 
 
-def undo_write(log):
-    """Cut a failed write off; records after its remains would never be read again."""
+def truncate_failed_write(log):
+    """Truncate a partial write; records appended after its remains could never be read back."""
     try:
         log.files.ftruncate(log.fd, log.size)
-    except OSError as fault:
-        raise SyncLostError(*fault.args) from fault
+    except OSError as error:
+        raise SyncLostError(*error.args) from error
 
 
 def sync(log: WriteAheadLog) -> None:
-    """Make all that was appended durable, or raise SyncLostError."""
+    """Make all appended records durable, or raise SyncLostError."""
     try:
         log.files.fdatasync(log.fd)
-    except OSError as fault:
-        raise SyncLostError(*fault.args) from fault
+    except OSError as error:
+        raise SyncLostError(*error.args) from error
     log.synced_bytes = log.size
-    write_sync_mark(log)
+    write_sync_marker(log)
 
 
-def write_sync_mark(log):
-    """Note behind the synced records that they are synced; the log is as good without the note."""
-    data, checksum = seal_mark(log.serial, log.size, log.checksum)
+def write_sync_marker(log):
+    """Append a marker for the records just synced; the log is valid without it, so a failed write is ignored."""
+    data, checksum = encode_sync_marker(log.serial, log.size, log.checksum)
     try:
         log.size += write_all(log, [data])
         log.checksum = checksum
     except OSError:
-        undo_write(log)
+        truncate_failed_write(log)
 
 
-def prepare(log: WriteAheadLog, payloads: list[bytes]) -> WriteAheadLog:
-    """Write and sync a file that may replace the log; the log itself may be appended to meanwhile."""
-    fresh = WriteAheadLog(log.folder, f"{log.name}.new", log.files, paced=True)
-    fresh.fd = log.files.open(fresh.path, APPENDING | os.O_TRUNC, 0o644)
+def prepare_replacement(log: WriteAheadLog, payloads: list[bytes]) -> WriteAheadLog:
+    """Write and sync a file that can replace the log, while records are still appended to the log."""
+    replacement = WriteAheadLog(log.directory, f"{log.name}.new", log.files, sync_each_chunk=True)
+    replacement.fd = log.files.open(replacement.path, APPEND_FLAGS | os.O_TRUNC, 0o644)
     try:
-        extend(fresh, payloads)
+        append_and_sync(replacement, payloads)
     except OSError:
-        close(fresh)
+        close(replacement)
         raise
-    return fresh
+    return replacement
 
 
-def extend(fresh, payloads):
-    """Append and sync; a failure is no loss here, since nothing relies on the file yet."""
-    append(fresh, payloads)
-    fresh.files.fsync(fresh.fd)
-    fresh.synced_bytes = fresh.size
+def append_and_sync(replacement, payloads):
+    """Append records to a replacement file and sync it.
+
+    Unlike in `sync`, a failed sync raises a plain OSError: no durable state depends on the file yet.
+    """
+    append(replacement, payloads)
+    replacement.files.fsync(replacement.fd)
+    replacement.synced_bytes = replacement.size
 
 
-def adopt(log: WriteAheadLog, fresh: WriteAheadLog, payloads: list[bytes]) -> None:
-    """Put the prepared file in the log's place, with the payloads that were appended to the log meanwhile."""
+def install_replacement(log: WriteAheadLog, replacement: WriteAheadLog, payloads: list[bytes]) -> None:
+    """Replace the log's file by a prepared one, after adding the payloads appended to the log in the meantime."""
     try:
         if payloads:
-            extend(fresh, payloads)
+            append_and_sync(replacement, payloads)
     except OSError:
-        close(fresh)
+        close(replacement)
         raise
     old_fd = log.fd
     try:
-        log.files.replace(fresh.path, log.path)
-        log.fd, log.serial, log.checksum = fresh.fd, fresh.serial, fresh.checksum
-        log.size, log.synced_bytes = fresh.size, fresh.synced_bytes
-        write_sync_mark(log)
+        log.files.replace(replacement.path, log.path)
+        log.fd, log.serial, log.checksum = replacement.fd, replacement.serial, replacement.checksum
+        log.size, log.synced_bytes = replacement.size, replacement.synced_bytes
+        write_sync_marker(log)
         log.files.close(old_fd)
-        sync_folder(log.files, log.folder)
-    except OSError as fault:
-        raise SyncLostError(*fault.args) from fault
+        sync_directory(log.files, log.directory)
+    except OSError as error:
+        raise SyncLostError(*error.args) from error
 
 
 def rewrite(log: WriteAheadLog, payloads: list[bytes]) -> None:
-    """Replace all that the log holds."""
-    adopt(log, prepare(log, payloads), [])
+    """Replace the whole contents of the log."""
+    install_replacement(log, prepare_replacement(log, payloads), [])
 
 
 def close(log: WriteAheadLog) -> None:
--- a/tests/disk_model.py
+++ b/tests/disk_model.py
@@ -1,9 +1,9 @@
-"""A disk that records each call of the code under test and tells every state a power failure may leave.
+"""A simulated disk that enumerates the states in which a power failure may leave it.
 
-Data is lost or kept in blocks: a block that no sync has covered may be missing (the file is short), a hole (the file
-is long enough, but the block reads as zeros or as what stood there before), torn in its middle, or there. A failed sync
-makes nothing durable and leaves its blocks clean: a later sync does not cover them unless they are written again. Names
-made, renamed or removed last or not, each by itself, until their folder is synced.
+File data is lost or kept in blocks. A block that has not been synced may be missing (the file is shorter), a hole (the
+file has its length, but the block reads as zeros or as its earlier contents), torn in the middle, or complete. A failed
+sync makes nothing durable and marks the blocks clean: a later sync skips them unless they are written again. Directory
+entries that were created, renamed or removed persist independently of each other until their directory is synced.
 """
 
 import errno
@@ -18,12 +18,12 @@
 LOST, HOLE, TORN, KEPT = range(4)
 
 
-class CutError(Exception):
+class PowerFailureError(Exception):
     """The power fails at this call."""
 
 
 class ModelFiles(Files, frozen=True):
-    """The calls of the log and those that the turn store makes beside them."""
+    """The file operations of the log and of the turn store."""
 
     pread: Callable = os.pread
     unlink: Callable = os.unlink
@@ -31,26 +31,26 @@
 
 
 class Change(Struct):
-    """A write of one block, or a truncation (`data` is None).
+    """A write of one block, or a truncation if `data` is None.
 
-    `lasting`: a sync has covered it. `clean`: a failed sync has marked it, and later syncs skip it.
+    `synced`: covered by a successful sync. `marked_clean`: covered by a failed sync, so that later syncs skip it.
     """
 
     offset: int
     data: bytes | None
-    clean: bool = False
-    lasting: bool = False
+    marked_clean: bool = False
+    synced: bool = False
 
 
 class Inode(Struct):
-    """`durable`: what lasts whatever happens; `pending`: later changes in order, of which only some may be lasting."""
+    """The bytes that survive any power failure, and later changes in order, any of which may be lost unless synced."""
 
     durable: bytes = b""
     pending: list[Change] = []
 
 
-class Renaming(Struct):
-    """A name made (`old` is None), renamed, or removed (`new` is None)."""
+class DirectoryChange(Struct):
+    """A directory entry that was created (`old` is None), renamed, or removed (`new` is None)."""
 
     old: str | None
     new: str | None
@@ -58,23 +58,24 @@
 
 
 class Disk(Struct):
-    """`calls_left`: how many calls the power lasts, -1 for ever. `failing`: calls that fail, by name."""
+    """`calls_left`: calls before the power fails, or -1. `failing`: how many of the next calls fail, by kind of call."""
 
     block_bytes: int = 16
     names: dict[str, Inode] = {}
     durable_names: dict[str, Inode] = {}
-    pending_names: list[Renaming] = []
+    pending_names: list[DirectoryChange] = []
     handles: dict[int, tuple[str, Inode | None, bool]] = {}
     next_handle: int = 100
     calls: int = 0
     calls_left: int = -1
     failing: dict[str, int] = {}
-    room_bytes: int = 1 << 30
+    capacity_bytes: int = 1 << 30
 
 
-def step(disk, call):
+def begin_call(disk, call):
+    """Count a call, and fail it if the power or this kind of call fails now."""
     if disk.calls_left == 0:
-        raise CutError()
+        raise PowerFailureError()
     disk.calls_left -= disk.calls_left > 0
     disk.calls += 1
     if disk.failing.get(call, 0):
@@ -90,7 +91,7 @@
 
 
 def content(inode):
-    """What a process reads: the page cache."""
+    """Return the file as a process reads it through the page cache."""
     data = inode.durable
     for change in inode.pending:
         data = apply(data, change)
@@ -99,82 +100,82 @@
 
 def write_blocks(disk, inode, offset, data):
     while data:
-        room = disk.block_bytes - offset % disk.block_bytes
-        inode.pending.append(Change(offset, bytes(data[:room])))
-        offset, data = offset + room, data[room:]
+        block_rest = disk.block_bytes - offset % disk.block_bytes
+        inode.pending.append(Change(offset, bytes(data[:block_rest])))
+        offset, data = offset + block_rest, data[block_rest:]
 
 
 def sync_inode(inode):
     for change in inode.pending:
-        change.lasting = change.lasting or not change.clean
-    while inode.pending and inode.pending[0].lasting:
+        change.synced = change.synced or not change.marked_clean
+    while inode.pending and inode.pending[0].synced:
         inode.durable = apply(inode.durable, inode.pending.pop(0))
 
 
 def files_of(disk):
-    """The calls that the code under test makes."""
+    """Return the file operations of a simulated disk."""
 
-    def open_(path, flags, mode=0o644):
-        step(disk, "open")
+    def open_file(path, flags, mode=0o644):
+        begin_call(disk, "open")
         inode = disk.names.get(path)
         if flags & os.O_CREAT and inode is None:
             inode = disk.names[path] = Inode()
-            disk.pending_names.append(Renaming(None, path, inode))
+            disk.pending_names.append(DirectoryChange(None, path, inode))
         if flags & os.O_TRUNC and inode.durable + content(inode):
             inode.pending.append(Change(0, None))
         disk.next_handle += 1
         disk.handles[disk.next_handle] = (path, inode, bool(flags & os.O_APPEND))
         return disk.next_handle
 
-    def put(handle, offset, data):
+    def write_at(handle, offset, data):
         _, inode, appends = disk.handles[handle]
         size = len(content(inode))
         offset = size if appends else offset
-        used = sum(len(content(i)) for i in disk.names.values())
-        room = min(len(data), max(0, disk.room_bytes - used + size - offset))
-        if not room:
+        used_bytes = sum(len(content(i)) for i in disk.names.values())
+        writable = min(len(data), max(0, disk.capacity_bytes - used_bytes + size - offset))
+        if not writable:
             raise OSError(errno.ENOSPC, "full")
-        write_blocks(disk, inode, offset, bytes(data[:room]))
-        return room
+        write_blocks(disk, inode, offset, bytes(data[:writable]))
+        return writable
 
     def write(handle, data):
-        step(disk, "write")
-        return put(handle, 0, data)
+        begin_call(disk, "write")
+        return write_at(handle, 0, data)
 
     def pwrite(handle, data, offset):
-        step(disk, "write")
-        return put(handle, offset, data)
+        begin_call(disk, "write")
+        return write_at(handle, offset, data)
 
     def sync(handle):
         path, inode, _ = disk.handles[handle]
         try:
-            step(disk, "sync")
+            begin_call(disk, "sync")
         except OSError:
             for change in inode.pending if inode else ():
-                change.clean = not change.lasting
+                change.marked_clean = not change.synced
             raise
         if inode is not None:
             sync_inode(inode)
         else:
-            sync_names(disk, path)
+            sync_directory(disk, path)
 
     def truncate(handle, size):
-        step(disk, "truncate")
+        begin_call(disk, "truncate")
         inode = disk.handles[handle][1]
         if size < len(content(inode)):
             inode.pending.append(Change(size, None))
 
     def replace(old, new):
-        step(disk, "replace")
+        begin_call(disk, "replace")
         inode = disk.names[new] = disk.names.pop(old)
-        disk.pending_names.append(Renaming(old, new, inode))
+        disk.pending_names.append(DirectoryChange(old, new, inode))
 
     def unlink(path):
-        step(disk, "unlink")
-        disk.pending_names.append(Renaming(path, None, disk.names.pop(path)))
+        begin_call(disk, "unlink")
+        disk.pending_names.append(DirectoryChange(path, None, disk.names.pop(path)))
 
     return ModelFiles(
-        open=open_,
+        open=open_file,
         write=write,
         pwrite=pwrite,
         fdatasync=sync,
@@ -187,52 +188,55 @@
         makedirs=lambda path, exist_ok: None,
         read=lambda path: content(disk.names[path]),
         pread=lambda handle, length, offset: content(disk.handles[handle][1])[offset : offset + length],
-        listdir=lambda folder: [os.path.basename(p) for p in disk.names if os.path.dirname(p) == folder],
+        listdir=lambda directory: [os.path.basename(p) for p in disk.names if os.path.dirname(p) == directory],
     )
 
 
-def sync_names(disk, folder):
-    left = []
-    for renaming in disk.pending_names:
-        if os.path.dirname(renaming.new or renaming.old) == folder:
-            rename(disk.durable_names, renaming)
+def sync_directory(disk, directory):
+    unsynced = []
+    for change in disk.pending_names:
+        if os.path.dirname(change.new or change.old) == directory:
+            apply_directory_change(disk.durable_names, change)
         else:
-            left.append(renaming)
-    disk.pending_names = left
+            unsynced.append(change)
+    disk.pending_names = unsynced
 
 
-def rename(names, renaming):
-    if renaming.old is not None:
-        names.pop(renaming.old, None)
-    if renaming.new is not None:
-        names[renaming.new] = renaming.inode
+def apply_directory_change(names, change):
+    if change.old is not None:
+        names.pop(change.old, None)
+    if change.new is not None:
+        names[change.new] = change.inode
 
 
 def kill(disk):
-    """The process ends; the page cache stays. Calls work again."""
-    disk.handles, disk.calls_left, disk.failing, disk.room_bytes = {}, -1, {}, 1 << 30
+    """End the process but keep the page cache; later calls succeed again."""
+    disk.handles, disk.calls_left, disk.failing, disk.capacity_bytes = {}, -1, {}, 1 << 30
 
 
-def fates(change):
-    if change.lasting:
+def possible_outcomes(change):
+    if change.synced:
         return (KEPT,)
     if change.data is None:
         return (LOST, KEPT)
     return (LOST, HOLE, TORN, KEPT) if len(change.data) > 1 else (LOST, HOLE, KEPT)
 
 
-def survive(data, change, fate):
-    if fate == LOST:
+def apply_outcome(data, change, outcome):
+    if outcome == LOST:
         return data
-    if fate == KEPT:
+    if outcome == KEPT:
         return apply(data, change)
-    if fate == HOLE:
+    if outcome == HOLE:
         return data.ljust(change.offset + len(change.data), b"\0")
     return apply(data, Change(change.offset, change.data[: len(change.data) // 2]))
 
 
-def drawn(choices, limit, random):
-    """All combinations if at most `limit`; else every stretch lost or kept, every single change, and a draw."""
+def sample_combinations(choices, limit, random):
+    """Yield all combinations if there are at most `limit`.
+
+    Otherwise yield those in which one contiguous run or one single change differs from the rest, and random ones.
+    """
     total = 1
     for options in choices:
         total *= len(options)
@@ -244,35 +248,36 @@
         for end in range(start, len(choices) + 1):
             yield last[:start] + first[start:end] + last[end:]
             yield first[:start] + last[start:end] + first[end:]
-    for at, options in enumerate(choices):
+    for index, options in enumerate(choices):
         for option in options:
-            yield first[:at] + (option,) + first[at + 1 :]
-            yield last[:at] + (option,) + last[at + 1 :]
+            yield first[:index] + (option,) + first[index + 1 :]
+            yield last[:index] + (option,) + last[index + 1 :]
     for _ in range(limit):
         yield tuple(random.choice(options) for options in choices)
 
 
 def power_failures(disk, limit, random):
-    """Disks that a power failure at this moment may leave."""
-    inodes = {id(i): i for i in (*disk.durable_names.values(), *(r.inode for r in disk.pending_names))}
+    """Yield the distinct disks that a power failure at this moment may leave, each as after a restart."""
+    inodes = {id(i): i for i in (*disk.durable_names.values(), *(c.inode for c in disk.pending_names))}
     changes = [(key, change) for key, inode in inodes.items() for change in inode.pending]
-    choices = [(0, 1)] * len(disk.pending_names) + [fates(change) for _, change in changes]
+    choices = [(0, 1)] * len(disk.pending_names) + [possible_outcomes(change) for _, change in changes]
     seen = set()
-    for combination in drawn(choices, limit, random):
+    for combination in sample_combinations(choices, limit, random):
         names = dict(disk.durable_names)
-        for renaming, kept in zip(disk.pending_names, combination, strict=False):
+        for directory_change, kept in zip(disk.pending_names, combination, strict=False):
             if kept:
-                rename(names, renaming)
+                apply_directory_change(names, directory_change)
         data = {key: inode.durable for key, inode in inodes.items()}
-        for (key, change), fate in zip(changes, combination[len(disk.pending_names) :], strict=True):
-            data[key] = survive(data[key], change, fate)
-        left = {path: data[id(inode)] for path, inode in names.items()}
-        mark = tuple(sorted(left.items()))
-        if mark not in seen:
-            seen.add(mark)
-            yield fresh(disk, left)
-
-
-def fresh(disk, left):
-    inodes = {path: Inode(data) for path, data in left.items()}
+        for (key, change), outcome in zip(changes, combination[len(disk.pending_names) :], strict=True):
+            data[key] = apply_outcome(data[key], change, outcome)
+        contents = {path: data[id(inode)] for path, inode in names.items()}
+        state = tuple(sorted(contents.items()))
+        if state not in seen:
+            seen.add(state)
+            yield restarted_disk(disk, contents)
+
+
+def restarted_disk(disk, contents):
+    """Return a disk of the same block size that durably holds the given files."""
+    inodes = {path: Inode(data) for path, data in contents.items()}
     return Disk(block_bytes=disk.block_bytes, names=dict(inodes), durable_names=inodes)
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -1,4 +1,4 @@
-"""Every moment at which the power may fail, and the states of the disk that it may leave, up to DISK_STATES each."""
+"""Crash consistency of the log: power fails at every call, with up to DISK_STATES resulting disk states each."""
 
 import os
 from contextlib import suppress
@@ -10,91 +10,93 @@
 from frostpost.write_ahead_log import log as logs
 from frostpost.write_ahead_log import records
 
-STATES = int(os.environ.get("DISK_STATES", "150"))
-SECOND_FAILURES = 5
-FOLDER = "/data"
+MAX_STATES = int(os.environ.get("DISK_STATES", "150"))
+SECOND_FAILURE_INTERVAL = 5
+DIRECTORY = "/data"
 
 
 class History:
-    """What a log may hold after a crash: a prefix of one of the contents tried, not shorter than its floor."""
+    """What a log may contain after a crash: for one of the written contents, a prefix of it that includes its durable
+    prefix.
+    """
 
     def __init__(self):
-        self.tried = [((), ())]
+        self.candidates = [((), ())]
 
     @property
-    def held(self):
-        return self.tried[-1][1]
+    def written(self):
+        return self.candidates[-1][1]
 
-    def lasts(self, payloads):
-        self.tried = [(tuple(payloads), tuple(payloads))]
+    def record_synced(self, payloads):
+        self.candidates = [(tuple(payloads), tuple(payloads))]
 
-    def tries(self, payloads, floor=None):
-        self.tried.append((self.tried[-1][0] if floor is None else tuple(floor), tuple(payloads)))
+    def record_written(self, payloads, durable=None):
+        self.candidates.append((self.candidates[-1][0] if durable is None else tuple(durable), tuple(payloads)))
 
     def allows(self, payloads):
         read = tuple(payloads)
-        return any(full[: len(read)] == read and read[: len(floor)] == floor for floor, full in self.tried)
+        return any(full[: len(read)] == read and read[: len(durable)] == durable for durable, full in self.candidates)
 
 
 class Process:
-    """Uses one log on a disk and keeps its history."""
+    """A process that writes one log and records its history."""
 
     def __init__(self, disk, history):
         self.disk, self.history, self.log, self.number = disk, history, None, 0
         self.filler_bytes = 5
 
     def open(self):
-        self.log, payloads, fault = logs.open_log(FOLDER, "log", model.files_of(self.disk))
-        assert not isinstance(fault, logs.Corrupt), "a crash was taken for corruption"
-        assert self.history.allows(payloads), (payloads, self.history.tried)
-        self.history.lasts(payloads)
+        self.log, payloads, damage = logs.open_log(DIRECTORY, "log", model.files_of(self.disk))
+        assert not isinstance(damage, logs.Corrupt), "torn writes were classified as corruption"
+        assert self.history.allows(payloads), (payloads, self.history.candidates)
+        self.history.record_synced(payloads)
 
-    def payloads(self, many):
+    def make_payloads(self, number_of_payloads):
         self.number += 1
-        return [b"%d.%d:" % (self.number, n) + b"x" * (self.filler_bytes + 9 * n) for n in range(many)]
+        return [b"%d.%d:" % (self.number, n) + b"x" * (self.filler_bytes + 9 * n) for n in range(number_of_payloads)]
 
-    def append(self, many):
-        payloads = self.payloads(many)
-        before = self.history.held
-        self.history.tries((*before, *payloads))
+    def append(self, number_of_payloads):
+        payloads = self.make_payloads(number_of_payloads)
+        before = self.history.written
+        self.history.record_written((*before, *payloads))
         try:
             logs.append(self.log, payloads)
         except OSError:
-            self.history.tries(before)
+            self.history.record_written(before)
             raise
 
     def sync(self):
         logs.sync(self.log)
-        self.history.lasts(self.history.held)
+        self.history.record_synced(self.history.written)
 
     def rewrite(self):
-        payloads = self.payloads(2)
-        self.history.tries(payloads, payloads)
+        payloads = self.make_payloads(2)
+        self.history.record_written(payloads, payloads)
         logs.rewrite(self.log, payloads)
-        self.history.lasts(payloads)
+        self.history.record_synced(payloads)
 
-    def rewrite_beside_appends(self):
-        fresh = logs.prepare(self.log, payloads := self.payloads(2))
-        before = self.history.held
+    def rewrite_during_appends(self):
+        replacement = logs.prepare_replacement(self.log, payloads := self.make_payloads(2))
+        before = self.history.written
         self.append(2)
         self.sync()
-        whole = (*payloads, *self.history.held[len(before) :])
-        self.history.tries(whole, whole)
-        logs.adopt(self.log, fresh, list(whole[2:]))
-        self.history.lasts(whole)
+        contents = (*payloads, *self.history.written[len(before) :])
+        self.history.record_written(contents, contents)
+        logs.install_replacement(self.log, replacement, list(contents[2:]))
+        self.history.record_synced(contents)
 
     def kill(self):
         model.kill(self.disk)
         self.open()
 
     def fill_disk(self):
-        """An append fails after its first record was written whole."""
+        """Fail an append on a full disk, after its first record was written completely."""
         self.filler_bytes = 30
-        used = sum(len(model.content(i)) for i in self.disk.names.values())
-        self.disk.room_bytes = used + records.HEADER.size + self.filler_bytes + 10
+        used_bytes = sum(len(model.content(i)) for i in self.disk.names.values())
+        self.disk.capacity_bytes = used_bytes + records.HEADER.size + self.filler_bytes + 10
         with pytest.raises(OSError):
             self.append(3)
-        self.disk.room_bytes = 1 << 30
+        self.disk.capacity_bytes = 1 << 30
 
     def fail_sync(self):
         self.disk.failing["sync"] = 1
@@ -105,8 +107,8 @@
 
 def appends(process):
     process.open()
-    for many in (1, 2, 3):
-        process.append(many)
+    for number_of_payloads in (1, 2, 3):
+        process.append(number_of_payloads)
         process.sync()
     process.append(2)
 
@@ -130,7 +132,7 @@
     process.rewrite()
     process.append(1)
     process.sync()
-    process.rewrite_beside_appends()
+    process.rewrite_during_appends()
     process.append(2)
 
 
@@ -156,146 +158,165 @@
 SCRIPTS = (appends, kills, rewrites, full_disk, failing_syncs)
 
 
-def calls_of(script):
+def count_calls(script):
     disk = model.Disk()
     script(Process(disk, History()))
     return disk.calls
 
 
-def cut_at(script, calls, block_bytes):
-    """Run the script until the power fails before that call."""
+def run_until_power_failure(script, calls, block_bytes):
+    """Run the script until the power fails before the given call."""
     process = Process(model.Disk(block_bytes=block_bytes, calls_left=calls), History())
-    with suppress(model.CutError):
+    with suppress(model.PowerFailureError):
         script(process)
     model.kill(process.disk)
     return process
 
 
 def reopened(disk, history):
-    """Open the log of a disk after a failure; -> the process that did, with a history of its own."""
+    """Return a new process that opened the log after a failure, with a copy of the history."""
     copy = History()
-    copy.tried = list(history.tried)
+    copy.candidates = list(history.candidates)
     process = Process(disk, copy)
     process.open()
     return process
 
 
 def check_second_failure(disk, history, random):
-    """The power fails again at each call of the first start, and then for good."""
+    """Fail the power a second time, at each call made while the log is opened."""
     calls_left = 0
     while True:
-        copy = model.fresh(disk, {path: inode.durable for path, inode in disk.names.items()})
+        copy = model.restarted_disk(disk, {path: inode.durable for path, inode in disk.names.items()})
         copy.calls_left = calls_left
         try:
             reopened(copy, history)
             return
-        except model.CutError:
-            for left in model.power_failures(copy, 12, random):
-                reopened(left, history)
+        except model.PowerFailureError:
+            for remaining in model.power_failures(copy, 12, random):
+                reopened(remaining, history)
         calls_left += 1
 
 
-def check(script, states=STATES, seed=1, block_bytes=16):
-    """-> how many states were looked at."""
-    random, many = Random(seed), 0
-    for calls in range(calls_of(script) + 1):
-        cut, killed = cut_at(script, calls, block_bytes), cut_at(script, calls, block_bytes)
+def check(script, max_states=MAX_STATES, seed=1, block_bytes=16):
+    """Check the log after a power failure and after a kill at each call; return the number of disk states checked."""
+    random, checked = Random(seed), 0
+    for calls in range(count_calls(script) + 1):
+        power_failed, killed = (
+            run_until_power_failure(script, calls, block_bytes),
+            run_until_power_failure(script, calls, block_bytes),
+        )
         killed.open()
         killed.append(2)
-        for process in (cut, killed):
-            for left in model.power_failures(process.disk, states, random):
-                many += 1
-                if many % SECOND_FAILURES == 0:
-                    check_second_failure(left, process.history, random)
-                reopened(left, process.history)
-    return many
+        for process in (power_failed, killed):
+            for remaining in model.power_failures(process.disk, max_states, random):
+                checked += 1
+                if checked % SECOND_FAILURE_INTERVAL == 0:
+                    check_second_failure(remaining, process.history, random)
+                reopened(remaining, process.history)
+    return checked
 
 
 @pytest.mark.parametrize("block_bytes", (16, 41))
 @pytest.mark.parametrize("script", SCRIPTS)
-def test_what_was_synced_is_there_and_nothing_else_is_believed(script, block_bytes):
+def test_synced_records_survive_and_only_written_records_are_read(script, block_bytes):
     assert check(script, block_bytes=block_bytes) > 500
 
 
-def any_later_record_means_corruption(data, bad_offset, serial):
-    return any(r.serial > serial for r in records.valid_records(data, records.MAGIC, bad_offset + 1))
+def corrupt_if_any_record_follows(data, bad_offset, serial):
+    return any(r.serial > serial for r in records.find_valid_records(data, records.MAGIC, bad_offset + 1))
 
 
 def prepare_without_sync(log, payloads):
-    fresh = logs.WriteAheadLog(log.folder, f"{log.name}.new", log.files)
-    fresh.fd = log.files.open(fresh.path, logs.APPENDING | os.O_TRUNC, 0o644)
-    logs.append(fresh, payloads)
-    return fresh
+    replacement = logs.WriteAheadLog(log.directory, f"{log.name}.new", log.files)
+    replacement.fd = log.files.open(replacement.path, logs.APPEND_FLAGS | os.O_TRUNC, 0o644)
+    logs.append(replacement, payloads)
+    return replacement
 
 
-PLANTS = {
-    "a later valid record means corruption": (records, "proven_synced", any_later_record_means_corruption, kills),
-    "what a start reads is not synced": (logs, "sync_believed", lambda log, data, found: None, kills),
-    "what a start reads is not written again": (logs, "write_again", lambda log, data, offset: None, failing_syncs),
-    "records do not continue the one before": (
+MUTATIONS = {
+    "any later valid record counts as proof of corruption": (
         records,
-        "continues",
-        lambda record, serial, checksum: record.serial == serial + (not record.is_mark),
+        "was_synced",
+        corrupt_if_any_record_follows,
+        kills,
+    ),
+    "recovered records are not synced": (logs, "sync_recovered", lambda log, data, scanned: None, kills),
+    "recovered records are not written again": (logs, "write_again", lambda log, data, offset: None, failing_syncs),
+    "the checksum of the preceding record is not compared": (
+        records,
+        "follows",
+        lambda record, serial, checksum: record.serial == serial + (not record.is_sync_marker),
         full_disk,
     ),
-    "a failed write is left in place": (logs, "undo_write", lambda log: None, full_disk),
-    "a rewritten log is not synced before it takes the place": (logs, "prepare", prepare_without_sync, rewrites),
-    "names are not synced": (logs, "sync_folder", lambda files, folder: None, appends),
+    "a failed write is not truncated": (logs, "truncate_failed_write", lambda log: None, full_disk),
+    "a replacement file is not synced before it is installed": (
+        logs,
+        "prepare_replacement",
+        prepare_without_sync,
+        rewrites,
+    ),
+    "directory entries are not synced": (logs, "sync_directory", lambda files, directory: None, appends),
 }
 
 
-@pytest.mark.parametrize("plant", PLANTS)
-def test_each_planted_fault_is_found(plant, monkeypatch):
-    module, name, fault, script = PLANTS[plant]
-    monkeypatch.setattr(module, name, fault)
+@pytest.mark.parametrize("mutation", MUTATIONS)
+def test_each_mutation_is_detected(mutation, monkeypatch):
+    module, name, mutant, script = MUTATIONS[mutation]
+    monkeypatch.setattr(module, name, mutant)
     with pytest.raises(AssertionError):
         check(script)
 
 
 def reopened_after(write_unsynced):
-    """Three synced records, then what `write_unsynced` does to the disk; -> what a start reads, and the fault."""
+    """Write three synced records, call `write_unsynced`, lose the first unsynced block and reopen the log.
+
+    Returns the payloads read and the damage found.
+    """
     disk = model.Disk()
     files = model.files_of(disk)
-    log, _, _ = logs.open_log(FOLDER, "log", files)
+    log, _, _ = logs.open_log(DIRECTORY, "log", files)
     for payload in (b"one", b"two", b"three"):
         logs.append(log, [payload])
         logs.sync(log)
-    lasting = len(model.content(disk.names[log.path]))
+    synced_bytes = len(model.content(disk.names[log.path]))
     write_unsynced(disk, log)
     inode = disk.names[log.path]
-    inode.durable = model.content(inode)[:lasting].ljust(lasting + 512, b"\0") + model.content(inode)[lasting + 512 :]
+    inode.durable = (
+        model.content(inode)[:synced_bytes].ljust(synced_bytes + 512, b"\0")
+        + model.content(inode)[synced_bytes + 512 :]
+    )
     inode.pending = []
     model.kill(disk)
-    _, payloads, fault = logs.open_log(FOLDER, "log", files)
-    return payloads, fault
+    _, payloads, damage = logs.open_log(DIRECTORY, "log", files)
+    return payloads, damage
 
 
-def test_a_hole_at_the_start_of_an_unsynced_batch_costs_only_that_batch():
-    def batch(disk, log):
+def test_hole_at_start_of_unsynced_batch_loses_only_that_batch():
+    def append_batch(disk, log):
         logs.append(log, [b"lost" * 200, b"lasting"])
 
-    payloads, fault = reopened_after(batch)
+    payloads, damage = reopened_after(append_batch)
     assert payloads == [b"one", b"two", b"three"]
-    assert isinstance(fault, logs.Torn)
+    assert isinstance(damage, logs.Torn)
 
 
-def test_an_append_after_a_kill_does_not_hide_that_the_one_before_it_was_never_synced():
-    """Of two writes neither of which was synced by its process only the second lasts."""
+def test_records_recovered_after_kill_are_synced_before_next_append():
+    """Of two batches that their processes never synced, only the second reaches the disk."""
     synced = []
 
     def killed_between_append_and_sync(disk, log):
         logs.append(log, [b"believed" * 200])
         model.kill(disk)
-        again, payloads, _ = logs.open_log(FOLDER, "log", log.files)
+        reopened_log, payloads, _ = logs.open_log(DIRECTORY, "log", log.files)
         inode = disk.names[log.path]
-        synced.append(len(payloads) == 4 and not any(not c.lasting for c in inode.pending))
-        logs.append(again, [b"lasting"])
+        synced.append(len(payloads) == 4 and not any(not c.synced for c in inode.pending))
+        logs.append(reopened_log, [b"lasting"])
 
     reopened_after(killed_between_append_and_sync)
     assert synced == [True]
 
 
-def test_damage_below_what_was_synced_is_corruption():
+def test_damage_to_synced_bytes_is_corruption():
     disk = model.Disk()
     process = Process(disk, History())
     appends(process)
@@ -303,6 +324,6 @@
     data = bytearray(model.content(inode))
     data[40] ^= 0x5A
     inode.durable, inode.pending = bytes(data), []
-    _, payloads, fault = logs.open_log(FOLDER, "log", model.files_of(disk))
-    assert payloads == [] and isinstance(fault, logs.Corrupt)
-    assert disk.names[fault.moved_to] is inode
+    _, payloads, damage = logs.open_log(DIRECTORY, "log", model.files_of(disk))
+    assert payloads == [] and isinstance(damage, logs.Corrupt)
+    assert disk.names[damage.moved_to] is inode
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -35,7 +35,7 @@
     script(disk, Notes())
     for calls in range(disk.calls + 1):
         cut, notes = model.Disk(block_bytes=64, calls_left=calls), Notes()
-        with suppress(model.CutError):
+        with suppress(model.PowerFailureError):
             script(cut, notes)
         model.kill(cut)
         for left in model.power_failures(cut, STATES, random):
@@ -57,9 +57,9 @@
     log, _, _, _ = segments.open_segments(f"{FOLDER}/turns", model.files_of(disk), 200)
     for turns in ("a", "bc", "def", "gh"):
         put(log, notes, turns)
-    disk.room_bytes = sum(len(model.content(i)) for i in disk.names.values()) + 90
+    disk.capacity_bytes = sum(len(model.content(i)) for i in disk.names.values()) + 90
     assert put(log, notes, "ijk").fault is not None
-    disk.room_bytes = 1 << 30
+    disk.capacity_bytes = 1 << 30
     put(log, notes, "lm")
     for turn, (number, _, _) in segments.open_segments(f"{FOLDER}/turns", log.files, 200)[1].items():
         if number == 1:
@@ -253,12 +253,12 @@
 def test_a_full_disk_is_told_and_nothing_is_taken_for_synced_until_there_is_room():
     disk = model.Disk()
     house = told(disk)
-    disk.room_bytes = 0
+    disk.capacity_bytes = 0
     house.keeper.write([ProbeRecord(1), ProbeRecord(2)])
     house.threads.finish()
     assert house.stalled == [True] and house.synced == 1 and not house.crashed
     assert house.ctx.counts["disk_faults"] == 1
-    disk.room_bytes = 1 << 30
+    disk.capacity_bytes = 1 << 30
     for _ in range(3):
         house.keeper.watch()
         house.threads.finish()
--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -8,76 +8,76 @@
 from frostpost.daemon.machine import Files
 from frostpost.simulator import drives
 from frostpost.write_ahead_log import log
-from frostpost.write_ahead_log.records import HEADER, HEADER_1, MAGIC_1
+from frostpost.write_ahead_log.records import HEADER, HEADER_V1, MAGIC_V1
 
 
-def filled(folder, payloads):
-    write_ahead_log, _, _ = log.open_log(str(folder), "log")
+def write_log(directory, payloads):
+    write_ahead_log, _, _ = log.open_log(str(directory), "log")
     log.append(write_ahead_log, payloads)
     log.sync(write_ahead_log)
     log.close(write_ahead_log)
     return write_ahead_log.path
 
 
-def test_what_was_appended_is_read_back(tmp_path):
-    filled(tmp_path, [b"one", b"two", b""])
-    _, payloads, fault = log.open_log(str(tmp_path), "log")
-    assert payloads == [b"one", b"two", b""] and fault is None
+def test_appended_records_are_read_back(tmp_path):
+    write_log(tmp_path, [b"one", b"two", b""])
+    _, payloads, damage = log.open_log(str(tmp_path), "log")
+    assert payloads == [b"one", b"two", b""] and damage is None
 
 
-MARK_BYTES, LAST_BYTES = HEADER.size, HEADER.size + len(b"last")
+MARKER_BYTES, LAST_RECORD_BYTES = HEADER.size, HEADER.size + len(b"last")
 
 
-@pytest.mark.parametrize("cut", range(1, MARK_BYTES + LAST_BYTES + 1))
-def test_torn_last_record_is_cut_off_and_the_rest_kept(tmp_path, cut):
-    path = filled(tmp_path, [b"one", b"last"])
-    os.truncate(path, os.path.getsize(path) - cut)
-    write_ahead_log, payloads, fault = log.open_log(str(tmp_path), "log")
-    if cut <= MARK_BYTES:
+@pytest.mark.parametrize("cut_bytes", range(1, MARKER_BYTES + LAST_RECORD_BYTES + 1))
+def test_torn_last_record_is_truncated(tmp_path, cut_bytes):
+    path = write_log(tmp_path, [b"one", b"last"])
+    os.truncate(path, os.path.getsize(path) - cut_bytes)
+    write_ahead_log, payloads, damage = log.open_log(str(tmp_path), "log")
+    if cut_bytes <= MARKER_BYTES:
         assert payloads == [b"one", b"last"]
         log.close(write_ahead_log)
         return
     assert payloads == [b"one"]
-    assert isinstance(fault, log.Torn) or cut == MARK_BYTES + LAST_BYTES and fault is None
+    assert isinstance(damage, log.Torn) or cut_bytes == MARKER_BYTES + LAST_RECORD_BYTES and damage is None
     log.append(write_ahead_log, [b"again"])
     log.close(write_ahead_log)
     assert log.open_log(str(tmp_path), "log")[1] == [b"one", b"again"]
 
 
-@pytest.mark.parametrize("at", (2, 8, 20, 24))
-def test_corruption_in_the_middle_is_not_served(tmp_path, at):
-    path = filled(tmp_path, [b"first", b"second", b"third"])
+@pytest.mark.parametrize("offset", (2, 8, 20, 24))
+def test_damaged_synced_record_makes_log_corrupt(tmp_path, offset):
+    path = write_log(tmp_path, [b"first", b"second", b"third"])
     with open(path, "r+b") as file:
-        file.seek(at)
+        file.seek(offset)
         byte = file.read(1)
-        file.seek(at)
+        file.seek(offset)
         file.write(bytes([byte[0] ^ 0xFF]))
-    _, payloads, fault = log.open_log(str(tmp_path), "log")
-    assert payloads == [] and isinstance(fault, log.Corrupt)
-    assert os.path.exists(fault.moved_to)
+    _, payloads, damage = log.open_log(str(tmp_path), "log")
+    assert payloads == [] and isinstance(damage, log.Corrupt)
+    assert os.path.exists(damage.moved_to)
 
 
-def test_failed_write_leaves_no_half_record(tmp_path):
-    calls = []
+def test_failed_write_leaves_no_partial_record(tmp_path):
+    disk_full = []
 
-    def full(fd, data):
-        if not calls:
+    def write(fd, data):
+        if not disk_full:
             return os.write(fd, data)
         os.write(fd, bytes(data[:5]))
         raise OSError(28, "full")
 
-    write_ahead_log, _, _ = log.open_log(str(tmp_path), "log", Files(write=full))
+    write_ahead_log, _, _ = log.open_log(str(tmp_path), "log", Files(write=write))
     log.append(write_ahead_log, [b"kept"])
-    calls.append(True)
+    disk_full.append(True)
     with pytest.raises(OSError):
         log.append(write_ahead_log, [b"lost"])
-    calls.clear()
+    disk_full.clear()
     log.append(write_ahead_log, [b"after"])
     log.close(write_ahead_log)
     assert log.open_log(str(tmp_path), "log")[1] == [b"kept", b"after"]
 
 
-def test_rewrite_replaces_all_and_goes_on(tmp_path):
+def test_rewrite_replaces_contents_and_later_appends_follow(tmp_path):
     write_ahead_log, _, _ = log.open_log(str(tmp_path), "log")
     log.append(write_ahead_log, [b"x"] * 50)
     log.rewrite(write_ahead_log, [b"short"])
@@ -87,82 +87,84 @@
     assert os.listdir(tmp_path) == ["log"]
 
 
-def steps(write_ahead_log, lasting):
-    for n in range(12):
-        if n == 6:
-            log.rewrite(write_ahead_log, [b"state", *(b"%d" % k for k in range(n + 1))])
+def append_and_rewrite(write_ahead_log, synced):
+    for number in range(12):
+        if number == 6:
+            log.rewrite(write_ahead_log, [b"state", *(b"%d" % n for n in range(number + 1))])
         else:
-            log.append(write_ahead_log, [b"%d" % n])
+            log.append(write_ahead_log, [b"%d" % number])
             log.sync(write_ahead_log)
-        lasting.append(n)
+        synced.append(number)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_power_lost_at_any_step_keeps_what_was_synced(seed):
+def test_power_failure_at_any_call_keeps_synced_records(seed):
     drive = drives.Drive(Random(seed))
     write_ahead_log, _, _ = log.open_log("/d", "log", drives.files_of(drive))
-    drive.armed, lasting = seed, []
+    drive.armed, synced = seed, []
     with suppress(drives.PowerCutError):
-        steps(write_ahead_log, lasting)
+        append_and_rewrite(write_ahead_log, synced)
     drives.lose_power(drive, [])
-    _, payloads, fault = log.open_log("/d", "log", drives.files_of(drive))
-    said = [p for p in payloads if p != b"state"]
-    assert not isinstance(fault, log.Corrupt)
-    assert said == [b"%d" % n for n in range(len(said))]
-    assert len(said) >= len(lasting)
+    _, payloads, damage = log.open_log("/d", "log", drives.files_of(drive))
+    numbers = [p for p in payloads if p != b"state"]
+    assert not isinstance(damage, log.Corrupt)
+    assert numbers == [b"%d" % n for n in range(len(numbers))]
+    assert len(numbers) >= len(synced)
 
 
-@pytest.mark.parametrize("what", ("write", "sync", "open", "replace"))
-def test_a_failing_disk_call_loses_nothing_that_was_synced(what):
+@pytest.mark.parametrize("call", ("write", "sync", "open", "replace"))
+def test_failing_disk_call_loses_no_synced_record(call):
     drive = drives.Drive(Random(1))
     write_ahead_log, _, _ = log.open_log("/d", "log", drives.files_of(drive))
-    lasting, faults = [], 0
-    for n in range(12):
-        drive.broken[what] = n % 2
+    synced, errors = [], 0
+    for number in range(12):
+        drive.broken[call] = number % 2
         try:
-            steps(write_ahead_log, lasting) if n == 3 else log.append(write_ahead_log, [b"x%d" % n])
-            log.rewrite(write_ahead_log, [b"y%d" % n])
-        except OSError as fault:
-            faults += 1
-            if isinstance(fault, log.SyncLostError):
+            append_and_rewrite(write_ahead_log, synced) if number == 3 else log.append(
+                write_ahead_log, [b"x%d" % number]
+            )
+            log.rewrite(write_ahead_log, [b"y%d" % number])
+        except OSError as error:
+            errors += 1
+            if isinstance(error, log.SyncLostError):
                 break
     drive.broken.clear()
-    assert faults
-    _, payloads, fault = log.open_log("/d", "log", drives.files_of(drive))
-    assert fault is None and payloads
+    assert errors
+    _, payloads, damage = log.open_log("/d", "log", drives.files_of(drive))
+    assert damage is None and payloads
 
 
-def first_format(payloads):
-    """The bytes of a log that the first format of records wrote."""
+def encode_v1(payloads):
+    """Return the bytes of a log in record format 1."""
     data = b""
     for serial, payload in enumerate(payloads, 1):
         checksum = crc32(payload, crc32(serial.to_bytes(8, "big")))
-        data += HEADER_1.pack(MAGIC_1, len(payload), serial, checksum) + payload
+        data += HEADER_V1.pack(MAGIC_V1, len(payload), serial, checksum) + payload
     return data
 
 
-def test_a_log_of_the_first_format_is_read_and_appended_to(tmp_path):
-    (tmp_path / "log").write_bytes(first_format([b"one", b"two"]))
-    opened, payloads, fault = log.open_log(str(tmp_path), "log")
-    assert payloads == [b"one", b"two"] and fault is None
-    log.append(opened, [b"three"])
-    log.sync(opened)
-    log.close(opened)
+def test_log_of_format_1_is_read_and_appended_to(tmp_path):
+    (tmp_path / "log").write_bytes(encode_v1([b"one", b"two"]))
+    write_ahead_log, payloads, damage = log.open_log(str(tmp_path), "log")
+    assert payloads == [b"one", b"two"] and damage is None
+    log.append(write_ahead_log, [b"three"])
+    log.sync(write_ahead_log)
+    log.close(write_ahead_log)
     assert log.open_log(str(tmp_path), "log")[1] == [b"one", b"two", b"three"]
 
 
-@pytest.mark.parametrize("at", (2, 20, 24))
-def test_damage_in_a_log_of_the_first_format_is_corruption_as_it_was(tmp_path, at):
-    data = bytearray(first_format([b"first", b"second", b"third"]))
-    data[at] ^= 0xFF
+@pytest.mark.parametrize("offset", (2, 20, 24))
+def test_any_damage_before_last_record_of_format_1_is_corruption(tmp_path, offset):
+    data = bytearray(encode_v1([b"first", b"second", b"third"]))
+    data[offset] ^= 0xFF
     (tmp_path / "log").write_bytes(data)
-    _, payloads, fault = log.open_log(str(tmp_path), "log")
-    assert payloads == [] and isinstance(fault, log.Corrupt)
+    _, payloads, damage = log.open_log(str(tmp_path), "log")
+    assert payloads == [] and isinstance(damage, log.Corrupt)
 
 
-def test_damage_in_the_part_of_the_first_format_is_found_in_a_log_that_goes_on_in_the_second(tmp_path):
-    (tmp_path / "log").write_bytes(first_format([b"first", b"second"]))
-    filled(tmp_path, [b"third"])
+def test_damage_to_format_1_part_of_mixed_log_is_corruption(tmp_path):
+    (tmp_path / "log").write_bytes(encode_v1([b"first", b"second"]))
+    write_log(tmp_path, [b"third"])
     with open(tmp_path / "log", "r+b") as file:
         file.seek(20)
         file.write(b"?")
