--- a/frostpost/daemon/__init__.py
+++ b/frostpost/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: settings, links, disk, event loop and assembly."""
+"""The daemon: settings, event loop, links to peers, log writer and lifecycle."""
--- a/frostpost/daemon/errors.py
+++ b/frostpost/daemon/errors.py
@@ -1,10 +1,10 @@
-"""Why an operation that was submitted has no result; each has its HTTP status code and when to come back."""
+"""Errors of operations that were submitted without a result, each with an HTTP status code and a time for a retry."""
 
 from msgspec import Struct
 
 
 class Overfilled(Struct, frozen=True, tag="Overfilled"):
-    """The outbox of operations is full."""
+    """The queue of operations that wait to be ordered is full."""
 
     text: str = "too much is waiting to be ordered; nothing was run"
     status: int = 503
@@ -12,7 +12,7 @@
 
 
 class NoPrimary(Struct, frozen=True, tag="NoPrimary"):
-    """This daemon has no lease."""
+    """This daemon holds no lease."""
 
     text: str = "this daemon is not with the majority of the storage machines; nothing was run"
     status: int = 503
@@ -20,7 +20,7 @@
 
 
 class Undecided(Struct, frozen=True, tag="Undecided"):
-    """An operation was not ordered in time."""
+    """The operation was not ordered before its timeout."""
 
     text: str = "the order was not settled in time; nothing was run"
     status: int = 503
--- a/frostpost/daemon/machine.py
+++ b/frostpost/daemon/machine.py
@@ -1,4 +1,4 @@
-"""All that a daemon takes from its machine: clocks, threads, random tokens, files."""
+"""Interfaces of a daemon to its machine: clocks, threads, random tokens and files."""
 
 import os
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class Files(Struct, frozen=True):
-    """File operations; tests put others in their place."""
+    """File operations; simulations and tests replace them."""
 
     open: Callable = os.open
     write: Callable = os.write
@@ -21,12 +21,12 @@
     replace: Callable = os.replace
     exists: Callable = os.path.exists
     makedirs: Callable = os.makedirs
-    read: Callable = lambda path: read_whole(path)
+    read: Callable = lambda path: read_file(path)
     pwrite: Callable = os.pwrite
 
 
 class Machine(Struct, frozen=True):
-    """Clocks, threads, random tokens and files; tests put others in their place."""
+    """Clocks, threads, random tokens and files; simulations and tests replace them."""
 
     seconds: Callable = monotonic
     wall_s: Callable = time
@@ -39,7 +39,7 @@
 MACHINE = Machine()
 
 
-def read_whole(path):
-    """Return a file's bytes."""
+def read_file(path):
+    """Return the contents of a file."""
     with open(path, "rb") as file:
         return file.read()
--- a/frostpost/daemon/polling.py
+++ b/frostpost/daemon/polling.py
@@ -1,22 +1,22 @@
-"""Wait for a condition."""
+"""Waiting for a condition by polling."""
 
 from twisted.internet.defer import Deferred
 
-STEP_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
-def poll_until(ctx, test, wait_ms):
-    """Deferred of True once a test holds, of False after `wait_ms`."""
-    answer = Deferred()
-    end_s = ctx.reactor.seconds() + wait_ms / 1000
+def poll_until(ctx, condition, timeout_ms):
+    """Return a Deferred that fires with True once the condition holds, or with False after `timeout_ms`."""
+    deferred = Deferred()
+    end_s = ctx.reactor.seconds() + timeout_ms / 1000
 
-    def look():
-        if test():
-            answer.callback(True)
+    def poll():
+        if condition():
+            deferred.callback(True)
         elif ctx.reactor.seconds() >= end_s:
-            answer.callback(False)
+            deferred.callback(False)
         else:
-            ctx.reactor.callLater(STEP_S, look)
+            ctx.reactor.callLater(POLL_INTERVAL_S, poll)
 
-    look()
-    return answer
+    poll()
+    return deferred
--- a/frostpost/daemon/structured_log.py
+++ b/frostpost/daemon/structured_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard error."""
+"""Structured logging: one JSON object per line, on standard error."""
 
 import sys
 
@@ -6,16 +6,16 @@
 from msgspec import json
 
 
-def log_event(kind, **facts):
+def log_event(kind, **fields):
     """Log an event with its fields."""
-    logging.info("%s", json.encode({"kind": kind, **facts}).decode())
+    logging.info("%s", json.encode({"kind": kind, **fields}).decode())
 
 
 class JsonFormatter(logging.PythonFormatter):
-    """Formats each record as one JSON line."""
+    """Formats each log record as one line of JSON."""
 
     def format(self, record):
-        """Return the line of a record."""
+        """Return the line; a message that isn't JSON, such as one of a library, becomes the text of a note."""
         text = record.getMessage()
         body = text if text.startswith("{") else json.encode({"kind": "note", "text": text}).decode()
         return f'{{"at_ms":{int(record.created * 1000)},"level":"{record.levelname}",{body[1:]}'
--- a/frostpost/daemon/ticker.py
+++ b/frostpost/daemon/ticker.py
@@ -1,42 +1,42 @@
-"""A periodic job that sleeps through the ticks at which it would have nothing to do."""
+"""A periodic job that skips the ticks at which nothing is due."""
 
 from math import ceil, floor
 
 from twisted.python.failure import Failure
 
-# A tick this close ahead is the one that has just come, seen through the rounding of seconds.
+# Tolerance for rounding errors, in periods: a tick this close ahead is the current one.
 ROUNDING_TICKS = 1e-3
 
 
 class Ticker:
-    """Runs a job at the ticks of a fixed period, but only from the tick on at which something is due.
+    """Runs a job at the ticks of a fixed period, starting from the tick at which something is due.
 
-    job() does what is due; due_in_ms() tells how long nothing will be, as far as is known; failed(failure) is told of
-    an error of the job, after which it runs no more. What becomes due earlier than was told is announced by `wake`.
-    late_ms: by how much the last run came after its tick.
+    `job()` does the work; `due_in_ms()` then returns the time until it is due again. Work that becomes due earlier is
+    announced by `wake`. If the job raises, `on_failure(failure)` is called and the ticker stops. `late_ms` is the delay
+    of the last run after its tick.
     """
 
-    __slots__ = ("reactor", "period_s", "job", "due_in_ms", "failed", "origin_s", "call", "planned_s", "late_ms")
+    __slots__ = ("reactor", "period_s", "job", "due_in_ms", "on_failure", "origin_s", "call", "planned_s", "late_ms")
 
-    def __init__(self, reactor, period_s, job, due_in_ms, failed):
+    def __init__(self, reactor, period_s, job, due_in_ms, on_failure):
         self.reactor, self.period_s, self.job = reactor, period_s, job
-        self.due_in_ms, self.failed = due_in_ms, failed
+        self.due_in_ms, self.on_failure = due_in_ms, on_failure
         self.origin_s, self.call = 0.0, None
         self.planned_s, self.late_ms = 0.0, 0.0
 
     def start(self):
-        """Begin to tick; the first tick comes one period from now and is never slept through."""
+        """Start ticking; the first tick is one period from now and is never skipped."""
         self.origin_s = self.reactor.seconds()
-        self._plan(self.period_s)
+        self._schedule(self.period_s)
 
     def stop(self):
-        """Tick no more."""
+        """Cancel the next run."""
         if self.call is not None and self.call.active():
             self.call.cancel()
         self.call = None
 
     def wake(self, in_ms=0):
-        """Something is due that long from now: run at the first tick after that, or earlier if that was planned."""
+        """Run at the first tick at least `in_ms` from now, unless an earlier run is scheduled."""
         if self.call is None:
             return
         delay_s = self._delay_s(in_ms)
@@ -50,17 +50,17 @@
             self.job()
             delay_s = self._delay_s(self.due_in_ms())
         except Exception:
-            self.failed(Failure())
+            self.on_failure(Failure())
             return
-        self._plan(delay_s)
+        self._schedule(delay_s)
 
-    def _plan(self, delay_s):
+    def _schedule(self, delay_s):
         self.planned_s = self.reactor.seconds() + delay_s
         self.call = self.reactor.callLater(delay_s, self._run)
 
     def _delay_s(self, in_ms):
-        """Seconds to the first tick at which that time is over, at least to the next tick."""
-        passed = (self.reactor.seconds() - self.origin_s) / self.period_s
-        due = ceil(passed + in_ms / 1000 / self.period_s - ROUNDING_TICKS)
-        following = floor(passed + ROUNDING_TICKS) + 1
-        return (max(due, following) - passed) * self.period_s
+        """Return the seconds to the first tick at least `in_ms` from now, or to the next tick."""
+        elapsed_ticks = (self.reactor.seconds() - self.origin_s) / self.period_s
+        due_tick = ceil(elapsed_ticks + in_ms / 1000 / self.period_s - ROUNDING_TICKS)
+        next_tick = floor(elapsed_ticks + ROUNDING_TICKS) + 1
+        return (max(due_tick, next_tick) - elapsed_ticks) * self.period_s
--- a/frostpost/write_ahead_log/log.py
+++ b/frostpost/write_ahead_log/log.py
@@ -13,7 +13,7 @@
 
 from .records import Record, Scan, encode_header, encode_sync_marker, scan
 
-# Bounds the copies of payload bytes that are held while a large snapshot is written.
+# Size of the writes into which records are joined; bounds the memory for copies of large payloads.
 WRITE_CHUNK_BYTES = 1 << 20
 FILES = Files()
 APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND
--- a/tests/disk_model.py
+++ b/tests/disk_model.py
@@ -58,7 +58,7 @@
 
 
 class Disk(Struct):
-    """`calls_left`: calls before the power fails, or -1. `failing`: how many of the next calls fail, by kind of call."""
+    """`calls_left`: calls before the power fails, or -1. `failing`: number of next calls that fail, by kind of call."""
 
     block_bytes: int = 16
     names: dict[str, Inode] = {}
