--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -11,7 +11,7 @@
 from frostpost.background.ticking import tick_ledger
 from frostpost.daemon import disk as disks
 from frostpost.daemon.context import Context, TestHooks, clock_ms
-from frostpost.daemon.core import begin
+from frostpost.daemon.core import create_core
 from frostpost.daemon.event_loop import TICK_MS, beat
 from frostpost.daemon.frames import listen, sender
 from frostpost.daemon.structured_log import log_event
@@ -101,7 +101,7 @@
     }
     ctx.http_agent = http_agent(ctx)[1]
     seeds = [f"@{s}" for s in settings.seeds]
-    ctx.core, out = begin(endpoint, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
+    ctx.core, out = create_core(endpoint, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
     ctx.core.synchrony.status = shelves.news(ctx)
     ctx.disk.write(out.writes)
     return ctx, build(ctx)
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -98,7 +98,7 @@
     ctx, settings = replica.ctx, replica.settings
     replica.waiting, replica.bootstrap_voters = False, charter
     seeds = dict.fromkeys((*settings.seeds, *address_book.known_addresses(replica.peers)))
-    ctx.core, out = cores.begin(
+    ctx.core, out = cores.create_core(
         ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
     )
     replica.records = []
--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -1,4 +1,4 @@
-"""The pure core: virtual synchrony with the ledger on top, as (core, input) -> (core, output)."""
+"""The pure core: virtual synchrony and the ledger that it replicates, advanced one input at a time without I/O."""
 
 from msgspec import Struct, field
 
@@ -28,8 +28,9 @@
 
 
 class OperationDecided(Struct, frozen=True, tag=20):
-    """The result of an operation that this daemon submitted; None if it was committed but its result is no longer
-    known.
+    """The result of an operation that this daemon submitted.
+
+    It is None if the operation was committed, but a snapshot replaced the entry from which its result would follow.
     """
 
     number: int
@@ -37,26 +38,27 @@
 
 
 class SnapshotSlice(Struct, frozen=True, tag=21):
-    """An input that only goes on with a snapshot under way."""
+    """An input that processes the next slice of the snapshot in progress."""
 
     now_ms: int
 
 
 class Core(Struct):
-    """State of the core: membership and order, the ledger, and the ballots cast for singleton roles.
+    """State of the core: membership and total order, the replicated ledger, and its snapshots.
 
-    balloted: the ballot cast last, by role. ruled: the configuration in which this daemon last raised the rules.
+    `cast_ballots` holds the epoch and round of the last ballot that this daemon cast, by singleton role, and
+    `rules_upgraded_in` the configuration in which it last submitted an upgrade of the ledger's rules.
     """
 
     synchrony: synchronies.Synchrony
     ledger: Ledger
     snapshots: Snapshots = field(default_factory=Snapshots)
-    balloted: dict[str, int] = {}
-    ruled: object = None
+    cast_ballots: dict[str, int] = {}
+    rules_upgraded_in: object = None
 
 
-def begin(endpoint, bounds, seeds, voters, log, now_ms):
-    """Return (core, output) of a daemon that starts with the log read from its disk."""
+def create_core(endpoint, bounds, seeds, voters, log, now_ms):
+    """Return the core of a daemon that starts with the log read from its disk, and its first output."""
     synchrony, out = synchronies.create_synchrony(endpoint, bounds, seeds, voters, log, now_ms)
     ledger = snapshots.run_to_completion(snapshots.decode_in_slices(log.snapshot)) if log.snapshot else Ledger()
     for entry in log.entries[: max(0, log.commit_index - log.snapshot_index)]:
@@ -67,47 +69,49 @@
 
 
 def step(core, input):
-    """Handle one input; return (core, output)."""
+    """Handle one input; return the core and its output."""
     out = Output() if isinstance(input, SnapshotSlice) else synchrony_step(core.synchrony, input)[1]
     if isinstance(input, SnapshotSlice | TimerTick):
         snapshotting.advance(core, out)
-    snapshotting.give_way(core, out)
-    told = apply_answers(core, out)
-    while asks := pending_ballots(core):
-        for payload in asks:
-            _, more = synchrony_step(core.synchrony, OperationSubmitted(input.now_ms, payload))
-            out.sends += more.sends
-            out.writes += more.writes
-            told += [a for a in apply_answers(core, more) if not isinstance(a, (OperationNumbered, WindowFull))]
-    follow_ledger_voters(core)
-    snapshotting.rewrite(core, out)
-    return core, Output(out.sends, out.writes, told)
+    snapshotting.abort_for_opening(core, out)
+    answers = apply_answers(core, out)
+    while payloads := pending_ballots(core):
+        for payload in payloads:
+            _, ballot_out = synchrony_step(core.synchrony, OperationSubmitted(input.now_ms, payload))
+            out.sends += ballot_out.sends
+            out.writes += ballot_out.writes
+            answers += [
+                a for a in apply_answers(core, ballot_out) if not isinstance(a, (OperationNumbered, WindowFull))
+            ]
+    adopt_ledger_voters(core)
+    snapshotting.compact_log(core, out)
+    return core, Output(out.sends, out.writes, answers)
 
 
 def apply_answers(core, out):
-    """Apply what was delivered to the ledger; return the answers for the shell."""
-    told = []
+    """Apply delivered entries to the ledger; return the answers for the event loop."""
+    answers = []
     for answer in out.notifications:
         match answer:
             case EntryApplied(entry):
                 core.ledger, result = apply(core.ledger, entry)
                 if entry.sender == core.synchrony.local_member and entry.number:
-                    told.append(OperationDecided(entry.number, result))
-                told.append(answer)
+                    answers.append(OperationDecided(entry.number, result))
+                answers.append(answer)
             case SnapshotInstalled():
-                told += answered_by_snapshot(core)
-                told.append(answer)
+                answers += take_operations_in_snapshot(core)
+                answers.append(answer)
             case SnapshotRequested():
-                snapshotting.asked(core, out, answer)
+                snapshotting.on_requested(core, out, answer)
             case SnapshotReceived():
-                snapshotting.received(core, out, answer)
+                snapshotting.on_received(core, out, answer)
             case _:
-                told.append(answer)
-    return told
+                answers.append(answer)
+    return answers
 
 
-def follow_ledger_voters(core):
-    """Take over the voters that the ledger holds."""
+def adopt_ledger_voters(core):
+    """Set the voters of the synchrony to those of the ledger."""
     voters, synchrony = core.ledger.voters, core.synchrony
     if voters and voters != synchrony.voters:
         synchrony.voters = synchrony.log.voters = voters
@@ -117,37 +121,37 @@
         synchrony.primary.pending_voters = ()
 
 
-def answered_by_snapshot(core):
-    """Return the outcome of own operations that a snapshot already contains."""
+def take_operations_in_snapshot(core):
+    """Remove this daemon's operations that the installed snapshot contains from the outbox; return their outcomes."""
     incarnation, number = core.ledger.sessions.get(core.synchrony.name, (0, 0))
     if incarnation != core.synchrony.local_member.incarnation:
         return []
-    gone = [n for n in core.synchrony.outbox if n <= number]
-    for n in gone:
-        del core.synchrony.outbox[n]
-    return [OperationDecided(n, None) for n in gone]
+    decided = [n for n in core.synchrony.outbox if n <= number]
+    for decided_number in decided:
+        del core.synchrony.outbox[decided_number]
+    return [OperationDecided(n, None) for n in decided]
 
 
 def pending_ballots(core):
-    """Return the encoded votes that this daemon has yet to cast."""
+    """Return the encoded ballots for singleton roles, and a rules upgrade, that this daemon has yet to submit."""
     synchrony, ledger = core.synchrony, core.ledger
     if not synchrony.primary.opened or synchrony.recovery or synchrony.draining:
         return []
-    asks = []
-    for duty, round, candidate in singleton_roles.pending_ballots(ledger, synchrony.local_member):
-        mark = (synchrony.configuration.id.epoch << 20) + round
-        if core.balloted.get(duty) != mark:
-            core.balloted[duty] = mark
-            asks.append(encode(Ballot(duty, round, candidate)))
-    return asks + rules_upgrade(core)
+    payloads = []
+    for role, round, candidate in singleton_roles.pending_ballots(ledger, synchrony.local_member):
+        ballot_key = (synchrony.configuration.id.epoch << 20) + round
+        if core.cast_ballots.get(role) != ballot_key:
+            core.cast_ballots[role] = ballot_key
+            payloads.append(encode(Ballot(role, round, candidate)))
+    return payloads + rules_upgrade(core)
 
 
 def rules_upgrade(core):
-    """Return the operation that raises the ledger's rules, once every member speaks the new version."""
+    """Return the encoded upgrade of the ledger's rules, once every member supports the new revision."""
     synchrony, ledger = core.synchrony, core.ledger
     if (
         ledger.rules >= PROTOCOL_REVISION
-        or core.ruled == synchrony.configuration.id
+        or core.rules_upgraded_in == synchrony.configuration.id
         or not singleton_roles.fencing_token(ledger, "ticks", synchrony.local_member)
     ):
         return []
@@ -159,10 +163,10 @@
         for m in synchrony.configuration.members
     ):
         return []
-    core.ruled = synchrony.configuration.id
+    core.rules_upgraded_in = synchrony.configuration.id
     return [encode(Rules(PROTOCOL_REVISION))]
 
 
 def holds_lease(core, now_ms):
-    """Tell whether the lease allows this daemon to serve at that time."""
+    """Return whether this daemon holds a valid lease at that time."""
     return leases.holds_lease(core.synchrony, now_ms)
--- a/frostpost/daemon/snapshot_state.py
+++ b/frostpost/daemon/snapshot_state.py
@@ -1,4 +1,7 @@
-"""What a member knows of the snapshots that it takes, serves and loads, and the work on one as generators of slices."""
+"""State of the snapshots that a member takes, serves and loads, and their encoding and decoding in slices.
+
+The generators yield between slices, so that the event loop is not blocked by a large snapshot.
+"""
 
 from collections.abc import Generator
 from hashlib import blake2b
@@ -13,70 +16,71 @@
 DIGEST_BYTES = 16
 
 
-class Taking(Struct):
-    """A snapshot under way; `work` returns its bytes and digest. `for_log`: the log is to be rewritten with it."""
+class SnapshotEncoding(Struct):
+    """A snapshot that is being encoded; `work` returns its bytes and digest."""
 
     index: int
     work: Generator
-    for_log: bool
-    began_ms: int
+    for_compaction: bool
+    started_ms: int
 
 
-class Taken(Struct):
-    """A snapshot of all entries up to `index`; `asked_ms`: when a piece of it was asked for last."""
+class EncodedSnapshot(Struct):
+    """A snapshot of all entries up to `index`, and the time at which a chunk of it was last requested."""
 
     index: int
     state: bytes
     digest: str
-    asked_ms: int
+    last_requested_ms: int
 
 
-class Loading(Struct):
-    """A received snapshot that is being decoded; `work` returns the ledger, or None if the bytes are not as sent."""
+class SnapshotDecoding(Struct):
+    """A received snapshot that is being decoded; `work` returns the ledger, or None if the digest doesn't match."""
 
     received: SnapshotReceived
     work: Generator
 
 
 class Snapshots(Struct):
-    """`served`: what members fetch; `for_log`: what the log is to be rewritten with; `askers`: who waits for one.
+    """The snapshots of a member.
 
-    `rests_until_ms`: none is taken for the log until then.
+    `served` is fetched by peers, `for_compaction` is to replace the log, `pending_requests` holds the requests that
+    wait for a snapshot, by peer. No snapshot is taken for a compaction before `compact_after_ms`.
     """
 
-    taking: Taking | None = None
-    served: Taken | None = None
-    for_log: Taken | None = None
-    loading: Loading | None = None
-    askers: dict[str, SnapshotRequested] = {}
-    rests_until_ms: int = 0
+    taking: SnapshotEncoding | None = None
+    served: EncodedSnapshot | None = None
+    for_compaction: EncodedSnapshot | None = None
+    loading: SnapshotDecoding | None = None
+    pending_requests: dict[str, SnapshotRequested] = {}
+    compact_after_ms: int = 0
 
     @property
     def busy(self) -> bool:
-        """Whether another slice of work is due."""
+        """Whether there is another slice to process."""
         return self.taking is not None or self.loading is not None
 
 
-def digesting(state: bytes) -> Generator[None, None, str]:
-    """Hash the bytes a slice at a time."""
+def hash_in_slices(state: bytes) -> Generator[None, None, str]:
+    """Return the digest of the bytes, hashed a slice at a time."""
     digest, view = blake2b(digest_size=DIGEST_BYTES), memoryview(state)
-    for at in range(0, len(state), DIGEST_SLICE_BYTES):
-        if at:
+    for offset in range(0, len(state), DIGEST_SLICE_BYTES):
+        if offset:
             yield
-        digest.update(view[at : at + DIGEST_SLICE_BYTES])
+        digest.update(view[offset : offset + DIGEST_SLICE_BYTES])
     return digest.hexdigest()
 
 
-def take(ledger: Ledger, slice_records: int) -> Generator[None, None, tuple[bytes, str]]:
-    """Encode and hash."""
+def encode_snapshot(ledger: Ledger, slice_records: int) -> Generator[None, None, tuple[bytes, str]]:
+    """Return the encoded ledger and its digest, processed in slices."""
     state = yield from snapshots.encode_in_slices(ledger, slice_records)
-    digest = yield from digesting(state)
+    digest = yield from hash_in_slices(state)
     return state, digest
 
 
-def load(received: SnapshotReceived) -> Generator[None, None, Ledger | None]:
-    """Check and decode."""
-    digest = yield from digesting(received.state)
+def decode_snapshot(received: SnapshotReceived) -> Generator[None, None, Ledger | None]:
+    """Return the ledger of a received snapshot, processed in slices, or None if its digest doesn't match."""
+    digest = yield from hash_in_slices(received.state)
     if digest != received.digest:
         return None
     return (yield from snapshots.decode_in_slices(received.state))
--- a/frostpost/daemon/snapshotting.py
+++ b/frostpost/daemon/snapshotting.py
@@ -1,7 +1,7 @@
-"""Taking snapshots of the ledger and loading them, a slice at a time, between which the event loop goes on.
+"""Takes and loads snapshots of the ledger in slices, between which the event loop handles other events.
 
-While one is taken nothing is applied: entries wait in the synchrony, leases and acknowledgements go on. While one is
-loaded the member holds no lease, since nothing that the snapshot brings counts before it is whole.
+While a snapshot is being taken, no entries are applied; they queue in the synchrony, while leases and acknowledgements
+continue. While a snapshot is being loaded, the member holds no lease, since its state is incomplete.
 """
 
 from frostpost.virtual_synchrony import catch_up, delivery
@@ -17,46 +17,54 @@
 )
 from frostpost.virtual_synchrony.messages import SnapshotChunk
 
-from .snapshot_state import Loading, Snapshots, Taken, Taking, load, take
+from .snapshot_state import (
+    EncodedSnapshot,
+    SnapshotDecoding,
+    SnapshotEncoding,
+    Snapshots,
+    decode_snapshot,
+    encode_snapshot,
+)
 
-# A snapshot that nobody fetches any more is dropped after this many times `detect_ms`.
+# A served snapshot is dropped when no chunk of it has been requested for this multiple of `detect_ms`.
 IDLE_RATIO = 10
-# After a snapshot the next one for the log waits this many times as long as it took: entries are applied meanwhile.
-REST_RATIO = 4
+# The next snapshot for a compaction waits this multiple of the time that the last one took, so that queued entries can
+# be applied.
+COMPACTION_REST_RATIO = 4
 
 
 def advance(core, out) -> None:
-    """Do one slice of what is under way, and what follows from its end."""
+    """Process one slice of the snapshot that is being loaded or taken, and complete it after its last slice."""
     if core.snapshots.loading is not None:
         advance_loading(core, out)
     elif core.snapshots.taking is not None:
         advance_taking(core, out)
         if not core.synchrony.apply_paused:
             delivery.apply_pending(core.synchrony, out)
-    elif is_idle(core):
+    elif is_served_idle(core):
         core.snapshots.served = None
 
 
-def give_way(core, out) -> None:
-    """A configuration that only waits to be opened is opened first; the snapshot is begun anew after that."""
-    primary, held = core.synchrony.primary, core.snapshots
-    if held.taking is not None and primary.open_committed and not primary.opened:
-        held.taking, core.synchrony.apply_paused = None, False
+def abort_for_opening(core, out) -> None:
+    """Abort taking a snapshot if the configuration can be opened now; the snapshot is restarted after that."""
+    primary, snapshots = core.synchrony.primary, core.snapshots
+    if snapshots.taking is not None and primary.open_committed and not primary.opened:
+        snapshots.taking, core.synchrony.apply_paused = None, False
         delivery.apply_pending(core.synchrony, out)
 
 
-def is_idle(core):
-    """Tell whether the snapshot held for peers was not asked for of late."""
+def is_served_idle(core):
+    """Return whether the snapshot served to peers has not been requested recently."""
     served, synchrony = core.snapshots.served, core.synchrony
     idle_ms = IDLE_RATIO * synchrony.bounds.detect_ms
-    return served is not None and synchrony.now_ms - served.asked_ms > idle_ms
+    return served is not None and synchrony.now_ms - served.last_requested_ms > idle_ms
 
 
-def begin_taking(core, out, for_log):
-    """Begin to encode the ledger, for the log or for peers."""
+def start_taking(core, out, for_compaction):
+    """Start encoding the ledger, either for a compaction of the log or for peers."""
     synchrony = core.synchrony
-    work = take(core.ledger, synchrony.bounds.slice_records)
-    core.snapshots.taking = Taking(synchrony.applied, work, for_log, synchrony.now_ms)
+    work = encode_snapshot(core.ledger, synchrony.bounds.slice_records)
+    core.snapshots.taking = SnapshotEncoding(synchrony.applied, work, for_compaction, synchrony.now_ms)
     synchrony.apply_paused = True
     advance_taking(core, out)
 
@@ -66,94 +74,94 @@
     taking = core.snapshots.taking
     try:
         next(taking.work)
-    except StopIteration as done:
+    except StopIteration as stop:
         core.synchrony.apply_paused, core.snapshots.taking = False, None
         now_ms = core.synchrony.now_ms
-        core.snapshots.rests_until_ms = now_ms + REST_RATIO * (now_ms - taking.began_ms)
-        state, digest = done.value
-        finish_taking(core, out, Taken(taking.index, state, digest, now_ms), taking.for_log)
-
-
-def finish_taking(core, out, taken, for_log):
-    """Hold the encoded snapshot, or write it to the log."""
-    held = core.snapshots
-    if for_log:
-        held.for_log = taken
-    if held.askers or not for_log:
-        held.served = taken
-    askers, held.askers = held.askers, {}
-    for asked in askers.values():
-        if asked.to == core.synchrony.name:
-            log_own(core, out, asked, taken)
+        core.snapshots.compact_after_ms = now_ms + COMPACTION_REST_RATIO * (now_ms - taking.started_ms)
+        state, digest = stop.value
+        finish_taking(core, out, EncodedSnapshot(taking.index, state, digest, now_ms), taking.for_compaction)
+
+
+def finish_taking(core, out, encoded, for_compaction):
+    """Keep the encoded snapshot for its purpose, and answer the requests that waited for one."""
+    snapshots = core.snapshots
+    if for_compaction:
+        snapshots.for_compaction = encoded
+    if snapshots.pending_requests or not for_compaction:
+        snapshots.served = encoded
+    requests, snapshots.pending_requests = snapshots.pending_requests, {}
+    for request in requests.values():
+        if request.to == core.synchrony.name:
+            install_own_snapshot(core, out, request, encoded)
         else:
-            send_piece(core, out, asked)
+            send_chunk(core, out, request)
 
 
-def log_own(core, out, asked, taken):
-    """This member's log lacks what its state has: it begins anew with the state."""
+def install_own_snapshot(core, out, request, encoded):
+    """Replace this member's log by its own state, which contains entries that the log lacks."""
     synchrony = core.synchrony
-    if asked.id != synchrony.configuration.id:
+    if request.id != synchrony.configuration.id:
         return
     synchrony.primary.loading_snapshot = False
-    if taken.index == synchrony.applied and catch_up.first_missing_index(synchrony):
-        catch_up.install_snapshot(synchrony, out, taken.index, taken.state)
+    if encoded.index == synchrony.applied and catch_up.first_missing_index(synchrony):
+        catch_up.install_snapshot(synchrony, out, encoded.index, encoded.state)
 
 
 def is_usable(core):
-    """Whether a member that loads the snapshot can get all entries after it.
+    """Return whether a member that loads the served snapshot can obtain all entries after it.
 
-    It has those of this configuration by itself, and those before it from the log.
+    The member has the entries of the current configuration, and receives earlier ones from the log.
     """
     served, synchrony = core.snapshots.served, core.synchrony
     return served is not None and served.index >= min(synchrony.primary.base, synchrony.log.snapshot_index)
 
 
-def asked(core, out, asked: SnapshotRequested) -> None:
-    """A member asks for a piece of a snapshot: all that ask in one configuration get the same one."""
-    if asked.to != core.synchrony.name and is_usable(core):
-        send_piece(core, out, asked)
+def on_requested(core, out, request: SnapshotRequested) -> None:
+    """Answer a member's request for a chunk; all requests in one configuration are served from the same snapshot."""
+    if request.to != core.synchrony.name and is_usable(core):
+        send_chunk(core, out, request)
         return
-    core.snapshots.askers[asked.to] = asked
+    core.snapshots.pending_requests[request.to] = request
     if core.snapshots.taking is None:
-        begin_taking(core, out, for_log=False)
+        start_taking(core, out, for_compaction=False)
 
 
-def send_piece(core, out, asked):
-    """Send a peer a piece of the snapshot, or begin to take one."""
+def send_chunk(core, out, request):
+    """Send a peer the requested chunk of the served snapshot."""
     served, synchrony = core.snapshots.served, core.synchrony
-    if asked.id != synchrony.configuration.id:
+    if request.id != synchrony.configuration.id:
         return
-    served.asked_ms = synchrony.now_ms
-    data = served.state[asked.offset : asked.offset + synchrony.bounds.piece_bytes]
+    served.last_requested_ms = synchrony.now_ms
+    data = served.state[request.offset : request.offset + synchrony.bounds.piece_bytes]
     out.sends.append(
-        (asked.to, SnapshotChunk(asked.id, served.index, asked.offset, len(served.state), served.digest, data))
+        (request.to, SnapshotChunk(request.id, served.index, request.offset, len(served.state), served.digest, data))
     )
 
 
-def received(core, out, received: SnapshotReceived) -> None:
-    """All pieces of a snapshot are here."""
-    core.snapshots.loading = Loading(received, load(received))
+def on_received(core, out, received: SnapshotReceived) -> None:
+    """Start decoding a snapshot of which all chunks have been received."""
+    core.snapshots.loading = SnapshotDecoding(received, decode_snapshot(received))
     advance_loading(core, out)
 
 
 def advance_loading(core, out):
-    """Decode one more slice of a fetched snapshot."""
+    """Decode one more slice of a received snapshot."""
     loading = core.snapshots.loading
     try:
         next(loading.work)
-    except StopIteration as done:
+    except StopIteration as stop:
         core.snapshots.loading = None
-        finish_loading(core, out, loading.received, done.value)
+        finish_loading(core, out, loading.received, stop.value)
 
 
 def finish_loading(core, out, received, ledger):
-    """Take the ledger over, if it still is what this member lacks."""
+    """Replace the ledger by the decoded one, if this member still lacks entries that the snapshot contains."""
     synchrony = core.synchrony
     current = received.id == synchrony.configuration.id
     if current:
         synchrony.primary.loading_snapshot = False
-    fits = received.index >= synchrony.applied and (current or received.index <= synchrony.primary.base)
-    if ledger is None or not fits or not catch_up.first_missing_index(synchrony):
+    is_applicable = received.index >= synchrony.applied and (current or received.index <= synchrony.primary.base)
+    if ledger is None or not is_applicable or not catch_up.first_missing_index(synchrony):
         synchronies.increment_counter(synchrony, "snapshots_dropped")
         return
     core.ledger, core.snapshots = ledger, Snapshots()
@@ -161,39 +169,39 @@
     catch_up.install_snapshot(synchrony, out, received.index, received.state)
 
 
-def rewrite(core, out) -> None:
-    """Replace the log by a snapshot and the entries after it, when enough entries have been settled."""
-    synchrony, held = core.synchrony, core.snapshots
-    if held.askers and held.taking is None:
-        begin_taking(core, out, for_log=False)
-    rested = synchrony.now_ms >= held.rests_until_ms
-    if held.for_log is None and not held.busy and rested and is_due(synchrony):
-        begin_taking(core, out, for_log=True)
-    if held.for_log is None or synchrony.recovery is not None:
+def compact_log(core, out) -> None:
+    """Take a snapshot when one is requested or the log is due for compaction, and compact the log when it is ready."""
+    synchrony, snapshots = core.synchrony, core.snapshots
+    if snapshots.pending_requests and snapshots.taking is None:
+        start_taking(core, out, for_compaction=False)
+    rested = synchrony.now_ms >= snapshots.compact_after_ms
+    if snapshots.for_compaction is None and not snapshots.busy and rested and is_compaction_due(synchrony):
+        start_taking(core, out, for_compaction=True)
+    if snapshots.for_compaction is None or synchrony.recovery is not None:
         return
-    taken, held.for_log = held.for_log, None
-    if synchrony.log.snapshot_index < taken.index <= synchrony.log.length:
-        write_snapshot(synchrony, out, taken)
+    encoded, snapshots.for_compaction = snapshots.for_compaction, None
+    if synchrony.log.snapshot_index < encoded.index <= synchrony.log.length:
+        write_compacted_log(synchrony, out, encoded)
 
 
-def is_due(synchrony):
-    """Tell whether enough entries were applied for the log to be rewritten."""
-    settled = synchrony.applied - synchrony.log.snapshot_index
-    if not synchrony.has_log or not synchrony.primary.ready or settled < synchrony.bounds.rewrite_entries:
+def is_compaction_due(synchrony):
+    """Return whether enough entries have been applied since the log's snapshot to compact the log."""
+    applied_count = synchrony.applied - synchrony.log.snapshot_index
+    if not synchrony.has_log or not synchrony.primary.ready or applied_count < synchrony.bounds.rewrite_entries:
         return False
     return synchrony.primary.opened and synchrony.recovery is None and synchrony.applied <= synchrony.log.length
 
 
-def write_snapshot(synchrony, out, taken):
+def write_compacted_log(synchrony, out, encoded):
     """Replace the log by a snapshot and the entries after it."""
     log = synchrony.log
-    tail = log.entries[taken.index - log.snapshot_index :]
-    log.snapshot_index, log.entries, log.commit_index = taken.index, tail, max(log.commit_index, taken.index)
+    tail = log.entries[encoded.index - log.snapshot_index :]
+    log.snapshot_index, log.entries, log.commit_index = encoded.index, tail, max(log.commit_index, encoded.index)
     synchrony.written_count += 1
     synchronies.increment_counter(synchrony, "rewrites")
     records = (
         PromiseRecord(synchrony.local_member.incarnation, log.epoch),
-        SnapshotRecord(log.snapshot_index, taken.state),
+        SnapshotRecord(log.snapshot_index, encoded.state),
         ConfigurationRecord(log.primary, log.base, log.voters),
         *(EntryRecord(e, log.snapshot_index) for e in tail),
     )
--- a/frostpost/simulator/explore_context.py
+++ b/frostpost/simulator/explore_context.py
@@ -17,7 +17,7 @@
 from .plants import planted
 
 APPLY = applying.apply
-TAKE, LOAD = snapshot_state.take, snapshot_state.load
+TAKE, LOAD = snapshot_state.encode_snapshot, snapshot_state.decode_snapshot
 
 
 def apply_to_copy(ledger, entry):
@@ -53,8 +53,8 @@
 SHARED = [
     (cores, "apply", apply_to_copy),
     (cores, "pending_ballots", no_ballots),
-    (snapshotting, "take", take_at_once),
-    (snapshotting, "load", load_at_once),
+    (snapshotting, "encode_snapshot", take_at_once),
+    (snapshotting, "decode_snapshot", load_at_once),
 ]
 STAND_INS = {False: [*SHARED, (membership, "propose_if_due", no_detector)], True: SHARED}
 
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_moves.py
@@ -190,7 +190,7 @@
     synchrony, out = replica.core.synchrony, Output()
     bounds = synchrony.bounds
     synchrony.bounds = structs.replace(bounds, rewrite_entries=1)
-    snapshotting.rewrite(replica.core, out)
+    snapshotting.compact_log(replica.core, out)
     synchrony.bounds = bounds
     effects(world, replica, out)
 
--- a/frostpost/simulator/explore_steps.py
+++ b/frostpost/simulator/explore_steps.py
@@ -127,7 +127,9 @@
     seeds = tuple(f"@{name}:1" for name in world.replicas)
     replica.disk = Disk(replica.disk.synced, boots=boots)
     log = replay(replica.disk.synced)
-    replica.core, out = cores.begin(endpoint, bounds_of(scenario), seeds, first_voters(scenario), log, world.now_ms)
+    replica.core, out = cores.create_core(
+        endpoint, bounds_of(scenario), seeds, first_voters(scenario), log, world.now_ms
+    )
     effects(world, replica, out)
     checks.restarted(world, replica)
 
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -90,7 +90,7 @@
 
 def play(trace):
     """Play a trace; yield its violations."""
-    core, out = cores.begin(
+    core, out = cores.create_core(
         trace.endpoint, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.now_ms
     )
     life, wrote = Life(replay(trace.records)), 0
--- a/frostpost/simulator/world.py
+++ b/frostpost/simulator/world.py
@@ -68,7 +68,7 @@
     log = replay(node.disk.lasting)
     node.frozen, node.queue, node.disk.syncing = False, [], 0
     node.disk.written, node.disk.wrote = [], 0
-    node.core, out = cores.begin(
+    node.core, out = cores.create_core(
         node.endpoint, world.bounds, seeds, world.voters, log, int(world.now_ms) + node.skew_ms
     )
     note(world, name, events.ConfigurationChanged(node.core.synchrony.configuration, False))
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -118,9 +118,9 @@
     assert not any(node.core.snapshots.served for node in world.nodes.values())
 
 
-def start_without_pausing(core, out, for_log):
-    encoder = snapshotting.take(core.ledger, core.synchrony.bounds.slice_records)
-    core.snapshots.taking = snapshotting.Taking(core.synchrony.applied, encoder, for_log, 0)
+def start_without_pausing(core, out, for_compaction):
+    encoder = snapshotting.encode_snapshot(core.ledger, core.synchrony.bounds.slice_records)
+    core.snapshots.taking = snapshotting.SnapshotEncoding(core.synchrony.applied, encoder, for_compaction, 0)
 
 
 def is_never_reused(core):
@@ -146,7 +146,7 @@
 
 MUTANTS = {
     "entries are applied while a snapshot is encoded": (
-        "begin_taking",
+        "start_taking",
         start_without_pausing,
         test_member_loading_a_snapshot_in_slices_serves_only_once_it_is_complete,
     ),
@@ -156,7 +156,7 @@
         lambda: test_wiped_member_catches_up_while_the_others_compact_their_logs_under_load(("s3", "s4"), 5),
     ),
     "a snapshot in progress delays the opening of a primary": (
-        "give_way",
+        "abort_for_opening",
         lambda core, out: None,
         lambda: test_new_configuration_opens_within_detection_time_while_snapshots_are_encoded(3),
     ),
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -78,7 +78,7 @@
             slices.append(number)
             yield
 
-    ctx.core.snapshots.loading = snapshotting.Loading(received, work())
+    ctx.core.snapshots.loading = snapshotting.SnapshotDecoding(received, work())
     event_loop.feed_input(ctx, SnapshotSlice(0))
     house.reactor.callLater(0, slices.append, "another call")
     house.reactor.advance(0)
