--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -13,7 +13,7 @@
 from frostpost.daemon.context import Context, TestHooks, clock_ms
 from frostpost.daemon.core import create_core
 from frostpost.daemon.event_loop import TICK_MS, beat
-from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.structured_log import log_event
 from frostpost.http_api.app import build
 from frostpost.http_api.http_client import http_agent
@@ -94,7 +94,7 @@
             reactor.callLater(0, shelves.honour, ctx)
 
     ctx.links = {
-        "send": sender(ctx),
+        "send": make_links(ctx),
         "applied": applied,
         "news": lambda frm, body: shelves.received(ctx, frm, body),
         "heard": lambda frm, vector: shelves.heard(ctx, frm, vector),
--- a/frostpost/app/serve.py
+++ b/frostpost/app/serve.py
@@ -45,7 +45,7 @@
     """Run the daemon that the settings file describes; returns its exit status."""
     flags = {name: getattr(command, name) for name in OVERRIDES}
     flags["seeds"] = command.seeds or None
-    result = checked.read(command.settings, flags)
+    result = checked.read_settings(command.settings, flags)
     if result.is_error():
         error = result.error
         print(f"{type(error).__name__}: {error.path}: {error.text}", file=sys.stderr)
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.daemon.body_reader import gather
+from frostpost.daemon.body_reader import read_body
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.core import holds_lease
 from frostpost.daemon.event_loop import submit
@@ -41,7 +41,7 @@
     ctx.list_ms = now + ctx.settings.background.list_ms
     try:
         response = yield ctx.http_agent.get(ctx.settings.list, timeout=2, unbuffered=True, reactor=ctx.reactor)
-        raw = yield gather(response, ctx.settings.doors.config_bytes)
+        raw = yield read_body(response, ctx.settings.doors.config_bytes)
         if response.code == 429:
             said = (response.headers.getRawHeaders("retry-after") or ["1"])[0]
             wait_ms = int(said) * 1000 if said.isdigit() else 1000
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.daemon.body_reader import gather
+from frostpost.daemon.body_reader import read_body
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.core import holds_lease
 from frostpost.daemon.event_loop import submit
@@ -33,7 +33,7 @@
             unbuffered=True,
             reactor=ctx.reactor,
         )
-        raw = yield gather(response, ctx.settings.doors.result_bytes)
+        raw = yield read_body(response, ctx.settings.doors.result_bytes)
         report = json.decode(raw, type=Report)
     except Exception as error:
         health.failed_ms, health.failures = clock_ms(ctx), health.failures + 1
--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -1,6 +1,6 @@
 """An edge or core daemon put together, from its settings to its end."""
 
-from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.polling import poll_until
 from frostpost.daemon.structured_log import log_event
 from frostpost.daemon.ticker import Ticker
@@ -41,7 +41,7 @@
     )
     agent = AgentContext(settings, reactor, endpoint, machine)
     agent.wire = front.wire
-    agent.links["send"] = sender(agent)
+    agent.links["send"] = make_links(agent)
     agent.extras["routing_from_body"] = front.routing_from_body
     agent.extras["fetch_list"] = lambda: front.fetch_list(agent)
     agent.extras["stops"] = []
--- a/frostpost/cluster/replica_context.py
+++ b/frostpost/cluster/replica_context.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
+from frostpost.daemon.settings import JobIntervals as Pace
 from frostpost.daemon.settings import Settings
-from frostpost.daemon.settings import VoterChanges as Pace
 from frostpost.virtual_synchrony.bounds import Bounds
 
 from . import agent_sessions, voter_reconfiguration
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -7,7 +7,7 @@
 from frostpost.daemon import disk as disks
 from frostpost.daemon import event_loop
 from frostpost.daemon.context import Context, clock_ms
-from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.structured_log import log_event
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
@@ -63,7 +63,7 @@
         "news": lambda sender_name, body: None,
         "heard": lambda sender_name, news: None,
     }
-    ctx.links["send"] = replica.send = sender(ctx)
+    ctx.links["send"] = replica.send = make_links(ctx)
     return replica
 
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -3,7 +3,7 @@
 from msgspec import json
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.frames import sender
+from frostpost.daemon.frames import make_links
 from frostpost.turn_store.store import used_bytes
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
@@ -28,9 +28,9 @@
         return False
     address = f"@{endpoint.host}:{endpoint.port}"
     if isinstance(body, StatusRequest):
-        sender(ctx)(address, StatusReply(json.encode(facts())))
+        make_links(ctx)(address, StatusReply(json.encode(facts())))
     elif isinstance(body, DirectoryRequest):
-        sender(ctx)(address, directory())
+        make_links(ctx)(address, directory())
     return True
 
 
--- a/frostpost/daemon/body_reader.py
+++ b/frostpost/daemon/body_reader.py
@@ -1,4 +1,4 @@
-"""Read a whole response body up to a bound."""
+"""Reads the body of an HTTP response into memory, up to a maximum size."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Protocol
@@ -7,39 +7,45 @@
 
 
 class BodyTooLongError(Exception):
-    """The body is longer than the bound."""
+    """The body exceeds the maximum size."""
 
 
-class BodyCutError(Exception):
-    """The connection ended before the body did."""
+class BodyTruncatedError(Exception):
+    """The connection closed before the end of the body."""
 
 
-class Gather(Protocol):
-    """Collects a response's body; until_close: the end of the connection ends a body of unknown length."""
+class BodyCollector(Protocol):
+    """Collects the body of a response.
 
-    def __init__(self, most, until_close=False):
-        self.data, self.most, self.whole = bytearray(), most, Deferred()
+    With `until_close`, the end of the connection completes a body of unknown length.
+    """
+
+    def __init__(self, max_bytes, until_close=False):
+        self.data, self.max_bytes, self.body = bytearray(), max_bytes, Deferred()
         self.until_close = until_close
 
     def dataReceived(self, data):
-        """Add a piece; fail once the body is over the bound."""
+        """Append received bytes; fail and close the connection once the body exceeds the maximum size."""
         self.data += data
-        if len(self.data) > self.most and not self.whole.called:
-            self.whole.errback(BodyTooLongError())
+        if len(self.data) > self.max_bytes and not self.body.called:
+            self.body.errback(BodyTooLongError())
             self.transport.loseConnection()
 
     def connectionLost(self, reason):
-        """Deliver the whole body, or BodyCutError."""
-        if self.whole.called:
+        """Fire with the complete body, or fail with BodyTruncatedError."""
+        if self.body.called:
             return
         if reason.check(ResponseDone) or self.until_close and reason.check(PotentialDataLoss):
-            self.whole.callback(bytes(self.data))
+            self.body.callback(bytes(self.data))
         else:
-            self.whole.errback(BodyCutError())
+            self.body.errback(BodyTruncatedError())
+
 
+def read_body(response, max_bytes, until_close=False):
+    """Return a Deferred that fires with the body of a response.
 
-def gather(response, most, until_close=False):
-    """Return a Deferred of a response's whole body; fails with BodyTooLongError over `most` bytes, or BodyCutError."""
-    reading = Gather(most, until_close)
-    response.deliverBody(reading)
-    return reading.whole
+    It fails with BodyTooLongError if the body exceeds `max_bytes`, or with BodyTruncatedError.
+    """
+    collector = BodyCollector(max_bytes, until_close)
+    response.deliverBody(collector)
+    return collector.body
--- a/frostpost/daemon/frames.py
+++ b/frostpost/daemon/frames.py
@@ -1,4 +1,4 @@
-"""Frames between daemons: the listening side, and the links of the sending side."""
+"""Frames between daemons: the listening port, and the outgoing links by address."""
 
 from msgspec import DecodeError, Struct, msgpack
 from twisted.internet.endpoints import TCP4ServerEndpoint
@@ -17,16 +17,16 @@
 
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Frame).decode
-BULK = (SnapshotChunk, ConfigBodyChunk, PutBodyRequest, GetBodiesReply, RoutingUpdate)
+BULK_MESSAGES = (SnapshotChunk, ConfigBodyChunk, PutBodyRequest, GetBodiesReply, RoutingUpdate)
 
 
 class FrameReader(Int32StringReceiver):
-    """Protocol of the listening side: decodes frames and hands on those that are meant for this daemon."""
+    """Protocol of an incoming connection; decodes frames and dispatches those addressed to this daemon."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
     def stringReceived(self, data):
-        """Decode a frame and hand it on; frames that are not understood end the connection."""
+        """Decode and dispatch a frame; a frame of another version or that can't be decoded closes the connection."""
         ctx = self.factory.ctx
         try:
             frame = decode(data)
@@ -44,38 +44,38 @@
             return
         links = ctx.links.get("send")
         if isinstance(links, Links):
-            links.heard(frame.endpoint)
-        self.factory.hear(ctx, frame)
+            links.on_peer_heard(frame.endpoint)
+        self.factory.handler(ctx, frame)
 
 
 def is_link_cut(ctx, name):
-    """Tell whether a test hook cuts the link to a daemon."""
+    """Return whether a test hook cuts the link to the named daemon."""
     return name in ctx.hooks.cut
 
 
-def listen(ctx, hear=on_frame):
-    """Listen for peers; Deferred of the port."""
+def listen(ctx, handler=on_frame):
+    """Listen for peers; return a Deferred that fires with the port. `handler(ctx, frame)` is called for each frame."""
     factory = Factory.forProtocol(FrameReader)
-    factory.ctx, factory.hear = ctx, hear
+    factory.ctx, factory.handler = ctx, handler
     settings = ctx.settings
     return TCP4ServerEndpoint(ctx.reactor, settings.port, interface=settings.host).listen(factory)
 
 
 class LastHeard(Struct, frozen=True):
-    """Which process spoke last from an address, and when."""
+    """The process that last sent a frame from an address, and when."""
 
     incarnation: int
     at_s: float
 
 
 class Links:
-    """Sends frames by a daemon's name or by "@host:port"; bulk goes over links of its own."""
+    """Sends messages to daemons, addressed by name or as "@host:port"; bulk messages use separate connections."""
 
     def __init__(self, ctx):
         self.ctx, self.links, self.last_heard = ctx, {}, {}
 
     def __call__(self, to, body):
-        """Queue a message for a daemon by name, or for "@host:port"."""
+        """Queue a message for a daemon; it is dropped if the name is unknown."""
         if to.startswith("@"):
             host, _, port = to[1:].rpartition(":")
             name = ""
@@ -84,28 +84,28 @@
             if peer is None or is_link_cut(self.ctx, to):
                 return
             host, port, name = peer.endpoint.host, peer.endpoint.port, to
-        key = (host, int(port), isinstance(body, BULK))
+        key = (host, int(port), isinstance(body, BULK_MESSAGES))
         link = self.links.get(key)
         if link is None:
             link = self.links[key] = Link(self.ctx, host, int(port))
         link.send(encode(Frame(FRAME_VERSION, self.ctx.endpoint, name, body)))
 
-    def heard(self, endpoint):
-        """A frame came from a place: what is pending or dead on the way there is dialled anew."""
-        found = [
+    def on_peer_heard(self, endpoint):
+        """Reconnect links to a peer from which a frame arrived, if they are pending or lead to an earlier process."""
+        peer_links = [
             self.links[k] for k in ((endpoint.host, endpoint.port, bulk) for bulk in (False, True)) if k in self.links
         ]
-        if not found:
+        if not peer_links:
             return
         address, incarnation = (endpoint.host, endpoint.port), endpoint.member.incarnation
-        before = self.last_heard.get(address)
+        previous = self.last_heard.get(address)
         self.last_heard[address] = LastHeard(incarnation, self.ctx.reactor.seconds())
-        for link in found:
-            if before is not None and before.incarnation != incarnation:
-                link.restarted(before.at_s)
-            link.heard()
+        for link in peer_links:
+            if previous is not None and previous.incarnation != incarnation:
+                link.on_peer_restarted(previous.at_s)
+            link.on_peer_heard()
 
 
-def sender(ctx):
-    """The function (to, body) by which a daemon sends; it keeps the links."""
+def make_links(ctx):
+    """Return the Links of a daemon, a callable that takes the destination and the message."""
     return Links(ctx)
--- a/frostpost/daemon/outgoing_link.py
+++ b/frostpost/daemon/outgoing_link.py
@@ -1,4 +1,4 @@
-"""One outgoing connection to another daemon, dialled when there is something to send."""
+"""An outgoing connection to another daemon, which is opened when there is something to send."""
 
 import socket
 from collections import deque
@@ -11,26 +11,28 @@
 from .context import count
 
 MAX_FRAME_BYTES = 64 << 20
-QUEUE_BYTES = 8 << 20
-HEARTBEATS = 5
-RESTS = 10
+MAX_QUEUE_BYTES = 8 << 20
+# Divisors of the failure detection time: for the least time between attempts that are triggered by received frames, and
+# for the backoff after a failed attempt.
+RECONNECTS_PER_DETECTION = 5
+BACKOFFS_PER_DETECTION = 10
 
 
 def detect_s(ctx):
-    """The failure detection time of this daemon's settings, to which all times of a link are ratios."""
+    """Return the failure detection time in seconds, from which all timeouts of a link derive."""
     bounds = getattr(ctx.settings, "bounds", ctx.settings)
     return bounds.detect_ms / 1000
 
 
-def set_user_timeout(transport, silence_s):
-    """Let the kernel give a connection up whose bytes nobody acknowledges."""
+def set_user_timeout(transport, timeout_s):
+    """Let the kernel close a connection on which sent data stays unacknowledged for `timeout_s`."""
     handle = getattr(transport, "getHandle", lambda: None)()
     if hasattr(handle, "setsockopt"):
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(silence_s * 1000))
+        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(timeout_s * 1000))
 
 
 class FrameWriter(Int32StringReceiver):
-    """Protocol of the dialling side: frames go out as long as the transport takes them."""
+    """Protocol of an outgoing connection; sends the link's frames while the transport accepts data."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
@@ -38,60 +40,61 @@
         self.link = link
 
     def connectionMade(self):
-        """Start to send what is queued."""
+        """Send the queued frames."""
         self.transport.setTcpNoDelay(True)
         set_user_timeout(self.transport, 2 * detect_s(self.link.ctx))
         self.transport.registerProducer(self, True)
-        self.link.opened(self)
+        self.link.on_open(self)
 
     def pauseProducing(self):
-        """Stop sending while the connection's buffer is full."""
+        """Stop sending while the transport's buffer is full."""
         self.link.paused = True
 
     def resumeProducing(self):
-        """Send again."""
+        """Resume sending."""
         self.link.paused = False
-        self.link.drain()
+        self.link.flush()
 
     def stopProducing(self):
         """Stop sending."""
         self.link.paused = True
 
     def connectionLost(self, reason=connectionDone):
-        """Drop what is queued, unless another connection has taken over."""
+        """Reset the link, unless it uses a newer connection by now."""
         if self.link.writer is self:
-            self.link.lost()
+            self.link.reset()
 
 
-def write_through(transport):
-    """Hand the kernel what the transport has buffered now, which spares the reactor a round for it.
+def write_immediately(transport):
+    """Write the transport's buffer to the socket now instead of in the reactor's next iteration.
 
-    What the kernel doesn't take stays buffered, and an error comes up again when the reactor looks at the socket.
+    Data that the kernel doesn't accept stays buffered, and an error is reported again when the reactor polls the
+    socket.
     """
     if IWriteDescriptor.providedBy(transport):
         transport.doWrite()
 
 
 class Link:
-    """A queue of frames to one address and the connection that carries them.
+    """A queue of frames for one address, and the connection that sends them.
 
-    An attempt to connect to a machine without power gets no answer, and the kernel repeats its first packet only after
-    a second. So an attempt is short, and it is begun anew as soon as the other end is heard.
+    Connecting to a machine without power gets no reply, and the kernel sends the SYN again only after a second. The
+    connection timeout is therefore short, and an attempt is restarted when a frame from the other end arrives.
     """
 
     __slots__ = (
         "ctx", "host", "port", "writer", "paused", "queue", "queued_bytes",
-        "attempt", "rest", "redial", "dialled_s", "opened_s",
+        "attempt", "backoff", "reconnect", "attempted_s", "opened_s",
     )  # fmt: skip
 
     def __init__(self, ctx, host, port):
         self.ctx, self.host, self.port = ctx, host, port
         self.writer, self.paused, self.queue, self.queued_bytes = None, True, deque(), 0
-        self.attempt, self.rest, self.redial, self.dialled_s, self.opened_s = None, None, None, 0.0, 0.0
+        self.attempt, self.backoff, self.reconnect, self.attempted_s, self.opened_s = None, None, None, 0.0, 0.0
 
     def send(self, data):
-        """Queue an encoded frame; a full queue drops it, since all frames are repeated by timers."""
-        if self.queued_bytes + len(data) > QUEUE_BYTES:
+        """Queue an encoded frame, or drop it if the queue is full; the protocol repeats lost frames by timers."""
+        if self.queued_bytes + len(data) > MAX_QUEUE_BYTES:
             count(self.ctx, "link_full")
             return
         self.queue.append(data)
@@ -99,10 +102,10 @@
         if self.writer is None:
             self.connect()
         elif not self.paused:
-            self.drain()
+            self.flush()
 
-    def drain(self):
-        """Send what is queued as long as the connection takes it."""
+    def flush(self):
+        """Send queued frames while the transport accepts them."""
         if not self.queue or self.writer is None or self.paused:
             return
         while self.queue and self.writer is not None and not self.paused:
@@ -110,67 +113,70 @@
             self.queued_bytes -= len(data)
             self.writer.sendString(data)
         if self.writer is not None and not self.paused:
-            write_through(self.writer.transport)
+            write_immediately(self.writer.transport)
 
     def connect(self):
-        """Dial unless an attempt is pending or the last one has just failed."""
-        if self.attempt is not None or self.rest is not None:
+        """Connect, unless an attempt is in progress or the last one failed within the backoff."""
+        if self.attempt is not None or self.backoff is not None:
             return
-        self.dialled_s = self.ctx.reactor.seconds()
+        self.attempted_s = self.ctx.reactor.seconds()
         factory = Factory.forProtocol(lambda: FrameWriter(self))
         factory.noisy = False
         endpoint = TCP4ClientEndpoint(self.ctx.reactor, self.host, self.port, timeout=detect_s(self.ctx))
         self.attempt = endpoint.connect(factory)
-        self.attempt.addCallbacks(self.connected, self.failed)
+        self.attempt.addCallbacks(self.on_connected, self.on_connect_failed)
 
-    def opened(self, writer):
-        """A connection is open."""
+    def on_open(self, writer):
+        """Use a newly opened connection and send the queued frames."""
         self.writer, self.paused, self.opened_s = writer, False, self.ctx.reactor.seconds()
-        self.drain()
+        self.flush()
 
-    def connected(self, _):
-        """The attempt is over."""
+    def on_connected(self, _):
+        """Clear the finished attempt."""
         self.attempt = None
 
-    def failed(self, _):
-        """Drop the queue and rest before the next attempt."""
-        self.lost()
-        self.rest = self.ctx.reactor.callLater(detect_s(self.ctx) / RESTS, self.rested)
+    def on_connect_failed(self, _):
+        """Drop the queued frames and start the backoff."""
+        self.reset()
+        self.backoff = self.ctx.reactor.callLater(detect_s(self.ctx) / BACKOFFS_PER_DETECTION, self.end_backoff)
 
-    def rested(self):
+    def end_backoff(self):
         """Allow the next attempt."""
-        self.rest = None
+        self.backoff = None
 
-    def lost(self):
-        """Drop the connection and the queue."""
+    def reset(self):
+        """Drop the connection and the queued frames."""
         self.writer, self.paused, self.attempt = None, True, None
         self.queue.clear()
         self.queued_bytes = 0
 
-    def heard(self):
-        """A frame came from the other end: dial anew, but not more often than heartbeats come."""
-        if self.writer is not None or self.redial is not None:
+    def on_peer_heard(self):
+        """Schedule a reconnect after a frame from the other end, if the link is not connected.
+
+        Attempts that are started this way are at least a fraction of the failure detection time apart.
+        """
+        if self.writer is not None or self.reconnect is not None:
             return
-        age_s = self.ctx.reactor.seconds() - self.dialled_s
-        wait_s = max(0.0, detect_s(self.ctx) / HEARTBEATS - age_s)
-        self.redial = self.ctx.reactor.callLater(wait_s, self.dial_anew)
+        elapsed_s = self.ctx.reactor.seconds() - self.attempted_s
+        delay_s = max(0.0, detect_s(self.ctx) / RECONNECTS_PER_DETECTION - elapsed_s)
+        self.reconnect = self.ctx.reactor.callLater(delay_s, self.connect_anew)
 
-    def dial_anew(self):
-        """Drop a pending attempt or the rest after a failed one, and dial now."""
-        self.redial = None
+    def connect_anew(self):
+        """Cancel a pending attempt or backoff and connect now."""
+        self.reconnect = None
         if self.writer is not None:
             return
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.cancel()
-        if self.rest is not None:
-            self.rest.cancel()
-            self.rest = None
+        if self.backoff is not None:
+            self.backoff.cancel()
+            self.backoff = None
         self.connect()
 
-    def restarted(self, heard_s):
-        """The other end runs anew and its earlier process was last heard at `heard_s`: a connection to that is dead."""
+    def on_peer_restarted(self, last_heard_s):
+        """Abort a connection to the earlier process of the other end, which was last heard at `last_heard_s`."""
         writer = self.writer
-        if writer is not None and self.opened_s <= heard_s:
-            self.lost()
+        if writer is not None and self.opened_s <= last_heard_s:
+            self.reset()
             writer.transport.abortConnection()
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon of the own HTTP interface."""
+"""Settings of a daemon, read from a TOML file."""
 
 import tomllib
 
@@ -10,14 +10,14 @@
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
-    """A setting that is wrong: which and why."""
+    """An invalid setting: its path and the reason."""
 
     path: str
     text: str
 
 
-class VoterChanges(Struct, frozen=True, forbid_unknown_fields=True):
-    """Intervals of the periodic jobs, in milliseconds."""
+class JobIntervals(Struct, frozen=True, forbid_unknown_fields=True):
+    """Intervals of the periodic background jobs, in milliseconds."""
 
     load_ms: int = 500
     list_ms: int = 1000
@@ -25,8 +25,8 @@
     calendar_ms: int = 1000
 
 
-class Doors(Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of the HTTP interface: milliseconds, bytes and counts."""
+class HttpBounds(Struct, frozen=True, forbid_unknown_fields=True):
+    """Bounds of the HTTP interface: times in milliseconds, sizes in bytes, and counts."""
 
     in_flight: int = 400
     lag_ms: int = 60
@@ -58,44 +58,47 @@
     list: str = ""
     hooks: str = ""
     bounds: Bounds = field(default_factory=Bounds)
-    background: VoterChanges = field(default_factory=VoterChanges)
-    doors: Doors = field(default_factory=Doors)
+    background: JobIntervals = field(default_factory=JobIntervals)
+    doors: HttpBounds = field(default_factory=HttpBounds)
     weights: Weights = field(default_factory=Weights)
 
 
-def address(text):
-    """Tell whether a text is `IP:port`."""
+def is_address(text):
+    """Return whether a text has the form `IPv4:port`."""
     host, _, port = text.rpartition(":")
-    parts = host.split(".")
-    numeric = len(parts) == 4 and all(p.isdigit() and int(p) < 256 for p in parts)
-    return numeric and port.isdigit() and 0 < int(port) < 65536
+    octets = host.split(".")
+    is_ipv4 = len(octets) == 4 and all(o.isdigit() and int(o) < 256 for o in octets)
+    return is_ipv4 and port.isdigit() and 0 < int(port) < 65536
 
 
-def errors_of(settings):
-    """Yield the errors in settings that have the right types."""
+def find_errors(settings):
+    """Yield the errors in settings whose types are valid."""
     if settings.role not in ("edge", "core", "storage"):
         yield SettingsInvalid("role", "must be edge, core or storage")
     if settings.role == "storage" and not settings.data:
-        yield SettingsInvalid("data", "a storage daemon needs a data folder")
-    if not address(f"{settings.host}:{settings.port or 1}"):
-        yield SettingsInvalid("host", f"{settings.host} is no IP number")
-    for n, seed in enumerate(settings.seeds):
-        if not address(seed):
-            yield SettingsInvalid(f"seeds[{n}]", f"{seed} is no IP number and port")
+        yield SettingsInvalid("data", "must be the data directory of a storage daemon")
+    if not is_address(f"{settings.host}:{settings.port or 1}"):
+        yield SettingsInvalid("host", f"{settings.host} is not an IPv4 address")
+    for index, seed in enumerate(settings.seeds):
+        if not is_address(seed):
+            yield SettingsInvalid(f"seeds[{index}]", f"{seed} is not an IPv4 address and port")
     if not settings.seeds:
-        yield SettingsInvalid("seeds", "at least one seed is needed")
+        yield SettingsInvalid("seeds", "must name at least one seed")
     if not settings.voters:
-        yield SettingsInvalid("voters", "at least one voter is needed")
+        yield SettingsInvalid("voters", "must name at least one voter")
     bounds = settings.bounds
     if bounds.lease_ms + bounds.detect_ms >= 2000:
-        yield SettingsInvalid("bounds.lease_ms", "lease_ms and detect_ms together must be under 2000")
+        yield SettingsInvalid("bounds.lease_ms", "the sum of lease_ms and detect_ms must be less than 2000")
     for name in structs.asdict(bounds):
         if getattr(bounds, name) <= 0:
-            yield SettingsInvalid(f"bounds.{name}", "must be above 0")
+            yield SettingsInvalid(f"bounds.{name}", "must be greater than 0")
 
 
-def read(path, flags):
-    """Read a TOML file and overriding values; Ok(Settings) or Error(SettingsInvalid)."""
+def read_settings(path, overrides):
+    """Read settings from a TOML file; return Ok(Settings) or Error(SettingsInvalid).
+
+    Values of `overrides` other than None replace those of the file.
+    """
     try:
         with open(path, "rb") as file:
             document = tomllib.load(file)
@@ -103,15 +106,15 @@
         return Error(SettingsInvalid(path, error.strerror or "cannot be read"))
     except tomllib.TOMLDecodeError as error:
         return Error(SettingsInvalid(path, str(error)))
-    document.update({k: v for k, v in flags.items() if v is not None})
+    document.update({k: v for k, v in overrides.items() if v is not None})
     unknown = set(document.get("bounds", {})) - set(Bounds.__struct_fields__)
     unknown |= set(document.get("weights", {})) - set(Weights.__struct_fields__)
     if unknown:
-        return Error(SettingsInvalid(sorted(unknown)[0], "is no known setting"))
+        return Error(SettingsInvalid(sorted(unknown)[0], "unknown setting"))
     try:
         settings = convert(document, Settings)
     except ValidationError as error:
-        text, _, where = str(error).partition(" - at ")
-        return Error(SettingsInvalid(where.strip("`") or path, text))
-    error = next(errors_of(settings), None)
+        text, _, location = str(error).partition(" - at ")
+        return Error(SettingsInvalid(location.strip("`") or path, text))
+    error = next(find_errors(settings), None)
     return Error(error) if error else Ok(settings)
--- a/frostpost/http_api/forward.py
+++ b/frostpost/http_api/forward.py
@@ -9,7 +9,7 @@
 from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
-from frostpost.daemon.body_reader import gather
+from frostpost.daemon.body_reader import read_body
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import holds_lease
 
@@ -148,7 +148,7 @@
 def proved(ctx, attempt, client, base):
     """Ask a runner who it is; Deferred of whether it is the one chosen and not draining."""
     response = yield client.get(f"{base}/identity", unbuffered=True, allow_redirects=False)
-    raw = yield gather(response, SAID_BYTES)
+    raw = yield read_body(response, SAID_BYTES)
     try:
         said = json.decode(raw)
         mine = (said["runner"], said["instance"]) == (attempt.runner.name, attempt.runner.instance)
@@ -203,7 +203,7 @@
         def said(raw):
             over(Refused(response.code) if away and never_ran(raw) else Broken(f"status {response.code}"))
 
-        gather(response, SAID_BYTES).addCallbacks(said, lambda f: over(Broken(f.type.__name__)))
+        read_body(response, SAID_BYTES).addCallbacks(said, lambda f: over(Broken(f.type.__name__)))
 
     def failed(failure):
         over(Broken(failure.type.__name__) if attempt.sent else NeverSent(failure.type.__name__))
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.web.client import Agent, HTTPConnectionPool
 
-from frostpost.daemon.body_reader import gather
+from frostpost.daemon.body_reader import read_body
 from frostpost.proxy.words import Runner
 
 from .settings import address_of
@@ -92,7 +92,7 @@
     if token:
         url += f"?page-token={quote(str(token), safe='')}"
     response = yield agent_of(agent).request(b"GET", url.encode()).addTimeout(PAGE_S, agent.reactor)
-    body = yield gather(response, PAGE_BYTES, until_close=True).addTimeout(PAGE_S, agent.reactor)
+    body = yield read_body(response, PAGE_BYTES, until_close=True).addTimeout(PAGE_S, agent.reactor)
     if response.code == 429:
         raise ListRefusedError(retry_ms_of(response))
     if response.code != 200:
--- a/tests/test_cluster_replica_daemon.py
+++ b/tests/test_cluster_replica_daemon.py
@@ -28,7 +28,7 @@
         seconds=clock.seconds, in_thread=Threads().run, token=lambda size: "0a" * size, files=drives.files_of(drive)
     )
     monkeypatch.setattr(replica_daemon, "listen", lambda ctx, hear: succeed(None))
-    monkeypatch.setattr(replica_daemon, "sender", lambda ctx: lambda to, body: out.append((to, body)))
+    monkeypatch.setattr(replica_daemon, "make_links", lambda ctx: lambda to, body: out.append((to, body)))
     opened = replica_daemon.store.open_store
     monkeypatch.setattr(
         replica_daemon.store,
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -36,7 +36,7 @@
 @pytest.fixture
 def replies(monkeypatch):
     out = []
-    monkeypatch.setattr(status, "sender", lambda ctx: lambda to, body: out.append((to, body)))
+    monkeypatch.setattr(status, "make_links", lambda ctx: lambda to, body: out.append((to, body)))
     return out
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links between daemons: an attempt that began while the other end was dark is cut short when that end is heard."""
+"""Links between daemons: frames from a peer restart connection attempts to it that began while it was unreachable."""
 
 from types import SimpleNamespace
 
@@ -17,7 +17,7 @@
 TO = "@10.0.0.2:7380"
 
 
-def endpoint_of(incarnation=1):
+def make_endpoint(incarnation=1):
     return Endpoint(Member("s2", incarnation), "storage", "z", *ADDRESS, 0)
 
 
@@ -29,12 +29,12 @@
     return Links(SimpleNamespace(reactor=reactor, settings=settings, endpoint=endpoint, counts={}, hooks=TestHooks()))
 
 
-def dials(links):
+def attempted_addresses(links):
     return [(host, port) for host, port, *_ in links.ctx.reactor.tcpClients]
 
 
 def accept(links):
-    """The newest attempt is answered; -> its transport."""
+    """Accept the newest connection attempt; return its transport."""
     factory = links.ctx.reactor.tcpClients[-1][2]
     protocol = factory.buildProtocol(None)
     transport = StringTransport()
@@ -45,6 +45,7 @@
 
 
 def refuse(links):
+    """Refuse the newest connection attempt."""
     from twisted.internet.error import ConnectionRefusedError
     from twisted.python.failure import Failure
 
@@ -52,128 +53,128 @@
     factory.clientConnectionFailed(links.ctx.reactor.connectors[-1], Failure(ConnectionRefusedError()))
 
 
-def test_a_pending_attempt_is_begun_anew_once_the_other_end_is_heard(links):
+def test_frame_from_peer_restarts_pending_attempt(links):
     links(TO, DirectoryRequest())
     links.ctx.reactor.advance(0.3)
-    links.heard(endpoint_of())
+    links.on_peer_heard(make_endpoint())
     links.ctx.reactor.advance(0.001)
-    assert dials(links) == [ADDRESS, ADDRESS]
+    assert attempted_addresses(links) == [ADDRESS, ADDRESS]
     assert links.ctx.reactor.connectors[0].stoppedConnecting
 
 
-def test_an_attempt_just_begun_is_left_a_heartbeat(links):
+def test_recent_attempt_is_not_restarted_before_minimum_interval(links):
     links(TO, DirectoryRequest())
     links.ctx.reactor.advance(0.02)
     for _ in range(5):
-        links.heard(endpoint_of())
+        links.on_peer_heard(make_endpoint())
     links.ctx.reactor.advance(0.07)
-    assert len(dials(links)) == 1
+    assert len(attempted_addresses(links)) == 1
     links.ctx.reactor.advance(0.02)
-    assert len(dials(links)) == 2
+    assert len(attempted_addresses(links)) == 2
 
 
-def test_hearing_again_and_again_over_a_one_way_cut_dials_no_more_often_than_heartbeats(links):
+def test_attempts_are_rate_limited_while_only_incoming_frames_arrive(links):
     links(TO, DirectoryRequest())
     for _ in range(100):
         links.ctx.reactor.advance(0.01)
-        links.heard(endpoint_of())
-    assert len(dials(links)) <= 11
+        links.on_peer_heard(make_endpoint())
+    assert len(attempted_addresses(links)) <= 11
 
 
-def test_an_attempt_that_is_answered_in_time_is_kept(links):
+def test_accepted_connection_is_not_restarted(links):
     links(TO, DirectoryRequest())
-    links.heard(endpoint_of())
+    links.on_peer_heard(make_endpoint())
     accept(links)
     links.ctx.reactor.advance(1)
-    assert len(dials(links)) == 1
+    assert len(attempted_addresses(links)) == 1
 
 
-def test_the_rest_after_a_refusal_ends_when_the_other_end_is_heard(links):
+def test_frame_from_peer_ends_backoff_after_refusal(links):
     links(TO, DirectoryRequest())
     refuse(links)
     links(TO, DirectoryRequest())
-    assert len(dials(links)) == 1
+    assert len(attempted_addresses(links)) == 1
     links.ctx.reactor.advance(0.04)
-    links.heard(endpoint_of())
+    links.on_peer_heard(make_endpoint())
     links.ctx.reactor.advance(0.061)
-    assert len(dials(links)) == 2
+    assert len(attempted_addresses(links)) == 2
 
 
-def test_a_refused_link_is_tried_again_soon(links):
+def test_refused_link_reconnects_after_backoff(links):
     links(TO, DirectoryRequest())
     refuse(links)
     links.ctx.reactor.advance(0.051)
     links(TO, DirectoryRequest())
-    assert len(dials(links)) == 2
+    assert len(attempted_addresses(links)) == 2
 
 
-def test_a_connection_to_a_process_that_is_gone_is_dropped_when_its_successor_is_heard(links):
+def test_connection_to_earlier_process_is_dropped_when_new_process_sends_frame(links):
     links(TO, DirectoryRequest())
     accept(links)
     links.ctx.reactor.advance(0.1)
-    links.heard(endpoint_of(incarnation=1))
+    links.on_peer_heard(make_endpoint(incarnation=1))
     links.ctx.reactor.advance(0.7)
-    links.heard(endpoint_of(incarnation=2))
+    links.on_peer_heard(make_endpoint(incarnation=2))
     links.ctx.reactor.advance(0.001)
-    assert len(dials(links)) == 2
+    assert len(attempted_addresses(links)) == 2
 
 
-def test_a_connection_that_may_be_to_the_successor_is_kept(links):
+def test_connection_opened_after_last_frame_of_earlier_process_is_kept(links):
     links(TO, DirectoryRequest())
-    links.heard(endpoint_of(incarnation=1))
+    links.on_peer_heard(make_endpoint(incarnation=1))
     links.ctx.reactor.advance(0.05)
     accept(links)
     links.ctx.reactor.advance(0.7)
-    links.heard(endpoint_of(incarnation=2))
+    links.on_peer_heard(make_endpoint(incarnation=2))
     links.ctx.reactor.advance(0.2)
-    assert len(dials(links)) == 1
+    assert len(attempted_addresses(links)) == 1
 
 
-def test_a_frame_from_where_nothing_is_sent_opens_no_link(links):
-    links.heard(endpoint_of())
+def test_frame_from_peer_without_link_opens_none(links):
+    links.on_peer_heard(make_endpoint())
     links.ctx.reactor.advance(1)
-    assert dials(links) == []
+    assert attempted_addresses(links) == []
 
 
-class Descriptor(StringTransport):
-    """A transport that buffers what is written until it is told to hand it to the kernel."""
+class BufferingTransport(StringTransport):
+    """A transport that buffers data until `doWrite` writes it to the socket."""
 
     def __init__(self):
         super().__init__()
-        self.handed, self.calls = b"", 0
+        self.written, self.write_calls = b"", 0
 
     def setTcpNoDelay(self, on):
         pass
 
     def doWrite(self):
-        self.calls += 1
-        self.handed = self.value()
+        self.write_calls += 1
+        self.written = self.value()
 
 
-def accept_descriptor(links):
-    """The newest attempt is answered by a transport that is a write descriptor; -> the transport."""
-    protocol, transport = links.ctx.reactor.tcpClients[-1][2].buildProtocol(None), Descriptor()
+def accept_buffering(links):
+    """Accept the newest connection attempt with a BufferingTransport; return it."""
+    protocol, transport = links.ctx.reactor.tcpClients[-1][2].buildProtocol(None), BufferingTransport()
     directlyProvides(transport, IWriteDescriptor, *providedBy(transport))
     protocol.makeConnection(transport)
     return transport
 
 
-def test_frames_are_handed_to_the_kernel_at_once_and_together(links):
+def test_queued_frames_are_written_immediately_in_one_call(links):
     links(TO, DirectoryRequest())
     links(TO, DirectoryRequest())
-    transport = accept_descriptor(links)
-    assert transport.calls == 1 and transport.handed == transport.value() != b""
+    transport = accept_buffering(links)
+    assert transport.write_calls == 1 and transport.written == transport.value() != b""
     links(TO, DirectoryRequest())
-    assert transport.calls == 2 and transport.handed == transport.value()
+    assert transport.write_calls == 2 and transport.written == transport.value()
 
 
-def test_paused_transport_is_left_alone_until_it_goes_on(links):
+def test_paused_transport_is_not_written_until_resumed(links):
     links(TO, DirectoryRequest())
-    transport = accept_descriptor(links)
+    transport = accept_buffering(links)
     transport.producer.pauseProducing()
     links(TO, DirectoryRequest())
-    assert transport.calls == 1
+    assert transport.write_calls == 1
     transport.producer.resumeProducing()
-    assert transport.calls == 2 and transport.handed == transport.value()
+    assert transport.write_calls == 2 and transport.written == transport.value()
     transport.producer.resumeProducing()
-    assert transport.calls == 2
+    assert transport.write_calls == 2
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-GOOD = """
+VALID_SETTINGS = """
 name = "s1"
 role = "storage"
 zone = "a"
@@ -16,7 +16,7 @@
 """
 
 
-def check(tmp_path, text, *flags):
+def check_settings(tmp_path, text, *flags):
     path = tmp_path / "settings.toml"
     path.write_text(text)
     return subprocess.run(
@@ -24,12 +24,12 @@
     )
 
 
-def test_good_settings_pass(tmp_path):
-    assert check(tmp_path, GOOD).returncode == 0
+def test_valid_settings_pass_check(tmp_path):
+    assert check_settings(tmp_path, VALID_SETTINGS).returncode == 0
 
 
 @pytest.mark.parametrize(
-    "change,where",
+    "change,path",
     [
         ('colour = "red"\n', "colour"),
         ("[bounds]\nspeed = 1\n", "speed"),
@@ -38,23 +38,23 @@
         ('[doors]\nlag_ms = "slow"\n', "lag_ms"),
     ],
 )
-def test_faults_are_exact_and_nothing_starts(tmp_path, change, where):
-    done = check(tmp_path, GOOD + change)
-    assert done.returncode == 78 and "SettingsInvalid" in done.stderr and where in done.stderr
+def test_invalid_setting_is_reported_with_path_and_exit_status(tmp_path, change, path):
+    result = check_settings(tmp_path, VALID_SETTINGS + change)
+    assert result.returncode == 78 and "SettingsInvalid" in result.stderr and path in result.stderr
 
 
 @pytest.mark.parametrize(
-    "flags,where",
+    "flags,path",
     [
         (("--role", "king"), "role"),
         (("--seed", "localhost:1"), "seeds[0]"),
         (("--host", "here"), "host"),
     ],
 )
-def test_flags_are_checked_like_the_file(tmp_path, flags, where):
-    done = check(tmp_path, GOOD, *flags)
-    assert done.returncode == 78 and where in done.stderr
+def test_overriding_flags_are_checked(tmp_path, flags, path):
+    result = check_settings(tmp_path, VALID_SETTINGS, *flags)
+    assert result.returncode == 78 and path in result.stderr
 
 
-def test_unknown_flag_is_turned_away(tmp_path):
-    assert check(tmp_path, GOOD, "--fast").returncode != 0
+def test_unknown_flag_is_rejected(tmp_path):
+    assert check_settings(tmp_path, VALID_SETTINGS, "--fast").returncode != 0
