--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -12,7 +12,7 @@
 from frostpost.daemon import disk as disks
 from frostpost.daemon.context import Context, TestHooks, clock_ms
 from frostpost.daemon.core import create_core
-from frostpost.daemon.event_loop import TICK_MS, beat
+from frostpost.daemon.event_loop import TICK_MS, tick_periodically
 from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.structured_log import log_event
 from frostpost.http_api.app import build
@@ -38,8 +38,8 @@
     """Start the periodic jobs; an exception in one ends the daemon."""
     background = ctx.settings.background
     jobs = (
-        (beat, TICK_MS / 1000),
-        (lambda c: c.disk.watch(), 0.1),
+        (tick_periodically, TICK_MS / 1000),
+        (lambda c: c.disk.check_health(), 0.1),
         (read_hooks, 0.1),
         (poll_all, background.load_ms / 1000),
         (list_, background.list_ms / 4000),
@@ -59,7 +59,7 @@
                 type=failure.type.__name__,
                 text=failure.getTraceback()[-2000:],
             )
-            ctx.life.crash()
+            ctx.lifecycle.crash()
 
         loop.start(every_s, now=True).addErrback(broken)
         ctx.tasks.append(loop)
@@ -78,19 +78,19 @@
         PROTOCOL_REVISION,
     )
     ctx = Context(settings, reactor, endpoint, machine)
-    ctx.shelf = BodyStore(f"{settings.name}.{incarnation}")
-    records, ctx.disk = [], disks.NoLogWriter()
+    ctx.body_store = BodyStore(f"{settings.name}.{incarnation}")
+    records, ctx.disk = [], disks.NullLogWriter()
     if settings.role == "storage":
         write_ahead_log, records, error = disks.open_log(settings.data, machine.files)
         ctx.disk = disks.LogWriter(ctx, write_ahead_log)
         error = shelves.load(ctx, settings.data) or error
         if error:
-            ctx.corrupt = f"{type(error).__name__} at {error.offset} in {error.path}"
+            ctx.disk_damage = f"{type(error).__name__} at {error.offset} in {error.path}"
             log_event(type(error).__name__, path=error.path, offset=error.offset)
 
     def applied():
         wake(ctx)
-        if ctx.honoured < ctx.core.ledger.config_index:
+        if ctx.effective_config_index < ctx.core.ledger.config_index:
             reactor.callLater(0, shelves.honour, ctx)
 
     ctx.links = {
@@ -113,7 +113,7 @@
     def up(port):
         hand.close = port.stopListening
         loops(ctx)
-        ctx.life.started()
+        ctx.lifecycle.started()
 
     def listen_http(_):
         return TCP4ServerEndpoint(ctx.reactor, ctx.settings.http_port, interface=ctx.settings.host, backlog=512).listen(
--- a/frostpost/app/serve.py
+++ b/frostpost/app/serve.py
@@ -6,7 +6,7 @@
 import cappa
 
 from frostpost.daemon import settings as checked
-from frostpost.daemon.lifecycle import DaemonProcess, make
+from frostpost.daemon.lifecycle import DaemonProcess, make_lifecycle
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.structured_log import log_event
 from frostpost.daemon.structured_log import start_logging as begin_news
@@ -26,7 +26,7 @@
     reactor.seconds = Machine().seconds
     ctx, site = assemble(settings, reactor, Machine())
     hand = DaemonProcess(ctx, lambda: reactor.running and reactor.stop())
-    ctx.life = make(hand)
+    ctx.lifecycle = make_lifecycle(hand)
 
     def fallen(failure):
         log_event("ListenError", text=failure.getErrorMessage())
@@ -35,7 +35,9 @@
 
     reactor.callWhenRunning(raise_, ctx, site, hand, fallen)
     reactor.addSystemEventTrigger(
-        "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(ctx.life.leave))
+        "after",
+        "startup",
+        lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(ctx.lifecycle.shut_down)),
     )
     reactor.run(installSignalHandlers=True)
     return hand.status
--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -65,7 +65,11 @@
 def calendars(ctx):
     """Look through all tenants' calendars, if this daemon holds that duty."""
     fence = singleton_roles.fencing_token(ctx.core.ledger, "calendars", ctx.endpoint.member)
-    if not fence or not holds_lease(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.core.ledger.config_index:
+    if (
+        not fence
+        or not holds_lease(ctx.core, clock_ms(ctx))
+        or ctx.effective_config_index < ctx.core.ledger.config_index
+    ):
         return
     for path in [p for p, (_, d) in ctx.documents.items() if d.get("calendars")]:
         if path in ctx.documents:
--- a/frostpost/background/listing.py
+++ b/frostpost/background/listing.py
@@ -36,23 +36,23 @@
     """Fetch the list if this daemon holds that duty, and order it if it changed."""
     fence = singleton_roles.fencing_token(ctx.core.ledger, "list", ctx.endpoint.member)
     now = clock_ms(ctx)
-    if not fence or not ctx.settings.list or now < ctx.list_ms or not holds_lease(ctx.core, now):
+    if not fence or not ctx.settings.list or now < ctx.next_list_fetch_ms or not holds_lease(ctx.core, now):
         return
-    ctx.list_ms = now + ctx.settings.background.list_ms
+    ctx.next_list_fetch_ms = now + ctx.settings.background.list_ms
     try:
         response = yield ctx.http_agent.get(ctx.settings.list, timeout=2, unbuffered=True, reactor=ctx.reactor)
         raw = yield read_body(response, ctx.settings.doors.config_bytes)
         if response.code == 429:
             said = (response.headers.getRawHeaders("retry-after") or ["1"])[0]
             wait_ms = int(said) * 1000 if said.isdigit() else 1000
-            ctx.list_ms = clock_ms(ctx) + wait_ms
+            ctx.next_list_fetch_ms = clock_ms(ctx) + wait_ms
             count(ctx, "list_refused")
             return
         page = json.decode(raw, type=Page)
     except Exception as error:
         count(ctx, f"list_error/{type(error).__name__}")
         return
-    ctx.listed_ms = clock_ms(ctx)
+    ctx.list_fetched_ms = clock_ms(ctx)
     entries = tuple(
         sorted(
             (Runner(r.name, r.instance, r.host, r.port, r.pool, r.zone, r.room) for r in page.runners),
--- a/frostpost/background/meters.py
+++ b/frostpost/background/meters.py
@@ -20,7 +20,7 @@
         ctx, synchrony = self.ctx, self.ctx.core.synchrony
         gauges = {
             "serving": int(holds_lease(ctx.core, clock_ms(ctx))),
-            "flights": ctx.flights,
+            "flights": ctx.requests_in_flight,
             "lag_ms": ctx.lag_ms,
             "applied_index": synchrony.applied,
             "members": len(synchrony.configuration.members),
@@ -28,7 +28,7 @@
             "keys": len(ctx.core.ledger.keys),
             "waiting": len(synchrony.pending_entries),
             "outbox": len(synchrony.outbox),
-            "disk_unwell": int(ctx.disk.unwell),
+            "disk_unwell": int(ctx.disk.unhealthy),
         }
         for name, value in gauges.items():
             yield GaugeMetricFamily(f"frostpost_{name}", name.replace("_", " "), value)
--- a/frostpost/background/runners.py
+++ b/frostpost/background/runners.py
@@ -55,7 +55,7 @@
 
 def poll_all(ctx):
     """Poll all runners, spread over the interval."""
-    if ctx.endpoint.role != "edge" and not ctx.flights:
+    if ctx.endpoint.role != "edge" and not ctx.requests_in_flight:
         return
     listed = list(ctx.core.ledger.runners.values())
     names = {r.name for r in listed}
--- a/frostpost/background/shelves.py
+++ b/frostpost/background/shelves.py
@@ -35,10 +35,10 @@
 def load(ctx, folder):
     """Read the bodies from disk; return the error found there, or None."""
     write_ahead_log, payloads, error = write_ahead_logs.open_log(folder, "bodies", ctx.machine.files)
-    ctx.bodies = Bodies(write_ahead_log)
+    ctx.body_writer = Bodies(write_ahead_log)
     for payload in payloads:
         store = decode(payload)
-        ctx.shelf = shelves.record_stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
+        ctx.body_store = shelves.record_stored(ctx.body_store, store.item, store.body, clock_ms(ctx))
     return error
 
 
@@ -50,7 +50,7 @@
 
 def news(ctx):
     """Return this daemon's version vector and the configuration index that it honours."""
-    return {**ctx.shelf.vector, "~honoured": ctx.honoured}
+    return {**ctx.body_store.vector, "~honoured": ctx.effective_config_index}
 
 
 def publish(ctx):
@@ -64,13 +64,13 @@
     """Store bodies: on disk where there is one, else in memory."""
     if not stores:
         return
-    if ctx.bodies is None:
+    if ctx.body_writer is None:
         for store in stores:
-            ctx.shelf = shelves.record_stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
+            ctx.body_store = shelves.record_stored(ctx.body_store, store.item, store.body, clock_ms(ctx))
         publish(ctx)
         honour(ctx)
         return
-    ctx.bodies.queue += [(s, None) for s in stores]
+    ctx.body_writer.queue += [(s, None) for s in stores]
     flush(ctx)
 
 
@@ -82,7 +82,7 @@
 
 def flush(ctx):
     """Write the waiting stores in one batch, and again after a second if the disk fails."""
-    bodies = ctx.bodies
+    bodies = ctx.body_writer
     if bodies.busy or not bodies.queue:
         return
     batch, bodies.queue = bodies.queue, []
@@ -91,7 +91,7 @@
     def done(_):
         bodies.busy = False
         for store, answer in batch:
-            ctx.shelf = shelves.record_stored(ctx.shelf, store.item, store.body, clock_ms(ctx))
+            ctx.body_store = shelves.record_stored(ctx.body_store, store.item, store.body, clock_ms(ctx))
             if answer is not None:
                 answer.callback(store.item)
         publish(ctx)
@@ -110,14 +110,14 @@
 
 def put(ctx, body):
     """Store a new body; Deferred of its item once it is on this daemon's disk."""
-    _, store = shelves.new_body(ctx.shelf, body)
+    _, store = shelves.new_body(ctx.body_store, body)
     answer = Deferred()
-    if ctx.bodies is None:
+    if ctx.body_writer is None:
         keep(ctx, [store])
         answer.callback(store.item)
     else:
-        ctx.shelf.items.setdefault(store.item.source, {})[store.item.number] = store.item
-        ctx.bodies.queue.append((store, answer))
+        ctx.body_store.items.setdefault(store.item.source, {})[store.item.number] = store.item
+        ctx.body_writer.queue.append((store, answer))
         flush(ctx)
     return answer
 
@@ -127,7 +127,7 @@
 
     def held():
         holders = {n for n, p in ctx.core.synchrony.peers.items() if p.status.get(item.source, 0) >= item.number}
-        if ctx.shelf.vector.get(item.source, 0) >= item.number:
+        if ctx.body_store.vector.get(item.source, 0) >= item.number:
             holders.add(ctx.endpoint.member.name)
         return is_majority(ctx.core.ledger.voters, holders)
 
@@ -138,22 +138,22 @@
     """Handle a peer's message about bodies."""
     match body:
         case ConfigVersionsRequest():
-            send(ctx, shelves.answer_versions(ctx.shelf, sender_name, body))
+            send(ctx, shelves.answer_versions(ctx.body_store, sender_name, body))
         case ConfigVersionsReply():
-            ctx.shelf, sends, stores = shelves.request_bodies(ctx.shelf, sender_name, body, clock_ms(ctx))
+            ctx.body_store, sends, stores = shelves.request_bodies(ctx.body_store, sender_name, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
         case ConfigBodyRequest():
-            send(ctx, shelves.answer_body(ctx.shelf, sender_name, body))
+            send(ctx, shelves.answer_body(ctx.body_store, sender_name, body))
         case ConfigBodyChunk():
-            ctx.shelf, sends, stores = shelves.receive_chunk(ctx.shelf, sender_name, body, clock_ms(ctx))
+            ctx.body_store, sends, stores = shelves.receive_chunk(ctx.body_store, sender_name, body, clock_ms(ctx))
             send(ctx, sends)
             keep(ctx, stores)
 
 
 def heard(ctx, sender_name, vector):
     """Handle a peer's version vector."""
-    send(ctx, shelves.request_versions(ctx.shelf, sender_name, vector))
+    send(ctx, shelves.request_versions(ctx.body_store, sender_name, vector))
 
 
 def parse_all(bodies):
@@ -169,7 +169,7 @@
 
 def body_of(ctx, path):
     """Return the body of a document's current version."""
-    return ctx.shelf.bodies[ctx.core.ledger.configs[path].digest]
+    return ctx.body_store.bodies[ctx.core.ledger.configs[path].digest]
 
 
 def stamp_all(documents):
@@ -193,23 +193,23 @@
 def honour(ctx):
     """Make the routes of the ledger's current configuration once all its bodies are here."""
     ledger = ctx.core.ledger
-    if ctx.stamping or ctx.honoured >= ledger.config_index:
+    if ctx.instantiating or ctx.effective_config_index >= ledger.config_index:
         return
     index = ledger.config_index
     marks = {p: m for p, m in ledger.configs.items() if m.digest}
-    if any(m.digest not in ctx.shelf.bodies for m in marks.values()):
+    if any(m.digest not in ctx.body_store.bodies for m in marks.values()):
         return
-    ctx.stamping = True
+    ctx.instantiating = True
     try:
         documents = {p: d for p, d in ctx.documents.items() if p in marks and d[0] == marks[p].version}
-        fresh = [(p, m.version, ctx.shelf.bodies[m.digest]) for p, m in marks.items() if p not in documents]
+        fresh = [(p, m.version, ctx.body_store.bodies[m.digest]) for p, m in marks.items() if p not in documents]
         big = sum(len(b) for _, _, b in fresh) > 262144
         parsed = (yield ctx.machine.in_thread(parse_all, fresh)) if big else parse_all(fresh)
         documents.update(parsed)
         routes = (yield ctx.machine.in_thread(stamp_all, documents)) if len(documents) > 20 else stamp_all(documents)
-        ctx.documents, ctx.routes, ctx.honoured = documents, routes, index
+        ctx.documents, ctx.routes, ctx.effective_config_index = documents, routes, index
     finally:
-        ctx.stamping = False
+        ctx.instantiating = False
     publish(ctx)
     honour(ctx)
 
@@ -217,17 +217,17 @@
 def tidy(ctx):
     """Drop bodies that no version refers to any more."""
     now = clock_ms(ctx)
-    if now - ctx.pruned_ms < RETENTION_MS // 10:
+    if now - ctx.last_prune_ms < RETENTION_MS // 10:
         return
-    ctx.pruned_ms = now
+    ctx.last_prune_ms = now
     wanted = {m.digest for m in ctx.core.ledger.configs.values()}
     wanted |= {m.digest for marks in ctx.core.ledger.past.values() for m in marks}
-    wanted |= {d for d, since_ms in ctx.shelf.stored_ms.items() if now - since_ms < RETENTION_MS}
-    ctx.shelf, gone = shelves.prune(ctx.shelf, wanted)
-    bodies = ctx.bodies
+    wanted |= {d for d, since_ms in ctx.body_store.stored_ms.items() if now - since_ms < RETENTION_MS}
+    ctx.body_store, gone = shelves.prune(ctx.body_store, wanted)
+    bodies = ctx.body_writer
     if gone and bodies is not None and not bodies.busy and not bodies.queue:
         bodies.busy = True
-        payloads = [encode(s) for s in shelves.all_writes(ctx.shelf)]
+        payloads = [encode(s) for s in shelves.all_writes(ctx.body_store)]
 
         def done(_):
             bodies.busy = False
--- a/frostpost/background/ticking.py
+++ b/frostpost/background/ticking.py
@@ -12,8 +12,8 @@
     fence = singleton_roles.fencing_token(ctx.core.ledger, "ticks", ctx.endpoint.member)
     now = clock_ms(ctx)
     if not fence or not holds_lease(ctx.core, now):
-        ctx.tick_ms = 0
+        ctx.last_ledger_tick_ms = 0
         return
-    last_ms, ctx.tick_ms = ctx.tick_ms, now
+    last_ms, ctx.last_ledger_tick_ms = ctx.last_ledger_tick_ms, now
     if last_ms:
         submit(ctx, Tick(fence, min(now - last_ms, 3 * ctx.settings.background.tick_ms)), ctx.settings.doors.ask_ms)
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -42,7 +42,7 @@
     )
     ctx = Context(ring_settings(settings), reactor, endpoint, machine)
     replica = ReplicaContext(ctx, settings, stop)
-    ctx.life = Crash(stop)
+    ctx.lifecycle = Crash(stop)
     write_ahead_log, replica.records, fault = disks.open_log(settings.data, machine.files)
     if fault:
         log_event(type(fault).__name__, path=fault.path, offset=fault.offset)
@@ -145,7 +145,7 @@
 
 def check_disk_and_opening(replica):
     """See whether the disk is well, and whether an opening was missed."""
-    replica.ctx.disk.watch()
+    replica.ctx.disk.check_health()
     announcements.announce_opening(replica)
 
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -111,7 +111,7 @@
         "charter_waiting": replica.waiting,
         "charter": list(replica.bootstrap_voters),
         "tolerated": replica.settings.tolerated,
-        "disk_unwell": bool(ctx.disk.unwell),
+        "disk_unwell": bool(ctx.disk.unhealthy),
         "turn_store": {
             "bodies": len(replica.turn_store.index),
             "missing": replica.turn_store.missing,
@@ -138,7 +138,7 @@
         "voters": list(agent_sessions.voters_of(ctx)),
         "applied": synchrony.applied,
         "log_length": synchrony.log.length,
-        "disk_unwell": bool(ctx.disk.unwell or synchrony.unhealthy),
+        "disk_unwell": bool(ctx.disk.unhealthy or synchrony.unhealthy),
         "ledger": {
             "turns": len(program_ledger.turns),
             "attempts": len(program_ledger.attempts),
--- a/frostpost/daemon/context.py
+++ b/frostpost/daemon/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a running daemon share."""
+"""State shared by the parts of a running daemon."""
 
 from collections import deque
 
@@ -8,14 +8,17 @@
 
 
 class TestHooks(Struct):
-    """What a test asks of a running daemon: peers whose links are cut, and milliseconds that each sync is delayed."""
+    """Failures injected into a running daemon by tests.
+
+    `cut`: names of the peers whose links are cut. `sync_delay_ms`: delay before each sync.
+    """
 
     cut: list[str] = []
     sync_delay_ms: int = 0
 
 
 class Context:
-    """All of a daemon's mutable state outside the pure core."""
+    """All mutable state of a daemon outside the pure core."""
 
     __slots__ = (
         "settings",
@@ -25,61 +28,61 @@
         "core",
         "inputs",
         "stepping",
-        "slicing",
+        "slice_scheduled",
         "waiters",
-        "asking",
+        "unnumbered_waiters",
         "links",
         "disk",
-        "shelf",
+        "body_store",
         "routes",
-        "honoured",
+        "effective_config_index",
         "runner_health",
-        "flights",
-        "leaving",
+        "requests_in_flight",
+        "shutting_down",
         "key_waiters",
         "counts",
-        "bodies",
+        "body_writer",
         "tasks",
         "hooks",
         "http_agent",
-        "retries",
-        "life",
-        "list_ms",
-        "tick_ms",
+        "retry_tokens",
+        "lifecycle",
+        "next_list_fetch_ms",
+        "last_ledger_tick_ms",
         "documents",
         "started_ms",
-        "corrupt",
-        "pruned_ms",
-        "need_config",
-        "stamping",
-        "listed_ms",
+        "disk_damage",
+        "last_prune_ms",
+        "required_config_index",
+        "instantiating",
+        "list_fetched_ms",
         "lag_ms",
-        "ticked_ms",
-        "calls",
-        "channels",
+        "last_tick_ms",
+        "open_requests",
+        "connections",
         "ticker",
     )
 
     def __init__(self, settings, reactor, endpoint, machine=MACHINE):
         self.settings, self.reactor, self.endpoint, self.machine = settings, reactor, endpoint, machine
-        self.core, self.shelf, self.disk, self.bodies, self.http_agent, self.life = (None,) * 6
-        self.inputs, self.asking, self.tasks = deque(), deque(), []
-        self.stepping = self.slicing = self.leaving = self.stamping = False
+        self.core, self.body_store, self.disk, self.body_writer, self.http_agent, self.lifecycle = (None,) * 6
+        self.inputs, self.unnumbered_waiters, self.tasks = deque(), deque(), []
+        self.stepping = self.slice_scheduled = self.shutting_down = self.instantiating = False
         self.waiters, self.links, self.routes, self.runner_health = {}, {}, {}, {}
         self.key_waiters, self.counts, self.documents = {}, {}, {}
         self.hooks = TestHooks()
-        self.honoured = self.need_config = self.flights = self.calls = 0
-        self.channels, self.ticker = {}, None
-        self.list_ms = self.tick_ms = self.pruned_ms = self.listed_ms = 0
-        self.retries, self.lag_ms, self.corrupt = 10.0, 0.0, None
-        self.started_ms = self.ticked_ms = clock_ms(self)
+        self.effective_config_index = self.required_config_index = self.requests_in_flight = self.open_requests = 0
+        self.connections, self.ticker = {}, None
+        self.next_list_fetch_ms = self.last_ledger_tick_ms = self.last_prune_ms = self.list_fetched_ms = 0
+        self.retry_tokens, self.lag_ms, self.disk_damage = 10.0, 0.0, None
+        self.started_ms = self.last_tick_ms = clock_ms(self)
 
 
 def clock_ms(ctx):
-    """Return the daemon's monotonic clock in whole milliseconds."""
+    """Return the time of the daemon's monotonic clock in whole milliseconds."""
     return int(ctx.machine.seconds() * 1000)
 
 
-def count(ctx, what, by=1):
-    """Add to a named counter."""
-    ctx.counts[what] = ctx.counts.get(what, 0) + by
+def count(ctx, counter, increment=1):
+    """Increment a named counter."""
+    ctx.counts[counter] = ctx.counts.get(counter, 0) + increment
--- a/frostpost/daemon/disk.py
+++ b/frostpost/daemon/disk.py
@@ -1,7 +1,8 @@
-"""The disk of a member that votes: records are appended in batches, and the core is told when they are synced.
+"""The log of a voting member: appends records in batches and reports to the core how far they are synced.
 
-A disk that fails or is slower than `detect_ms` makes the member tell the others that it is unwell, so that nothing
-waits for it; probes tell when it is well again. A sync that failed ends the process: only a new start knows what lasts.
+A disk that fails, or is slower than `detect_ms`, makes the member report itself as unhealthy, so that the others don't
+wait for it; probe records show when the disk has recovered. After a failed sync the process exits, since only a restart
+can determine what is durable.
 """
 
 from errno import errorcode
@@ -18,216 +19,225 @@
 )
 from frostpost.write_ahead_log import log as write_ahead_logs
 
-from . import log_compaction as rewritings
+from . import log_compaction
 from .context import clock_ms, count
-from .log_compaction import Rewriting
+from .log_compaction import Compaction
 from .structured_log import log_event
 
-# Good syncs after which a disk counts as well; the more if it was well for less than RELAPSE_RATIO times `detect_ms`.
-GOOD_SYNCS = 3
-MOST_GOOD_SYNCS = 4 * GOOD_SYNCS
+# Successive timely syncs after which a disk counts as healthy again. Doubled for each relapse, which is a failure
+# within RELAPSE_RATIO times `detect_ms` of the last recovery.
+RECOVERY_SYNCS = 3
+MAX_RECOVERY_SYNCS = 4 * RECOVERY_SYNCS
 RELAPSE_RATIO = 20
 encode = msgpack.Encoder().encode
 decode = msgpack.Decoder(Record).decode
 
 
 class LogWriter:
-    """Writes what the core asks for, one batch at a time."""
+    """Writes the records of the core, one batch at a time, in threads."""
 
     __slots__ = (
         "ctx",
         "write_ahead_log",
         "queue",
-        "up_to",
-        "told_up_to",
+        "submitted",
+        "reported",
         "busy",
-        "since_ms",
-        "allowed_ms",
-        "unwell",
-        "good",
+        "job_started_ms",
+        "job_allowed_ms",
+        "unhealthy",
+        "timely_syncs",
         "probes",
         "syncs",
-        "rewriting",
-        "adopting",
-        "good_wanted",
-        "turned_ms",
+        "compaction",
+        "installing",
+        "required_syncs",
+        "health_changed_ms",
     )
 
     def __init__(self, ctx, write_ahead_log):
         self.ctx, self.write_ahead_log, self.queue = ctx, write_ahead_log, []
-        self.up_to, self.busy, self.unwell, self.good, self.probes, self.syncs = 0, False, False, 0, 0, 0
-        self.since_ms, self.allowed_ms, self.told_up_to = 0, 0, 0
-        self.rewriting, self.adopting = Rewriting(), False
-        self.good_wanted, self.turned_ms = GOOD_SYNCS, -(1 << 40)
+        self.submitted, self.busy, self.unhealthy, self.timely_syncs, self.probes, self.syncs = 0, False, False, 0, 0, 0
+        self.job_started_ms, self.job_allowed_ms, self.reported = 0, 0, 0
+        self.compaction, self.installing = Compaction(), False
+        self.required_syncs, self.health_changed_ms = RECOVERY_SYNCS, -(1 << 40)
 
     @property
     def bounds(self):
-        """The settings of the synchrony."""
+        """The time and size bounds of the virtual synchrony."""
         return self.ctx.core.synchrony.bounds
 
     def write(self, writes):
-        """Append records after those given before; a RewriteLog replaces all before it, in the background."""
+        """Queue records for the next batch; a RewriteLog replaces all records before it, by a background compaction."""
         for record in writes:
             if isinstance(record, RewriteLog):
-                rewritings.plan(self.rewriting, record)
+                log_compaction.request(self.compaction, record)
             else:
                 self.queue.append(record)
-                rewritings.follow(self.rewriting, record)
-        self.up_to += len(writes)
-        self.next()
+                log_compaction.add_to_tail(self.compaction, record)
+        self.submitted += len(writes)
+        self.start_next()
 
-    def next(self):
-        """Start what is due."""
-        self.rewrite()
+    def start_next(self):
+        """Start a due compaction, and the next job on the log if none is running."""
+        self.start_compaction()
         if self.busy:
             return
-        if self.rewriting.fresh is not None:
-            self.adopt()
+        if self.compaction.replacement is not None:
+            self.install_replacement()
         elif self.queue:
             batch, self.queue = self.queue, []
-            self.start(batch, lambda failure: self.failed(failure, batch), append_batch, self.write_ahead_log, batch)
-        elif self.told_up_to < self.up_to:
-            self.tell(self.up_to)
-
-    def start(self, batch, failed, job, *args):
-        """Run a job of the disk in a thread."""
-        self.busy, self.since_ms = True, clock_ms(self.ctx)
-        self.allowed_ms = self.bounds.detect_ms + snapshot_bytes(batch) * 1000 // self.bounds.refill_bytes_s
+            self.start_job(
+                batch, lambda failure: self.on_job_failed(failure, batch), append_batch, self.write_ahead_log, batch
+            )
+        elif self.reported < self.submitted:
+            self.report_synced(self.submitted)
+
+    def start_job(self, batch, on_failed, job, *args):
+        """Run a job on the log in a thread."""
+        self.busy, self.job_started_ms = True, clock_ms(self.ctx)
+        self.job_allowed_ms = self.bounds.detect_ms + snapshot_bytes(batch) * 1000 // self.bounds.refill_bytes_s
         delay_ms = self.ctx.hooks.sync_delay_ms
-        self.ctx.machine.in_thread(delayed, self.ctx.machine, delay_ms, job, *args).addCallbacks(
-            self.done, failed, callbackArgs=(self.up_to,)
+        self.ctx.machine.in_thread(run_delayed, self.ctx.machine, delay_ms, job, *args).addCallbacks(
+            self.on_job_done, on_failed, callbackArgs=(self.submitted,)
         )
 
-    def adopt(self):
-        """Put the rewritten file in place; what is queued is in its tail."""
-        planned, tail, fresh = self.rewriting.planned, self.rewriting.tail, self.rewriting.fresh
-        self.rewriting, self.adopting = Rewriting(), True
+    def install_replacement(self):
+        """Replace the log's file by the compacted one; the queued records are part of the compaction's tail."""
+        requested, tail, replacement = (
+            self.compaction.requested,
+            self.compaction.tail,
+            self.compaction.replacement,
+        )
+        self.compaction, self.installing = Compaction(), True
         batch, self.queue = self.queue, []
 
-        def failed(failure):
-            if self.rewriting.planned is None:
-                self.rewriting = Rewriting(planned, tail + self.queue)
-                rewritings.failed(self.rewriting, clock_ms(self.ctx), self.bounds.detect_ms)
+        def on_failed(failure):
+            if self.compaction.requested is None:
+                self.compaction = Compaction(requested, tail + self.queue)
+                log_compaction.on_failed(self.compaction, clock_ms(self.ctx), self.bounds.detect_ms)
             if failure.check(write_ahead_logs.SyncLostError):
-                self.failed(failure, batch)
+                self.on_job_failed(failure, batch)
                 return
-            self.busy = self.adopting = False
-            self.report(failure)
+            self.busy = self.installing = False
+            self.log_failure(failure)
             self.queue = batch + self.queue
-            self.next()
+            self.start_next()
 
-        self.start(batch, failed, rewritings.adopt, self.write_ahead_log, fresh, tail)
+        self.start_job(batch, on_failed, log_compaction.install, self.write_ahead_log, replacement, tail)
 
-    def rewrite(self):
-        """Prepare the rewritten file, beside the appends."""
-        if self.adopting or not rewritings.is_due(self.rewriting, clock_ms(self.ctx)):
+    def start_compaction(self):
+        """Start writing the replacement file of a due compaction, concurrently with appends."""
+        if self.installing or not log_compaction.is_due(self.compaction, clock_ms(self.ctx)):
             return
-        planned, self.rewriting.preparing = self.rewriting.planned, True
+        requested, self.compaction.preparing = self.compaction.requested, True
 
-        def prepared(fresh):
-            rewritings.prepared(self.rewriting, planned, fresh)
-            self.next()
+        def on_prepared(replacement):
+            log_compaction.on_prepared(self.compaction, requested, replacement)
+            self.start_next()
 
-        def failed(failure):
-            self.report(failure)
-            rewritings.failed(self.rewriting, clock_ms(self.ctx), self.bounds.detect_ms)
+        def on_failed(failure):
+            self.log_failure(failure)
+            log_compaction.on_failed(self.compaction, clock_ms(self.ctx), self.bounds.detect_ms)
 
-        self.ctx.machine.in_thread(rewritings.prepare, self.write_ahead_log, planned).addCallbacks(prepared, failed)
+        self.ctx.machine.in_thread(log_compaction.prepare, self.write_ahead_log, requested).addCallbacks(
+            on_prepared, on_failed
+        )
 
-    def done(self, _, up_to):
-        """Tell the core how far records are synced, and start what is due next."""
-        self.busy = self.adopting = False
+    def on_job_done(self, _, synced_count):
+        """Report the synced records, and start the next job."""
+        self.busy = self.installing = False
         self.syncs += 1
-        slow = clock_ms(self.ctx) - self.since_ms > self.allowed_ms
-        self.good = 0 if slow else self.good + 1
-        self.tell(up_to)
-        if self.unwell and self.good >= self.good_wanted:
-            self.turn(False)
-        self.next()
-
-    def tell(self, up_to):
-        """Tell the core how far its records are synced."""
+        slow = clock_ms(self.ctx) - self.job_started_ms > self.job_allowed_ms
+        self.timely_syncs = 0 if slow else self.timely_syncs + 1
+        self.report_synced(synced_count)
+        if self.unhealthy and self.timely_syncs >= self.required_syncs:
+            self.set_unhealthy(False)
+        self.start_next()
+
+    def report_synced(self, synced_count):
+        """Report to the core how many of the records submitted so far are synced."""
         from .event_loop import feed_input
 
-        self.told_up_to = up_to
-        feed_input(self.ctx, LogSynced(clock_ms(self.ctx), up_to))
+        self.reported = synced_count
+        feed_input(self.ctx, LogSynced(clock_ms(self.ctx), synced_count))
 
-    def report(self, failure):
-        """Log and count a failed call of the disk."""
+    def log_failure(self, failure):
+        """Log and count a failed disk operation."""
         count(self.ctx, "disk_faults")
         number = getattr(failure.value, "errno", None)
         log_event("DiskError", type=failure.type.__name__, error=errorcode.get(number, ""))
 
-    def failed(self, failure, batch):
-        """Queue a failed batch again; a lost sync ends the daemon, since the page cache can't be trusted."""
-        self.busy, self.adopting, self.good = False, False, 0
-        self.report(failure)
+    def on_job_failed(self, failure, batch):
+        """Queue a failed batch again; after a failed sync, end the daemon, since the page cache can't be trusted."""
+        self.busy, self.installing, self.timely_syncs = False, False, 0
+        self.log_failure(failure)
         self.queue = batch + self.queue
         if failure.check(write_ahead_logs.SyncLostError):
-            self.ctx.life.crash()
+            self.ctx.lifecycle.crash()
             return
-        self.turn(True)
-
-    def turn(self, unwell):
-        """Mark the disk well or unwell, and tell the core."""
-        if unwell != self.unwell:
-            self.unwell, now_ms = unwell, clock_ms(self.ctx)
-            if unwell:
-                relapsed = now_ms - self.turned_ms < RELAPSE_RATIO * self.bounds.detect_ms
-                self.good_wanted = min(2 * self.good_wanted, MOST_GOOD_SYNCS) if relapsed else GOOD_SYNCS
-            self.turned_ms = now_ms
-            log_event("DiskUnwell" if unwell else "DiskWell")
+        self.set_unhealthy(True)
+
+    def set_unhealthy(self, unhealthy):
+        """Set the health of the disk, and report a change to the core."""
+        if unhealthy != self.unhealthy:
+            self.unhealthy, now_ms = unhealthy, clock_ms(self.ctx)
+            if unhealthy:
+                relapsed = now_ms - self.health_changed_ms < RELAPSE_RATIO * self.bounds.detect_ms
+                self.required_syncs = min(2 * self.required_syncs, MAX_RECOVERY_SYNCS) if relapsed else RECOVERY_SYNCS
+            self.health_changed_ms = now_ms
+            log_event("DiskUnwell" if unhealthy else "DiskWell")
             from .event_loop import feed_input
 
-            feed_input(self.ctx, DiskHealthChanged(clock_ms(self.ctx), unwell))
+            feed_input(self.ctx, DiskHealthChanged(clock_ms(self.ctx), unhealthy))
 
-    def watch(self):
-        """Called often: tell of a stalled disk, and probe one that was unwell."""
-        if self.busy and clock_ms(self.ctx) - self.since_ms > self.allowed_ms:
-            self.turn(True)
-        if self.unwell and not self.busy:
+    def check_health(self):
+        """Detect a stalled disk, and write a probe record to an unhealthy one; called periodically."""
+        if self.busy and clock_ms(self.ctx) - self.job_started_ms > self.job_allowed_ms:
+            self.set_unhealthy(True)
+        if self.unhealthy and not self.busy:
             self.probes += 1
             if not self.queue:
                 self.queue = [ProbeRecord(self.probes)]
-        self.next()
+        self.start_next()
 
 
-class NoLogWriter:
-    """Stands where a daemon that does not vote has no log."""
+class NullLogWriter:
+    """The LogWriter of a daemon that doesn't vote and keeps no log."""
 
-    __slots__ = ("syncs", "unwell")
+    __slots__ = ("syncs", "unhealthy")
 
     def __init__(self):
-        self.syncs, self.unwell = 0, False
+        self.syncs, self.unhealthy = 0, False
 
     def write(self, writes):
-        """Nothing is kept."""
+        """Discard the records."""
         return None
 
-    def watch(self):
-        """There is no disk to watch."""
+    def check_health(self):
+        """Do nothing; there is no disk to check."""
         return None
 
 
 def snapshot_bytes(batch):
-    """Bytes of the snapshots in a batch: they are allowed the time that fetching them took."""
+    """Return the total size of the snapshots in a batch, which extends the time allowed for writing it."""
     return sum(len(record.state) for record in batch if isinstance(record, SnapshotRecord))
 
 
-def delayed(machine, delay_ms, job, *args):
-    """Run a job of the disk after the delay that a test asks for; in a thread."""
+def run_delayed(machine, delay_ms, job, *args):
+    """Run a job after the delay set by a test hook; runs in a thread."""
     if delay_ms:
         machine.sleep(delay_ms / 1000)
     job(*args)
 
 
 def append_batch(write_ahead_log, batch):
-    """Append a batch of records and sync it; in a thread."""
+    """Append and sync a batch of records; runs in a thread."""
     write_ahead_logs.append(write_ahead_log, [encode(r) for r in batch])
     write_ahead_logs.sync(write_ahead_log)
 
 
-def open_log(folder, files):
-    """-> the open log, the records read, and what was wrong with the file."""
-    write_ahead_log, payloads, error = write_ahead_logs.open_log(folder, "log", files)
-    return write_ahead_log, [decode(p) for p in payloads], error
+def open_log(directory, files):
+    """Return the open log, the records read from it, and the damage found in its file, if any."""
+    write_ahead_log, payloads, damage = write_ahead_logs.open_log(directory, "log", files)
+    return write_ahead_log, [decode(p) for p in payloads], damage
--- a/frostpost/daemon/event_loop.py
+++ b/frostpost/daemon/event_loop.py
@@ -1,4 +1,4 @@
-"""Feed the core one input at a time, and hand its outputs to disk, links and waiting callers."""
+"""Feeds the core one input at a time and dispatches its outputs to the disk, the links and the waiting callers."""
 
 from expression import Error, Ok
 from msgspec import Struct, msgpack
@@ -33,6 +33,7 @@
 from .ticker import Ticker
 
 TICK_MS = 20
+# Operations that free what an earlier one reserved; they are submitted without a lease and despite a full window.
 ENDING_OPERATIONS = (
     Settle,
     Release,
@@ -47,15 +48,15 @@
 
 
 class Waiter(Struct):
-    """An operation that was submitted and the Deferred that waits for its result."""
+    """A submitted operation and the Deferred of its result, which is None once it has fired or if nobody waits."""
 
-    op: object
-    answer: Deferred | None
+    operation: object
+    deferred: Deferred | None
     timer: object = None
 
 
 def feed_input(ctx, input):
-    """Queue an input and step the core until the queue is empty."""
+    """Queue an input and step the core until the queue is empty; may be called again from within a step."""
     ctx.inputs.append(input)
     if ctx.stepping:
         return
@@ -68,45 +69,45 @@
             for to, body in out.sends:
                 ctx.links["send"](to, body)
             for answer in out.notifications:
-                on_answer(ctx, answer)
+                dispatch_answer(ctx, answer)
     finally:
         ctx.stepping = False
     if ctx.ticker is not None and needs_every_tick(ctx.core.synchrony):
         ctx.ticker.wake()
-    continue_snapshot(ctx)
+    schedule_snapshot_slice(ctx)
 
 
-def continue_snapshot(ctx):
-    """Let the event loop run before the next slice of a snapshot under way."""
-    if ctx.core.snapshots.busy and not ctx.slicing:
-        ctx.slicing = True
-        ctx.reactor.callLater(0, next_slice, ctx)
+def schedule_snapshot_slice(ctx):
+    """Schedule the next slice of a snapshot in progress, after other pending events of the reactor."""
+    if ctx.core.snapshots.busy and not ctx.slice_scheduled:
+        ctx.slice_scheduled = True
+        ctx.reactor.callLater(0, run_snapshot_slice, ctx)
 
 
-def next_slice(ctx):
-    """Go on with the snapshot under way."""
-    ctx.slicing = False
+def run_snapshot_slice(ctx):
+    """Process one slice of the snapshot in progress."""
+    ctx.slice_scheduled = False
     feed_input(ctx, cores.SnapshotSlice(clock_ms(ctx)))
 
 
-def on_answer(ctx, answer):
-    """Handle one answer of the core."""
+def dispatch_answer(ctx, answer):
+    """Dispatch one answer of the core to the callers and subsystems concerned."""
     match answer:
         case cores.OperationDecided(number, result):
             on_decided(ctx, number, result)
         case OperationNumbered(number):
-            if ctx.asking:
-                waiter = ctx.asking.popleft()
+            if ctx.unnumbered_waiters:
+                waiter = ctx.unnumbered_waiters.popleft()
                 ctx.waiters[number] = waiter
         case WindowFull():
-            if ctx.asking:
-                resolve(ctx.asking.popleft(), Error(Overfilled()))
+            if ctx.unnumbered_waiters:
+                resolve(ctx.unnumbered_waiters.popleft(), Error(Overfilled()))
         case EntryApplied(entry):
             if entry.ordinal == 1:
-                ctx.need_config = ctx.core.ledger.config_index
+                ctx.required_config_index = ctx.core.ledger.config_index
             ctx.links["applied"]()
         case SnapshotInstalled():
-            ctx.need_config = ctx.core.ledger.config_index
+            ctx.required_config_index = ctx.core.ledger.config_index
             ctx.links["applied"]()
         case ConfigurationChanged(configuration, transitional):
             log_event(
@@ -118,57 +119,60 @@
 
 
 def resolve(waiter, result):
-    """Fire a waiter's Deferred once; False if it fired before."""
-    answer, waiter.answer = waiter.answer, None
+    """Fire a waiter's Deferred unless it has fired before; return whether it fired now."""
+    deferred, waiter.deferred = waiter.deferred, None
     if waiter.timer is not None and waiter.timer.active():
         waiter.timer.cancel()
-    if answer is not None:
-        answer.callback(result)
+    if deferred is not None:
+        deferred.callback(result)
         return True
     return False
 
 
 def on_decided(ctx, number, result):
-    """Hand an operation's result to its waiter; undo it if nobody waits any more."""
+    """Deliver an operation's result to its waiter, or release what it reserved if the waiter has timed out."""
     waiter = ctx.waiters.pop(number, None)
     if waiter is None:
         return
     outcome = Error(Undecided()) if result is None else Ok(result)
     if not resolve(waiter, outcome):
-        release_late_result(ctx, waiter.op, result)
+        release_late_result(ctx, waiter.operation, result)
 
 
-def release_late_result(ctx, op, result):
-    """Give back what a late result reserved or claimed."""
+def release_late_result(ctx, operation, result):
+    """Release what an operation reserved or claimed after its caller had timed out."""
     count(ctx, "late_results")
     if isinstance(result, Reserved):
         submit_without_result(ctx, Release(result.index))
     elif isinstance(result, Won):
-        submit_without_result(ctx, Unclaim(op.key))
+        submit_without_result(ctx, Unclaim(operation.key))
 
 
-def submit_without_result(ctx, op):
+def submit_without_result(ctx, operation):
     """Submit an operation without waiting for its result."""
-    ctx.asking.append(Waiter(op, None))
-    feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(op), isinstance(op, ENDING_OPERATIONS)))
+    ctx.unnumbered_waiters.append(Waiter(operation, None))
+    feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(operation), isinstance(operation, ENDING_OPERATIONS)))
 
 
-def submit(ctx, op, wait_ms):
-    """Submit an operation; Deferred of Ok(result), or of Error after `wait_ms`."""
-    must = isinstance(op, ENDING_OPERATIONS)
-    answer = Deferred()
-    if not must and not cores.holds_lease(ctx.core, clock_ms(ctx)):
-        answer.callback(Error(NoPrimary()))
-        return answer
-    waiter = Waiter(op, answer)
-    waiter.timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), lambda: resolve(waiter, Error(Undecided())))
-    ctx.asking.append(waiter)
-    feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(op), must))
-    return answer
+def submit(ctx, operation, timeout_ms):
+    """Submit an operation; return a Deferred that fires with Ok(result) or Error, at the latest after `timeout_ms`.
+
+    Operations other than the ending ones are refused with NoPrimary if this daemon holds no lease.
+    """
+    is_ending = isinstance(operation, ENDING_OPERATIONS)
+    deferred = Deferred()
+    if not is_ending and not cores.holds_lease(ctx.core, clock_ms(ctx)):
+        deferred.callback(Error(NoPrimary()))
+        return deferred
+    waiter = Waiter(operation, deferred)
+    waiter.timer = ctx.reactor.callLater(max(0.001, timeout_ms / 1000), lambda: resolve(waiter, Error(Undecided())))
+    ctx.unnumbered_waiters.append(waiter)
+    feed_input(ctx, OperationSubmitted(clock_ms(ctx), encode(operation), is_ending))
+    return deferred
 
 
 def on_frame(ctx, frame):
-    """Handle a frame from a peer."""
+    """Dispatch a frame from a peer to the core or to the subsystem concerned."""
     body, sender_name = frame.body, frame.endpoint.member.name
     match body:
         case ConfigBodyRequest() | ConfigBodyChunk() | ConfigVersionsRequest() | ConfigVersionsReply():
@@ -184,24 +188,24 @@
     feed_input(ctx, TimerTick(clock_ms(ctx)))
 
 
-def beat(ctx):
-    """Feed the core the time, and measure how late the event loop is."""
-    now = clock_ms(ctx)
-    late_ms = max(0, now - ctx.ticked_ms - TICK_MS)
-    ctx.ticked_ms = now
+def tick_periodically(ctx):
+    """Feed the core the current time, and measure the lag of the event loop; called every TICK_MS."""
+    now_ms = clock_ms(ctx)
+    late_ms = max(0, now_ms - ctx.last_tick_ms - TICK_MS)
+    ctx.last_tick_ms = now_ms
     ctx.lag_ms = max(late_ms, ctx.lag_ms * 0.9)
     tick(ctx)
 
 
-def start_ticker(ctx, failed):
-    """Tick whenever the core has something to do; failed(failure) is told of an error, which ends it."""
+def start_ticker(ctx, on_failure):
+    """Tick whenever the core has something due; if a tick raises, stop ticking and call `on_failure(failure)`."""
 
-    def late_tick():
+    def run_tick():
         ctx.lag_ms = max(ctx.ticker.late_ms, ctx.lag_ms * 0.9)
         tick(ctx)
 
     def due_in_ms():
         return due_ms(ctx.core.synchrony) - clock_ms(ctx)
 
-    ctx.ticker = Ticker(ctx.reactor, TICK_MS / 1000, late_tick, due_in_ms, failed)
+    ctx.ticker = Ticker(ctx.reactor, TICK_MS / 1000, run_tick, due_in_ms, on_failure)
     ctx.ticker.start()
--- a/frostpost/daemon/lifecycle.py
+++ b/frostpost/daemon/lifecycle.py
@@ -1,4 +1,4 @@
-"""A daemon's life as a state machine: starting, serving, leaving, left."""
+"""The lifecycle of a daemon as a state machine: starting, serving, shutting down, stopped."""
 
 from typing import Protocol
 
@@ -12,24 +12,27 @@
 from .structured_log import log_event
 
 
-class Life(Protocol):
+class Lifecycle(Protocol):
     """Inputs of the state machine."""
 
     def started(self) -> None:
-        """The daemon listens."""
+        """The daemon listens for peers and for HTTP."""
 
-    def leave(self) -> None:
-        """The daemon shall shut down."""
+    def shut_down(self) -> None:
+        """A graceful shutdown is requested."""
 
-    def emptied(self) -> None:
-        """All requests have ended."""
+    def drained(self) -> None:
+        """All requests have ended, or the grace period is over."""
 
     def crash(self) -> None:
-        """Something failed that the daemon can't go on with."""
+        """The daemon can't continue after a failure."""
 
 
 class DaemonProcess:
-    """What the state machine works on: the daemon, how to stop it, and its exit status."""
+    """The data of the state machine: the daemon's context, its exit status, and how to stop it.
+
+    `close()` stops listening for peers; `stop()` ends the process.
+    """
 
     __slots__ = ("ctx", "stop", "status", "close")
 
@@ -37,76 +40,76 @@
         self.ctx, self.stop, self.status, self.close = ctx, stop, 0, lambda: None
 
 
-builder = TypeMachineBuilder(Life, DaemonProcess)
+builder = TypeMachineBuilder(Lifecycle, DaemonProcess)
 starting = builder.state("starting")
 serving = builder.state("serving")
-leaving = builder.state("leaving")
-left = builder.state("left")
+shutting_down = builder.state("leaving")
+stopped = builder.state("left")
 
 
-@starting.upon(Life.started).to(serving)
-def began(life: Life, hand: DaemonProcess) -> None:
+@starting.upon(Lifecycle.started).to(serving)
+def on_started(lifecycle: Lifecycle, process: DaemonProcess) -> None:
     """Log the start."""
-    endpoint = hand.ctx.endpoint
+    endpoint = process.ctx.endpoint
     log_event("started", name=endpoint.member.name, port=endpoint.port, http_port=endpoint.http_port)
 
 
-@serving.upon(Life.leave).to(leaving)
-def leaves(life: Life, hand: DaemonProcess) -> None:
-    """Refuse new requests, wait for the open ones, then close the connections."""
-    ctx = hand.ctx
-    ctx.leaving = True
-    log_event("leaving", flights=ctx.flights, calls=ctx.calls)
-    hand.close()
+@serving.upon(Lifecycle.shut_down).to(shutting_down)
+def drain_requests(lifecycle: Lifecycle, process: DaemonProcess) -> None:
+    """Refuse new requests, wait for the open ones, and close the connections that clients leave open."""
+    ctx = process.ctx
+    ctx.shutting_down = True
+    log_event("leaving", flights=ctx.requests_in_flight, calls=ctx.open_requests)
+    process.close()
     end_ms = clock_ms(ctx) + ctx.settings.doors.grace_ms
 
-    def linger(_):
-        return poll_until(ctx, lambda: not ctx.channels, min(ctx.settings.doors.linger_ms, end_ms - clock_ms(ctx)))
+    def wait_for_clients(_):
+        return poll_until(ctx, lambda: not ctx.connections, min(ctx.settings.doors.linger_ms, end_ms - clock_ms(ctx)))
 
-    def shut(_):
-        for transport in list(ctx.channels.values()):
+    def close_connections(_):
+        for transport in list(ctx.connections.values()):
             transport.loseConnection()
-        return poll_until(ctx, lambda: not ctx.channels, end_ms - clock_ms(ctx))
+        return poll_until(ctx, lambda: not ctx.connections, end_ms - clock_ms(ctx))
 
-    poll_until(ctx, lambda: ctx.flights == ctx.calls == 0, ctx.settings.doors.grace_ms).addCallback(linger).addCallback(
-        shut
-    ).addCallback(lambda _: life.emptied())
+    poll_until(ctx, lambda: ctx.requests_in_flight == ctx.open_requests == 0, ctx.settings.doors.grace_ms).addCallback(
+        wait_for_clients
+    ).addCallback(close_connections).addCallback(lambda _: lifecycle.drained())
 
 
-@leaving.upon(Life.emptied).to(left)
-def gone(life: Life, hand: DaemonProcess) -> None:
-    """Leave the membership, and stop once the peers have heard it."""
-    ctx = hand.ctx
+@shutting_down.upon(Lifecycle.drained).to(stopped)
+def leave_configuration(lifecycle: Lifecycle, process: DaemonProcess) -> None:
+    """Leave the configuration, and stop after two heartbeats, which announce it to the peers."""
+    ctx = process.ctx
     feed_input(ctx, DrainRequested(clock_ms(ctx)))
-    log_event("left", flights=ctx.flights)
-    ctx.reactor.callLater(ctx.core.synchrony.bounds.heartbeat_ms * 2 / 1000, hand.stop)
+    log_event("left", flights=ctx.requests_in_flight)
+    ctx.reactor.callLater(ctx.core.synchrony.bounds.heartbeat_ms * 2 / 1000, process.stop)
 
 
-@starting.upon(Life.leave).to(left)
-def never(life: Life, hand: DaemonProcess) -> None:
-    """Stop before anything was served."""
-    hand.stop()
+@starting.upon(Lifecycle.shut_down).to(stopped)
+def stop_before_start(lifecycle: Lifecycle, process: DaemonProcess) -> None:
+    """Stop at once, since no request has been served."""
+    process.stop()
 
 
-@leaving.upon(Life.leave).loop()
-def again(life: Life, hand: DaemonProcess) -> None:
-    """Ignore a second order to leave."""
+@shutting_down.upon(Lifecycle.shut_down).loop()
+def ignore_repeated_shutdown(lifecycle: Lifecycle, process: DaemonProcess) -> None:
+    """Ignore a shutdown request while shutting down."""
     return None
 
 
-@left.upon(Life.leave).loop()
-def over(life: Life, hand: DaemonProcess) -> None:
-    """Ignore an order to leave after the end."""
+@stopped.upon(Lifecycle.shut_down).loop()
+def ignore_late_shutdown(lifecycle: Lifecycle, process: DaemonProcess) -> None:
+    """Ignore a shutdown request after the stop."""
     return None
 
 
-def crashed(life: Life, hand: DaemonProcess) -> None:
+def on_crash(lifecycle: Lifecycle, process: DaemonProcess) -> None:
     """Stop with exit status 70."""
-    hand.status = 70
+    process.status = 70
     log_event("crashed", reason="SyncLostError")
-    hand.stop()
+    process.stop()
 
 
-for state in (starting, serving, leaving, left):
-    state.upon(Life.crash).to(left)(crashed)
-make = builder.build()
+for state in (starting, serving, shutting_down, stopped):
+    state.upon(Lifecycle.crash).to(stopped)(on_crash)
+make_lifecycle = builder.build()
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -52,7 +52,7 @@
     """Admit a call, run its handler, and log and count the result; returns an error or None."""
     error = calls.admit(ctx, call)
     if error is None:
-        ctx.flights += 1
+        ctx.requests_in_flight += 1
         watch_caller(call)
         try:
             result = yield handler(ctx, call)
@@ -60,7 +60,7 @@
             log_event("Internal", request=call.id, type=type(broken).__name__, text=str(broken)[:200])
             result = errors.Internal()
         finally:
-            ctx.flights -= 1
+            ctx.requests_in_flight -= 1
     else:
         result = error
     count(ctx, f"{call.kind}/{type(result).__name__ if result is not None else 'served'}")
@@ -136,13 +136,13 @@
             self.write(body)
             self.finish()
             return
-        self.ctx.calls += 1
+        self.ctx.open_requests += 1
         self.notifyFinish().addBoth(self.over)
         super().process()
 
     def over(self, _):
         """Count the request as ended."""
-        self.ctx.calls -= 1
+        self.ctx.open_requests -= 1
 
 
 class Door(Site):
@@ -156,11 +156,11 @@
         lost, made = channel.connectionLost, channel.makeConnection
 
         def makeConnection(transport):
-            self.ctx.channels[channel] = transport
+            self.ctx.connections[channel] = transport
             return made(transport)
 
         def connectionLost(reason):
-            self.ctx.channels.pop(channel, None)
+            self.ctx.connections.pop(channel, None)
             return lost(reason)
 
         channel.connectionLost, channel.makeConnection = connectionLost, makeConnection
--- a/frostpost/http_api/calls.py
+++ b/frostpost/http_api/calls.py
@@ -90,7 +90,7 @@
 
 def filter_leaving(ctx, call):
     """Refuse calls while the daemon is leaving."""
-    return errors.Leaving() if ctx.leaving else None
+    return errors.Leaving() if ctx.shutting_down else None
 
 
 def filter_body(ctx, call):
@@ -109,7 +109,7 @@
     """Refuse calls without a lease or with an outdated configuration."""
     if not holds_lease(ctx.core, clock_ms(ctx)):
         return errors.NoPrimary()
-    if ctx.honoured < ctx.need_config:
+    if ctx.effective_config_index < ctx.required_config_index:
         return errors.ConfigChanging()
     return None
 
@@ -141,9 +141,9 @@
 def filter_crowd(ctx, call):
     """Refuse calls by urgency when too many are in flight or the event loop lags."""
     doors, urgency = ctx.settings.doors, call.route.urgency
-    if ctx.flights >= SHARES[urgency] * doors.in_flight:
+    if ctx.requests_in_flight >= SHARES[urgency] * doors.in_flight:
         return errors.Crowded()
-    if ctx.flights >= BUSY * doors.in_flight and ctx.lag_ms >= LAGS[urgency] * doors.lag_ms:
+    if ctx.requests_in_flight >= BUSY * doors.in_flight and ctx.lag_ms >= LAGS[urgency] * doors.lag_ms:
         return errors.Crowded()
     return None
 
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -59,11 +59,11 @@
 
 def ready(ctx):
     """Return why this daemon can't take changes now, or None."""
-    if ctx.leaving:
+    if ctx.shutting_down:
         return errors.Leaving()
     if not holds_lease(ctx.core, clock_ms(ctx)):
         return errors.NoPrimary()
-    if ctx.honoured < ctx.core.ledger.config_index:
+    if ctx.effective_config_index < ctx.core.ledger.config_index:
         return errors.ConfigChanging()
     return None
 
@@ -149,7 +149,7 @@
         return False
     for member in synchrony.configuration.members:
         if member == synchrony.local_member:
-            reached = ctx.honoured if what == "~honoured" else synchrony.applied
+            reached = ctx.effective_config_index if what == "~honoured" else synchrony.applied
         else:
             peer = synchrony.peers.get(member.name)
             if peer is None or peer.endpoint.member != member:
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -85,10 +85,10 @@
 
 def spend_retry(ctx):
     """Take one retry from this daemon's retry budget; False if none is left."""
-    if ctx.retries < 1:
+    if ctx.retry_tokens < 1:
         count(ctx, "retries_withheld")
         return False
-    ctx.retries -= 1
+    ctx.retry_tokens -= 1
     return True
 
 
@@ -96,7 +96,7 @@
 def try_runners(ctx, call, free):
     """Try runners in order until one answers; after a sent request only if the route may repeat."""
     tried, sent = set(), False
-    ctx.retries = min(50.0, ctx.retries + ctx.settings.doors.retry_ratio)
+    ctx.retry_tokens = min(50.0, ctx.retry_tokens + ctx.settings.doors.retry_ratio)
     while True:
         if remaining_ms(ctx, call) <= 0:
             return Error(errors.Unknown() if sent else errors.DeadlineExceeded())
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -26,8 +26,8 @@
         "boot": synchrony.local_member.incarnation,
         "role": synchrony.endpoint.role,
         "zone": synchrony.endpoint.zone,
-        "serving": holds_lease(ctx.core, clock_ms(ctx)) and not ctx.leaving,
-        "leaving": ctx.leaving,
+        "serving": holds_lease(ctx.core, clock_ms(ctx)) and not ctx.shutting_down,
+        "leaving": ctx.shutting_down,
         "up_ms": clock_ms(ctx) - ctx.started_ms,
         "configuration": {
             "epoch": synchrony.configuration.id.epoch,
@@ -42,12 +42,12 @@
         "rules": ledger.rules,
         "applied": synchrony.applied,
         "config_index": ledger.config_index,
-        "honoured": ctx.honoured,
+        "honoured": ctx.effective_config_index,
         "clock_ms": ledger.clock_ms,
-        "flights": ctx.flights,
+        "flights": ctx.requests_in_flight,
         "lag_ms": round(ctx.lag_ms, 1),
-        "unwell": ctx.disk.unwell,
-        "corrupt": ctx.corrupt,
+        "unwell": ctx.disk.unhealthy,
+        "corrupt": ctx.disk_damage,
         "syncs": ctx.disk.syncs,
         "duties": {
             n: {"holder": d.holder.name if d.holder else None, "fence": d.fence} for n, d in ledger.duties.items()
@@ -65,7 +65,7 @@
         "counts": {**synchrony.counts, **ctx.counts},
         "wall_ms": int(ctx.machine.wall_s() * 1000),
         "list_set": bool(ctx.settings.list),
-        "list_age_ms": clock_ms(ctx) - ctx.listed_ms if ctx.listed_ms else None,
+        "list_age_ms": clock_ms(ctx) - ctx.list_fetched_ms if ctx.list_fetched_ms else None,
         "disk_free_part": free_part(ctx.settings.data),
         "seeds": ctx.settings.seeds,
         "places": [placed(p) for p in (synchrony.endpoint, *(p.endpoint for p in synchrony.peers.values()))],
@@ -179,7 +179,7 @@
     def leased(request, look):
         if not holds_lease(ctx.core, clock_ms(ctx)):
             return refuse(request, errors.NoPrimary(), "")
-        if ctx.honoured < ctx.need_config:
+        if ctx.effective_config_index < ctx.required_config_index:
             return refuse(request, errors.ConfigChanging(), "")
         return serve(request, look())
 
@@ -214,9 +214,9 @@
 
     @app.route("/v1/ready", methods=["GET"])
     def ready(request):
-        if ctx.leaving:
+        if ctx.shutting_down:
             return refuse(request, errors.Leaving(), "")
-        if not holds_lease(ctx.core, clock_ms(ctx)) or ctx.honoured < ctx.need_config:
+        if not holds_lease(ctx.core, clock_ms(ctx)) or ctx.effective_config_index < ctx.required_config_index:
             return refuse(request, errors.NoPrimary(), "")
         return answer(request, {"ready": True})
 
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -158,5 +158,5 @@
 def former(ctx, path, number):
     """Return the body of a kept version of a document."""
     mark = next((m for m in ctx.core.ledger.past.get(path, ()) if m.version == number and m.digest), None)
-    body = ctx.shelf.bodies.get(mark.digest) if mark else None
+    body = ctx.body_store.bodies.get(mark.digest) if mark else None
     return Error(errors.NoSuch(f"no version {number} of {path} is kept")) if body is None else Ok(body)
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -71,7 +71,7 @@
 def lose_bodies(ctx, folder):
     """Plant: forget the configuration bodies on disk."""
     fault = KEPT["load"](ctx, folder)
-    ctx.shelf = type(ctx.shelf)(ctx.shelf.own_source)
+    ctx.body_store = type(ctx.body_store)(ctx.body_store.own_source)
     return fault
 
 
--- a/frostpost/simulator/fleet.py
+++ b/frostpost/simulator/fleet.py
@@ -7,7 +7,7 @@
 
 from frostpost.app.assembly import assemble, raise_
 from frostpost.daemon.lifecycle import DaemonProcess
-from frostpost.daemon.lifecycle import make as make_life
+from frostpost.daemon.lifecycle import make_lifecycle as make_life
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.settings import Settings
 from frostpost.testbed import platform as platforms
@@ -181,7 +181,7 @@
     except OSError as error:
         return exited(fleet, name, type(error).__name__)
     daemon.hand = DaemonProcess(daemon.ctx, lambda: daemon.host.callLater(0, exited, fleet, name, None))
-    daemon.ctx.life = make_life(daemon.hand)
+    daemon.ctx.lifecycle = make_life(daemon.hand)
     raise_(daemon.ctx, site, daemon.hand, lambda failure: exited(fleet, name, failure.type.__name__))
 
 
@@ -215,7 +215,7 @@
     """Tell a daemon to leave."""
     daemon = fleet.daemons[name]
     if daemon.host.alive:
-        daemon.host.enter(daemon.ctx.life.leave)
+        daemon.host.enter(daemon.ctx.lifecycle.shut_down)
 
 
 def later(fleet, wait_ms, call, *args):
--- a/frostpost/simulator/fleet_calls.py
+++ b/frostpost/simulator/fleet_calls.py
@@ -22,9 +22,9 @@
         daemon.host.alive
         and not daemon.host.frozen
         and ctx is not None
-        and not ctx.leaving
+        and not ctx.shutting_down
         and holds_lease(ctx.core, int(clock_ms(fleet)))
-        and ctx.honoured >= ctx.need_config
+        and ctx.effective_config_index >= ctx.required_config_index
     )
 
 
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -172,7 +172,7 @@
         machine = Machine(seconds=lambda: self.now_s, in_thread=self.threads.run, files=model.files_of(disk))
         core = SimpleNamespace(synchrony=SimpleNamespace(bounds=Bounds()), snapshots=SimpleNamespace(busy=False))
         self.ctx = SimpleNamespace(machine=machine, hooks=TestHooks(), core=core, counts={}, stepping=True, inputs=self)
-        self.ctx.life = SimpleNamespace(crash=lambda: self.crashed.append(True))
+        self.ctx.lifecycle = SimpleNamespace(crash=lambda: self.crashed.append(True))
         log, self.records, self.fault = keepers.open_log(FOLDER, machine.files)
         self.keeper = keepers.LogWriter(self.ctx, log)
 
@@ -260,7 +260,7 @@
     assert house.ctx.counts["disk_faults"] == 1
     disk.capacity_bytes = 1 << 30
     for _ in range(3):
-        house.keeper.watch()
+        house.keeper.check_health()
         house.threads.finish()
     assert house.stalled == [True, False] and house.synced == 3
     model.kill(disk)
@@ -272,12 +272,12 @@
     house = told(disk)
     house.keeper.write([ProbeRecord(1)])
     house.now_s = 0.51
-    house.keeper.watch()
+    house.keeper.check_health()
     assert house.stalled == [True] and house.synced == 1
     house.threads.finish()
     assert house.synced == 2
     for _ in range(3):
-        house.keeper.watch()
+        house.keeper.check_health()
         house.threads.finish()
     assert house.stalled == [True, False]
 
@@ -300,7 +300,7 @@
     house.threads.finish()
     assert not house.stalled and house.synced == 3
     house.now_s = rewritings.RETRY_RATIO * 0.5
-    house.keeper.watch()
+    house.keeper.check_health()
     while house.threads.jobs:
         house.threads.finish()
     model.kill(disk)
@@ -337,11 +337,11 @@
     for _ in range(4):
         house.keeper.write([ProbeRecord(1)])
         house.now_s += 0.6
-        house.keeper.watch()
+        house.keeper.check_health()
         house.threads.finish()
         needed.append(0)
-        while house.keeper.unwell:
-            house.keeper.watch()
+        while house.keeper.unhealthy:
+            house.keeper.check_health()
             house.threads.finish()
             needed[-1] += 1
     assert needed == [3, 6, 12, 12]
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -172,9 +172,9 @@
     later(fleet, 1500)
     wire = factory.made[0].transport.other
     assert wire.out_bytes < 400000
-    assert fleet.daemons["e1"].ctx.flights == 1
+    assert fleet.daemons["e1"].ctx.requests_in_flight == 1
     later(fleet, 9000)
-    assert fleet.daemons["e1"].ctx.flights == 0
+    assert fleet.daemons["e1"].ctx.requests_in_flight == 0
     assert not fleet.daemons["s1"].ctx.core.ledger.reservations
 
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -130,7 +130,7 @@
 )
 def test_urgent_calls_are_shed_last(flights, lag_ms, refused):
     ctx = Context(SETTINGS, None, None)
-    ctx.flights, ctx.lag_ms = flights, lag_ms
+    ctx.requests_in_flight, ctx.lag_ms = flights, lag_ms
     seen = set()
     for urgency in SHARES:
         route = Route("t", "l", "turn", ("p",), "once", urgency, 1, 1, 1, 1, 1)
