--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -138,11 +138,11 @@
     if not synchrony.primary.opened or synchrony.recovery or synchrony.draining:
         return []
     payloads = []
-    for role, round, candidate in singleton_roles.pending_ballots(ledger, synchrony.local_member):
-        ballot_key = (synchrony.configuration.id.epoch << 20) + round
+    for role, ballot_round, candidate in singleton_roles.pending_ballots(ledger, synchrony.local_member):
+        ballot_key = (synchrony.configuration.id.epoch << 20) + ballot_round
         if core.cast_ballots.get(role) != ballot_key:
             core.cast_ballots[role] = ballot_key
-            payloads.append(encode(Ballot(role, round, candidate)))
+            payloads.append(encode(Ballot(role, ballot_round, candidate)))
     return payloads + rules_upgrade(core)
 
 
--- a/frostpost/daemon/settings.py
+++ b/frostpost/daemon/settings.py
@@ -76,16 +76,16 @@
     if settings.role not in ("edge", "core", "storage"):
         yield SettingsInvalid("role", "must be edge, core or storage")
     if settings.role == "storage" and not settings.data:
-        yield SettingsInvalid("data", "must be the data directory of a storage daemon")
+        yield SettingsInvalid("data", "a storage daemon requires a data directory")
     if not is_address(f"{settings.host}:{settings.port or 1}"):
         yield SettingsInvalid("host", f"{settings.host} is not an IPv4 address")
     for index, seed in enumerate(settings.seeds):
         if not is_address(seed):
             yield SettingsInvalid(f"seeds[{index}]", f"{seed} is not an IPv4 address and port")
     if not settings.seeds:
-        yield SettingsInvalid("seeds", "must name at least one seed")
+        yield SettingsInvalid("seeds", "at least one seed is required")
     if not settings.voters:
-        yield SettingsInvalid("voters", "must name at least one voter")
+        yield SettingsInvalid("voters", "at least one voter is required")
     bounds = settings.bounds
     if bounds.lease_ms + bounds.detect_ms >= 2000:
         yield SettingsInvalid("bounds.lease_ms", "the sum of lease_ms and detect_ms must be less than 2000")
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -16,8 +16,10 @@
 
 
 class History:
-    """What a log may contain after a crash: for one of the written contents, a prefix of it that includes its durable
-    prefix.
+    """The contents that a log may have after a crash.
+
+    Each candidate is a pair of a durable prefix and full contents; any prefix of the full contents that includes the
+    durable one is allowed.
     """
 
     def __init__(self):
@@ -304,7 +306,7 @@
     """Of two batches that their processes never synced, only the second reaches the disk."""
     synced = []
 
-    def killed_between_append_and_sync(disk, log):
+    def append_and_kill_before_sync(disk, log):
         logs.append(log, [b"believed" * 200])
         model.kill(disk)
         reopened_log, payloads, _ = logs.open_log(DIRECTORY, "log", log.files)
@@ -312,7 +314,7 @@
         synced.append(len(payloads) == 4 and not any(not c.synced for c in inode.pending))
         logs.append(reopened_log, [b"lasting"])
 
-    reopened_after(killed_between_append_and_sync)
+    reopened_after(append_and_kill_before_sync)
     assert synced == [True]
 
 
