--- a/frostpost/daemon/core.py
+++ b/frostpost/daemon/core.py
@@ -74,40 +74,40 @@
     if isinstance(input, SnapshotSlice | TimerTick):
         snapshotting.advance(core, out)
     snapshotting.abort_for_opening(core, out)
-    answers = apply_answers(core, out)
+    notifications = apply_notifications(core, out)
     while payloads := pending_ballots(core):
         for payload in payloads:
             _, ballot_out = synchrony_step(core.synchrony, OperationSubmitted(input.now_ms, payload))
             out.sends += ballot_out.sends
             out.writes += ballot_out.writes
-            answers += [
-                a for a in apply_answers(core, ballot_out) if not isinstance(a, (OperationNumbered, WindowFull))
+            notifications += [
+                a for a in apply_notifications(core, ballot_out) if not isinstance(a, (OperationNumbered, WindowFull))
             ]
     adopt_ledger_voters(core)
     snapshotting.compact_log(core, out)
-    return core, Output(out.sends, out.writes, answers)
+    return core, Output(out.sends, out.writes, notifications)
 
 
-def apply_answers(core, out):
-    """Apply delivered entries to the ledger; return the answers for the event loop."""
-    answers = []
-    for answer in out.notifications:
-        match answer:
+def apply_notifications(core, out):
+    """Apply delivered entries to the ledger; return the notifications for the event loop."""
+    notifications = []
+    for notification in out.notifications:
+        match notification:
             case EntryApplied(entry):
                 core.ledger, result = apply(core.ledger, entry)
                 if entry.sender == core.synchrony.local_member and entry.number:
-                    answers.append(OperationDecided(entry.number, result))
-                answers.append(answer)
+                    notifications.append(OperationDecided(entry.number, result))
+                notifications.append(notification)
             case SnapshotInstalled():
-                answers += take_operations_in_snapshot(core)
-                answers.append(answer)
+                notifications += take_operations_in_snapshot(core)
+                notifications.append(notification)
             case SnapshotRequested():
-                snapshotting.on_requested(core, out, answer)
+                snapshotting.on_requested(core, out, notification)
             case SnapshotReceived():
-                snapshotting.on_received(core, out, answer)
+                snapshotting.on_received(core, out, notification)
             case _:
-                answers.append(answer)
-    return answers
+                notifications.append(notification)
+    return notifications
 
 
 def adopt_ledger_voters(core):
--- a/frostpost/daemon/event_loop.py
+++ b/frostpost/daemon/event_loop.py
@@ -68,8 +68,8 @@
                 ctx.disk.write(out.writes)
             for to, body in out.sends:
                 ctx.links["send"](to, body)
-            for answer in out.notifications:
-                dispatch_answer(ctx, answer)
+            for notification in out.notifications:
+                dispatch_notification(ctx, notification)
     finally:
         ctx.stepping = False
     if ctx.ticker is not None and needs_every_tick(ctx.core.synchrony):
@@ -90,9 +90,9 @@
     feed_input(ctx, cores.SnapshotSlice(clock_ms(ctx)))
 
 
-def dispatch_answer(ctx, answer):
-    """Dispatch one answer of the core to the callers and subsystems concerned."""
-    match answer:
+def dispatch_notification(ctx, notification):
+    """Dispatch one notification of the core to the callers and subsystems concerned."""
+    match notification:
         case cores.OperationDecided(number, result):
             on_decided(ctx, number, result)
         case OperationNumbered(number):
