--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -7,7 +7,7 @@
 from frostpost.daemon import disk as disks
 from frostpost.daemon import event_loop
 from frostpost.daemon.context import Context, clock_ms
-from frostpost.daemon.frames import listen, sender
+from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.structured_log import log_event
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
@@ -42,7 +42,7 @@
     )
     ctx = Context(ring_settings(settings), reactor, endpoint, machine)
     replica = ReplicaContext(ctx, settings, stop)
-    ctx.life = Crash(stop)
+    ctx.lifecycle = Crash(stop)
     write_ahead_log, replica.records, fault = disks.open_log(settings.data, machine.files)
     if fault:
         log_event(type(fault).__name__, path=fault.path, offset=fault.offset)
@@ -63,7 +63,7 @@
         "news": lambda sender_name, body: None,
         "heard": lambda sender_name, news: None,
     }
-    ctx.links["send"] = replica.send = sender(ctx)
+    ctx.links["send"] = replica.send = make_links(ctx)
     return replica
 
 
@@ -98,7 +98,7 @@
     ctx, settings = replica.ctx, replica.settings
     replica.waiting, replica.bootstrap_voters = False, charter
     seeds = dict.fromkeys((*settings.seeds, *address_book.known_addresses(replica.peers)))
-    ctx.core, out = cores.begin(
+    ctx.core, out = cores.create_core(
         ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
     )
     replica.records = []
@@ -145,7 +145,7 @@
 
 def check_disk_and_opening(replica):
     """See whether the disk is well, and whether an opening was missed."""
-    replica.ctx.disk.watch()
+    replica.ctx.disk.check_health()
     announcements.announce_opening(replica)
 
 
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -3,7 +3,7 @@
 from msgspec import json
 
 from frostpost.daemon.context import clock_ms
-from frostpost.daemon.frames import sender
+from frostpost.daemon.frames import make_links
 from frostpost.turn_store.store import used_bytes
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
@@ -28,9 +28,9 @@
         return False
     address = f"@{endpoint.host}:{endpoint.port}"
     if isinstance(body, StatusRequest):
-        sender(ctx)(address, StatusReply(json.encode(facts())))
+        make_links(ctx)(address, StatusReply(json.encode(facts())))
     elif isinstance(body, DirectoryRequest):
-        sender(ctx)(address, directory())
+        make_links(ctx)(address, directory())
     return True
 
 
@@ -111,7 +111,7 @@
         "charter_waiting": replica.waiting,
         "charter": list(replica.bootstrap_voters),
         "tolerated": replica.settings.tolerated,
-        "disk_unwell": bool(ctx.disk.unwell),
+        "disk_unwell": bool(ctx.disk.unhealthy),
         "turn_store": {
             "bodies": len(replica.turn_store.index),
             "missing": replica.turn_store.missing,
@@ -138,7 +138,7 @@
         "voters": list(agent_sessions.voters_of(ctx)),
         "applied": synchrony.applied,
         "log_length": synchrony.log.length,
-        "disk_unwell": bool(ctx.disk.unwell or synchrony.unhealthy),
+        "disk_unwell": bool(ctx.disk.unhealthy or synchrony.unhealthy),
         "ledger": {
             "turns": len(program_ledger.turns),
             "attempts": len(program_ledger.attempts),
