--- a/tests/test_cluster_voter_policy.py
+++ b/tests/test_cluster_voter_policy.py
@@ -1,4 +1,4 @@
-"""The rule for voters, walked exhaustively: whatever is lost inside the tolerance, at any step, a majority returns."""
+"""The voter policy, explored exhaustively: after any tolerated losses a majority of the voters survives."""
 
 from itertools import combinations
 
@@ -15,28 +15,31 @@
     tolerates_loss,
 )
 
-WAITS = AbsenceLimits(to_newcomer_ms=1000, alone_ms=4000)
-JUST_AWAY, LONG_AWAY = 10, 5000
-MOST_JOINS = 3
+ABSENCE_LIMITS = AbsenceLimits(replace_after_ms=1000, remove_after_ms=4000)
+BRIEFLY_ABSENT_MS, LONG_ABSENT_MS = 10, 5000
+MAX_JOINS = 3
 
 
 class Machine(Struct, frozen=True, order=True):
-    """status: in, away (its disk returns), gone, or ending (told to end for good). whole: holds all that is kept."""
+    """status: in, away (its disk returns), gone, or ending (shutting down). complete: holds all retained data."""
 
     name: str
     zone: str
     status: str = "in"
-    whole: bool = True
-    away_ms: int = 0
+    complete: bool = True
+    absent_ms: int = 0
 
 
 class State(Struct, frozen=True):
-    """lost: machines whose loss still counts. heirs: by machine that was lost for good, the one that came for it."""
+    """lost: machines whose loss still counts towards the tolerance.
+
+    replacements: pairs of a machine that was lost for good and the machine that replaces it.
+    """
 
     machines: tuple[Machine, ...]
     voters: tuple[str, ...]
     lost: frozenset[str] = frozenset()
-    heirs: tuple[tuple[str, str], ...] = ()
+    replacements: tuple[tuple[str, str], ...] = ()
     joins: int = 0
 
 
@@ -53,184 +56,193 @@
     return [view(machine(state, name)) for name in names]
 
 
-def view(found):
-    present = found.status in ("in", "ending")
+def view(machine_state):
+    present = machine_state.status in ("in", "ending")
     return ReplicaView(
-        found.name,
-        found.zone,
+        machine_state.name,
+        machine_state.zone,
         present=present,
-        complete=present and found.whole,
-        draining=found.status == "ending",
-        away_ms=found.away_ms,
+        complete=present and machine_state.complete,
+        draining=machine_state.status == "ending",
+        absent_ms=machine_state.absent_ms,
     )
 
 
-def wished(state, tolerance):
+def next_set(state, tolerance):
     others = [m.name for m in state.machines if m.name not in state.voters and m.status in ("in", "ending")]
-    return next_voters(views(state, state.voters), views(state, others), tolerance, WAITS)
+    return next_voters(views(state, state.voters), views(state, others), tolerance, ABSENCE_LIMITS)
 
 
-def returns(state, name):
-    """Whether a voter's memory is there, or comes back."""
-    found = machine(state, name)
-    return found.status == "away" or found.status in ("in", "ending") and found.whole
+def data_survives(state, name):
+    """Whether a voter's data is available or will be again."""
+    machine_state = machine(state, name)
+    return machine_state.status == "away" or machine_state.status in ("in", "ending") and machine_state.complete
 
 
-def majority_returns(state):
-    return 2 * sum(returns(state, v) for v in state.voters) > len(state.voters)
+def majority_survives(state):
+    return 2 * sum(data_survives(state, v) for v in state.voters) > len(state.voters)
 
 
-def opens(state):
-    """Whether a majority is there right now, so that changes can be decided."""
-    there = [v for v in state.voters if machine(state, v).status in ("in", "ending") and machine(state, v).whole]
-    return 2 * len(there) > len(state.voters)
+def has_live_majority(state):
+    """Whether a majority of the voters is present and complete, so that changes can be decided."""
+    live = [v for v in state.voters if machine(state, v).status in ("in", "ending") and machine(state, v).complete]
+    return 2 * len(live) > len(state.voters)
 
 
-def losable(state, tolerance):
-    """Names of machines that a further loss inside the tolerance may take."""
+def next_losses(state, tolerance):
+    """Names of machines whose further loss is within the tolerance."""
     return [m.name for m in state.machines if m.status == "in" and len(state.lost | {m.name}) <= tolerance.machines]
 
 
 def with_loss(state, name, status):
-    after = changed(state, name, status=status, whole=status == "away", away_ms=JUST_AWAY)
-    return structs.replace(after, lost=after.lost | {name})
+    successor = changed(state, name, status=status, complete=status == "away", absent_ms=BRIEFLY_ABSENT_MS)
+    return structs.replace(successor, lost=successor.lost | {name})
 
 
 def losses(state, tolerance):
-    for name in losable(state, tolerance):
+    for name in next_losses(state, tolerance):
         yield with_loss(state, name, "away")
         yield with_loss(state, name, "gone")
-        wiped = changed(state, name, whole=False)
+        wiped = changed(state, name, complete=False)
         yield structs.replace(wiped, lost=wiped.lost | {name})
 
 
 def joins(state):
-    """An heir for a machine that is gone, or one more machine."""
-    if state.joins >= MOST_JOINS:
+    """States with a replacement for a machine that is gone, or with one more machine."""
+    if state.joins >= MAX_JOINS:
         return
-    fresh, heired = f"x{state.joins}", {lost for lost, _ in state.heirs}
-    for found in state.machines:
-        if found.status == "gone" and found.name not in heired:
-            machines = (*state.machines, Machine(fresh, found.zone, whole=False))
+    newcomer, replaced = f"x{state.joins}", {lost for lost, _ in state.replacements}
+    for machine_state in state.machines:
+        if machine_state.status == "gone" and machine_state.name not in replaced:
+            machines = (*state.machines, Machine(newcomer, machine_state.zone, complete=False))
             yield structs.replace(
-                state, machines=machines, heirs=(*state.heirs, (found.name, fresh)), joins=state.joins + 1
+                state,
+                machines=machines,
+                replacements=(*state.replacements, (machine_state.name, newcomer)),
+                joins=state.joins + 1,
             )
-    machines = (*state.machines, Machine(fresh, state.machines[state.joins % 3].zone, whole=False))
+    machines = (*state.machines, Machine(newcomer, state.machines[state.joins % 3].zone, complete=False))
     yield structs.replace(state, machines=machines, joins=state.joins + 1)
 
 
 def progress(state):
-    """Time goes on: copies are filled, machines return or are away for long."""
-    for found in state.machines:
-        if found.status == "in" and not found.whole and opens(state):
-            yield changed(state, found.name, whole=True)
-        if found.status == "away":
-            yield changed(state, found.name, status="in", away_ms=0)
-        if found.status in ("away", "gone") and found.away_ms < LONG_AWAY:
-            yield changed(state, found.name, away_ms=LONG_AWAY)
-
-
-def ends(state, tolerance):
-    """A machine is told to end for good once another could do its work; it goes when its vote is given up."""
-    spare = [m for m in state.machines if m.status == "in" and m.whole]
+    """States in which time has passed: copies are filled, machines return or stay absent."""
+    for machine_state in state.machines:
+        if machine_state.status == "in" and not machine_state.complete and has_live_majority(state):
+            yield changed(state, machine_state.name, complete=True)
+        if machine_state.status == "away":
+            yield changed(state, machine_state.name, status="in", absent_ms=0)
+        if machine_state.status in ("away", "gone") and machine_state.absent_ms < LONG_ABSENT_MS:
+            yield changed(state, machine_state.name, absent_ms=LONG_ABSENT_MS)
+
+
+def departures(state, tolerance):
+    """States in which a machine starts to shut down, or ends after giving up its vote."""
+    complete_machines = [m for m in state.machines if m.status == "in" and m.complete]
     one_at_a_time = all(m.status != "ending" for m in state.machines)
-    for found in spare if one_at_a_time else ():
-        rest = [v for v in views(state, state.voters) if v.name != found.name]
-        if not state.lost and len(spare) > 2 * tolerance.machines + 1 and tolerates_loss(rest, tolerance):
-            yield changed(state, found.name, status="ending")
-    for found in state.machines:
-        if found.status == "ending" and (found.name not in state.voters or wished(state, tolerance) is None):
-            yield changed(state, found.name, status="gone", whole=False, away_ms=LONG_AWAY)
-
-
-def made_good(state, tolerance):
-    """Losses stop counting once the machine or its heir has caught up, and the rule has come to rest by then."""
-    heirs = dict(state.heirs)
-    in_a_moment = any(m.status == "gone" and m.away_ms < LONG_AWAY for m in state.machines)
-    if in_a_moment or wished(state, tolerance) is not None:
+    for machine_state in complete_machines if one_at_a_time else ():
+        remaining = [v for v in views(state, state.voters) if v.name != machine_state.name]
+        if (
+            not state.lost
+            and len(complete_machines) > 2 * tolerance.machines + 1
+            and tolerates_loss(remaining, tolerance)
+        ):
+            yield changed(state, machine_state.name, status="ending")
+    for machine_state in state.machines:
+        if machine_state.status == "ending" and (
+            machine_state.name not in state.voters or next_set(state, tolerance) is None
+        ):
+            yield changed(state, machine_state.name, status="gone", complete=False, absent_ms=LONG_ABSENT_MS)
+
+
+def recovered_losses(state, tolerance):
+    """States in which a loss stops counting, after its machine or replacement caught up and no change is due."""
+    replacements = dict(state.replacements)
+    recently_gone = any(m.status == "gone" and m.absent_ms < LONG_ABSENT_MS for m in state.machines)
+    if recently_gone or next_set(state, tolerance) is not None:
         return
     for name in state.lost:
-        back = machine(state, heirs.get(name, name))
-        if back.status == "in" and back.whole:
+        replacement = machine(state, replacements.get(name, name))
+        if replacement.status == "in" and replacement.complete:
             yield structs.replace(state, lost=state.lost - {name})
 
 
 def successors(state, tolerance):
-    after = wished(state, tolerance)
-    if after is not None and opens(state):
-        yield structs.replace(state, voters=after)
+    successor = next_set(state, tolerance)
+    if successor is not None and has_live_majority(state):
+        yield structs.replace(state, voters=successor)
     yield from losses(state, tolerance)
     yield from joins(state)
     yield from progress(state)
-    yield from ends(state, tolerance)
-    yield from made_good(state, tolerance)
+    yield from departures(state, tolerance)
+    yield from recovered_losses(state, tolerance)
 
 
-def walk(start, tolerance, most_states=20_000):
-    """-> number of states seen, and the first one from which no majority returns, or None."""
-    seen, layer = {start}, [start]
-    while layer and len(seen) < most_states:
-        ahead = []
+def explore(start, tolerance, max_states=20_000):
+    """Returns the number of states visited, and the first one in which no majority survives, or None."""
+    states, layer = {start}, [start]
+    while layer and len(states) < max_states:
+        next_layer = []
         for state in layer:
-            if not majority_returns(state):
-                return len(seen), state
-            for after in successors(state, tolerance):
-                if after not in seen:
-                    seen.add(after)
-                    ahead.append(after)
-        layer = ahead
-    return len(seen), None
+            if not majority_survives(state):
+                return len(states), state
+            for successor in successors(state, tolerance):
+                if successor not in states:
+                    states.add(successor)
+                    next_layer.append(successor)
+        layer = next_layer
+    return len(states), None
 
 
-def begun(count, zones=3):
+def initial_state(count, zones=3):
     machines = tuple(Machine(f"s{n}", f"z{n % zones}") for n in range(count))
     return State(machines, tuple(m.name for m in machines))
 
 
 @pytest.mark.parametrize("count, machines", [(3, 1), (4, 1), (5, 1), (5, 2)])
-def test_a_majority_returns_after_any_loss_at_any_step(count, machines):
-    seen, broken = walk(begun(count), Tolerance(machines))
-    assert broken is None and seen > 1000
+def test_a_majority_survives_any_tolerated_loss_at_any_step(count, machines):
+    state_count, violation = explore(initial_state(count), Tolerance(machines))
+    assert violation is None and state_count > 1000
 
 
 def always(*_):
     return True
 
 
-def unfilled_steps(voters, others, tolerance, waits, may_swap):
-    """A newcomer is added before it holds anything."""
+def adds_incomplete_newcomers(voters, others, tolerance, absence_limits, may_swap):
+    """Add newcomers before they hold any data."""
     yield from ((*voters, other) for other in others)
 
 
-def keeps_leavers(voters, others, tolerance, waits, may_swap, kept=voter_policy.candidate_sets):
-    """Who ends in order keeps its vote."""
-    stay = [structs.replace(voter, draining=False) for voter in voters]
-    return kept(tuple(stay), others, tolerance, waits, may_swap)
+def keeps_draining_voters(voters, others, tolerance, absence_limits, may_swap, original=voter_policy.candidate_sets):
+    """Let draining voters keep their votes."""
+    staying = [structs.replace(voter, draining=False) for voter in voters]
+    return original(tuple(staying), others, tolerance, absence_limits, may_swap)
 
 
-def waits_for_newcomers(voters, others, tolerance, waits, may_swap, kept=voter_policy.candidate_sets):
-    """Newcomers are never exchanged for those that are gone."""
-    return kept(voters, [], tolerance, waits, may_swap)
+def never_replaces_voters(voters, others, tolerance, absence_limits, may_swap, original=voter_policy.candidate_sets):
+    """Never replace voters by newcomers."""
+    return original(voters, [], tolerance, absence_limits, may_swap)
 
 
 @pytest.mark.parametrize(
-    "plant",
+    "mutation",
     [
-        {"candidate_sets": unfilled_steps, "is_safe_step": always},
-        {"candidate_sets": keeps_leavers},
-        {"candidate_sets": waits_for_newcomers},
+        {"candidate_sets": adds_incomplete_newcomers, "is_safe_step": always},
+        {"candidate_sets": keeps_draining_voters},
+        {"candidate_sets": never_replaces_voters},
     ],
     ids=["unfilled", "leavers", "newcomers"],
 )
-def test_a_rule_with_a_planted_fault_leaves_no_majority_somewhere(plant, monkeypatch):
-    for name, fault in plant.items():
-        monkeypatch.setattr(voter_policy, name, fault)
-    _, broken = walk(begun(4), Tolerance(1))
-    assert broken is not None
+def test_a_mutated_policy_loses_the_majority_in_some_state(mutation, monkeypatch):
+    for name, replacement in mutation.items():
+        monkeypatch.setattr(voter_policy, name, replacement)
+    _, violation = explore(initial_state(4), Tolerance(1))
+    assert violation is not None
 
 
-def replicas(zones, **more):
-    return [ReplicaView(f"{zone}{n}", zone, f"r{zone}", **more) for n, zone in enumerate(zones)]
+def replicas(zones, **options):
+    return [ReplicaView(f"{zone}{n}", zone, f"r{zone}", **options) for n, zone in enumerate(zones)]
 
 
 @pytest.mark.parametrize(
@@ -250,41 +262,45 @@
         ("abc", Tolerance(0, regions=1), True),
     ],
 )
-def test_sound_sets_leave_a_majority_of_themselves(zones, tolerance, expected):
+def test_a_sound_set_keeps_a_majority_after_a_tolerated_loss(zones, tolerance, expected):
     assert tolerates_loss(replicas(zones), tolerance) is expected
 
 
-def test_every_loss_of_zones_leaves_a_majority_of_a_sound_set():
+def test_a_sound_set_keeps_a_majority_after_every_loss_of_zones():
     for zones in ("abc", "aabbc", "aabbcc", "aabbccd", "abcde", "aabcde"):
-        for most in (1, 2):
-            if not tolerates_loss(replicas(zones), Tolerance(0, zones=most)):
+        for zones_lost in (1, 2):
+            if not tolerates_loss(replicas(zones), Tolerance(0, zones=zones_lost)):
                 continue
-            for lost in combinations(sorted(set(zones)), most):
+            for lost in combinations(sorted(set(zones)), zones_lost):
                 assert 2 * sum(zone not in lost for zone in zones) > len(zones)
 
 
-def spread(voters, others, **more):
-    return next_voters(replicas(voters), replicas(others), Tolerance(0, zones=1), WAITS, **more)
+def spread(voters, others, **options):
+    return next_voters(replicas(voters), replicas(others), Tolerance(0, zones=1), ABSENCE_LIMITS, **options)
 
 
-def test_voters_are_added_where_the_loss_of_a_zone_is_still_borne():
-    everywhere = [ReplicaView(f"{zone}9", zone) for zone in "abc"]
-    assert next_voters(replicas("abc"), everywhere, Tolerance(0, zones=1), WAITS) is None
-    assert next_voters(replicas("ab"), everywhere, Tolerance(0, zones=1), WAITS) == ("a0", "b1", "c9")
+def test_voters_are_added_in_zones_that_keep_the_loss_of_a_zone_tolerated():
+    candidates = [ReplicaView(f"{zone}9", zone) for zone in "abc"]
+    assert next_voters(replicas("abc"), candidates, Tolerance(0, zones=1), ABSENCE_LIMITS) is None
+    assert next_voters(replicas("ab"), candidates, Tolerance(0, zones=1), ABSENCE_LIMITS) == ("a0", "b1", "c9")
 
 
-def test_too_many_voters_of_a_zone_give_way_once_another_zone_has_one():
+def test_surplus_voters_of_a_zone_are_removed_once_another_zone_has_a_voter():
     voters = replicas("aab")
     assert majority_margin(voters, Tolerance(0, zones=1)) < 0
-    first = next_voters(voters, [ReplicaView("c9", "c")], Tolerance(0, zones=1), WAITS)
-    assert first == ("a0", "a1", "b2", "c9")
-    then = next_voters([*voters, ReplicaView("c9", "c")], [], Tolerance(0, zones=1), WAITS)
-    assert then == ("a1", "b2", "c9")
+    with_newcomer = next_voters(voters, [ReplicaView("c9", "c")], Tolerance(0, zones=1), ABSENCE_LIMITS)
+    assert with_newcomer == ("a0", "a1", "b2", "c9")
+    without_surplus = next_voters([*voters, ReplicaView("c9", "c")], [], Tolerance(0, zones=1), ABSENCE_LIMITS)
+    assert without_surplus == ("a1", "b2", "c9")
 
 
-def test_the_newcomer_of_another_zone_does_not_take_the_place_of_a_lost_one():
+def test_a_newcomer_of_another_zone_does_not_replace_a_lost_voter():
     voters = replicas("abc")
-    voters[1] = structs.replace(voters[1], present=False, complete=False, away_ms=LONG_AWAY)
+    voters[1] = structs.replace(voters[1], present=False, complete=False, absent_ms=LONG_ABSENT_MS)
     tolerance = Tolerance(0, zones=1)
-    assert next_voters(voters, [ReplicaView("a9", "a")], tolerance, WAITS) is None
-    assert next_voters(voters, [ReplicaView("b9", "b"), ReplicaView("a9", "a")], tolerance, WAITS) == ("a0", "b9", "c2")
+    assert next_voters(voters, [ReplicaView("a9", "a")], tolerance, ABSENCE_LIMITS) is None
+    assert next_voters(voters, [ReplicaView("b9", "b"), ReplicaView("a9", "a")], tolerance, ABSENCE_LIMITS) == (
+        "a0",
+        "b9",
+        "c2",
+    )
