--- a/frostpost/cluster/__init__.py
+++ b/frostpost/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Replicas and agents: sessions under leases, operations submitted, the bootstrap, voters that change by themselves."""
+"""Replicas and agents: leases and sessions, operation submission, bootstrap and voter reconfiguration."""
--- a/frostpost/cluster/directory.py
+++ b/frostpost/cluster/directory.py
@@ -1,4 +1,4 @@
-"""The directory of replicas as a seed tells it, and what it has told to whom."""
+"""The directory of replicas that a seed sends, and what it last sent to each replica."""
 
 from msgspec import Struct
 
@@ -11,7 +11,7 @@
 
 
 class SentDirectory(Struct, frozen=True):
-    """What one replica was told last, and when."""
+    """The last directory sent to a replica, and when."""
 
     member: Member
     directory: DirectoryReply
@@ -19,20 +19,20 @@
 
 
 def current(agent):
-    """The directory as this daemon knows it now."""
+    """The current directory."""
     return DirectoryReply(tuple(agent.directory.values()), agent.bootstrap_voters)
 
 
 def make_directory(agent, endpoint):
-    """The directory for the replica at that place; it is noted as told."""
+    """Returns the current directory and records it as sent to the replica."""
     message = current(agent)
     agent.sent_directories[endpoint.member.name] = SentDirectory(endpoint.member, message, now_ms(agent))
     return message
 
 
 def is_update_due(agent, endpoint):
-    """Whether the replica at that place lacks something of the directory, or was told long ago."""
-    told = agent.sent_directories.get(endpoint.member.name)
-    if told is None or told.member != endpoint.member or now_ms(agent) - told.at_ms >= REPEAT_MS:
+    """Whether the directory changed since it was last sent to the replica, or was sent long ago."""
+    sent = agent.sent_directories.get(endpoint.member.name)
+    if sent is None or sent.member != endpoint.member or now_ms(agent) - sent.at_ms >= REPEAT_MS:
         return True
-    return told.directory != current(agent)
+    return sent.directory != current(agent)
--- a/frostpost/cluster/leadership.py
+++ b/frostpost/cluster/leadership.py
@@ -4,6 +4,6 @@
 
 
 def is_sequencer(ctx):
-    """Whether this replica leads: it orders in an opened primary, with no recovery under way."""
+    """Whether this replica leads: it sequences in an opened primary component, with no recovery in progress."""
     synchrony = ctx.core.synchrony
     return synchrony.primary.opened and not synchrony.recovery and sequencer_of(synchrony) == synchrony.name
