--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -1,4 +1,4 @@
-"""An edge or core daemon put together, from its settings to its end."""
+"""Assembly, message dispatch, periodic work and drain of an edge or core daemon."""
 
 from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.polling import poll_until
@@ -19,16 +19,16 @@
 from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
-from . import address_book, bootstrap, directory, lease_client, lease_waiters, operation_client, status
+from . import address_store, bootstrap, directory, lease_client, lease_waiters, operation_client, status
 from .agent_context import AgentContext, now_ms
 
-RING = "storage"
-TEND_S = 0.05
-LISTEN_RATIO = 0.35
+STORAGE_ROLE = "storage"
+TICK_INTERVAL_S = 0.05
+LISTEN_GRACE_RATIO = 0.35
 
 
 def make_agent(settings, front, reactor, machine):
-    """Build an agent from its settings and its front; nothing runs yet. -> AgentContext"""
+    """Returns an AgentContext built from the settings and the front; nothing is started yet."""
     incarnation = 1 + int(machine.token(6), 16)
     endpoint = Endpoint(
         Member(settings.name, incarnation),
@@ -42,20 +42,20 @@
     agent = AgentContext(settings, reactor, endpoint, machine)
     agent.wire = front.wire
     agent.links["send"] = make_links(agent)
-    agent.extras["routing_from_body"] = front.routing_from_body
-    agent.extras["fetch_list"] = lambda: front.fetch_list(agent)
-    agent.extras["stops"] = []
+    agent.attachments["routing_from_body"] = front.routing_from_body
+    agent.attachments["fetch_list"] = lambda: front.fetch_list(agent)
+    agent.attachments["stops"] = []
     lease_client.session_of(agent)
     status.begin_status(agent)
     if settings.control:
         bootstrap.open_bootstrap(agent)
     if settings.data:
-        agent.extras["peers"] = address_book.open_address_book(settings.data, machine)
+        agent.attachments["peers"] = address_store.open_address_store(settings.data, machine)
     return agent
 
 
 def on_frame(agent, frame):
-    """A frame from any daemon."""
+    """Dispatch a frame from another daemon."""
     endpoint, body = frame.endpoint, frame.body
     if status.answer_agent_status(agent, endpoint, body):
         return
@@ -80,97 +80,101 @@
             bootstrap.on_bootstrap_reply(agent, endpoint, body)
         case DirectoryReply():
             lease_client.on_directory(agent, body.endpoints)
-            if endpoint.role == RING:
-                lease_client.on_replica_greeting(agent, endpoint)
+            if endpoint.role == STORAGE_ROLE:
+                lease_client.on_replica_announcement(agent, endpoint)
         case DirectoryRequest():
-            if endpoint.role == RING:
+            if endpoint.role == STORAGE_ROLE:
                 bootstrap.on_replica_waiting(agent, endpoint.member.name)
             elif not agent.directory:
-                agent.extras.setdefault("askers", {})[endpoint.member.name] = endpoint
+                agent.attachments.setdefault("askers", {})[endpoint.member.name] = endpoint
                 return
             send_directory(agent, endpoint)
         case DiscoveryUpdate():
             lease_client.on_directory(agent, [endpoint])
             if body.endpoints or directory.is_update_due(agent, endpoint):
                 agent.links["send"](lease_client.address_of(endpoint), directory.make_directory(agent, endpoint))
-            for asker in agent.extras.pop("askers", {}).values():
-                send_directory(agent, asker)
+            for requester in agent.attachments.pop("askers", {}).values():
+                send_directory(agent, requester)
 
 
 def send_directory(agent, endpoint):
-    """Tell a daemon that asks where the replicas are."""
+    """Send the known replicas to the daemon that requested them."""
     agent.links["send"](lease_client.address_of(endpoint), directory.current(agent))
 
 
 def run_due_work(agent):
-    """Renew the lease, resend open operations, go on with the bootstrap: whatever is due now."""
+    """Renew the lease, resend pending operations and advance the bootstrap, each if it is due."""
     lease_client.renew_if_due(agent)
-    if agent.extras.get("peers") and lease_client.holds_lease(agent):
-        address_book.save_addresses(agent.extras["peers"], [f"{p.host}:{p.port}" for p in agent.directory.values()])
+    if agent.attachments.get("peers") and lease_client.holds_lease(agent):
+        address_store.save_addresses(
+            agent.attachments["peers"], [f"{e.host}:{e.port}" for e in agent.directory.values()]
+        )
     operation_client.resend_due(agent)
     bootstrap.advance(agent)
 
 
 def due_in_ms(agent):
-    """How long `tend` will have nothing to do, unless something is asked meanwhile."""
+    """Milliseconds until `run_due_work` next has something to do."""
     if bootstrap.is_pending(agent):
         return 0
-    asked_ms, lease_ms = operation_client.due_ms(agent), lease_client.due_ms(agent)
-    return (lease_ms if asked_ms is None else min(asked_ms, lease_ms)) - now_ms(agent)
+    operations_due_ms, lease_due_ms = operation_client.due_ms(agent), lease_client.due_ms(agent)
+    return (lease_due_ms if operations_due_ms is None else min(operations_due_ms, lease_due_ms)) - now_ms(agent)
 
 
 def start_ticker(agent, stop):
-    """Run `run_due_work` whenever something is due; a failure of it ends the daemon with status 70."""
+    """Run `run_due_work` whenever something is due; an error in it ends the daemon with status 70."""
 
-    def broken(failure):
+    def on_job_failure(failure):
         log_event("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         stop(70)
 
-    agent.ticker = Ticker(agent.reactor, TEND_S, lambda: run_due_work(agent), lambda: due_in_ms(agent), broken)
+    agent.ticker = Ticker(
+        agent.reactor, TICK_INTERVAL_S, lambda: run_due_work(agent), lambda: due_in_ms(agent), on_job_failure
+    )
     agent.ticker.start()
     agent.tasks.append(agent.ticker)
 
 
 def start_agent(agent, front, stop):
-    """Listen for inner frames, then on the front; then look for replicas. A failure to listen ends with status 69."""
+    """Listen for inner frames, then on the front, then look for replicas; a failed listen ends with status 69."""
 
-    def fallen(failure):
+    def on_listen_failure(failure):
         log_event("ListenError", text=failure.getErrorMessage())
         stop(69)
 
-    def up(ports):
-        agent.extras["ports"] = ports
-        for address in agent.extras["peers"].addresses if "peers" in agent.extras else ():
+    def on_listening(ports):
+        agent.attachments["ports"] = ports
+        for address in agent.attachments["peers"].addresses if "peers" in agent.attachments else ():
             agent.links["send"](f"@{address}", DirectoryRequest())
         start_ticker(agent, stop)
         if agent.settings.front and agent.settings.list_host:
             from frostpost.proxy import runner_discovery
 
-            agent.extras["stops"].append(runner_discovery.poll(agent))
+            agent.attachments["stops"].append(runner_discovery.poll(agent))
         log_event("started", name=agent.settings.name, role=agent.settings.role)
 
-    listen(agent, on_frame).addCallback(lambda _: front.listen(agent)).addCallbacks(up, fallen)
+    listen(agent, on_frame).addCallback(lambda _: front.listen(agent)).addCallbacks(on_listening, on_listen_failure)
 
 
 def drain_agent(agent, stop):
-    """Be unready, serve on until callers know, then end when nothing is under way."""
-    if agent.leaving:
+    """Report not ready, serve on until callers have noticed, stop listening, then end once all requests are done."""
+    if agent.draining:
         return
-    agent.leaving = True
-    log_event("leaving", flights=agent.flights)
+    agent.draining = True
+    log_event("leaving", flights=agent.requests_in_flight)
     grace_ms = agent.settings.grace_ms
 
-    def last_call(_):
-        agent.extras["last_call"] = True
-        for port in agent.extras.get("ports", [])[:1]:
+    def stop_accepting(_):
+        agent.attachments["last_call"] = True
+        for port in agent.attachments.get("ports", [])[:1]:
             port.stopListening()
         if agent.front is not None:
             agent.front.close_idle()
-        return poll_until(agent, lambda: agent.flights == 0 and agent.calls == 0, int(grace_ms * 0.55))
+        return poll_until(agent, lambda: agent.requests_in_flight == 0 and agent.calls == 0, int(grace_ms * 0.55))
 
-    def over(_):
-        log_event("left", flights=agent.flights)
+    def on_drained(_):
+        log_event("left", flights=agent.requests_in_flight)
         agent.reactor.callLater(0.1, stop, 0)
 
-    wait_ms = int(grace_ms * LISTEN_RATIO) if agent.settings.front else 100
-    poll_until(agent, lambda: False, wait_ms).addCallback(last_call).addCallback(over)
+    wait_ms = int(grace_ms * LISTEN_GRACE_RATIO) if agent.settings.front else 100
+    poll_until(agent, lambda: False, wait_ms).addCallback(stop_accepting).addCallback(on_drained)
--- a/frostpost/cluster/agent_context.py
+++ b/frostpost/cluster/agent_context.py
@@ -7,11 +7,11 @@
 
 
 class AgentContext:
-    """All of an agent's mutable state: settings, links, session, routing, runners, caches, counters.
+    """All mutable state of an agent; made by `agent.make_agent` and used only on the event loop's thread.
 
-    Made by `agent.make_agent`; owned by the event loop's thread. Concerns keep their own part under a field of their
-    name: `session` is lease_client's, `lease_waiters` that module's, `operations` operation_client's, `putting`
-    turn_store's, `pools`, `loads` and `slot_overheads` proxy's.
+    Each module keeps its state in a field of its own: `session` belongs to lease_client, `operations` to
+    operation_client, `body_client` to turn_store, `pools`, `loads` and `slot_overheads` to proxy. `attachments` holds
+    further objects by name.
     """
 
     __slots__ = (
@@ -29,20 +29,20 @@
         "pools",
         "loads",
         "cache",
-        "putting",
+        "body_client",
         "counts",
-        "leaving",
-        "flights",
+        "draining",
+        "requests_in_flight",
         "calls",
         "hooks",
         "operations",
         "tasks",
         "bootstrap_voters",
-        "life",
+        "process",
         "front",
         "lag_ms",
-        "parts",
-        "extras",
+        "components",
+        "attachments",
         "ticker",
         "sent_directories",
         "lease_waiters",
@@ -54,18 +54,18 @@
         self.settings, self.reactor, self.endpoint, self.machine = settings, reactor, endpoint, machine
         self.links, self.directory, self.session, self.bootstrap_voters = {}, None, None, ()
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
-        self.pools, self.loads, self.cache, self.putting, self.counts = {}, {}, None, {}, {}
-        self.leaving, self.flights, self.calls, self.tasks = False, 0, 0, []
+        self.pools, self.loads, self.cache, self.body_client, self.counts = {}, {}, None, {}, {}
+        self.draining, self.requests_in_flight, self.calls, self.tasks = False, 0, 0, []
         self.hooks, self.operations, self.ticker, self.sent_directories = TestHooks(), None, None, {}
         self.lease_waiters, self.slot_overheads, self.runner_list = [], {}, RunnerListState()
-        self.life, self.front, self.lag_ms, self.parts, self.extras = None, None, 0.0, {}, {}
+        self.process, self.front, self.lag_ms, self.components, self.attachments = None, None, 0.0, {}, {}
 
 
 def now_ms(agent):
-    """Steady clock, whole milliseconds."""
+    """Monotonic clock in whole milliseconds."""
     return int(agent.machine.seconds() * 1000)
 
 
-def count(agent, what, by=1):
+def count(agent, counter, increment=1):
     """Add to a named counter."""
-    agent.counts[what] = agent.counts.get(what, 0) + by
+    agent.counts[counter] = agent.counts.get(counter, 0) + increment
--- a/frostpost/cluster/agent_sessions.py
+++ b/frostpost/cluster/agent_sessions.py
@@ -1,4 +1,4 @@
-"""The replicas' side of sessions with agents: leases, operations submitted, the routing."""
+"""The replicas' side of agent sessions: leases, submitted operations and routing updates."""
 
 from msgspec import Struct, field
 
@@ -19,8 +19,8 @@
 from .admission_queue import AdmissionQueue
 from .leadership import is_sequencer
 from .lease_client import RENEWALS_PER_LEASE
+from .list_polling import ListPollSchedule, grant_poll
 from .list_reading import ListReading
-from .list_turns import ListTurns, give_turn
 from .operation_server import on_operation_request
 
 ROUTING_GRACE_RATIO = 0.5
@@ -29,68 +29,76 @@
 
 
 class AgentSession(Struct):
-    """until_ms: no lease granted to it runs longer, on this daemon's clock."""
+    """until_ms: the latest end of any lease granted to the agent, on this daemon's clock."""
 
     address: str
     incarnation: int
-    version: int
+    routing_version: int
     until_ms: int
 
 
-class Survey(Struct, frozen=True):
-    """The agents whose lease runs: how many, the versions that they honour, and when the first such lease may end."""
+class LeaseSummary(Struct, frozen=True):
+    """Summary of the running leases; until_ms is the earliest time at which one of them may end."""
 
-    count: int
-    versions: frozenset[int]
+    agent_count: int
+    routing_versions: frozenset[int]
     until_ms: int
 
 
 class AgentSessions(Struct):
-    """version_ms: when the routing in force here became so. draining: runners, and until when that is told.
+    """Sessions of all agents, as a replica sees them.
 
-    newest_list: the latest reading of the list of runners that any agent told of. list_turns: who reads it next.
-    survey: the last one taken; None once an agent told of another version or incarnation, or got a lease anew.
+    routing_since_ms: when the current routing took effect here. draining: runners reported as draining, with the time
+    at which the report expires. newest_list: the latest reading of the runner list that any agent reported. list_polls:
+    which agent reads it next. summary: cached; None once an agent changed its routing version or incarnation or got a
+    new lease.
     """
 
     agents: dict[str, AgentSession] = {}
     operations_in_progress: set[tuple[str, int, int]] = set()
-    version: int = 0
-    version_ms: int = 0
+    routing_version: int = 0
+    routing_since_ms: int = 0
     draining: dict[str, int] = {}
-    survey: Survey | None = None
+    summary: LeaseSummary | None = None
     newest_list: ListReading = ListReading()
-    list_turns: ListTurns = field(default_factory=ListTurns)
+    list_polls: ListPollSchedule = field(default_factory=ListPollSchedule)
     admission: AdmissionQueue = field(default_factory=AdmissionQueue)
 
 
 def voters_of(ctx):
-    """The voters in force: those of the ledger, or of the log, or of the bootstrap record."""
+    """The voters in force: those of the ledger, else of the log, else of the bootstrap record."""
     synchrony = ctx.core.synchrony
     return ctx.core.ledger.voters or synchrony.voters or synchrony.bootstrap_voters
 
 
-def note_agent(sessions, endpoint, version, now):
-    """Note an agent that speaks, also where this replica doesn't lead: it greets the agent when it comes to."""
-    seen = sessions.agents.get(endpoint.member.name)
+def record_agent(sessions, endpoint, version, now):
+    """Record an agent that sent a message. Followers do so too, to announce themselves to it once they lead."""
+    session = sessions.agents.get(endpoint.member.name)
     address = f"@{endpoint.host}:{endpoint.port}"
-    if seen is None or seen.incarnation != endpoint.member.incarnation:
-        seen = AgentSession(address, endpoint.member.incarnation, version, now - 1)
-        sessions.agents[endpoint.member.name], sessions.survey = seen, None
-    seen.address = address
-    return seen
+    if session is None or session.incarnation != endpoint.member.incarnation:
+        session = AgentSession(address, endpoint.member.incarnation, version, now - 1)
+        sessions.agents[endpoint.member.name], sessions.summary = session, None
+    session.address = address
+    return session
 
 
 def member_endpoints(synchrony):
-    """Where the members of the configuration are, as far as is known."""
-    others = [synchrony.peers[n].endpoint for n in member_names(synchrony.configuration) if n in synchrony.peers]
-    return (synchrony.endpoint, *others)
+    """Known endpoints of the members of the configuration."""
+    peer_endpoints = [
+        synchrony.peers[n].endpoint for n in member_names(synchrony.configuration) if n in synchrony.peers
+    ]
+    return (synchrony.endpoint, *peer_endpoints)
 
 
 def on_lease_request(ctx, sessions, endpoint, message):
-    """An agent renews its lease; -> the LeaseReply."""
+    """Returns the LeaseReply for an agent's request.
+
+    An agent on an older routing gets no new lease; a running one is extended for a grace period after the routing
+    changed.
+    """
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if not is_sequencer(ctx):
-        note_agent(sessions, endpoint, message.version, now)
+        record_agent(sessions, endpoint, message.version, now)
         opened = synchrony.primary.opened
         return LeaseReply(
             message.sent_ms,
@@ -98,19 +106,21 @@
             sequencer_of(synchrony) if opened else "",
             endpoints=member_endpoints(synchrony) if opened else (),
         )
-    held = ctx.core.ledger.program_ledger.routing_version
+    routing_version = ctx.core.ledger.program_ledger.routing_version
     announce_routing(ctx, sessions)
-    told = list_reading.reading_from_message(message.list_digest, message.list_age_ms, now)
-    sessions.newest_list = list_reading.newer(sessions.newest_list, told)
-    seen = note_agent(sessions, endpoint, message.version, now)
-    if message.version > seen.version:
-        seen.version, sessions.survey = message.version, None
-    left_ms = lease_remaining_ms(synchrony, now)
-    graced = seen.until_ms > now and now - sessions.version_ms <= synchrony.bounds.lease_ms * ROUTING_GRACE_RATIO
-    lease_ms = left_ms if seen.version >= held or graced else 0
-    if seen.until_ms <= now < now + lease_ms:
-        sessions.survey = None
-    seen.until_ms = max(seen.until_ms, now + lease_ms)
+    reading = list_reading.reading_from_message(message.list_digest, message.list_age_ms, now)
+    sessions.newest_list = list_reading.newer(sessions.newest_list, reading)
+    session = record_agent(sessions, endpoint, message.version, now)
+    if message.version > session.routing_version:
+        session.routing_version, sessions.summary = message.version, None
+    remaining_ms = lease_remaining_ms(synchrony, now)
+    in_grace_period = (
+        session.until_ms > now and now - sessions.routing_since_ms <= synchrony.bounds.lease_ms * ROUTING_GRACE_RATIO
+    )
+    lease_ms = remaining_ms if session.routing_version >= routing_version or in_grace_period else 0
+    if session.until_ms <= now < now + lease_ms:
+        sessions.summary = None
+    session.until_ms = max(session.until_ms, now + lease_ms)
     epoch = synchrony.configuration.id.epoch
     endpoints = () if message.epoch == epoch else member_endpoints(synchrony)
     return LeaseReply(
@@ -118,16 +128,16 @@
         lease_ms,
         synchrony.name,
         tuple(voters_of(ctx)),
-        held,
+        routing_version,
         honoured_version(ctx, sessions),
         epoch,
         endpoints,
-        survey_of(sessions, now).count,
+        lease_summary(sessions, now).agent_count,
         merge_draining(sessions, message.draining, now),
         sessions.newest_list.digest,
         list_reading.age_ms(sessions.newest_list, now),
-        give_turn(
-            sessions.list_turns,
+        grant_poll(
+            sessions.list_polls,
             endpoint.member.name,
             message.list_period_ms,
             synchrony.bounds.lease_ms // RENEWALS_PER_LEASE,
@@ -136,55 +146,58 @@
     )
 
 
-def forget_lapsed(sessions, now):
-    """Agents whose lease ended long ago."""
-    for name in [n for n, s in sessions.agents.items() if s.until_ms + SESSION_RETENTION_MS < now]:
+def remove_expired_sessions(sessions, now):
+    """Remove agents whose lease ended longer than the retention time ago."""
+    for name in [agent for agent, session in sessions.agents.items() if session.until_ms + SESSION_RETENTION_MS < now]:
         del sessions.agents[name]
 
 
-def merge_draining(sessions, told, now):
-    """What any agent's own list shows as draining is told to all."""
-    sessions.draining.update((runner, now + DRAINING_RETENTION_MS) for runner in told)
-    for runner in [r for r, until_ms in sessions.draining.items() if until_ms <= now]:
+def merge_draining(sessions, reported, now):
+    """Merge the draining runners that an agent reports and drop expired ones. Returns all that are draining."""
+    sessions.draining.update((runner, now + DRAINING_RETENTION_MS) for runner in reported)
+    for runner in [name for name, until_ms in sessions.draining.items() if until_ms <= now]:
         del sessions.draining[runner]
     return tuple(sessions.draining)
 
 
 def announce_routing(ctx, sessions):
-    """Spread a routing that has just come in force to all agents."""
+    """Send a routing that has just taken effect to all agents with a running lease."""
     program_ledger = ctx.core.ledger.program_ledger
-    if program_ledger.routing_version == sessions.version:
+    if program_ledger.routing_version == sessions.routing_version:
         return
-    sessions.version, sessions.version_ms = program_ledger.routing_version, clock_ms(ctx)
+    sessions.routing_version, sessions.routing_since_ms = program_ledger.routing_version, clock_ms(ctx)
     if is_sequencer(ctx):
-        for seen in sessions.agents.values():
-            if seen.until_ms > clock_ms(ctx):
+        for session in sessions.agents.values():
+            if session.until_ms > clock_ms(ctx):
                 ctx.links["send"](
-                    seen.address, RoutingUpdate(program_ledger.routing_version, program_ledger.routing_body)
+                    session.address, RoutingUpdate(program_ledger.routing_version, program_ledger.routing_body)
                 )
 
 
 def honoured_version(ctx, sessions):
-    """The newest version that every agent with a running lease honours; older sequencers' leases are waited out."""
+    """The newest routing version that every agent with a running lease honours.
+
+    Returns 0 until leases granted by an earlier sequencer must have ended.
+    """
     synchrony, now = ctx.core.synchrony, clock_ms(ctx)
     if now - synchrony.installed_ms < synchrony.bounds.lease_ms:
         return 0
-    return min([ctx.core.ledger.program_ledger.routing_version, *survey_of(sessions, now).versions])
+    return min([ctx.core.ledger.program_ledger.routing_version, *lease_summary(sessions, now).routing_versions])
 
 
-def survey_of(sessions, now):
-    """The survey that holds now: a new one is taken only if an agent changed or a lease may have ended."""
-    survey = sessions.survey
-    if survey is None or now >= survey.until_ms:
-        running = [seen for seen in sessions.agents.values() if seen.until_ms > now]
-        versions = frozenset(seen.version for seen in running)
-        until_ms = min((seen.until_ms for seen in running), default=now)
-        survey = sessions.survey = Survey(len(running), versions, until_ms)
-    return survey
+def lease_summary(sessions, now):
+    """The cached summary of running leases, rebuilt if an agent changed or a lease may have ended."""
+    summary = sessions.summary
+    if summary is None or now >= summary.until_ms:
+        running = [session for session in sessions.agents.values() if session.until_ms > now]
+        routing_versions = frozenset(session.routing_version for session in running)
+        until_ms = min((session.until_ms for session in running), default=now)
+        summary = sessions.summary = LeaseSummary(len(running), routing_versions, until_ms)
+    return summary
 
 
 def on_agent_message(ctx, sessions, endpoint, body):
-    """A frame of an agent; -> whether it was one of these messages."""
+    """Handle a message of an agent. Returns whether it was of a type handled here."""
     address = f"@{endpoint.host}:{endpoint.port}"
     match body:
         case LeaseRequest():
--- a/frostpost/cluster/assembly.py
+++ b/frostpost/cluster/assembly.py
@@ -1,4 +1,4 @@
-"""Run one daemon: an agent or a storage daemon, from its settings to its exit status."""
+"""Run one daemon, an agent or a storage daemon, from its settings to its exit status."""
 
 import signal
 from errno import errorcode
@@ -8,55 +8,55 @@
 from frostpost.daemon.machine import Machine
 from frostpost.daemon.structured_log import log_event
 
-RING = "storage"
+STORAGE_ROLE = "storage"
 
 
 def reload_settings(agent, front):
-    """SIGHUP: read the settings again; invalid ones are logged and the old ones stay."""
-    result = front.reread()
-    if result.is_ok():
-        agent.settings = result.ok
-        if result.ok.role == RING:
+    """Reload the settings on SIGHUP; invalid ones are logged and the old ones stay."""
+    reread = front.reread()
+    if reread.is_ok():
+        agent.settings = reread.ok
+        if reread.ok.role == STORAGE_ROLE:
             update_seeds(agent)
-        log_event("settings", seeds=list(result.ok.seeds))
+        log_event("settings", seeds=list(reread.ok.seeds))
     else:
-        log_event(type(result.error).__name__, path=result.error.path)
+        log_event(type(reread.error).__name__, path=reread.error.path)
 
 
 def update_seeds(replica):
-    """A storage daemon reports to the seeds that its settings name now."""
-    if not replica.waiting:
+    """Add the seeds of the reloaded settings to a running storage daemon."""
+    if not replica.awaiting_bootstrap:
         synchrony = replica.ctx.core.synchrony
         synchrony.seeds = tuple(dict.fromkeys((*(f"@{s}" for s in replica.settings.seeds), *synchrony.seeds)))
 
 
 def build_daemon(settings, front, reactor, machine, stop):
-    """Assemble the daemon; -> its owner, what starts it and what makes it leave."""
-    if settings.role == RING:
+    """Assemble the daemon. Returns its context and the callables that start and drain it."""
+    if settings.role == STORAGE_ROLE:
         from . import replica_daemon
 
-        owner = replica_daemon.assemble(settings, reactor, machine, stop)
-        return owner, partial(replica_daemon.start, owner), partial(replica_daemon.drain, owner)
+        context = replica_daemon.assemble(settings, reactor, machine, stop)
+        return context, partial(replica_daemon.start, context), partial(replica_daemon.drain, context)
     from .agent import drain_agent, make_agent, start_agent
 
-    owner = make_agent(settings, front, reactor, machine)
-    return owner, partial(start_agent, owner, front, stop), partial(drain_agent, owner, stop)
+    context = make_agent(settings, front, reactor, machine)
+    return context, partial(start_agent, context, front, stop), partial(drain_agent, context, stop)
 
 
-def run_daemon(settings, front, started=lambda: None):
-    """Run one daemon until it is told to stop; started() is called once it runs. -> its exit status."""
+def run_daemon(settings, front, on_started=lambda: None):
+    """Run one daemon until it stops. Calls on_started() once it runs. Returns its exit status."""
     from twisted.internet import reactor
 
-    machine, status = Machine(), []
+    machine, exit_codes = Machine(), []
     reactor.seconds = machine.seconds
 
-    def stop(code):
-        status.append(code)
+    def stop(exit_code):
+        exit_codes.append(exit_code)
         if reactor.running:
             reactor.stop()
 
     try:
-        owner, start, leave = build_daemon(settings, front, reactor, machine, stop)
+        context, start, drain = build_daemon(settings, front, reactor, machine, stop)
     except OSError as error:
         log_event(
             "DiskError", type=type(error).__name__, error=errorcode.get(error.errno, ""), path=error.filename or ""
@@ -64,11 +64,11 @@
         return EX_IOERR
     reactor.callWhenRunning(start)
 
-    def signals():
-        signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
-        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_settings, owner, front))
+    def install_signal_handlers():
+        signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(drain))
+        signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_settings, context, front))
 
-    reactor.callWhenRunning(started)
-    reactor.addSystemEventTrigger("after", "startup", signals)
+    reactor.callWhenRunning(on_started)
+    reactor.addSystemEventTrigger("after", "startup", install_signal_handlers)
     reactor.run(installSignalHandlers=True)
-    return max(status, default=0)
+    return max(exit_codes, default=0)
--- a/frostpost/cluster/control_client.py
+++ b/frostpost/cluster/control_client.py
@@ -1,7 +1,7 @@
-"""What control calls ask of the replicas.
+"""Operations that control calls submit to the replicas.
 
-Every function submits an operation that is ordered after the call came: its result is delivered as safe, which
-takes an acknowledgement of a majority of the voters made since. Nothing is answered from this daemon's own copy.
+Each call submits an operation and returns its result once it is delivered as safe, which takes an acknowledgement by a
+majority of the voters made after the call. Nothing is answered from this daemon's own copy of the state.
 """
 
 from expression import Error, Ok
@@ -23,67 +23,74 @@
 from .lease_client import send_lease_requests, session_of
 from .operation_client import RETRY_MS, call_replicas_unleased
 
-STEP_MS = 20
-REMEMBER_RATIO = 150
+POLL_INTERVAL_MS = 20
+RETENTION_RATIO = 150
 
 
 def sleep(agent, wait_ms):
-    """-> Deferred that fires after that time."""
-    woken = Deferred()
-    agent.reactor.callLater(wait_ms / 1000, woken.callback, None)
-    return woken
+    """Returns a Deferred that fires after that time."""
+    deferred = Deferred()
+    agent.reactor.callLater(wait_ms / 1000, deferred.callback, None)
+    return deferred
 
 
 @inlineCallbacks
 def set_routing(agent, base, version, body, digest, wait_ms):
-    """Replace the routing `base` -> Result[version, RoutingConflict | RoutingForgotten | Unavailable].
+    """Replace the routing `base`. Returns Result[version, RoutingConflict | RoutingForgotten | Unavailable].
 
-    digest: tells this change from others of its number; one that was taken before is Ok again. Ok comes once every
-    daemon with a running lease honours this version or a later one. After Unavailable the change may still be taken.
+    digest: identifies this change among others of the same version; resubmitting an accepted change returns Ok again.
+    Ok comes once every daemon with a running lease honours this version or a later one. After Unavailable the change
+    may still be accepted.
     """
     until_ms = now_ms(agent) + wait_ms
-    change = SetRouting(base, version, body, digest, agent.settings.ack_ms * REMEMBER_RATIO)
+    change = SetRouting(base, version, body, digest, agent.settings.ack_ms * RETENTION_RATIO)
     result = yield call_replicas_unleased(agent, change, wait_ms)
     if result.is_error():
         return result
     if not isinstance(result.ok, RoutingSet):
-        refused = isinstance(result.ok, (RoutingConflict, RoutingForgotten))
-        return Error(result.ok if refused else Unavailable(RETRY_MS, "verdict"))
+        was_rejected = isinstance(result.ok, (RoutingConflict, RoutingForgotten))
+        return Error(result.ok if was_rejected else Unavailable(RETRY_MS, "verdict"))
     result = yield wait_until_honoured(agent, version, until_ms - now_ms(agent))
     return result
 
 
 @inlineCallbacks
 def wait_until_honoured(agent, version, wait_ms):
-    """Wait until every daemon with a running lease honours a version that was taken -> Result[version, Unavailable]."""
+    """Wait until every daemon with a running lease honours an accepted version.
+
+    Returns Result[version, Unavailable].
+    """
     until_ms = now_ms(agent) + wait_ms
     while session_of(agent).honoured_version < version:
         if now_ms(agent) >= until_ms:
             return Error(Unavailable(RETRY_MS, "not honoured everywhere yet"))
         send_lease_requests(agent)
-        yield sleep(agent, STEP_MS)
+        yield sleep(agent, POLL_INTERVAL_MS)
     return Ok(version)
 
 
 @inlineCallbacks
-def result_of(agent, op, kind, wait_ms):
-    """Submit an operation; a result of another type than `kind` is an Unavailable, if `kind` is given."""
+def submit_expecting(agent, op, result_type, wait_ms):
+    """Submit an operation; a result of another type than `result_type`, if given, becomes Unavailable."""
     result = yield call_replicas_unleased(agent, op, wait_ms)
-    if result.is_ok() and kind is not None and not isinstance(result.ok, kind):
+    if result.is_ok() and result_type is not None and not isinstance(result.ok, result_type):
         return Error(Unavailable(RETRY_MS, "verdict"))
     return result
 
 
 def read_routing(agent, wait_ms, version=0, digest=b""):
-    """-> Deferred[Result[RoutingState, Unavailable]]: as ordered after this call, and what became of a change."""
-    return result_of(agent, ReadRouting(version, digest), RoutingState, wait_ms)
+    """Read the routing, and whether a change was accepted, as ordered after this call.
+
+    Returns Deferred[Result[RoutingState, Unavailable]].
+    """
+    return submit_expecting(agent, ReadRouting(version, digest), RoutingState, wait_ms)
 
 
 def retire(agent, name, wait_ms):
-    """-> Deferred[Result[RetirementState, Unavailable]]: empty a storage daemon."""
-    return result_of(agent, RetireReplica(name, True, agent.settings.least_replicas), None, wait_ms)
+    """Start the retirement of a storage daemon. Returns Deferred[Result[RetirementState, Unavailable]]."""
+    return submit_expecting(agent, RetireReplica(name, True, agent.settings.min_replicas), None, wait_ms)
 
 
 def read_retirement(agent, name, wait_ms):
-    """-> Deferred[Result[RetirementState, Unavailable]]: how far the emptying of a storage daemon is."""
-    return result_of(agent, ReadRetirement(name), None, wait_ms)
+    """Read the progress of a retirement. Returns Deferred[Result[RetirementState, Unavailable]]."""
+    return submit_expecting(agent, ReadRetirement(name), None, wait_ms)
--- a/frostpost/cluster/operation_client.py
+++ b/frostpost/cluster/operation_client.py
@@ -1,4 +1,4 @@
-"""Operations submitted to the replicas by an agent; all of them may be resent with the same effect."""
+"""Operations that an agent submits to the replicas; resending one has no further effect."""
 
 from expression import Error, Ok
 from msgspec import Struct, msgpack
@@ -19,7 +19,7 @@
 
 
 class PendingOperation(Struct):
-    """An operation without a result. until_decided: it is resent without end, else given up at `until_ms`."""
+    """An operation without a result: resent until decided if `until_decided`, else until `until_ms`."""
 
     number: int
     payload: bytes
@@ -30,25 +30,25 @@
 
 
 class OperationClient(Struct):
-    """The operations that an agent has open, by number; `number` is the last one given."""
+    """The pending operations of an agent by number; `number` is the last one assigned."""
 
     number: int = 0
-    open: dict[int, PendingOperation] = {}
+    pending: dict[int, PendingOperation] = {}
 
 
 def client_of(agent):
-    """The agent's operation client; made at first use."""
+    """Returns the agent's operation client, created on first use."""
     if agent.operations is None:
         agent.operations = OperationClient()
     return agent.operations
 
 
 def submit(agent, op, wait_ms, until_decided):
-    """Number an operation and send it to the sequencer. -> Deferred of its result"""
-    state, now = client_of(agent), now_ms(agent)
-    state.number += 1
-    pending = PendingOperation(state.number, encode(op), until_decided, now + int(wait_ms), Deferred())
-    state.open[pending.number] = pending
+    """Number an operation and send it to the sequencer. Returns a Deferred of its result."""
+    client, now = client_of(agent), now_ms(agent)
+    client.number += 1
+    pending = PendingOperation(client.number, encode(op), until_decided, now + int(wait_ms), Deferred())
+    client.pending[pending.number] = pending
     if is_traced(agent):
         trace_operation(agent, op, pending.answer)
     send(agent, pending)
@@ -58,7 +58,10 @@
 
 
 def call_replicas(agent, op, wait_ms):
-    """-> Deferred[Result[verdict, Unavailable]]; after an Error it isn't known whether the operation was ordered."""
+    """Submit an operation under a lease. Returns Deferred[Result[result, Unavailable]].
+
+    After an Error it is unknown whether the operation was ordered.
+    """
     if not holds_lease(agent):
         answer = Deferred()
         answer.callback(Error(Unavailable(RETRY_MS, "lease")))
@@ -67,19 +70,19 @@
 
 
 def submit_until_decided(agent, op):
-    """Submit an operation that ends something, and resend it until it is decided; it is never given up."""
+    """Submit an operation and resend it until it is decided, without a timeout."""
     return submit(agent, op, 0, True)
 
 
 def call_replicas_unleased(agent, op, wait_ms):
-    """As `call_replicas`, for control: also without a lease; waits for a sequencer if none is known right now."""
+    """As `call_replicas`, but also without a lease, for control; waits until a sequencer is known."""
     return submit(agent, op, wait_ms, False)
 
 
 def send(agent, pending):
-    """Send an operation to the sequencer, if one is known; without one it waits for the next resend."""
-    held = session_of(agent)
-    address = replica_addresses(agent).get(held.sequencer)
+    """Send an operation to the sequencer; if none is known, the next resend sends it."""
+    session = session_of(agent)
+    address = replica_addresses(agent).get(session.sequencer)
     if address is not None:
         pending.sent_ms = now_ms(agent)
         agent.links["send"](
@@ -88,41 +91,41 @@
 
 
 def resend_all(agent):
-    """The sequencer changed: resend what is open."""
-    for pending in list(client_of(agent).open.values()):
+    """Resend all pending operations after a change of sequencer."""
+    for pending in list(client_of(agent).pending.values()):
         send(agent, pending)
 
 
 def on_operation_reply(agent, message):
-    """Resolve the operation that a reply is for; a fault leaves it open to be sent again."""
-    state = client_of(agent)
-    pending = state.open.get(message.number)
+    """Resolve the operation that a reply is for; an error reply leaves it pending until the next resend."""
+    client = client_of(agent)
+    pending = client.pending.get(message.number)
     if pending is None or message.incarnation != agent.endpoint.member.incarnation:
         return
     if message.error:
         count(agent, f"ring/{message.error}")
         return
-    del state.open[message.number]
+    del client.pending[message.number]
     pending.answer.callback(Ok(decode(message.result)))
 
 
 def due_ms_of(pending):
-    """When something is to be done about one that is open."""
+    """When a pending operation is next to be resent or timed out."""
     resend_ms = pending.sent_ms + RESEND_MS
     return resend_ms if pending.until_decided else min(resend_ms, pending.until_ms)
 
 
 def due_ms(agent):
-    """When `tend` has something to do next, on this daemon's clock; None if nothing is open."""
-    return min(map(due_ms_of, client_of(agent).open.values()), default=None)
+    """When `resend_due` next has something to do, on this daemon's clock; None if nothing is pending."""
+    return min(map(due_ms_of, client_of(agent).pending.values()), default=None)
 
 
 def resend_due(agent):
-    """Send again what is undecided, and give up what has waited long enough."""
-    state, now = client_of(agent), now_ms(agent)
-    for pending in list(state.open.values()):
+    """Resend undecided operations and fail those past their deadline."""
+    client, now = client_of(agent), now_ms(agent)
+    for pending in list(client.pending.values()):
         if now >= pending.until_ms and not pending.until_decided:
-            state.open.pop(pending.number, None)
+            client.pending.pop(pending.number, None)
             count(agent, "undecided")
             pending.answer.callback(Error(Unavailable(RETRY_MS, "undecided")))
         elif now - pending.sent_ms >= RESEND_MS:
--- a/frostpost/cluster/operation_server.py
+++ b/frostpost/cluster/operation_server.py
@@ -1,4 +1,4 @@
-"""Operations of agents, submitted by the replica that leads; begins without a slot wait here first."""
+"""Operations of agents, submitted by the replica that leads; BeginAttempts without a free slot are queued first."""
 
 from expression import Error, Ok
 from msgspec import DecodeError, msgpack
@@ -18,7 +18,7 @@
 
 
 def on_operation_request(ctx, sessions, address, message):
-    """Submit an agent's operation once and reply with its result; one that is under way is not begun again."""
+    """Submit an agent's operation and send its result; a duplicate of one in progress is ignored."""
     operation_key = (address, message.incarnation, message.number)
     if operation_key in sessions.operations_in_progress:
         return
@@ -29,7 +29,7 @@
         return
     sessions.operations_in_progress.add(operation_key)
 
-    def decided(result):
+    def on_decided(result):
         sessions.operations_in_progress.discard(operation_key)
         if result.is_ok():
             reply = OperationReply(message.incarnation, message.number, encode(result.ok))
@@ -38,18 +38,18 @@
         ctx.links["send"](address, reply)
 
     if isinstance(op, BeginAttempt):
-        submit_begin(ctx, sessions, op, decided)
+        submit_begin(ctx, sessions, op, on_decided)
         return
     if isinstance(op, AbortAttempt):
-        admission_queue.give_up(sessions.admission, op.attempt)
-    submit(ctx, op, OPERATION_TIMEOUT_MS).addCallback(decided)
+        admission_queue.reject(sessions.admission, op.attempt)
+    submit(ctx, op, OPERATION_TIMEOUT_MS).addCallback(on_decided)
 
 
-def submit_begin(ctx, sessions, op, decided):
-    """Submit a begin, or let it wait here while only a slot is lacking; decided(result) is called once."""
+def submit_begin(ctx, sessions, op, on_decided):
+    """Submit a BeginAttempt, or queue it while it lacks only a slot; on_decided(result) is called once."""
     queue, until_ms = sessions.admission, clock_ms(ctx) + op.max_queue_ms
 
-    def submit_now(waiting):
+    def submit_now(entry):
         admission_queue.on_submitted(queue, op)
         submit(ctx, op, OPERATION_TIMEOUT_MS).addCallback(on_result)
 
@@ -58,18 +58,18 @@
         if result.is_ok() and isinstance(result.ok, NoCapacity) and clock_ms(ctx) < until_ms:
             wait_for_slot()
         else:
-            decided(result)
+            on_decided(result)
 
-    def refuse(verdict):
-        # A replica that leads no more has nothing to say: the agent has sent it again to the new leader.
-        decided(Ok(verdict) if is_sequencer(ctx) else Error(NoPrimary()))
+    def refuse(result):
+        # A former leader must not refuse: the agent has resent the operation to the new leader.
+        on_decided(Ok(result) if is_sequencer(ctx) else Error(NoPrimary()))
 
     def wait_for_slot():
-        waiting = admission_queue.WaitingBegin(op, until_ms, submit_now, refuse)
-        admission_queue.enqueue(queue, waiting, clock_ms(ctx), ctx.reactor.callLater)
+        entry = admission_queue.QueuedAttempt(op, until_ms, submit_now, refuse)
+        admission_queue.enqueue(queue, entry, clock_ms(ctx), ctx.reactor.callLater)
 
     program_ledger = ctx.core.ledger.program_ledger
-    if op.max_queue_ms > 0 and is_sequencer(ctx) and admission_queue.may_wait(queue, program_ledger, op):
+    if op.max_queue_ms > 0 and is_sequencer(ctx) and admission_queue.should_queue(queue, program_ledger, op):
         wait_for_slot()
     else:
         submit_now(None)
--- a/frostpost/cluster/replica_context.py
+++ b/frostpost/cluster/replica_context.py
@@ -1,9 +1,8 @@
-"""What a replica (a storage daemon) holds beside its context, and the product's settings made for it."""
+"""Context of a replica (a storage daemon) and its conversion of the daemon settings."""
 
 from msgspec import Struct
 
-from frostpost.daemon.settings import JobIntervals as Pace
-from frostpost.daemon.settings import Settings
+from frostpost.daemon.settings import JobIntervals, Settings
 from frostpost.virtual_synchrony.bounds import Bounds
 
 from . import agent_sessions, voter_reconfiguration
@@ -14,50 +13,56 @@
 
 
 class ReplicaContext:
-    """What a storage daemon holds beside its context."""
+    """State of a storage daemon besides the `Context` of its core."""
 
     __slots__ = (
-        "background",
+        "voter_changes",
         "bootstrap_voters",
         "ctx",
         "announced_configuration",
         "agent_addresses",
-        "leaving",
+        "draining",
         "machine",
         "peers",
         "reactor",
         "records",
-        "seeking",
+        "bootstrap_poll",
         "send",
         "sessions",
         "settings",
         "stop",
         "tasks",
         "turn_store",
-        "waiting",
+        "awaiting_bootstrap",
     )
 
     def __init__(self, ctx, settings, stop):
         self.ctx, self.settings, self.stop = ctx, settings, stop
-        self.sessions, self.background = agent_sessions.AgentSessions(), voter_reconfiguration.VoterChanges()
+        self.sessions, self.voter_changes = agent_sessions.AgentSessions(), voter_reconfiguration.VoterChanges()
         self.reactor, self.machine, self.tasks = ctx.reactor, ctx.machine, []
-        self.turn_store, self.send, self.records, self.waiting, self.bootstrap_voters = None, None, [], True, ()
-        self.leaving = False
-        self.seeking = None
+        self.turn_store, self.send, self.records, self.awaiting_bootstrap, self.bootstrap_voters = (
+            None,
+            None,
+            [],
+            True,
+            (),
+        )
+        self.draining = False
+        self.bootstrap_poll = None
 
 
-class Crash(Struct):
-    """Stands where a daemon's life is asked to end at once."""
+class ProcessExit(Struct):
+    """Ends the process when the daemon's core can't continue."""
 
     stop: object
 
     def crash(self):
-        """End with status 70."""
+        """End the process with status 70."""
         self.stop(70)
 
 
-def ring_settings(settings):
-    """The product's settings of a replica."""
+def replica_settings(settings):
+    """Convert the daemon settings to those of the replica's core."""
     bounds = Bounds(
         detect_ms=settings.detect_ms,
         proposal_ms=settings.detect_ms,
@@ -76,5 +81,5 @@
         [],
         settings.data,
         bounds=bounds,
-        background=Pace(tick_ms=settings.tick_ms),
+        background=JobIntervals(tick_ms=settings.tick_ms),
     )
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -26,80 +26,86 @@
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 from frostpost.write_ahead_log import log as write_ahead_logs
 
-from . import address_book, admission_queue, agent_sessions, announcements, status, voter_reconfiguration
-from .replica_context import ROLE, Crash, ReplicaContext, ring_settings
+from . import address_store, admission_queue, agent_sessions, announcements, status, voter_reconfiguration
+from .replica_context import ROLE, ProcessExit, ReplicaContext, replica_settings
 
-LEAVE_S = 0.4
-HANDOVER_S = 0.05
-HANDOVER_SHARE = 4
+SHUTDOWN_DELAY_S = 0.4
+VOTE_CHECK_INTERVAL_S = 0.05
+VOTE_WAIT_DIVISOR = 4
 
 
 def assemble(settings, reactor, machine, stop):
-    """-> ReplicaContext; its core begins once it knows whether it is a founding voter, see `begin_serving`."""
+    """Returns a ReplicaContext whose core is not started yet, see `begin_serving`."""
     incarnation = 1 + int(machine.token(6), 16)
     endpoint = Endpoint(
-        Member(settings.name, incarnation), ROLE, settings.zone, settings.host, settings.port, 0, PROTOCOL_REVISION
+        Member(settings.name, incarnation),
+        ROLE,
+        settings.zone,
+        settings.host,
+        settings.port,
+        0,
+        PROTOCOL_REVISION,
     )
-    ctx = Context(ring_settings(settings), reactor, endpoint, machine)
+    ctx = Context(replica_settings(settings), reactor, endpoint, machine)
     replica = ReplicaContext(ctx, settings, stop)
-    ctx.lifecycle = Crash(stop)
-    write_ahead_log, replica.records, fault = disks.open_log(settings.data, machine.files)
-    if fault:
-        log_event(type(fault).__name__, path=fault.path, offset=fault.offset)
+    ctx.lifecycle = ProcessExit(stop)
+    write_ahead_log, replica.records, damage = disks.open_log(settings.data, machine.files)
+    if damage:
+        log_event(type(damage).__name__, path=damage.path, offset=damage.offset)
     ctx.disk = disks.LogWriter(ctx, write_ahead_log)
-    replica.peers = address_book.open_address_book(settings.data, machine)
+    replica.peers = address_store.open_address_store(settings.data, machine)
     replica.agent_addresses, replica.announced_configuration = (
-        address_book.open_address_book(settings.data, machine, "leaves"),
+        address_store.open_address_store(settings.data, machine, "leaves"),
         None,
     )
     replica.turn_store = store.open_store(
         settings.data,
         machine,
-        tell=lambda lost: on_store_failure(replica, lost),
+        tell=lambda failure: on_store_failure(replica, failure),
         disk_bytes=settings.disk_mb * 600000 or 1 << 30,
     )
     ctx.links = {
         "applied": lambda: on_applied(replica),
         "news": lambda sender_name, body: None,
-        "heard": lambda sender_name, news: None,
+        "heard": lambda sender_name, update: None,
     }
     ctx.links["send"] = replica.send = make_links(ctx)
     return replica
 
 
-def on_store_failure(replica, lost):
-    """Log a failure of the turn store; a lost sync ends the daemon, which then reads its disk anew."""
-    log_event(type(lost).__name__, what="turn_store")
-    if isinstance(lost, write_ahead_logs.SyncLostError):
+def on_store_failure(replica, failure):
+    """Log a failure of the turn store; a lost sync ends the daemon, which reads its disk again on restart."""
+    log_event(type(failure).__name__, what="turn_store")
+    if isinstance(failure, write_ahead_logs.SyncLostError):
         replica.stop(70)
 
 
 def start(replica):
-    """Listen and begin: at once with a memory or at a later start, else with the bootstrap record."""
+    """Listen, then begin serving: at once with a stored log or at a later start, else with the bootstrap record."""
     listen(replica.ctx, lambda ctx, frame: on_frame(replica, frame)).addErrback(on_listen_failure(replica))
     log = replay(replica.records)
     if log.primary != NO_CONFIGURATION or not replica.settings.first_start:
         begin_serving(replica, ())
-    replica.seeking = run_every(replica, lambda: request_bootstrap(replica), 0.1)
+    replica.bootstrap_poll = run_every(replica, lambda: request_bootstrap(replica), 0.1)
 
 
 def on_listen_failure(replica):
-    """-> an errback that logs a failure to listen and ends the daemon with status 69."""
+    """Returns an errback that logs a failure to listen and ends the daemon with status 69."""
 
-    def failed(failure):
+    def on_failure(failure):
         log_event("ListenError", text=failure.getErrorMessage())
         replica.stop(69)
 
-    return failed
+    return on_failure
 
 
-def begin_serving(replica, charter):
-    """Begin the core from the log, with the founding voters if any, and start the periodic jobs."""
+def begin_serving(replica, voters):
+    """Start the core from the log, with the initial voters if any, and start the periodic jobs."""
     ctx, settings = replica.ctx, replica.settings
-    replica.waiting, replica.bootstrap_voters = False, charter
-    seeds = dict.fromkeys((*settings.seeds, *address_book.known_addresses(replica.peers)))
+    replica.awaiting_bootstrap, replica.bootstrap_voters = False, voters
+    seeds = dict.fromkeys((*settings.seeds, *address_store.stored_addresses(replica.peers)))
     ctx.core, out = cores.create_core(
-        ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], charter, replay(replica.records), clock_ms(ctx)
+        ctx.endpoint, ctx.settings.bounds, [f"@{s}" for s in seeds], voters, replay(replica.records), clock_ms(ctx)
     )
     replica.records = []
     ctx.disk.write(out.writes)
@@ -112,89 +118,89 @@
     run_every(replica, lambda: save_addresses(replica), 1.0)
     run_every(replica, lambda: expire(replica), 10.0)
     run_every(replica, lambda: announcements.announce_to_lapsed(replica), settings.lease_ms / 1000)
-    log_event("started", name=settings.name, founding=list(charter))
+    log_event("started", name=settings.name, founding=list(voters))
 
 
 def on_job_failure(replica):
-    """What ends this daemon when one of its jobs fails."""
+    """Returns an errback that ends the daemon with status 70 when a periodic job fails."""
 
-    def failed(failure):
+    def on_failure(failure):
         log_event("Internal", type=failure.type.__name__, text=failure.getTraceback()[-2000:])
         replica.stop(70)
 
-    return failed
+    return on_failure
 
 
-def run_every(replica, job, every_s):
-    """Run a job periodically on the event loop; a failure of it ends the daemon. -> LoopingCall"""
+def run_every(replica, job, interval_s):
+    """Run a job periodically on the event loop; an error in it ends the daemon. Returns the LoopingCall."""
     task = LoopingCall(job)
     task.clock = replica.reactor
-    task.start(every_s, now=False).addErrback(on_job_failure(replica))
+    task.start(interval_s, now=False).addErrback(on_job_failure(replica))
     replica.tasks.append(task)
     return task
 
 
 def request_bootstrap(replica):
-    """Ask the seeds for the bootstrap record, until this daemon has begun."""
-    if not replica.waiting:
-        replica.seeking.stop()
+    """Request the bootstrap record from the seeds until the core has started."""
+    if not replica.awaiting_bootstrap:
+        replica.bootstrap_poll.stop()
         return
     for seed in replica.settings.seeds:
         replica.ctx.links["send"](f"@{seed}", DirectoryRequest())
 
 
 def check_disk_and_opening(replica):
-    """See whether the disk is well, and whether an opening was missed."""
+    """Check the disk, and announce an opening that was not announced yet."""
     replica.ctx.disk.check_health()
     announcements.announce_opening(replica)
 
 
 def change_voters(replica):
-    """Take the next step of the voters' reconfiguration."""
-    return voter_reconfiguration.reconfigure(replica.ctx, replica.background, replica.settings)
+    """Take the next step of voter reconfiguration."""
+    return voter_reconfiguration.reconfigure(replica.ctx, replica.voter_changes, replica.settings)
 
 
 def on_applied(replica):
-    """An operation was applied: tell the agents of a new routing, and of an opening."""
+    """Send new routings to agents, dispatch queued attempts and announce an opening, after an operation was applied."""
     agent_sessions.announce_routing(replica.ctx, replica.sessions)
     admission_queue.dispatch(replica.sessions.admission, replica.ctx.core.ledger.program_ledger)
     announcements.announce_opening(replica)
 
 
 def repair(replica):
-    """Fetch missing bodies from peers, and tell with the next heartbeat how many are missing."""
+    """Fetch missing bodies from peers, and report their number with the next heartbeat."""
     ctx = replica.ctx
     peers = [
-        f"@{p.endpoint.host}:{p.endpoint.port}"
-        for p in ctx.core.synchrony.peers.values()
-        if p.endpoint.role == ROLE and p.configuration == ctx.core.synchrony.configuration.id
+        f"@{peer.endpoint.host}:{peer.endpoint.port}"
+        for peer in ctx.core.synchrony.peers.values()
+        if peer.endpoint.role == ROLE and peer.configuration == ctx.core.synchrony.configuration.id
     ]
     repair_bodies(replica, ctx.core.ledger.program_ledger.turns, peers, ctx.core.ledger.index)
-    ctx.core.synchrony.status = voter_reconfiguration.status_report(replica.turn_store, replica.leaving)
+    ctx.core.synchrony.status = voter_reconfiguration.status_report(replica.turn_store, replica.draining)
 
 
 def save_addresses(replica):
-    """Keep on disk where the other daemons are."""
-    address_book.save_members(replica.peers, replica.ctx.core.synchrony)
+    """Store the addresses of the other daemons on disk."""
+    address_store.save_member_addresses(replica.peers, replica.ctx.core.synchrony)
     save_agent_addresses(replica)
 
 
 def save_agent_addresses(replica):
-    """Addresses of agents heard of late, by the sequencer as renewals come, by the others from what it greets."""
+    """Store the addresses of agents with a running lease, which only the sequencer grants."""
     now = clock_ms(replica.ctx)
-    recent = [s.address[1:] for s in replica.sessions.agents.values() if s.until_ms > now]
+    recent = [session.address[1:] for session in replica.sessions.agents.values() if session.until_ms > now]
     if recent:
-        address_book.save_addresses(replica.agent_addresses, recent)
+        address_store.save_addresses(replica.agent_addresses, recent)
 
 
 def expire(replica):
-    """Forget agents that are long gone, and bodies of turns that the ledger no longer keeps."""
-    agent_sessions.forget_lapsed(replica.sessions, clock_ms(replica.ctx))
+    """Remove expired agent sessions, and bodies of turns that the ledger no longer holds."""
+    agent_sessions.remove_expired_sessions(replica.sessions, clock_ms(replica.ctx))
     store.expire(replica.turn_store, lambda turn: turn in replica.ctx.core.ledger.program_ledger.turns)
 
 
 def on_frame(replica, frame):
-    """A frame from any daemon."""
+    """Dispatch a frame from another daemon."""
     endpoint, body, ctx = frame.endpoint, frame.body, replica.ctx
     if status.answer_replica_status(replica, endpoint, body):
         return None
@@ -202,7 +208,7 @@
         return on_directory(replica, body)
     if isinstance(body, (PutBodyRequest, GetBodiesRequest, GetBodiesReply, PutBodyReply)):
         return turn_stores.on_message(replica, f"@{endpoint.host}:{endpoint.port}", body)
-    if replica.waiting:
+    if replica.awaiting_bootstrap:
         return None
     if endpoint.role == ROLE:
         return event_loop.on_frame(ctx, frame)
@@ -210,8 +216,8 @@
 
 
 def on_directory(replica, message):
-    """A seed tells the replicas that it knows, and the bootstrap record."""
-    if replica.waiting:
+    """Add the replicas in a directory; while awaiting the bootstrap record, start the core with its voters."""
+    if replica.awaiting_bootstrap:
         if message.bootstrap_voters:
             begin_serving(replica, message.bootstrap_voters)
         return
@@ -222,22 +228,22 @@
 
 
 def drain(replica):
-    """Give the vote up if the others do without it, leave the configuration in order, then end."""
-    if replica.leaving:
+    """Give up the vote if a majority can do without it, leave the configuration, then end."""
+    if replica.draining:
         return
-    replica.leaving = True
-    if replica.waiting:
-        replica.reactor.callLater(LEAVE_S, replica.stop, 0)
+    replica.draining = True
+    if replica.awaiting_bootstrap:
+        replica.reactor.callLater(SHUTDOWN_DELAY_S, replica.stop, 0)
         return
     replica.ctx.core.synchrony.status = voter_reconfiguration.status_report(replica.turn_store, True)
-    until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // HANDOVER_SHARE
+    until_ms = clock_ms(replica.ctx) + replica.settings.grace_ms // VOTE_WAIT_DIVISOR
     drain_without_vote(replica, until_ms)
 
 
 def drain_without_vote(replica, until_ms):
-    """Wait until this replica is no voter, where that is to be had in time."""
+    """Wait until this replica is no voter, but not past `until_ms`, then leave and end."""
     if clock_ms(replica.ctx) < until_ms and voter_reconfiguration.is_dispensable_voter(replica.ctx, replica.settings):
-        replica.reactor.callLater(HANDOVER_S, drain_without_vote, replica, until_ms)
+        replica.reactor.callLater(VOTE_CHECK_INTERVAL_S, drain_without_vote, replica, until_ms)
         return
     event_loop.feed_input(replica.ctx, DrainRequested(clock_ms(replica.ctx)))
-    replica.reactor.callLater(LEAVE_S, replica.stop, 0)
+    replica.reactor.callLater(SHUTDOWN_DELAY_S, replica.stop, 0)
--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -1,4 +1,4 @@
-"""What a daemon is told at its start, and the front that it is handed; both free of any wire's names."""
+"""Settings of a daemon and the front that it is given; both independent of the platform's wire names."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class DaemonSettings(Struct, frozen=True):
-    """role: edge, core or storage. seeds: inner addresses (host:port) of the daemons that found the fleet."""
+    """role: edge, core or storage. seeds: inner addresses (host:port) of the daemons contacted first."""
 
     name: str
     role: str
@@ -56,18 +56,20 @@
 
     @property
     def tolerance(self):
-        """What may be lost at once with all rules kept."""
+        """The losses that the system must tolerate at once."""
         return Tolerance(self.tolerated, self.tolerated_zones, self.tolerated_regions)
 
     @property
-    def least_replicas(self):
-        """How many replicas, each in a zone and region of its own, leave a majority after any loss to be borne."""
+    def min_replicas(self):
+        """The number of replicas, each in its own zone and region, that keep a majority after any tolerated loss."""
         return 2 * max(self.tolerated, self.tolerated_zones, self.tolerated_regions) + 1
 
 
 class Front(Struct, frozen=True):
-    """listen(agent) -> Deferred[list of ports]; fetch_list(agent) -> Deferred[list[Runner]];
-    routing_from_body(bytes) -> Routing; reread() -> Result[DaemonSettings, SettingsInvalid].
+    """Callables and wire names of the platform's front.
+
+    listen(agent) returns Deferred[list of ports]; fetch_list(agent) returns Deferred[list[Runner]];
+    routing_from_body(bytes) returns Routing; reread() returns Result[DaemonSettings, SettingsInvalid].
     """
 
     listen: Callable
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -1,4 +1,4 @@
-"""What a daemon tells an operator of itself; a sender that is no daemon is answered and nothing of it is kept."""
+"""Status replies to operators; a sender that is no daemon is answered and not recorded."""
 
 from msgspec import json
 
@@ -14,17 +14,17 @@
 from .lease_client import session_of
 from .list_reading import NEVER_MS
 
-DAEMONS = ("storage", "core", "edge")
+DAEMON_ROLES = ("storage", "core", "edge")
 
 
 def begin_status(agent):
-    """Note the start, from which uptime counts."""
-    agent.extras["started_ms"] = now_ms(agent)
+    """Record the start time, from which uptime counts."""
+    agent.attachments["started_ms"] = now_ms(agent)
 
 
 def answer_operator(ctx, endpoint, body, facts, directory):
-    """Answer an operator over a connection of its own: status or places; -> whether the frame ends here."""
-    if endpoint.role in DAEMONS and not isinstance(body, StatusRequest):
+    """Answer a status or directory request over a new connection. Returns whether the frame is handled."""
+    if endpoint.role in DAEMON_ROLES and not isinstance(body, StatusRequest):
         return False
     address = f"@{endpoint.host}:{endpoint.port}"
     if isinstance(body, StatusRequest):
@@ -48,19 +48,23 @@
 def answer_replica_status(replica, endpoint, body):
     """As `answer_operator`, for a replica."""
     return answer_operator(
-        replica.ctx, endpoint, body, lambda: replica_facts(replica), lambda: DirectoryReply(ring_endpoints(replica.ctx))
+        replica.ctx,
+        endpoint,
+        body,
+        lambda: replica_facts(replica),
+        lambda: DirectoryReply(replica_endpoints(replica.ctx)),
     )
 
 
-def ring_endpoints(ctx):
-    """Endpoints of this replica and of those that it knows."""
+def replica_endpoints(ctx):
+    """Endpoints of this replica and its known peers."""
     if ctx.core is None:
         return (ctx.endpoint,)
     return (ctx.endpoint, *(peer.endpoint for peer in ctx.core.synchrony.peers.values()))
 
 
 def common_facts(endpoint, uptime_ms, counts):
-    """Facts that every daemon tells; times in milliseconds."""
+    """Facts common to all daemons; times in milliseconds."""
     return {
         "name": endpoint.member.name,
         "role": endpoint.role,
@@ -72,29 +76,31 @@
 
 
 def agent_facts(agent):
-    """An agent's facts, as JSON values."""
-    held, now, runners = session_of(agent), now_ms(agent), agent.runners
-    resting = [i for i, load in agent.loads.items() if i in runners and load.resting_until_ms > now]
-    return common_facts(agent.endpoint, now - agent.extras.get("started_ms", now), agent.counts) | {
-        "sequencer": held.sequencer,
-        "lease_left_ms": max(0, held.until_ms - now),
-        "epoch": held.epoch,
+    """Facts of an agent, as JSON values."""
+    session, now, runners = session_of(agent), now_ms(agent), agent.runners
+    resting_runners = [
+        runner_id for runner_id, load in agent.loads.items() if runner_id in runners and load.resting_until_ms > now
+    ]
+    return common_facts(agent.endpoint, now - agent.attachments.get("started_ms", now), agent.counts) | {
+        "sequencer": session.sequencer,
+        "lease_left_ms": max(0, session.until_ms - now),
+        "epoch": session.epoch,
         "routing": {
-            "held": held.routing_version,
-            "known": held.latest_routing_version,
-            "honoured": held.honoured_version,
+            "held": session.routing_version,
+            "known": session.latest_routing_version,
+            "honoured": session.honoured_version,
         },
-        "voters": list(held.voters),
+        "voters": list(session.voters),
         "ring": sorted(agent.directory),
         "charter": list(agent.bootstrap_voters),
-        "open_asks": 0 if agent.operations is None else len(agent.operations.open),
-        "flights": agent.flights,
+        "open_asks": 0 if agent.operations is None else len(agent.operations.pending),
+        "flights": agent.requests_in_flight,
         "calls": agent.calls,
-        "leaving": agent.leaving,
+        "leaving": agent.draining,
         "runners": {
             "known": len(runners),
             "draining": sum(r.draining for r in runners.values()),
-            "resting": len(resting),
+            "resting": len(resting_runners),
         },
         "list": {
             "wanted": agent.settings.front is not None,
@@ -105,10 +111,10 @@
 
 
 def replica_facts(replica):
-    """A replica's facts, as JSON values; fewer before it has begun."""
+    """Facts of a replica, as JSON values; fewer before its core has started."""
     ctx = replica.ctx
     facts = common_facts(ctx.endpoint, clock_ms(ctx) - ctx.started_ms, ctx.counts) | {
-        "charter_waiting": replica.waiting,
+        "charter_waiting": replica.awaiting_bootstrap,
         "charter": list(replica.bootstrap_voters),
         "tolerated": replica.settings.tolerated,
         "disk_unwell": bool(ctx.disk.unhealthy),
@@ -123,11 +129,15 @@
 
 
 def core_facts(ctx, sessions):
-    """Facts of the protocol, the ledger and the agents' sessions."""
+    """Facts of the protocol, the ledger and the agent sessions."""
     synchrony, ledger, now = ctx.core.synchrony, ctx.core.ledger, clock_ms(ctx)
-    program_ledger, id = ledger.program_ledger, synchrony.configuration.id
+    program_ledger, configuration_id = ledger.program_ledger, synchrony.configuration.id
     return {
-        "configuration": {"epoch": id.epoch, "proposer": id.proposer, "boot": id.incarnation},
+        "configuration": {
+            "epoch": configuration_id.epoch,
+            "proposer": configuration_id.proposer,
+            "boot": configuration_id.incarnation,
+        },
         "members": member_names(synchrony.configuration),
         "sequencer": sequencer_of(synchrony),
         "sequencing": agent_sessions.is_sequencer(ctx),
@@ -153,10 +163,10 @@
         "ring_counts": dict(synchrony.counts),
         "leaves": {
             name: {
-                "address": seen.address.removeprefix("@"),
-                "version": seen.version,
-                "lease_left_ms": seen.until_ms - now if seen.until_ms else None,
+                "address": agent_session.address.removeprefix("@"),
+                "version": agent_session.routing_version,
+                "lease_left_ms": agent_session.until_ms - now if agent_session.until_ms else None,
             }
-            for name, seen in sessions.agents.items()
+            for name, agent_session in sessions.agents.items()
         },
     }
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -94,7 +94,9 @@
     present = member_names(ctx.core.synchrony.configuration)
     others = [replica_view(ctx, changes, n, settings.regions) for n in present if n not in changes.voters]
     absence_limits = AbsenceLimits(settings.catch_up_ms // REPLACE_DIVISOR, settings.catch_up_ms)
-    return next_voters(voters, others, settings.tolerance, absence_limits, ctx.core.ledger.rules >= VOTER_EXCHANGE_RULES)
+    return next_voters(
+        voters, others, settings.tolerance, absence_limits, ctx.core.ledger.rules >= VOTER_EXCHANGE_RULES
+    )
 
 
 def remaining_members(ctx):
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -92,7 +92,7 @@
         request.setResponseCode(self.status)
         for name, value in self.headers:
             request.responseHeaders.addRawHeader(name, value)
-        if self.agent.leaving:
+        if self.agent.draining:
             close_after(request)
         held, self.held = self.held, b""
         request.write(held)
@@ -174,7 +174,7 @@
         headers, retry_ms = [(b"Content-Type", b"application/json")], retry_ms_of(failure)
         if retry_ms is not None:
             headers.append((b"Retry-After", b"%g" % (retry_ms / 1000)))
-        close = self.agent.leaving or isinstance(failure, failures.Leaving)
+        close = self.agent.draining or isinstance(failure, failures.Leaving)
         reply(self.request, STATUS.get(type(failure), 502), json.encode(failure), headers, close)
 
     def gone(self):
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -67,11 +67,11 @@
 
 def agent_of(agent):
     """The HTTP client of the list, which keeps one connection open; made at first use."""
-    http_agent = agent.extras.get("list_agent")
+    http_agent = agent.attachments.get("list_agent")
     if http_agent is None:
         pool = HTTPConnectionPool(agent.reactor, persistent=True)
         pool.maxPersistentPerHost, pool.cachedConnectionTimeout = 1, KEPT_S
-        http_agent = agent.extras["list_agent"] = Agent(agent.reactor, connectTimeout=PAGE_S, pool=pool)
+        http_agent = agent.attachments["list_agent"] = Agent(agent.reactor, connectTimeout=PAGE_S, pool=pool)
     return http_agent
 
 
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -79,7 +79,7 @@
     from .listening import make_front
 
     start_logging()
-    return run_daemon(result.ok, make_front(path, role), started=start_collecting)
+    return run_daemon(result.ok, make_front(path, role), on_started=start_collecting)
 
 
 if __name__ == "__main__":
--- a/frostpost/platform/readiness.py
+++ b/frostpost/platform/readiness.py
@@ -13,7 +13,7 @@
     from frostpost.cluster.list_reading import NEVER_MS
 
     return (
-        not agent.leaving
+        not agent.draining
         and agent.routing is not None
         and agent.runner_list.last.read_ms != NEVER_MS
         and bool(holds_lease(agent))
--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -49,13 +49,13 @@
 
 def by_service(agent):
     """Runners of each service; agent.runners is replaced as a whole, never changed in place."""
-    held = agent.extras.get("by_service")
+    held = agent.attachments.get("by_service")
     if held is None or held[0] is not agent.runners:
         index = {}
         for runner in agent.runners.values():
             if not runner.draining:
                 index.setdefault(runner.service, []).append(runner)
-        held = agent.extras["by_service"] = (agent.runners, index)
+        held = agent.attachments["by_service"] = (agent.runners, index)
     return held[1]
 
 
@@ -109,13 +109,13 @@
 
 def place(agent, route, service, tried, salt, until_ms):
     """A runner with room, at once or inside the time; requests of a higher rank come first."""
-    queue = agent.extras.setdefault("queues", {}).setdefault(service.name, [])
+    queue = agent.attachments.setdefault("queues", {}).setdefault(service.name, [])
     if not queue:
         runner = pick(agent, service, tried, salt)
         if runner is not None or until_ms <= now_ms(agent):
             return succeed(runner)
         agent.reactor.callLater(TICK_S, serve_queue, agent, service, queue)
-    number = agent.extras["waiter"] = agent.extras.get("waiter", 0) + 1
+    number = agent.attachments["waiter"] = agent.attachments.get("waiter", 0) + 1
     waiter = Waiter(route.rank, number, until_ms, tuple(tried), salt, Deferred())
     queue.append(waiter)
     return waiter.placed
--- a/frostpost/proxy/routing.py
+++ b/frostpost/proxy/routing.py
@@ -13,9 +13,9 @@
 
 def current_index(agent):
     """The index of the routing in force."""
-    held = agent.extras.get("route_index")
+    held = agent.attachments.get("route_index")
     if held is None or held[0] is not agent.routing:
-        held = agent.extras["route_index"] = (agent.routing, build_index(agent.routing))
+        held = agent.attachments["route_index"] = (agent.routing, build_index(agent.routing))
     return held[1]
 
 
--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -102,7 +102,7 @@
         self._cancel()
         self.started_ms, self.reading, self.changed = now_ms(self.agent), True, False
         sweep(self.agent)
-        maybeDeferred(self.agent.extras["fetch_list"]).addCallbacks(self._fetched, self._failed)
+        maybeDeferred(self.agent.attachments["fetch_list"]).addCallbacks(self._fetched, self._failed)
 
     def turn_period_ms(self):
         """What the next lease request asks for: the period of the fleet's turns, 0 while this agent can take none."""
@@ -179,6 +179,10 @@
     """Read the list again and again; returns what stops it."""
     poller, listed = ListPoller(agent), agent.runner_list
     listed.on_draining = lambda names: on_draining(agent, names)
-    listed.on_newest, listed.on_turn, listed.turn_period_ms = poller.on_newest, poller.on_turn, poller.turn_period_ms
+    listed.on_newest_reading, listed.on_poll_granted, listed.poll_period_ms = (
+        poller.on_newest,
+        poller.on_turn,
+        poller.turn_period_ms,
+    )
     poller.fetch()
     return poller.stop
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -4,7 +4,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.agent_context import count, now_ms
-from frostpost.cluster.lease_waiters import lease_gone_since_ms, may_serve, wait_for_lease
+from frostpost.cluster.lease_waiters import lease_lost_at_ms, may_serve, wait_for_lease
 
 from .decision_record import RequestObserver
 from .failures import BadRequest, Leaving, NoRoute, Overloaded, Unavailable
@@ -31,7 +31,7 @@
 
 def takes_no_more(agent):
     """Whether this daemon is leaving and has stopped taking requests."""
-    return agent.leaving and bool(agent.extras.get("last_call"))
+    return agent.draining and bool(agent.attachments.get("last_call"))
 
 
 def route_of(agent, call):
@@ -77,7 +77,7 @@
     """Wait until this daemon may serve, as long as the call may be held for that."""
     now = now_ms(agent)
     left_ms = deadline_of(call, route_of(agent, call)) - now
-    until_ms = lease_hold_until_ms(now, left_ms, lease_gone_since_ms(agent), agent.settings.lease_ms)
+    until_ms = lease_hold_until_ms(now, left_ms, lease_lost_at_ms(agent), agent.settings.lease_ms)
     yield wait_for_lease(agent, until_ms)
     call.delays.lease_ms = now_ms(agent) - now
 
@@ -88,7 +88,7 @@
     count(agent, "requests")
     observer = RequestObserver(agent, call, sink)
     sink = observer.observed_sink()
-    agent.flights += 1
+    agent.requests_in_flight += 1
     try:
         watch = Watch(sink)
         if not may_serve(agent) and not takes_no_more(agent):
@@ -100,4 +100,4 @@
         observer.route = route.name
         yield WAYS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watch)
     finally:
-        agent.flights -= 1
+        agent.requests_in_flight -= 1
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -57,9 +57,9 @@
 
 def client_of(agent):
     """Return an agent's puts and fetches; made at first use."""
-    if not isinstance(agent.putting, BodyClient):
-        agent.putting = BodyClient()
-    return agent.putting
+    if not isinstance(agent.body_client, BodyClient):
+        agent.body_client = BodyClient()
+    return agent.body_client
 
 
 def put(agent, turn, data, wait_ms):
--- a/tests/fleet_simulator/works.py
+++ b/tests/fleet_simulator/works.py
@@ -23,7 +23,7 @@
 
 def roll_edge(world, random):
     """SIGTERM, and a start after the end."""
-    edges = [d for d in world.of("edge") if d.host.alive and d.owner is not None and not d.owner.leaving]
+    edges = [d for d in world.of("edge") if d.host.alive and d.owner is not None and not d.owner.draining]
     if not edges:
         return
     daemon = random.choice(edges)
--- a/tests/test_cluster_replica_daemon.py
+++ b/tests/test_cluster_replica_daemon.py
@@ -18,22 +18,22 @@
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 from frostpost.write_ahead_log import log as write_ahead_logs
 
-CHARTER = ("s1", "s2", "s3")
-MEMORY = ConfigurationRecord(ConfigurationId(4, "s2", 1), 0, CHARTER)
+VOTERS = ("s1", "s2", "s3")
+CONFIGURATION_RECORD = ConfigurationRecord(ConfigurationId(4, "s2", 1), 0, VOTERS)
 
 
-def new_house(monkeypatch, records=(), first_start=True):
+def new_replica(monkeypatch, records=(), first_start=True):
     clock, out, drive = Clock(), [], drives.Drive(Random(7), {}, {}, {})
     machine = Machine(
         seconds=clock.seconds, in_thread=Threads().run, token=lambda size: "0a" * size, files=drives.files_of(drive)
     )
-    monkeypatch.setattr(replica_daemon, "listen", lambda ctx, hear: succeed(None))
+    monkeypatch.setattr(replica_daemon, "listen", lambda ctx, on_frame: succeed(None))
     monkeypatch.setattr(replica_daemon, "make_links", lambda ctx: lambda to, body: out.append((to, body)))
-    opened = replica_daemon.store.open_store
+    open_store = replica_daemon.store.open_store
     monkeypatch.setattr(
         replica_daemon.store,
         "open_store",
-        lambda data, machine, **named: opened(data, machine, files_of(drive), **named),
+        lambda data, machine, **options: open_store(data, machine, files_of(drive), **options),
     )
     if records:
         write_ahead_log, _, _ = disks.open_log("/data", machine.files)
@@ -44,51 +44,53 @@
     return replica, out, stopped
 
 
-def hear(replica, body, name="c1", role="core"):
+def receive(replica, body, name="c1", role="core"):
     replica_daemon.on_frame(replica, Frame(1, endpoint_of(name, role), "", body))
 
 
-def hellos(out):
+def directory_requests(out):
     return [to for to, body in out if isinstance(body, DirectoryRequest)]
 
 
-@pytest.mark.parametrize("records, first_start", [((MEMORY,), True), ((MEMORY,), False), ((), False)])
-def test_begins_at_once_with_a_memory_or_at_a_later_start(monkeypatch, records, first_start):
-    replica, out, _ = new_house(monkeypatch, records, first_start)
+@pytest.mark.parametrize(
+    "records, first_start", [((CONFIGURATION_RECORD,), True), ((CONFIGURATION_RECORD,), False), ((), False)]
+)
+def test_the_core_starts_at_once_with_a_stored_log_or_at_a_later_start(monkeypatch, records, first_start):
+    replica, out, _ = new_replica(monkeypatch, records, first_start)
     replica_daemon.start(replica)
-    assert not replica.waiting and replica.ctx.core.synchrony.bootstrap_voters == ()
-    assert replica.ctx.core.synchrony.log.voters == (CHARTER if records else ())
+    assert not replica.awaiting_bootstrap and replica.ctx.core.synchrony.bootstrap_voters == ()
+    assert replica.ctx.core.synchrony.log.voters == (VOTERS if records else ())
     replica.reactor.advance(0.15)
-    assert hellos(out) == []
+    assert directory_requests(out) == []
 
 
 @pytest.mark.parametrize("records", [(), (PromiseRecord(5, 1),)])
-def test_waits_for_the_charter_at_a_first_start_without_a_memory(monkeypatch, records):
-    replica, out, stopped = new_house(monkeypatch, records)
+def test_the_core_awaits_the_bootstrap_record_at_a_first_start_without_a_stored_log(monkeypatch, records):
+    replica, out, stopped = new_replica(monkeypatch, records)
     replica_daemon.start(replica)
-    assert replica.waiting and replica.ctx.core is None
+    assert replica.awaiting_bootstrap and replica.ctx.core is None
     replica.reactor.advance(0.1)
-    assert hellos(out) == ["@h:7", "@h:8"]
-    hear(replica, DirectoryReply((endpoint_of("s2"),), ()))
-    hear(replica, DiscoveryUpdate((), False), "s2", "storage")
-    hear(replica, LeaseRequest(0, 0), "e1", "edge")
-    assert replica.waiting and replica.ctx.core is None and stopped == []
-    hear(replica, DirectoryReply((), CHARTER))
+    assert directory_requests(out) == ["@h:7", "@h:8"]
+    receive(replica, DirectoryReply((endpoint_of("s2"),), ()))
+    receive(replica, DiscoveryUpdate((), False), "s2", "storage")
+    receive(replica, LeaseRequest(0, 0), "e1", "edge")
+    assert replica.awaiting_bootstrap and replica.ctx.core is None and stopped == []
+    receive(replica, DirectoryReply((), VOTERS))
     assert (
-        not replica.waiting
-        and replica.ctx.core.synchrony.bootstrap_voters == CHARTER
-        and replica.bootstrap_voters == CHARTER
+        not replica.awaiting_bootstrap
+        and replica.ctx.core.synchrony.bootstrap_voters == VOTERS
+        and replica.bootstrap_voters == VOTERS
     )
     out.clear()
     replica.reactor.advance(0.1)
-    assert hellos(out) == []
+    assert directory_requests(out) == []
 
 
-def test_charter_heard_later_changes_nothing(monkeypatch):
-    replica, _, _ = new_house(monkeypatch, first_start=False)
+def test_a_later_bootstrap_record_changes_nothing(monkeypatch):
+    replica, _, _ = new_replica(monkeypatch, first_start=False)
     replica_daemon.start(replica)
     core = replica.ctx.core
-    hear(replica, DirectoryReply((), CHARTER))
+    receive(replica, DirectoryReply((), VOTERS))
     assert (
         replica.bootstrap_voters == ()
         and core.synchrony.bootstrap_voters == ()
@@ -96,18 +98,18 @@
     )
 
 
-def test_ring_runs_on_for_a_while_without_a_peer_and_grants_nothing(monkeypatch):
-    replica, out, stopped = new_house(monkeypatch)
+def test_a_replica_without_peers_keeps_running_and_grants_no_lease(monkeypatch):
+    replica, out, stopped = new_replica(monkeypatch)
     replica_daemon.start(replica)
-    hear(replica, DirectoryReply((endpoint_of("s2", port=9),), CHARTER))
+    receive(replica, DirectoryReply((endpoint_of("s2", port=9),), VOTERS))
     for _ in range(100):
         replica.reactor.advance(0.05)
-    hear(replica, LeaseRequest(77, 0), "e1", "edge")
+    receive(replica, LeaseRequest(77, 0), "e1", "edge")
     assert stopped == [] and (out[-1][1].sent_ms, out[-1][1].lease_ms) == (77, 0)
 
 
-def test_sequencer_that_opens_greets_each_leaf_it_knows_once_a_configuration(monkeypatch):
-    replica, out, _ = new_house(monkeypatch, (MEMORY,))
+def test_a_new_leader_announces_itself_to_each_known_agent_once_per_configuration(monkeypatch):
+    replica, out, _ = new_replica(monkeypatch, (CONFIGURATION_RECORD,))
     replica_daemon.start(replica)
     replica.agent_addresses.addresses = ("h:21",)
     replica.sessions.agents["e2"] = agent_sessions.AgentSession("@h:22", 1, 0, 0)
@@ -116,12 +118,12 @@
     monkeypatch.setattr(agent_sessions, "is_sequencer", lambda ctx: True)
     for _ in range(5):
         replica.reactor.advance(0.03)
-    greeted = [(to, [p.member.name for p in body.endpoints]) for to, body in out if isinstance(body, DirectoryReply)]
-    assert greeted == [("@h:21", ["s1"]), ("@h:22", ["s1"])]
+    announced = [(to, [p.member.name for p in body.endpoints]) for to, body in out if isinstance(body, DirectoryReply)]
+    assert announced == [("@h:21", ["s1"]), ("@h:22", ["s1"])]
 
 
-def test_leaves_heard_of_late_are_kept_on_disk_and_old_ones_forgotten(monkeypatch):
-    replica, _, _ = new_house(monkeypatch, (MEMORY,))
+def test_agents_with_running_leases_are_stored_and_expired_sessions_removed(monkeypatch):
+    replica, _, _ = new_replica(monkeypatch, (CONFIGURATION_RECORD,))
     replica_daemon.start(replica)
     now = replica_daemon.clock_ms(replica.ctx)
     replica.sessions.agents = {
@@ -129,18 +131,18 @@
         "e2": agent_sessions.AgentSession("@h:22", 1, 0, now),
     }
     replica.reactor.advance(1.1)
-    assert replica_daemon.address_book.open_address_book("/data", replica.machine, "leaves").addresses == ("h:21",)
-    agent_sessions.forget_lapsed(replica.sessions, now + agent_sessions.SESSION_RETENTION_MS + 1)
+    assert replica_daemon.address_store.open_address_store("/data", replica.machine, "leaves").addresses == ("h:21",)
+    agent_sessions.remove_expired_sessions(replica.sessions, now + agent_sessions.SESSION_RETENTION_MS + 1)
     assert list(replica.sessions.agents) == ["e1"]
 
 
-def test_settings_read_again_bring_new_seeds_to_a_running_storage_daemon(monkeypatch):
+def test_reloaded_settings_add_seeds_to_a_running_storage_daemon(monkeypatch):
     from types import SimpleNamespace
 
     from expression import Ok
     from msgspec import structs
 
-    replica, _, _ = new_house(monkeypatch, (MEMORY,))
+    replica, _, _ = new_replica(monkeypatch, (CONFIGURATION_RECORD,))
     replica_daemon.start(replica)
     settings = structs.replace(replica.settings, seeds=("h:9",))
     assembly.reload_settings(replica, SimpleNamespace(reread=lambda: Ok(settings)))
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -9,7 +9,7 @@
 import disk_model as model
 import pytest
 
-from frostpost.cluster import address_book, assembly, bootstrap, replica_daemon
+from frostpost.cluster import address_store, assembly, bootstrap, replica_daemon
 from frostpost.daemon import disk as keepers
 from frostpost.daemon import log_compaction as rewritings
 from frostpost.daemon.context import TestHooks
@@ -90,7 +90,7 @@
 def read_charter(disk):
     files = model.files_of(disk)
     agent = SimpleNamespace(
-        settings=SimpleNamespace(data=FOLDER), machine=SimpleNamespace(files=files), bootstrap_voters=(), extras={}
+        settings=SimpleNamespace(data=FOLDER), machine=SimpleNamespace(files=files), bootstrap_voters=(), attachments={}
     )
     bootstrap.open_bootstrap(agent)
     return agent
@@ -98,7 +98,7 @@
 
 def check_charter(disk, notes):
     agent = read_charter(disk)
-    assert "founding" in agent.extras
+    assert "founding" in agent.attachments
     assert agent.bootstrap_voters in ((), notes.tried.get("charter", ()))
     assert agent.bootstrap_voters == notes.lasting.get("charter", agent.bootstrap_voters)
 
@@ -116,20 +116,20 @@
     data[offset] ^= 0x5A
     inode.durable, inode.pending = bytes(data), []
     agent = read_charter(disk)
-    assert agent.bootstrap_voters == ("s1", "s2", "s3") or "founding" not in agent.extras
+    assert agent.bootstrap_voters == ("s1", "s2", "s3") or "founding" not in agent.attachments
 
 
 def keep_addresses(disk, notes):
     machine = SimpleNamespace(files=model.files_of(disk))
-    held = address_book.open_address_book(FOLDER, machine)
+    held = address_store.open_address_store(FOLDER, machine)
     for addresses in (["h:1"], ["h:1", "h:2"], ["h:2", "h:3"]):
         notes.tried[len(notes.tried)] = tuple(addresses)
-        logs.rewrite(held.write_ahead_log, [address_book.msgpack.encode(addresses)])
+        logs.rewrite(held.write_ahead_log, [address_store.msgpack.encode(addresses)])
         notes.lasting = {"addresses": tuple(addresses)}
 
 
 def check_addresses(disk, notes):
-    held = address_book.open_address_book(FOLDER, SimpleNamespace(files=model.files_of(disk)))
+    held = address_store.open_address_store(FOLDER, SimpleNamespace(files=model.files_of(disk)))
     after = list(notes.tried.values())
     lasting = notes.lasting.get("addresses", ())
     assert held.addresses in after[after.index(lasting) if lasting else 0 :] + ([] if lasting else [()])
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -4,17 +4,17 @@
 from types import SimpleNamespace
 
 import pytest
-from fleet_simulator import stage as plays
+from fleet_simulator import stage as stages
 from fleet_simulator import world as worlds
 from msgspec import json
 from test_cluster_lease_client import endpoint_of, new_agent, sent
-from test_cluster_replica_daemon import hellos, new_house
+from test_cluster_replica_daemon import directory_requests, new_replica
 from twisted.internet.task import Clock
 
 from frostpost.admin import arguments, commands, inner
 from frostpost.admin import fleet as fleets
 from frostpost.admin.remedies import findings_of
-from frostpost.cluster import agent as assembly
+from frostpost.cluster import agent as agents
 from frostpost.cluster import operation_client, replica_daemon, status
 from frostpost.command import main
 from frostpost.program_ledger.messages import EndAttempt
@@ -30,7 +30,7 @@
 from frostpost.virtual_synchrony.messages import DiscoveryUpdate
 
 OPERATOR = Endpoint(Member("operator", 1), "operator", "", "o", 9, 0)
-ASK = Frame(FRAME_VERSION, OPERATOR, "", StatusRequest())
+STATUS_FRAME = Frame(FRAME_VERSION, OPERATOR, "", StatusRequest())
 
 
 @pytest.fixture
@@ -41,68 +41,72 @@
 
 
 def facts_of(replies):
-    ((to, tell),) = replies
+    ((to, reply),) = replies
     replies.clear()
     assert to == "@o:9"
-    return json.decode(tell.status_json)
+    return json.decode(reply.status_json)
 
 
-def test_messages_survive_the_wire():
+def test_status_messages_are_decoded_as_encoded():
     for body in (StatusRequest(), StatusReply(b"{}")):
         assert inner.decode(inner.encode(Frame(FRAME_VERSION, OPERATOR, "", body))).body == body
 
 
-def test_leaf_tells_its_facts(replies):
+def test_an_agent_replies_with_its_facts(replies):
     clock = Clock()
     agent = new_agent(clock)
     status.begin_status(agent)
     clock.advance(2)
-    assembly.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
+    agents.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
     operation_client.submit_until_decided(agent, EndAttempt("a", 3))
     agent.runners = {"r": SimpleNamespace(draining=True)}
     agent.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
-    assembly.on_frame(agent, ASK)
+    agents.on_frame(agent, STATUS_FRAME)
     facts = facts_of(replies)
     assert (facts["name"], facts["role"], facts["uptime_ms"], facts["lease_left_ms"]) == ("e1", "edge", 2000, 0)
     assert (facts["ring"], facts["open_asks"]) == (["s1"], 1)
     assert facts["runners"] == {"known": 1, "draining": 1, "resting": 1}
 
 
-def test_a_leaf_keeps_nothing_of_an_operator(replies):
+def test_an_agent_does_not_record_an_operator(replies):
     agent = new_agent(Clock())
     for body in (DirectoryRequest(), DiscoveryUpdate((endpoint_of("s9"),), False), LeaseRequest(0, 0)):
-        assembly.on_frame(agent, Frame(FRAME_VERSION, OPERATOR, "", body))
+        agents.on_frame(agent, Frame(FRAME_VERSION, OPERATOR, "", body))
     assert replies == [("@o:9", DirectoryReply((), ()))] and sent(agent) == []
-    assert agent.extras.get("askers") is None and not agent.directory
+    assert agent.attachments.get("askers") is None and not agent.directory
 
 
-def test_a_leaf_still_notes_a_leaf_that_asks():
+def test_an_agent_records_an_agent_that_requests_the_directory():
     agent = new_agent(Clock())
-    assembly.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("e2", "edge"), "", DirectoryRequest()))
-    assert set(agent.extras["askers"]) == {"e2"}
+    agents.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("e2", "edge"), "", DirectoryRequest()))
+    assert set(agent.attachments["askers"]) == {"e2"}
 
 
-def test_a_ring_daemon_answers_before_and_after_it_has_its_charter(monkeypatch, replies):
-    replica, out, _ = new_house(monkeypatch)
+def test_a_replica_answers_before_and_after_it_has_the_bootstrap_record(monkeypatch, replies):
+    replica, out, _ = new_replica(monkeypatch)
     replica_daemon.start(replica)
-    replica_daemon.on_frame(replica, ASK)
+    replica_daemon.on_frame(replica, STATUS_FRAME)
     facts = facts_of(replies)
     assert facts["charter_waiting"] and facts["tolerated"] == 1 and "configuration" not in facts
     replica_daemon.on_frame(
         replica, Frame(FRAME_VERSION, endpoint_of("c1", "core"), "", DirectoryReply((), ("s1", "s2", "s3")))
     )
-    replica_daemon.on_frame(replica, ASK)
+    replica_daemon.on_frame(replica, STATUS_FRAME)
     facts = facts_of(replies)
     assert facts["members"] == ["s1"] and not facts["primary_opened"] and facts["voters"] == ["s1", "s2", "s3"]
     out.clear()
     replica_daemon.on_frame(replica, Frame(FRAME_VERSION, OPERATOR, "", DirectoryRequest()))
     replica_daemon.on_frame(replica, Frame(FRAME_VERSION, OPERATOR, "", LeaseRequest(0, 0)))
     assert replies == [("@o:9", DirectoryReply((replica.ctx.endpoint,)))]
-    assert not replica.sessions.agents and "operator" not in replica.ctx.core.synchrony.peers and hellos(out) == []
+    assert (
+        not replica.sessions.agents
+        and "operator" not in replica.ctx.core.synchrony.peers
+        and directory_requests(out) == []
+    )
 
 
-def asker(world, replies):
-    """Asks daemons of a simulated deployment; those that are dead don't answer."""
+def simulated_ask(world, replies):
+    """Returns a stand-in for `inner.ask` on a simulated deployment; dead daemons do not reply."""
 
     def ask(addresses, body, kind):
         answers = {}
@@ -113,11 +117,13 @@
                 or not daemon.host.alive
             ):
                 continue
-            receive = replica_daemon.on_frame if daemon.role == "storage" else assembly.on_frame
+            receive = replica_daemon.on_frame if daemon.role == "storage" else agents.on_frame
             receive(daemon.owner, Frame(FRAME_VERSION, OPERATOR, "", body))
-            place = daemon.owner.ctx.endpoint if daemon.role == "storage" else daemon.owner.endpoint
+            endpoint = daemon.owner.ctx.endpoint if daemon.role == "storage" else daemon.owner.endpoint
             answers |= {
-                f"{daemon.host.address}:{worlds.INNER}": (place, told) for _, told in replies if isinstance(told, kind)
+                f"{daemon.host.address}:{worlds.INNER}": (endpoint, reply)
+                for _, reply in replies
+                if isinstance(reply, kind)
             }
             replies.clear()
         return answers
@@ -130,30 +136,30 @@
     world = worlds.make(4)
     for daemon in list(world.daemons.values()):
         worlds.start(world, daemon)
-    assert plays.await_(world, plays.operator_of(world, "a").found(), 40000) == 200
-    assert plays.settle(world, 15000) >= 0
+    assert stages.await_(world, stages.operator_of(world, "a").found(), 40000) == 200
+    assert stages.settle(world, 15000) >= 0
     return world
 
 
-def looked(world, replies):
+def gather_findings(world, replies):
     seeds = [f"{d.host.address}:{worlds.INNER}" for d in world.of("core")]
-    fleet = fleets.gather(seeds, asker(world, replies))
+    fleet = fleets.gather(seeds, simulated_ask(world, replies))
     return fleet, findings_of(fleet, fleets.chief_of(fleet))
 
 
-def test_a_whole_deployment_is_found_and_in_order_until_a_voter_dies(world, replies):
-    fleet, findings = looked(world, replies)
+def test_a_deployment_has_no_findings_until_a_voter_dies(world, replies):
+    fleet, findings = gather_findings(world, replies)
     assert findings == []
     assert set(fleet.ring) == {d.name for d in world.of("storage")}
     assert set(fleet.agents) == {d.name for d in world.of("core", "edge")}
     text = fleets.text_of(fleet)
     assert all(name in text for name in world.daemons) and "sequencer" in text
-    chief = fleets.chief_of(fleet)["name"]
-    killed, agent = next(d for d in world.of("storage") if d.name != chief), world.of("edge")[0]
+    sequencer_name = fleets.chief_of(fleet)["name"]
+    killed, agent = next(d for d in world.of("storage") if d.name != sequencer_name), world.of("edge")[0]
     for daemon in (killed, agent):
         worlds.kill(world, daemon)
     world.run(world.now_ms() + 3000)
-    fleet, findings = looked(world, replies)
+    fleet, findings = gather_findings(world, replies)
     assert {(f.problem, f.where) for f in findings} == {
         ("VoterAway", killed.name),
         ("Silent", killed.name),
@@ -163,7 +169,7 @@
     assert f"{killed.name} at {killed.host.address}:{worlds.INNER}: no answer" in fleets.text_of(fleet)
 
 
-def chief(**changes):
+def sequencer_facts(**changes):
     return {
         "name": "s1",
         "zone": "a",
@@ -193,63 +199,70 @@
     } | changes
 
 
-def fleet_of(first, agent=None, others=(), zones="abc"):
-    daemons = {"s1": first} | {n: chief(name=n, sequencing=False) for n in ("s2", "s3")} | dict(others)
+def fleet_of(sequencer, agent=None, others=(), zones="abc"):
+    daemons = {"s1": sequencer} | {n: sequencer_facts(name=n, sequencing=False) for n in ("s2", "s3")} | dict(others)
     return fleets.Fleet(
         ring=daemons, agents={"e1": agent or agent_facts()}, zones=dict(zip(("s1", "s2", "s3"), zones, strict=True))
     )
 
 
 RETIRING = {"retiring": {"s3": "in_service"}}
-FOUR = {"voters": ["s1", "s2", "s3", "s4"], "members": ["s1", "s2", "s3", "s4"]}
-LACKING = chief(name="s2", sequencing=False, turn_store={"bodies": 0, "missing": 2, "bytes": 0, "lost": False})
-ELSEWHERE = chief(name="s2", sequencing=False, configuration={"epoch": 4, "proposer": "s2", "boot": 1})
+FOUR_VOTERS = {"voters": ["s1", "s2", "s3", "s4"], "members": ["s1", "s2", "s3", "s4"]}
+WITH_MISSING_BODIES = sequencer_facts(
+    name="s2", sequencing=False, turn_store={"bodies": 0, "missing": 2, "bytes": 0, "lost": False}
+)
+IN_OTHER_CONFIGURATION = sequencer_facts(
+    name="s2", sequencing=False, configuration={"epoch": 4, "proposer": "s2", "boot": 1}
+)
 
 
 @pytest.mark.parametrize(
-    "fleet,faults",
+    "fleet,problems",
     [
-        (fleet_of(chief()), set()),
-        (fleet_of(chief(sequencing=False)), {("NoPrimary", "s1, s2, s3")}),
-        (fleet_of(chief(charter_waiting=True)), {("CharterWaiting", "s1")}),
-        (fleet_of(chief(members=["s1", "s2"])), {("VoterAway", "s3")}),
-        (fleet_of(chief(**FOUR)), {("EvenVoters", "s1, s2, s3, s4")}),
-        (fleet_of(chief(tolerated=2)), {("FewVoters", "s1, s2, s3")}),
-        (fleet_of(chief(), zones="aab"), {("ZoneMajority", "a")}),
-        (fleet_of(chief(), zones="aaa"), set()),
-        (fleet_of(chief(disk_unwell=True)), {("DiskUnwell", "s1")}),
-        (fleet_of(chief(), others={"s2": LACKING}), {("BodiesMissing", "s2")}),
-        (fleet_of(chief(), others={"s2": ELSEWHERE}), {("Split", "2 in 3 by s1, 1 in 4 by s2")}),
-        (fleet_of(chief(**RETIRING)), {("RetiringStuck", "s3")}),
-        (fleet_of(chief(tolerated=0, **RETIRING)), set()),
+        (fleet_of(sequencer_facts()), set()),
+        (fleet_of(sequencer_facts(sequencing=False)), {("NoPrimary", "s1, s2, s3")}),
+        (fleet_of(sequencer_facts(charter_waiting=True)), {("CharterWaiting", "s1")}),
+        (fleet_of(sequencer_facts(members=["s1", "s2"])), {("VoterAway", "s3")}),
+        (fleet_of(sequencer_facts(**FOUR_VOTERS)), {("EvenVoters", "s1, s2, s3, s4")}),
+        (fleet_of(sequencer_facts(tolerated=2)), {("FewVoters", "s1, s2, s3")}),
+        (fleet_of(sequencer_facts(), zones="aab"), {("ZoneMajority", "a")}),
+        (fleet_of(sequencer_facts(), zones="aaa"), set()),
+        (fleet_of(sequencer_facts(disk_unwell=True)), {("DiskUnwell", "s1")}),
+        (fleet_of(sequencer_facts(), others={"s2": WITH_MISSING_BODIES}), {("BodiesMissing", "s2")}),
+        (fleet_of(sequencer_facts(), others={"s2": IN_OTHER_CONFIGURATION}), {("Split", "2 in 3 by s1, 1 in 4 by s2")}),
+        (fleet_of(sequencer_facts(**RETIRING)), {("RetiringStuck", "s3")}),
+        (fleet_of(sequencer_facts(tolerated=0, **RETIRING)), set()),
         (
-            fleet_of(chief(tolerated=0, **RETIRING), others={"s2": LACKING}),
+            fleet_of(sequencer_facts(tolerated=0, **RETIRING), others={"s2": WITH_MISSING_BODIES}),
             {("RetiringStuck", "s3"), ("BodiesMissing", "s2")},
         ),
-        (fleet_of(chief(retiring={"s3": "completed"})), {("RetiredStays", "s3")}),
-        (fleet_of(chief(), agent_facts(lease_left_ms=0)), {("NoLease", "e1")}),
-        (fleet_of(chief(), agent_facts(routing={"held": 6, "known": 7, "honoured": 6})), {("RoutingLag", "e1")}),
+        (fleet_of(sequencer_facts(retiring={"s3": "completed"})), {("RetiredStays", "s3")}),
+        (fleet_of(sequencer_facts(), agent_facts(lease_left_ms=0)), {("NoLease", "e1")}),
+        (
+            fleet_of(sequencer_facts(), agent_facts(routing={"held": 6, "known": 7, "honoured": 6})),
+            {("RoutingLag", "e1")},
+        ),
         (
-            fleet_of(chief(), agent_facts(list={"wanted": True, "address": "", "fetched": False})),
+            fleet_of(sequencer_facts(), agent_facts(list={"wanted": True, "address": "", "fetched": False})),
             {("ListNeverFetched", "e1")},
         ),
-        (fleet_of(chief(), agent_facts(list={"wanted": False, "address": "", "fetched": False})), set()),
+        (fleet_of(sequencer_facts(), agent_facts(list={"wanted": False, "address": "", "fetched": False})), set()),
     ],
 )
-def test_each_fault_is_found_alone(fleet, faults):
-    found = findings_of(fleet, fleets.chief_of(fleet))
-    assert {(f.problem, f.where) for f in found} == faults and all(f.cause and f.remedy for f in found)
+def test_each_problem_is_the_only_finding(fleet, problems):
+    findings = findings_of(fleet, fleets.chief_of(fleet))
+    assert {(f.problem, f.where) for f in findings} == problems and all(f.cause and f.remedy for f in findings)
 
 
-def test_frames_that_come_in_pieces_are_read_once_whole():
-    data = inner.encode(ASK)
+def test_a_frame_is_decoded_once_all_its_bytes_have_arrived():
+    data = inner.encode(STATUS_FRAME)
     buffer = bytearray(struct.pack("!I", len(data)) + data + b"\0")
-    assert list(inner.frames_of(buffer)) == [ASK] and buffer == b"\0"
+    assert list(inner.frames_of(buffer)) == [STATUS_FRAME] and buffer == b"\0"
     with pytest.raises(ValueError):
         list(inner.frames_of(bytearray(b"\xff\xff\xff\xff")))
 
 
-def test_a_daemon_answers_to_the_port_that_the_command_listens_on():
+def test_a_daemon_replies_to_the_port_on_which_the_command_listens():
     daemon = socket.create_server(("127.0.0.1", 0))
     port = daemon.getsockname()[1]
 
@@ -257,22 +270,22 @@
         connection, _ = daemon.accept()
         with connection, connection.makefile("rb") as file:
             frame = inner.decode(file.read(struct.unpack("!I", file.read(4))[0]))
-        place = Endpoint(Member("c1", 1), "core", "z", "127.0.0.1", port, 0)
-        data = inner.encode(Frame(FRAME_VERSION, place, "", StatusReply(b"{}")))
-        with socket.create_connection((frame.endpoint.host, frame.endpoint.port), 2) as back:
-            back.sendall(struct.pack("!I", len(data)) + data)
+        endpoint = Endpoint(Member("c1", 1), "core", "z", "127.0.0.1", port, 0)
+        data = inner.encode(Frame(FRAME_VERSION, endpoint, "", StatusReply(b"{}")))
+        with socket.create_connection((frame.endpoint.host, frame.endpoint.port), 2) as reply_connection:
+            reply_connection.sendall(struct.pack("!I", len(data)) + data)
 
     thread = Thread(target=serve, daemon=True)
     thread.start()
     answers = inner.ask({f"127.0.0.1:{port}", "127.0.0.1:1"}, StatusRequest(), StatusReply)
     thread.join(2)
     daemon.close()
-    assert {address: told.status_json for address, (_, told) in answers.items()} == {f"127.0.0.1:{port}": b"{}"}
+    assert {address: reply.status_json for address, (_, reply) in answers.items()} == {f"127.0.0.1:{port}": b"{}"}
 
 
-def test_several_seeds_are_taken(monkeypatch):
-    seen = []
+def test_several_seed_options_are_accepted(monkeypatch):
+    parsed = []
     monkeypatch.setattr("sys.argv", ["frostpost", "admin", "fleet", "--seed", "a:1", "--seed", "b:2", "--doctor"])
-    monkeypatch.setitem(commands.ACTIONS, arguments.Fleet, lambda command, _: seen.append(command))
+    monkeypatch.setitem(commands.ACTIONS, arguments.Fleet, lambda command, _: parsed.append(command))
     main()
-    assert (seen[0].seed, seen[0].doctor) == (["a:1", "b:2"], True)
+    assert (parsed[0].seed, parsed[0].doctor) == (["a:1", "b:2"], True)
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -182,7 +182,7 @@
 def test_answers_of_a_leaving_daemon_end_their_connection():
     fleet = Fleet()
     _, sink = fleet.ask()
-    fleet.agent.leaving = True
+    fleet.agent.draining = True
     sink.head(200, [])
     sink.end()
     assert b"Connection: close\r\n" in fleet.said() and fleet.transport.disconnecting
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -54,10 +54,10 @@
     assert (
         kinds(s.seen) == [failures.Overloaded]
         and s.asked[-1] == ReleaseOperationKey("h|k", "a1")
-        and s.agent.flights == 1
+        and s.agent.requests_in_flight == 1
     )
     s.verdicts[ReleaseOperationKey].callback(Ok(AttemptEnded()))
-    assert s.agent.flights == 0 and len(s.seen) == 1
+    assert s.agent.requests_in_flight == 0 and len(s.seen) == 1
 
 
 @pytest.mark.parametrize("kind, operation", [("idempotent", ResolveOperationKey), ("streaming", EndAttempt)])
--- a/tests/test_proxy_lookup.py
+++ b/tests/test_proxy_lookup.py
@@ -154,10 +154,10 @@
     s.lease = False
     s.serve(host="other")
     s.reactor.advance(2)
-    s.agent.leaving = True
+    s.agent.draining = True
     s.serve(started_ms=2000, deadline_ms=6000)
     s.reactor.advance(2)
-    s.agent.extras["last_call"] = True
+    s.agent.attachments["last_call"] = True
     s.serve()
     assert [type(x) for x in s.seen] == [
         failures.NoRoute,
--- a/tests/test_proxy_runner_discovery.py
+++ b/tests/test_proxy_runner_discovery.py
@@ -27,16 +27,16 @@
     )
     place = Endpoint(Member("e1", 1), "edge", "z", "h", 1, 0)
     agent = AgentContext(settings, clock, place, Machine(seconds=clock.seconds, token=lambda _: "ffff"))
-    agent.links["send"] = lambda to, body: agent.extras.setdefault("sent", []).append(body)
-    agent.directory, agent.extras["reads"] = {}, []
+    agent.links["send"] = lambda to, body: agent.attachments.setdefault("sent", []).append(body)
+    agent.directory, agent.attachments["reads"] = {}, []
     session_of(agent).sequencer = "s1"
     agent.directory = {"s1": Endpoint(Member("s1", 1), "storage", "z", "h", 2, 0)}
 
     def fetch():
-        agent.extras["reads"].append(clock.seconds())
+        agent.attachments["reads"].append(clock.seconds())
         return lists()
 
-    agent.extras["fetch_list"] = fetch
+    agent.attachments["fetch_list"] = fetch
     return agent, clock
 
 
@@ -46,7 +46,7 @@
     agent.runner_list.on_draining(("r1", "unknown"))
     assert agent.runners["r1"].draining and not agent.runners["r2"].draining
     clock.advance(3)
-    assert len(agent.extras["reads"]) > 1 and agent.runners["r1"].draining
+    assert len(agent.attachments["reads"]) > 1 and agent.runners["r1"].draining
     clock.advance(20)
     clock.advance(3)
     assert not agent.runners["r1"].draining
@@ -58,10 +58,10 @@
     agent, clock = a_leaf(lambda: succeed(shown[-1]))
     stop = runner_discovery.poll(agent)
     agent.runner_list.on_draining(("r2",))
-    assert agent.extras.get("sent", []) == []
+    assert agent.attachments.get("sent", []) == []
     shown.append([a_runner("r1", draining=True), a_runner("r2")])
-    agent.runner_list.on_turn()
-    assert [m.draining for m in agent.extras["sent"]] == [("r1",)]
+    agent.runner_list.on_poll_granted()
+    assert [m.draining for m in agent.attachments["sent"]] == [("r1",)]
     stop()
 
 
@@ -89,7 +89,7 @@
     stop = runner_discovery.poll(agent)
     for _ in range(200):
         clock.advance(0.05)
-    reads = agent.extras["reads"]
+    reads = agent.attachments["reads"]
     assert max(b - a for a, b in pairwise(reads)) <= 1.55
     stop()
 
@@ -108,7 +108,7 @@
     agent, clock = a_leaf(lambda: succeed(shown[-1]), list_rate_per_s=440.0)
     session_of(agent).agent_count = 60
     stop = runner_discovery.poll(agent)
-    assert len(agent.extras["reads"]) == 1
+    assert len(agent.attachments["reads"]) == 1
     return agent, clock, stop
 
 
@@ -116,34 +116,34 @@
     shown = [[a_runner("r1")]]
     agent, clock, stop = a_shared_leaf(shown)
     clock.advance(4)
-    assert len(agent.extras["reads"]) == 1
+    assert len(agent.attachments["reads"]) == 1
     shown.append([a_runner("r1"), a_runner("r2")])
-    agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), 3900))
+    agent.runner_list.on_newest_reading(ListReading(digest_of(["r1", "r2"]), 3900))
     clock.advance(0.5)
-    assert len(agent.extras["reads"]) == 2 and set(agent.runners) == {"r1", "r2"}
-    agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), 4600))
+    assert len(agent.attachments["reads"]) == 2 and set(agent.runners) == {"r1", "r2"}
+    agent.runner_list.on_newest_reading(ListReading(digest_of(["r1", "r2"]), 4600))
     clock.advance(2)
-    assert len(agent.extras["reads"]) == 2
+    assert len(agent.attachments["reads"]) == 2
     stop()
 
 
 def test_an_older_reading_or_the_same_list_makes_nobody_read():
     agent, clock, stop = a_shared_leaf([[a_runner("r1")]])
     clock.advance(4)
-    agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), -100))
-    agent.runner_list.on_newest(ListReading(digest_of(["r1"]), 3900))
-    agent.runner_list.on_newest(ListReading())
+    agent.runner_list.on_newest_reading(ListReading(digest_of(["r1", "r2"]), -100))
+    agent.runner_list.on_newest_reading(ListReading(digest_of(["r1"]), 3900))
+    agent.runner_list.on_newest_reading(ListReading())
     clock.advance(2)
-    assert len(agent.extras["reads"]) == 1
+    assert len(agent.attachments["reads"]) == 1
     stop()
 
 
 def test_a_list_that_changes_all_the_time_is_read_no_more_often_than_alone():
     agent, clock, stop = a_shared_leaf([[a_runner("r1")]])
     for n in range(100):
-        agent.runner_list.on_newest(ListReading(n, int(clock.seconds() * 1000)))
+        agent.runner_list.on_newest_reading(ListReading(n, int(clock.seconds() * 1000)))
         clock.advance(0.1)
-    assert min(b - a for a, b in pairwise(agent.extras["reads"])) >= 2.4
+    assert min(b - a for a, b in pairwise(agent.attachments["reads"])) >= 2.4
     stop()
 
 
@@ -151,15 +151,15 @@
     results = [succeed([a_runner("r1")])]
     agent, clock = a_leaf(lambda: results[-1], list_rate_per_s=440.0)
     stop = runner_discovery.poll(agent)
-    assert agent.runner_list.turn_period_ms() == 300
+    assert agent.runner_list.poll_period_ms() == 300
     results.append(Deferred())
     clock.advance(0.1)
-    agent.runner_list.on_turn()
-    assert len(agent.extras["reads"]) == 2 and agent.runner_list.turn_period_ms() == 0
-    agent.runner_list.on_turn()
-    assert len(agent.extras["reads"]) == 2
+    agent.runner_list.on_poll_granted()
+    assert len(agent.attachments["reads"]) == 2 and agent.runner_list.poll_period_ms() == 0
+    agent.runner_list.on_poll_granted()
+    assert len(agent.attachments["reads"]) == 2
     results[-1].callback([a_runner("r1"), a_runner("r2")])
-    assert set(agent.runners) == {"r1", "r2"} and agent.runner_list.turn_period_ms() == 300
+    assert set(agent.runners) == {"r1", "r2"} and agent.runner_list.poll_period_ms() == 300
     stop()
 
 
@@ -167,21 +167,21 @@
     results = [fail(OSError())]
     agent, clock = a_leaf(lambda: results[-1])
     stop = runner_discovery.poll(agent)
-    assert agent.runner_list.turn_period_ms() == 0
-    agent.runner_list.on_turn()
-    assert len(agent.extras["reads"]) == 1
+    assert agent.runner_list.poll_period_ms() == 0
+    agent.runner_list.on_poll_granted()
+    assert len(agent.attachments["reads"]) == 1
     results.append(succeed([a_runner("r1")]))
     clock.advance(1.3)
-    assert len(agent.extras["reads"]) == 2 and agent.runner_list.turn_period_ms() == 300
+    assert len(agent.attachments["reads"]) == 2 and agent.runner_list.poll_period_ms() == 300
     stop()
 
 
 def test_newer_readings_of_the_same_list_put_off_an_agents_own():
     agent, clock, stop = a_shared_leaf([[a_runner("r1")]])
     for _ in range(300):
-        agent.runner_list.on_newest(ListReading(digest_of(["r1"]), int(clock.seconds() * 1000)))
+        agent.runner_list.on_newest_reading(ListReading(digest_of(["r1"]), int(clock.seconds() * 1000)))
         clock.advance(0.1)
-    assert len(agent.extras["reads"]) == 1
+    assert len(agent.attachments["reads"]) == 1
     clock.advance(1.5 + 60 * 0.3)
-    assert len(agent.extras["reads"]) == 2
+    assert len(agent.attachments["reads"]) == 2
     stop()
--- a/tests/test_proxy_waiting.py
+++ b/tests/test_proxy_waiting.py
@@ -42,10 +42,10 @@
     s.lease = False
     s.serve()
     s.reactor.advance(0.5)
-    assert s.seen == [] and s.reactor.tcpClients == [] and s.agent.flights == 1
+    assert s.seen == [] and s.reactor.tcpClients == [] and s.agent.requests_in_flight == 1
     lease_returns(s)
     s.connect().dataReceived(answer_bytes())
-    assert s.seen == [("head", 200), ("data", b"out"), "end"] and s.agent.flights == 0
+    assert s.seen == [("head", 200), ("data", b"out"), "end"] and s.agent.requests_in_flight == 0
     assert s.reactor.getDelayedCalls() == []
 
 
@@ -56,7 +56,7 @@
     s.reactor.advance(0.39)
     assert s.seen == []
     s.reactor.advance(0.02)
-    assert s.seen == [failures.Unavailable(700, "lease")] and s.agent.flights == 0
+    assert s.seen == [failures.Unavailable(700, "lease")] and s.agent.requests_in_flight == 0
     lease_returns(s)
     assert len(s.seen) == 1 and s.reactor.tcpClients == []
 
@@ -72,8 +72,8 @@
 
 def test_a_daemon_that_is_leaving_for_good_holds_nothing(monkeypatch):
     s = stage(monkeypatch)
-    s.lease, s.agent.leaving = False, True
-    s.agent.extras["last_call"] = True
+    s.lease, s.agent.draining = False, True
+    s.agent.attachments["last_call"] = True
     s.serve()
     assert s.seen == [failures.Leaving()]
 
@@ -84,16 +84,16 @@
     s.serve()
     s.gone()
     lease_returns(s)
-    assert s.seen == [] and s.reactor.tcpClients == [] and s.agent.flights == 0
+    assert s.seen == [] and s.reactor.tcpClients == [] and s.agent.requests_in_flight == 0
 
 
 def test_no_more_requests_wait_for_a_lease_than_are_allowed(monkeypatch):
     s = stage(monkeypatch)
     s.lease = False
-    monkeypatch.setattr(lease_waiters, "MOST_LEASE_WAITERS", 2)
+    monkeypatch.setattr(lease_waiters, "MAX_LEASE_WAITERS", 2)
     for _ in range(3):
         s.serve()
-    assert s.seen == [failures.Unavailable(700, "lease")] and s.agent.flights == 2
+    assert s.seen == [failures.Unavailable(700, "lease")] and s.agent.requests_in_flight == 2
 
 
 def test_those_who_wait_for_a_lease_go_on_in_the_order_in_which_they_came(monkeypatch):
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -4,7 +4,7 @@
 
 import pytest
 from msgspec import Raw, msgpack
-from test_cluster_replica_daemon import MEMORY, new_house
+from test_cluster_replica_daemon import CONFIGURATION_RECORD, new_replica
 
 from frostpost.cluster import replica_daemon
 from frostpost.daemon import event_loop, snapshotting
@@ -68,7 +68,7 @@
 
 
 def test_other_events_run_between_slices(monkeypatch):
-    replica, _, _ = new_house(monkeypatch, (MEMORY,))
+    replica, _, _ = new_replica(monkeypatch, (CONFIGURATION_RECORD,))
     replica_daemon.start(replica)
     ctx, slices = replica.ctx, []
     received = SnapshotReceived(ctx.core.synchrony.configuration.id, 1, b"", "")
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -24,16 +24,18 @@
 def agent(monkeypatch):
     clock = Clock()
     made = AgentContext(SimpleNamespace(), clock, SimpleNamespace(member=Member("e", 9)), machine_of(clock))
-    made.extras = {"ring": dict(RING), "voters": tuple(RING), "sent": [], "lease": True}
-    made.links["send"] = lambda to, body: made.extras["sent"].append((to, body))
-    monkeypatch.setattr(client.lease_client, "replica_addresses", lambda agent: agent.extras["ring"], raising=False)
-    monkeypatch.setattr(client.lease_client, "voters_of", lambda agent: agent.extras["voters"], raising=False)
-    monkeypatch.setattr(client.lease_client, "holds_lease", lambda agent: agent.extras["lease"], raising=False)
+    made.attachments = {"ring": dict(RING), "voters": tuple(RING), "sent": [], "lease": True}
+    made.links["send"] = lambda to, body: made.attachments["sent"].append((to, body))
+    monkeypatch.setattr(
+        client.lease_client, "replica_addresses", lambda agent: agent.attachments["ring"], raising=False
+    )
+    monkeypatch.setattr(client.lease_client, "voters_of", lambda agent: agent.attachments["voters"], raising=False)
+    monkeypatch.setattr(client.lease_client, "holds_lease", lambda agent: agent.attachments["lease"], raising=False)
     return made
 
 
 def taken(agent):
-    sent, agent.extras["sent"] = agent.extras["sent"], []
+    sent, agent.attachments["sent"] = agent.attachments["sent"], []
     return sent
 
 
@@ -50,7 +52,7 @@
 def test_put_is_ok_once_a_majority_of_the_voters_has_synced(agent):
     seen = outcome(client.put(agent, "t", b"body", 2000))
     assert [(to, type(b)) for to, b in taken(agent)] == [(to, PutBodyRequest) for to in RING.values()]
-    agent.extras["ring"]["other"] = "@other:1"
+    agent.attachments["ring"]["other"] = "@other:1"
     for name, boot, synced in (("s0", 9, True), ("s0", 9, True), ("other", 9, True), ("s1", 8, True), ("s1", 9, False)):
         assert client.on_reply(agent, name, PutBodyReply(boot, 1, synced))
         assert seen == []
@@ -62,19 +64,19 @@
 
 def test_put_counts_the_voters_of_a_running_lease_only(agent):
     seen = outcome(client.put(agent, "t", b"body", 2000))
-    agent.extras["lease"] = False
+    agent.attachments["lease"] = False
     for name in ("s0", "s1"):
         client.on_reply(agent, name, PutBodyReply(9, 1, True))
     client.recount_holders(agent)
     assert seen == []
-    agent.extras.update(lease=True, voters=("s1", "s2", "s3"))
+    agent.attachments.update(lease=True, voters=("s1", "s2", "s3"))
     client.recount_holders(agent)
     assert seen == []
-    agent.extras["voters"] = ("s0", "s1", "s3")
+    agent.attachments["voters"] = ("s0", "s1", "s3")
     client.recount_holders(agent)
     assert seen == [Ok(client.Synced(frozenset({"s0", "s1"})))]
     assert client.is_durable_at(agent, {"s0", "s1"}) and not client.is_durable_at(agent, {"s0", "s2"})
-    agent.extras["lease"] = False
+    agent.attachments["lease"] = False
     assert not client.is_durable_at(agent, {"s0", "s1"})
 
 
@@ -90,7 +92,7 @@
 
 
 def test_without_voters_no_put_is_ok(agent):
-    agent.extras["voters"] = ()
+    agent.attachments["voters"] = ()
     seen = outcome(client.put(agent, "t", b"body", 1000))
     client.on_reply(agent, "s0", PutBodyReply(9, 1, True))
     assert seen == []
