--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -241,7 +241,7 @@
 
 
 def drain_without_vote(replica, until_ms):
-    """Wait until this replica is no voter, but not past `until_ms`, then leave and end."""
+    """Wait, up to `until_ms`, while this replica is a voter that the others can do without; then leave and end."""
     if clock_ms(replica.ctx) < until_ms and voter_reconfiguration.is_dispensable_voter(replica.ctx, replica.settings):
         replica.reactor.callLater(VOTE_CHECK_INTERVAL_S, drain_without_vote, replica, until_ms)
         return
