--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -170,7 +170,9 @@
             port.stopListening()
         if agent.front is not None:
             agent.front.close_idle()
-        return poll_until(agent, lambda: agent.requests_in_flight == 0 and agent.calls == 0, int(grace_ms * 0.55))
+        return poll_until(
+            agent, lambda: agent.requests_in_flight == 0 and agent.open_requests == 0, int(grace_ms * 0.55)
+        )
 
     def on_drained(_):
         log_event("left", flights=agent.requests_in_flight)
--- a/frostpost/cluster/agent_context.py
+++ b/frostpost/cluster/agent_context.py
@@ -33,12 +33,12 @@
         "counts",
         "draining",
         "requests_in_flight",
-        "calls",
+        "open_requests",
         "hooks",
         "operations",
         "tasks",
         "bootstrap_voters",
-        "process",
+        "lifecycle",
         "front",
         "lag_ms",
         "components",
@@ -55,10 +55,10 @@
         self.links, self.directory, self.session, self.bootstrap_voters = {}, None, None, ()
         self.routing, self.routing_body, self.runners, self.wire = None, b"", {}, None
         self.pools, self.loads, self.cache, self.body_client, self.counts = {}, {}, None, {}, {}
-        self.draining, self.requests_in_flight, self.calls, self.tasks = False, 0, 0, []
+        self.draining, self.requests_in_flight, self.open_requests, self.tasks = False, 0, 0, []
         self.hooks, self.operations, self.ticker, self.sent_directories = TestHooks(), None, None, {}
         self.lease_waiters, self.slot_overheads, self.runner_list = [], {}, RunnerListState()
-        self.process, self.front, self.lag_ms, self.components, self.attachments = None, None, 0.0, {}, {}
+        self.lifecycle, self.front, self.lag_ms, self.components, self.attachments = None, None, 0.0, {}, {}
 
 
 def now_ms(agent):
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -95,7 +95,7 @@
         "charter": list(agent.bootstrap_voters),
         "open_asks": 0 if agent.operations is None else len(agent.operations.pending),
         "flights": agent.requests_in_flight,
-        "calls": agent.calls,
+        "calls": agent.open_requests,
         "leaving": agent.draining,
         "runners": {
             "known": len(runners),
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -59,7 +59,7 @@
         self.begun = self.over = False
         self.held, self.flushing, self.length = b"", None, None
         self.gone_ = self.paused = self.resumed = None
-        agent.calls += 1
+        agent.open_requests += 1
         request.on_over = self.ended
 
     def sink(self):
@@ -76,7 +76,7 @@
         )
 
     def ended(self, lost):
-        self.agent.calls -= 1
+        self.agent.open_requests -= 1
         seen, self.over = self.over, True
         self.stop_flushing()
         if lost and not seen and self.gone_ is not None:
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -92,19 +92,19 @@
 def test_what_cannot_be_read_is_a_bad_request(head):
     fleet = Fleet()
     fleet.ask(head + b"\r\n")
-    assert fleet.calls == [] and fleet.said().startswith(b"HTTP/1.1 400 ") and fleet.agent.calls == 0
+    assert fleet.calls == [] and fleet.said().startswith(b"HTTP/1.1 400 ") and fleet.agent.open_requests == 0
 
 
 def test_a_whole_answer_has_a_length_and_only_the_headers_given():
     fleet = Fleet()
     _, sink = fleet.ask()
-    assert fleet.agent.calls == 1
+    assert fleet.agent.open_requests == 1
     sink.head(200, [(b"X-Odd", b"1"), (b"X-Odd", b"2")])
     sink.data(b"ab")
     sink.data(b"c")
     sink.end()
     assert fleet.said() == b"HTTP/1.1 200 OK\r\nX-Odd: 1\r\nX-Odd: 2\r\nContent-Length: 3\r\n\r\nabc"
-    assert fleet.agent.calls == 0 and not fleet.transport.disconnecting
+    assert fleet.agent.open_requests == 0 and not fleet.transport.disconnecting
     assert len(fleet.calls) == 1 and fleet.ask() and len(fleet.calls) == 2
 
 
@@ -176,7 +176,7 @@
     other = Fleet()
     other.server.handle = front.handler(other.agent, lambda *_: 1 / 0)
     other.ask()
-    assert other.said().startswith(b"HTTP/1.1 502 ") and other.agent.calls == 0
+    assert other.said().startswith(b"HTTP/1.1 502 ") and other.agent.open_requests == 0
 
 
 def test_answers_of_a_leaving_daemon_end_their_connection():
@@ -197,7 +197,7 @@
     fleet.channel.pauseProducing()
     fleet.channel.resumeProducing()
     fleet.channel.connectionLost(SimpleNamespace(value=None))
-    assert seen == ["pause", "resume", "gone"] and sink.gone() and fleet.agent.calls == 0
+    assert seen == ["pause", "resume", "gone"] and sink.gone() and fleet.agent.open_requests == 0
     sink.head(200, [])
     sink.data(b"x")
     sink.end()
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -44,7 +44,7 @@
     _, sink = fleet.ask()
     sink.head(200, [])
     sink.end()
-    assert fleet.said().startswith(b"HTTP/1.1 200") and fleet.agent.calls == 0
+    assert fleet.said().startswith(b"HTTP/1.1 200") and fleet.agent.open_requests == 0
     assert [line[:3] for line in lines] == [("trace", "a1", "taken"), ("trace", "a1", "answered")][: 2 * trace]
     assert not trace or (lines[1][3]["status"], lines[1][3]["lost"]) == (200, False)
 
