--- a/frostpost/proxy/attempts.py
+++ b/frostpost/proxy/attempts.py
@@ -1,7 +1,7 @@
-"""How many runners one try of a client may be offered to, and how many of them may begin to run it.
+"""Bounds on how many runners a request may be sent to and how many of them may start executing it.
 
-A route's `attempts` bounds the runners that may run one try. A runner that promises not to have run it does not count
-toward that bound, so the try may be offered to another one; the offers as a whole are bounded too.
+A route's `attempts` bounds the number of executions. A runner that reports that it did not execute the request does not
+count as an execution, so the request may be sent to another runner; the total number of sends is bounded as well.
 """
 
 from msgspec import Struct
@@ -13,10 +13,10 @@
 
 
 class Attempts(Struct):
-    """The runners that one try was handed to so far.
+    """The sends made so far for one request.
 
-    most_runs: how many runners may begin to run it. most_offers: how many may be sent it, refusals included.
-    picked: ids of the runners chosen, those that it never reached included, in order.
+    max_runs: bound on the runners that may start executing it. max_offers: bound on the runners it may be sent to,
+    including those that refuse it. picked: ids of the selected runners in order, including those never reached.
     """
 
     most_runs: int
@@ -27,7 +27,7 @@
 
 
 def attempts_for(route, repeatable):
-    """Attempts of a new try: what is not repeatable runs at most once, whatever the route allows."""
+    """Create the counters for a request; one that is not repeatable is executed at most once on any route."""
     allowed = max(route.attempts, 1)
     if repeatable:
         return Attempts(allowed, max(allowed, LEAST_OFFERS_REPEATABLE))
@@ -35,14 +35,14 @@
 
 
 def may_offer(attempts):
-    """Whether the try may be handed to one more runner."""
+    """Return whether the request may be sent to one more runner."""
     if attempts.runs >= attempts.most_runs or attempts.offers >= attempts.most_offers:
         return False
     return len(attempts.picked) < 2 * attempts.most_offers + SPARE_PICKS
 
 
 def record(attempts, outcome):
-    """Count how a send ended; after anything but a promise the runner may have begun to run it."""
+    """Count a finished send; any outcome but NotSent and NotRun may have been executed."""
     if isinstance(outcome, NotSent):
         return
     attempts.offers += 1
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a runner: one exchange at a time, dropped at the first doubt."""
+"""An HTTP/1.1 connection to a runner: one exchange at a time, aborted on any protocol violation."""
 
 import socket
 
@@ -11,16 +11,15 @@
 
 
 class Connection(Protocol):
-    """A connection to one runner, in the pool that opened it."""
+    """A pooled connection to one runner."""
 
     def __init__(self, pool):
-        """Belong to a pool; nothing is under way yet."""
         self.pool, self.parser, self.exchange, self.drainer = pool, None, None, None
         self.lost, self.dirty, self.close, self.exchanges = False, False, False, 0
         self.keep_ms, self.idle_until_ms = 0, 0
 
     def connectionMade(self):
-        """Set short bounds on silence of the network."""
+        """Enable TCP_NODELAY, keep-alive and TCP_USER_TIMEOUT, so that a dead peer is detected soon."""
         try:
             self.transport.setTcpNoDelay(True)
             self.transport.setTcpKeepAlive(True)
@@ -29,7 +28,7 @@
             pass
 
     def stale(self):
-        """Closed, or bytes came that nobody asked for."""
+        """Return whether the connection is closed or has unsolicited bytes to read."""
         if self.lost or self.dirty or self.close:
             return True
         try:
@@ -43,14 +42,14 @@
         return True
 
     def start(self, exchange, data, bodyless):
-        """Write a request and read its answer for the exchange."""
+        """Write a request and pass its response to the exchange."""
         self.exchange, self.exchanges = exchange, self.exchanges + 1
         self.parser = ResponseParser(bodyless, self._head, self._data, self._whole)
         self.parser.makeConnection(self.transport)
         self.transport.write(data)
 
     def dataReceived(self, data):
-        """Read an answer; bytes that nobody asked for end the connection."""
+        """Parse response bytes; abort the connection if no request is outstanding or the bytes are malformed."""
         if self.parser is None:
             return self.drop()
         try:
@@ -59,36 +58,36 @@
             self._broken(str(error))
 
     def connectionLost(self, reason):
-        """Tell the exchange that it broke off, and the pool."""
+        """Fail the current exchange and remove the connection from the pool."""
         self.lost = True
         self._broken(reason.type.__name__)
         self.pool.closed(self)
 
     def drop(self):
-        """Close at once and never use it again."""
+        """Abort the connection and mark it unusable."""
         self.dirty, self.exchange, self.parser = True, None, None
         self._stop_draining()
         if not self.lost:
             self.transport.abortConnection()
 
     def detach(self):
-        """The exchange is over; read its body to the end, for a moment, to keep the connection."""
+        """Detach the exchange and drain its response for up to DRAIN_S, so that the connection can be reused."""
         self.exchange = None
         if self.drainer is None and self.parser is not None:
             self.drainer = self.pool.agent.reactor.callLater(DRAIN_S, self.drop)
 
     def pause(self):
-        """Read no more for now."""
+        """Stop reading from the transport."""
         if not self.lost:
             self.transport.pauseProducing()
 
     def resume(self):
-        """Read on."""
+        """Resume reading from the transport."""
         if not self.lost and not self.dirty:
             self.transport.resumeProducing()
 
     def learn(self, head):
-        """What an answer's head tells of the connection itself."""
+        """Record the `Connection` and `Keep-Alive` settings of a response head."""
         self.close = self.close or head.close
         if head.keep_ms > 0:
             self.keep_ms = head.keep_ms
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One request to one runner and what was heard of its answer."""
+"""One HTTP request to one runner: feeds connection events to the state machine in `exchange_state`."""
 
 from frostpost.cluster.agent_context import now_ms
 
@@ -40,41 +40,44 @@
 
 
 class Exchange:
-    """The shell of `sending`: one request, its connection, and the listener that is told.
+    """Drives the state machine of one request and executes its actions on the connection and the listener.
 
-    listener: head(RunnerHead), data(bytes), done(outcome); done comes once and last, unless the request is given up.
+    listener: head(RunnerHead), data(bytes), done(outcome). done() is called exactly once and last, unless the exchange
+    is stopped.
     """
 
     __slots__ = ("body", "call", "connection", "head", "agent", "listener", "runner", "state", "until_ms")
 
     def __init__(self, agent, runner, call, body, until_ms, listener):
-        """Wait for a connection to the runner, until until_ms."""
         self.agent, self.runner, self.call, self.body = agent, runner, call, body
         self.until_ms, self.listener = until_ms, listener
         self.connection, self.head, self.state = None, None, QUEUED
 
     @property
     def over(self):
-        """Whether it has ended, in whatever way."""
+        """Whether the exchange has ended."""
         return isinstance(self.state, Ended)
 
     def stop(self):
-        """Give it up without a word to the listener; True if the runner may have begun to run it."""
+        """Cancel the exchange without notifying the listener.
+
+        Returns True if the runner may have started to execute the request.
+        """
         self.feed(GIVEN_UP)
         return may_have_run(self.state)
 
     def pause(self):
-        """Read no more of the answer for now."""
+        """Stop reading the response."""
         if not self.over and self.connection is not None:
             self.connection.pause()
 
     def resume(self):
-        """Read on."""
+        """Resume reading the response."""
         if not self.over and self.connection is not None:
             self.connection.resume()
 
     def write_to(self, connection):
-        """Write the request."""
+        """Write the request to a connection."""
         left_ms = self.until_ms - now_ms(self.agent)
         data = request_bytes(self.agent.wire, self.runner, self.call, self.body, left_ms)
         self.connection = connection
@@ -82,29 +85,29 @@
         connection.start(self, data, self.call.method == b"HEAD")
 
     def not_sent(self, why):
-        """Nothing of it was or will be written."""
+        """End the exchange without having written the request."""
         self.feed(NotWritten(why))
 
     def heard_head(self, status, fields):
-        """The head of an answer came on its connection."""
+        """Handle a response head."""
         head = self.head = self.agent.wire.read_head(status, fields)
         self.connection.learn(head)
         self.feed(HeadRead(head))
 
     def heard_data(self, data):
-        """A piece of the answer's body came."""
+        """Handle a piece of the response body."""
         self.feed(DataRead(data))
 
     def heard_whole(self):
-        """The answer's body ended as its head promised."""
+        """Handle the end of the response body."""
         self.feed(BODY_ENDED)
 
     def heard_broken(self, why):
-        """The connection ended, or what came on it is no answer."""
+        """Handle the loss of the connection or a malformed response."""
         self.feed(ConnectionFailed(why))
 
     def feed(self, heard):
-        """Take one step and do what it asks for."""
+        """Advance the state machine by one event and execute its actions."""
         self.state, actions = step(self.call, self.state, heard)
         for action in actions:
             match action:
@@ -121,7 +124,7 @@
 
 
 def request_bytes(wire, runner, call, body, left_ms):
-    """The whole request as it goes to a runner."""
+    """Serialize a request to a runner."""
     lines = [call.method + b" " + call.uri + b" HTTP/1.1", b"Host: " + call.host.encode("latin-1")]
     for name, value in wire.request_headers(call, runner, left_ms):
         if name.lower() not in HOP:
--- a/frostpost/proxy/failures.py
+++ b/frostpost/proxy/failures.py
@@ -1,41 +1,44 @@
-"""Failures of a request; `promised` means that it has not run and never will."""
+"""Failures reported to clients.
+
+`not_executed` is True for failures that guarantee that no runner executed the request or will execute it.
+"""
 
 from msgspec import Struct
 
 
 class NoRoute(Struct, frozen=True, tag="NoRoute"):
-    """No route of the host begins the path."""
+    """No route matches the host and path."""
 
     promised = True
 
 
 class BadRequest(Struct, frozen=True, tag="BadRequest"):
-    """The request cannot be read, or could be read as another."""
+    """The request is malformed or ambiguous."""
 
     why: str
     promised = True
 
 
 class UnknownTurn(Struct, frozen=True, tag="UnknownTurn"):
-    """No such turn is kept."""
+    """The referenced turn is not retained."""
 
     promised = True
 
 
 class BudgetSpent(Struct, frozen=True, tag="BudgetSpent"):
-    """The program has put out the tokens that it may."""
+    """The program has used up its token budget."""
 
     promised = True
 
 
 class AtWork(Struct, frozen=True, tag="AtWork"):
-    """The key's first request is still running, or how it ended is not known."""
+    """The first request with this idempotency key is still running, or its outcome is unknown."""
 
     promised = True
 
 
 class Unavailable(Struct, frozen=True, tag="Unavailable"):
-    """No lease, no order, or a body out of reach; come back after retry_ms."""
+    """There is no lease, no ledger decision or no turn body available; the client may retry after retry_ms."""
 
     retry_ms: int
     why: str = ""
@@ -43,26 +46,26 @@
 
 
 class Overloaded(Struct, frozen=True, tag="Overloaded"):
-    """No runner has room, or no time is left; come back after retry_ms."""
+    """No runner has a free slot, or too little time is left; the client may retry after retry_ms."""
 
     retry_ms: int
     promised = True
 
 
 class Leaving(Struct, frozen=True, tag="Leaving"):
-    """This daemon is shutting down; come back to another one."""
+    """This daemon is shutting down; the client should retry at another one."""
 
     promised = True
 
 
 class Unknown(Struct, frozen=True, tag="Unknown"):
-    """It was sent and no whole answer came: it may have run."""
+    """The request was sent but no complete response was received: it may have been executed."""
 
     why: str = ""
     promised = False
 
 
 class TimedOut(Struct, frozen=True, tag="TimedOut"):
-    """It was sent and its time passed: it may have run."""
+    """The request was sent and its deadline passed: it may have been executed."""
 
     promised = False
--- a/frostpost/proxy/outcomes.py
+++ b/frostpost/proxy/outcomes.py
@@ -1,4 +1,4 @@
-"""How one send to one runner ended."""
+"""Outcomes of sending a request to one runner."""
 
 from msgspec import Struct
 
@@ -10,23 +10,23 @@
 
 
 class NotRun(Struct, frozen=True, tag="NotRun"):
-    """The runner said that it did not run it."""
+    """The runner refused the request without executing it."""
 
     status: int
 
 
 class Broken(Struct, frozen=True, tag="Broken"):
-    """It was sent and no whole answer of its own came: it may have run."""
+    """The request was sent but no complete, valid response was received: it may have been executed."""
 
     why: str
 
 
 class Whole(Struct, frozen=True, tag="Whole"):
-    """Its answer came whole, piece by piece."""
+    """The response was received completely and streamed."""
 
 
 class Answer(Struct, frozen=True, tag="Answer"):
-    """A whole answer whose body was held back until it was whole."""
+    """A complete response with a buffered body."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -34,8 +34,8 @@
 
 
 class Late(Struct, frozen=True, tag="Late"):
-    """Its time passed after it was sent: it may have run."""
+    """The deadline passed after the request was sent: it may have been executed."""
 
 
 class ClientLeft(Struct, frozen=True, tag="ClientLeft"):
-    """The client left after it was sent: it may have run."""
+    """The client disconnected after the request was sent: it may have been executed."""
--- a/frostpost/proxy/parsing.py
+++ b/frostpost/proxy/parsing.py
@@ -1,4 +1,4 @@
-"""Reading a runner's answer: head, body and whatever comes after it."""
+"""Strict parser for runners' HTTP/1.x responses."""
 
 import re
 
@@ -13,45 +13,45 @@
 
 
 class UnreadableError(Exception):
-    """Bytes that are no proper answer."""
+    """The bytes are not a valid response."""
 
 
 class ResponseParser(HTTPParser):
-    """Tells on_head(status, headers), on_data(bytes), then on_whole(surplus bytes)."""
+    """Calls on_head(status, headers), on_data(bytes) and finally on_whole(surplus bytes)."""
 
     def __init__(self, bodyless, on_head, on_data, on_whole):
-        """bodyless: the answer has no body, whatever its head says."""
+        """bodyless: the response has no body whatever its head declares, as for HEAD."""
         self.bodyless, self.on_head, self.on_data, self.on_whole = bodyless, on_head, on_data, on_whole
         self.fields, self.status, self.minor = [], 0, 1
 
     def read(self, data):
-        """Take bytes in; raises UnreadableError where they are no proper answer."""
+        """Parse bytes; raises UnreadableError if they are not a valid response."""
         try:
             self.dataReceived(data)
         except (ParseError, _MalformedChunkedDataError, ValueError) as error:
             raise UnreadableError(type(error).__name__) from error
 
     def lineReceived(self, line):
-        """Read one line of the head."""
+        """Reject a folded line before the first header; parse any other line."""
         if self.state == HEADER and line[:1] in (b" ", b"\t") and self._partialHeader is None:
             raise ParseError("folded line before any header", line)
         super().lineReceived(line)
 
     def statusReceived(self, status):
-        """Read the status line."""
+        """Parse the status line."""
         found = STATUS_LINE.fullmatch(status)
         if found is None:
             raise ParseError("no status line", status)
         self.minor, self.status = int(found[1]), int(found[2])
 
     def headerReceived(self, name, value):
-        """Keep one field of the head."""
+        """Validate and store one header."""
         if not NAME.fullmatch(name) or b"\r" in value or b"\0" in value or len(self.fields) >= HEAD_LINES:
             raise ParseError("bad header", name)
         self.fields.append((name, value))
 
     def allHeadersReceived(self):
-        """Find where the body ends, and tell the head."""
+        """Determine the body framing and report the head."""
         if self.status == 101 or self.status < 100:
             raise ParseError("not an answer", b"%d" % self.status)
         if self.status < 200:
@@ -67,11 +67,11 @@
             return self._whole(self.clearLineBuffer())
         if codings:
             return self.switchToBodyMode(_ChunkedTransferDecoder(self.on_data, self._whole))
-        # Without a length the body ends with the connection, which proves nothing.
+        # A close-delimited body can't be told from a truncated one, so it never completes.
         return self.switchToBodyMode(_IdentityTransferDecoder(length, self.on_data, self._whole))
 
     def lineLengthExceeded(self, line):
-        """Refuse a line that is too long."""
+        """Reject an overlong line."""
         raise ParseError("line too long", b"")
 
     def _whole(self, rest):
--- a/frostpost/proxy/pool.py
+++ b/frostpost/proxy/pool.py
@@ -1,4 +1,4 @@
-"""A daemon's own connections to each runner."""
+"""Connection pools, one for each runner."""
 
 from collections import deque
 
@@ -15,22 +15,21 @@
 
 
 def setting(agent, name, otherwise):
-    """A setting that stand-ins may lack."""
+    """Return a setting, or a default if the settings object lacks it, as those of tests do."""
     return getattr(agent.settings, name, otherwise)
 
 
 class Pool:
-    """The connections of this daemon to one runner, and the exchanges that wait for one."""
+    """The connections to one runner and the exchanges waiting for one."""
 
     __slots__ = ("agent", "runner", "idle", "open", "opening", "waiting", "closing")
 
     def __init__(self, agent, runner):
-        """Open nothing yet."""
         self.agent, self.runner, self.idle, self.waiting = agent, runner, [], deque()
         self.open, self.opening, self.closing = 0, 0, False
 
     def freed(self, connection):
-        """An exchange ended well; its connection serves the next one or rests."""
+        """Return a connection to the pool after its exchange has completed."""
         if self.closing:
             connection.dirty = True
             return connection.transport.loseConnection()
@@ -46,14 +45,14 @@
             self.agent.reactor.callLater(0, self.serve_waiting)
 
     def closed(self, connection):
-        """A connection is gone."""
+        """Remove a closed connection."""
         self.open -= 1
         if connection in self.idle:
             self.idle.remove(connection)
         self.serve_waiting()
 
     def take_idle(self):
-        """A connection that rests and is good, or None."""
+        """Return a usable idle connection, or None."""
         now = now_ms(self.agent)
         while self.idle:
             connection = self.idle.pop()
@@ -63,7 +62,7 @@
         return None
 
     def serve_waiting(self):
-        """Give connections to waiting exchanges; open more where some are lacking."""
+        """Assign idle connections to waiting exchanges and open more connections if needed."""
         while self.waiting:
             if self.waiting[0].over:
                 self.waiting.popleft()
@@ -104,7 +103,7 @@
                 return exchange.not_sent("connect")
 
     def close(self):
-        """Close what is idle now and the rest as it gets free."""
+        """Close idle connections now and busy ones when their exchange completes."""
         self.closing = True
         idle, self.idle = self.idle, []
         for connection in idle:
@@ -115,14 +114,14 @@
 
 
 def most_connections(agent, runner):
-    """How many connections this daemon may hold to a runner."""
+    """Return how many connections this daemon may open to a runner."""
     service = agent.routing.services.get(runner.service) if agent.routing is not None else None
     share = setting(agent, "connection_share", 0.5)
     return max(2, int(service.max_connections * share)) if service is not None else 2
 
 
 def may_send(agent, exchange):
-    """Why nothing may be sent now, or empty."""
+    """Return the reason why the exchange may not be sent now, or an empty string."""
     runner = agent.runners.get(exchange.runner.id)
     if runner is None or runner.draining or (runner.host, runner.port) != (exchange.runner.host, exchange.runner.port):
         return "gone"
@@ -132,7 +131,7 @@
 
 
 def write(pool, exchange, connection):
-    """Write a request, if it may be sent at this moment; else it ends as not sent."""
+    """Write a request, or end it as not sent if it may no longer be sent."""
     why = may_send(pool.agent, exchange)
     if why:
         pool.freed(connection)
@@ -141,7 +140,7 @@
 
 
 def send(agent, runner, call, body, left_ms, listener):
-    """Send a call to one runner over a connection that is or gets free; see Exchange."""
+    """Send a request to a runner over a pooled connection; returns its Exchange."""
     exchange = Exchange(agent, runner, call, body, now_ms(agent) + left_ms, listener)
     pool = agent.pools.get(runner.id)
     if pool is None:
@@ -160,7 +159,7 @@
 
 
 def close_pools(agent, runner_ids):
-    """Close the connections to runners that are leaving or gone."""
+    """Close the connections to runners that are draining or gone."""
     for runner_id in runner_ids:
         pool = agent.pools.pop(runner_id, None)
         if pool is not None:
@@ -168,7 +167,7 @@
 
 
 def sweep(agent):
-    """Close connections whose time has passed."""
+    """Close idle connections that have expired."""
     now = now_ms(agent)
     for pool in agent.pools.values():
         for connection in [c for c in pool.idle if c.idle_until_ms <= now]:
--- a/frostpost/proxy/run.py
+++ b/frostpost/proxy/run.py
@@ -1,4 +1,4 @@
-"""One send of a call to one runner, until its outcome is known."""
+"""Sending a request to one runner, with deadline, flow control and client disconnects."""
 
 from twisted.internet.defer import Deferred
 
@@ -11,38 +11,38 @@
 
 
 class Watch:
-    """What the client of one call does, told to whoever serves it at the moment."""
+    """Forwards a client's disconnect and backpressure to the send that is in progress."""
 
     __slots__ = ("left", "run", "paused")
 
     def __init__(self, sink):
-        """Ask the sink to tell what its client does."""
+        """Register for the sink's notifications."""
         self.left, self.run, self.paused = bool(sink.gone()), None, False
         sink.on_gone(self.gone)
         sink.on_pause(self.pause)
         sink.on_resume(self.resume)
 
     def gone(self, *_):
-        """The client left."""
+        """Handle the client's disconnect."""
         self.left = True
         if self.run is not None:
             self.run.client_left()
 
     def pause(self, *_):
-        """The client reads too slowly for now."""
+        """Handle backpressure from the client."""
         self.paused = True
         if self.run is not None:
             self.run.pause()
 
     def resume(self, *_):
-        """The client reads on."""
+        """Handle the end of backpressure."""
         self.paused = False
         if self.run is not None:
             self.run.resume()
 
 
 class Run:
-    """A listener of one exchange. A 2xx answer goes to on_head and on_data if there are any, else it is held back."""
+    """Listener of one exchange. Streams a 2xx response to on_head and on_data if they are given; buffers any other."""
 
     __slots__ = (
         "agent",
@@ -60,13 +60,12 @@
     )
 
     def __init__(self, agent, runner, watch, on_head, on_data):
-        """Belong to one runner; nothing is sent yet."""
         self.agent, self.runner, self.watch, self.on_head, self.on_data = agent, runner, watch, on_head, on_data
         self.handle, self.timer, self.ended, self.answer_head = None, None, Deferred(), None
         self.chunks, self.size, self.streams = [], 0, False
 
     def start(self, call, body, until_ms):
-        """Send the call; the Deferred fires with its outcome."""
+        """Send the request; returns a Deferred of its outcome."""
         left_ms = until_ms - now_ms(self.agent)
         picking.sent(self.agent, self.runner)
         if self.watch is not None:
@@ -76,7 +75,7 @@
         return self.ended
 
     def head(self, head):
-        """The head of the answer came."""
+        """Handle the response head."""
         self.answer_head = head
         if self.on_head is not None and 200 <= head.status < 300:
             self.streams = True
@@ -85,7 +84,7 @@
             self.on_head(head)
 
     def data(self, data):
-        """A piece of the body came."""
+        """Handle a piece of the body."""
         if self.streams:
             return self.on_data(data)
         self.size += len(data)
@@ -94,28 +93,28 @@
             self.stop(Broken("large"), "large")
 
     def done(self, outcome):
-        """The exchange ended by itself."""
+        """Handle the end of the exchange."""
         if isinstance(outcome, Whole) and not self.streams:
             head = self.answer_head
             outcome = Answer(head.status, head.headers, b"".join(self.chunks))
         self._end(outcome)
 
     def stop(self, outcome, why):
-        """End it now; when nothing was written it counts as not sent."""
+        """Stop the send with `outcome`, or with NotSent if nothing was written."""
         if not self.ended.called:
             self._end(outcome if self.handle is not None and self.handle.stop() else NotSent(why))
 
     def client_left(self):
-        """End it since its client left."""
+        """Stop the send because its client disconnected."""
         self.stop(ClientLeft(), "left")
 
     def pause(self):
-        """Read no more of a streamed answer for now."""
+        """Stop reading a streamed response."""
         if self.streams:
             self.handle.pause()
 
     def resume(self):
-        """Read on."""
+        """Resume reading the response."""
         self.handle.resume()
 
     def _end(self, outcome):
@@ -131,5 +130,5 @@
 
 
 def run_once(agent, runner, call, body, until_ms, watch=None, on_head=None, on_data=None):
-    """Deferred outcome of sending a call to a runner."""
+    """Send a request to a runner; returns a Deferred of the outcome."""
     return Run(agent, runner, watch, on_head, on_data).start(call, body, until_ms)
--- a/frostpost/proxy/sending.py
+++ b/frostpost/proxy/sending.py
@@ -1,12 +1,12 @@
-"""What is known of one request that is being sent to one runner, as a pure state machine.
+"""Pure state machine of one request sent to one runner.
 
     Queued --Wrote--> MaybeSent --HeadRead--> Answering --BodyEnded--> Ended(Whole)
        |                  |  \\                   |
        |                  |   --refusal--> Ended(NotRun)
        --NotWritten--> Ended(NotSent)            --ConnectionFailed--> Ended(Broken)
 
-From the first byte written until a refusal is read, the runner may have begun to run the request. Only `NotSent` and
-`NotRun` say that it did not; nothing that comes after one of the ends changes it.
+From the first byte written until a refusal is read, the runner may have started to execute the request. Only `NotSent`
+and `NotRun` guarantee that it did not. `Ended` is final: later events are ignored.
 """
 
 from msgspec import Struct
@@ -19,106 +19,106 @@
 
 
 class Queued(Struct, frozen=True, tag=True):
-    """It waits for a connection; no byte of it was written."""
+    """Waiting for a connection; nothing has been written."""
 
 
 class MaybeSent(Struct, frozen=True, tag=True):
-    """It was written. fresh: its connection carried no other exchange before, so no earlier answer can come on it."""
+    """The request was written. fresh: it is the first on its connection, so no earlier response can be read."""
 
     fresh: bool
 
 
 class Answering(Struct, frozen=True, tag=True):
-    """The head of its own answer was read, and its body comes."""
+    """A valid response head was read; the body is being received."""
 
     head: RunnerHead
 
 
 class Ended(Struct, frozen=True, tag=True):
-    """outcome: None where whoever sent it gave it up. may_have_run: whether the runner may have begun to run it."""
+    """Final state. outcome: None if cancelled. may_have_run: whether the runner may have started executing."""
 
     outcome: NotSent | NotRun | Broken | Whole | None
     may_have_run: bool
 
 
 class NotWritten(Struct, frozen=True, tag=True):
-    """It may not be sent, or no connection came up."""
+    """The request may not be sent, or the connection attempt failed."""
 
     why: str
 
 
 class Wrote(Struct, frozen=True, tag=True):
-    """All of it was handed to a connection."""
+    """The whole request was handed to a connection."""
 
     fresh: bool
 
 
 class HeadRead(Struct, frozen=True, tag=True):
-    """The head of an answer was read."""
+    """A response head was read."""
 
     head: RunnerHead
 
 
 class DataRead(Struct, frozen=True, tag=True):
-    """A piece of its body was read."""
+    """A piece of the response body was read."""
 
     data: bytes
 
 
 class BodyEnded(Struct, frozen=True, tag=True):
-    """The last byte that the answer's own framing promised was read."""
+    """The last byte of the response body was read, according to its framing."""
 
 
 class ConnectionFailed(Struct, frozen=True, tag=True):
-    """A reset, a close, silence beyond bounds, or bytes that are no answer."""
+    """The connection was reset, closed or timed out, or the response is malformed."""
 
     why: str
 
 
 class GivenUp(Struct, frozen=True, tag=True):
-    """Its client left or its time passed."""
+    """The client disconnected or the deadline passed."""
 
 
 class PassHead(Struct, frozen=True, tag=True):
-    """Hand the head of the answer on."""
+    """Forward the response head."""
 
     head: RunnerHead
 
 
 class PassData(Struct, frozen=True, tag=True):
-    """Hand a piece of the answer's body on."""
+    """Forward a piece of the response body."""
 
     data: bytes
 
 
 class Finish(Struct, frozen=True, tag=True):
-    """Tell whoever sent it how it ended; once and last."""
+    """Report the outcome; the last action of an exchange."""
 
     outcome: NotSent | NotRun | Broken | Whole
 
 
 class DropConnection(Struct, frozen=True, tag=True):
-    """Close the connection now: what else comes on it belongs to nobody."""
+    """Abort the connection: nothing further read from it may be used."""
 
 
 class DrainConnection(Struct, frozen=True, tag=True):
-    """Read the rest of a refusal, so that the connection can be used again."""
+    """Read the rest of a refusal, so that the connection can be reused."""
 
 
 DROP, DRAIN = DropConnection(), DrainConnection()
 
 
 def may_have_run(state):
-    """Whether the runner may have begun to run the request."""
+    """Return whether the runner may have started to execute the request."""
     if isinstance(state, Ended):
         return state.may_have_run
     return not isinstance(state, Queued)
 
 
 def doubt(head, call, fresh):
-    """Why this head is not that of the call's own run, or empty.
+    """Return why a response head cannot be accepted for the request, or an empty string.
 
-    fresh: the connection carried nothing before, where even a refusal without the call's id can only be its own.
+    fresh: the first exchange on its connection; there a refusal without an attempt id can only belong to this request.
     """
     refused = head.not_run or head.status == MISDIRECTED
     succeeded = 200 <= head.status < 300
@@ -136,7 +136,7 @@
 
 
 def step(call, state, heard):
-    """(state, what was heard) -> (state, actions in order)."""
+    """Return the next state and the actions to execute, in order."""
     match state, heard:
         case Ended(), _:
             return state, ()
@@ -162,7 +162,7 @@
 
 
 def take_head(call, head, fresh):
-    """The first head that comes after the request was written."""
+    """Handle the first response head after the request was written."""
     why = doubt(head, call, fresh)
     if why:
         return end(Broken(why), True, DROP)
@@ -172,5 +172,5 @@
 
 
 def end(outcome, ran, *before):
-    """The end with this outcome, after the other actions."""
+    """Return the final state with `outcome`, and the preceding actions followed by Finish."""
     return Ended(outcome, ran), (*before, Finish(outcome))
