--- a/frostpost/proxy/__init__.py
+++ b/frostpost/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""A request's way: its route, a runner, the send, retries, streams, and connections to runners."""
+"""Request proxying: routing, runner selection, forwarding, retries, streaming and connection pooling."""
--- a/frostpost/proxy/decision_record.py
+++ b/frostpost/proxy/decision_record.py
@@ -1,4 +1,4 @@
-"""What is told of a request that was refused, failed or cut: who decided it, and what it had waited for."""
+"""Logging and counting of requests that were refused, failed or aborted, with the reason and the time spent waiting."""
 
 from msgspec import Struct, structs
 
@@ -7,16 +7,16 @@
 
 from .failures import AtWork, BadRequest, BudgetSpent, NoRoute
 
-# Refusals that the request itself asked for: counted, not logged.
+# Refusals caused by the request itself: counted, but not logged.
 IN_ORDER = (AtWork, BadRequest, BudgetSpent, NoRoute)
 
 
 class DecisionRecord(Struct, frozen=True):
-    """One request that was not answered in order.
+    """The log record of a request that was not served.
 
-    route: its name, empty where none was found. outcome: the type of its failure, or "Aborted" for an answer that
-    was broken off. why: the failure's own reason. elapsed_ms: from its arrival; the others: how much of that it waited
-    for a lease, for the order and for a slot, in milliseconds.
+    route: route name, empty if none matched. outcome: type name of the failure, or "Aborted" for a response that was
+    cut off. why: the reason given by the failure. elapsed_ms: time since arrival. lease_ms, order_ms, slot_ms: the
+    parts of it spent waiting for a lease, for a ledger decision and for a runner slot, in milliseconds.
     """
 
     attempt: str
@@ -31,9 +31,9 @@
 
 
 class RequestObserver:
-    """Stands before the sink of one request and logs a DecisionRecord where it isn't answered in order.
+    """Wraps the sink of one request and logs a DecisionRecord if the request is not served.
 
-    Made by `serve.serve`, which also names the route once it is found; lives as long as the request.
+    Created by `serve.serve`, which sets `route` once the route is resolved.
     """
 
     __slots__ = ("agent", "call", "sink", "route")
@@ -42,16 +42,16 @@
         self.agent, self.call, self.sink, self.route = agent, call, sink, ""
 
     def observed_sink(self):
-        """The request's sink, whose refusals and cuts are recorded."""
+        """Return a copy of the sink whose failure and abort callbacks are recorded."""
         return structs.replace(self.sink, failed=self.failed, cut=self.aborted)
 
     def failed(self, failure):
-        """Record a failure, and hand it on."""
+        """Record a failure and pass it to the sink."""
         self._record(type(failure).__name__, getattr(failure, "why", ""), isinstance(failure, IN_ORDER))
         self.sink.failed(failure)
 
     def aborted(self):
-        """Record an answer that is broken off, and hand that on."""
+        """Record an aborted response and abort it at the sink."""
         self._record("Aborted", "")
         self.sink.cut()
 
--- a/frostpost/proxy/hold_policy.py
+++ b/frostpost/proxy/hold_policy.py
@@ -1,39 +1,39 @@
-"""How long a request may wait for what it lacks, before it is refused with a promise and a time to come back.
+"""Bounds on how long a request waits for a missing resource before it is refused.
 
-What is waited for comes back by itself: the lease of this daemon and the decision of the replicas after a member was
-lost, a slot after another request has ended. A refused program starts its turn anew, and after three refusals it fails;
-so a wait that ends well is worth more than a refusal, and a wait that ends in a refusal costs the caller its time.
+Most outages are short: a lease returns or a new primary decides soon after a member is lost, and a slot is freed when
+another request ends. A refused program restarts its turn and fails after three refusals, so a wait that succeeds is
+cheaper than a refusal, while a wait that ends in a refusal uses up the client's time.
 """
 
-# Of the time that a request has left. Below one half: the caller can still try another daemon with the rest.
+# Share of the request's remaining time. Below one half, so that the client can still retry at another daemon.
 HOLD_RATIO = 0.4
-# A lease that has been gone for longer than this many lease times isn't about to return: this daemon is cut off.
+# After this many lease durations without a lease, the daemon is presumed to be partitioned.
 LEASE_OUTAGES = 2
-# Of the time that an agent waits for a decision, the part that the leader may keep a turn waiting.
+# Share of the agent's wait for a decision during which the leader may queue a turn.
 LEADER_RATIO = 0.8
-# A slot is waited for up to this share of the latency target.
+# Share of the latency target spent waiting for a slot.
 SLOT_RATIO = 0.25
 
 
 def order_hold_ms(left_ms):
-    """How long a request with `left_ms` milliseconds left may wait for a lease or for a decision, in milliseconds."""
+    """Return how long a request may wait for a lease or a ledger decision, given the time left to its deadline."""
     return max(0, int(left_ms * HOLD_RATIO))
 
 
 def begin_hold_ms(left_ms):
-    """How long a turn may wait at the leader for a slot, answered before its agent gives up."""
+    """Return how long the leader may queue a turn for a slot, so that its reply arrives before the agent gives up."""
     return int(order_hold_ms(left_ms) * LEADER_RATIO)
 
 
 def lease_hold_until_ms(now_ms, left_ms, gone_since_ms, lease_ms):
-    """Until when a request may wait for the lease of its daemon, on the clock of `now_ms`.
+    """Return until when a request may wait for this daemon's lease, on the clock of `now_ms`.
 
-    gone_since_ms: when the last lease ended, or when the daemon began to look for its first one.
-    lease_ms: the length of a full lease.
+    gone_since_ms: when the last lease ended, or when the daemon started to request its first one. lease_ms: duration of
+    a full lease.
     """
     return min(now_ms + order_hold_ms(left_ms), gone_since_ms + LEASE_OUTAGES * lease_ms)
 
 
 def slot_hold_until_ms(now_ms, until_ms, latency_target_ms):
-    """Until when a request that must end by `until_ms` may wait for a runner's slot."""
+    """Return until when a request with deadline `until_ms` may wait for a runner slot."""
     return min(until_ms, now_ms + int(latency_target_ms * SLOT_RATIO))
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/keyed.py
@@ -1,4 +1,4 @@
-"""Requests that carry a key: they run once for a key, and repeats get the first one's answer."""
+"""Idempotent requests: executed once per operation key; duplicates receive the recorded response."""
 
 from msgspec import msgpack
 from twisted.internet.defer import inlineCallbacks
@@ -25,12 +25,12 @@
 
 
 def pack(whole):
-    """The bytes that the ledger keeps of an answer."""
+    """Serialize a response for the ledger."""
     return msgpack.encode((whole.status, whole.headers, whole.body))
 
 
 def unpack(data):
-    """The answer that these bytes keep."""
+    """Deserialize a response stored by `pack`."""
     return Answer(*msgpack.decode(data, type=tuple[int, list[tuple[bytes, bytes]], bytes]))
 
 
@@ -61,7 +61,10 @@
 
 @inlineCallbacks
 def resolve(agent, key, call, whole, until_ms):
-    """The answer once it lasts under this attempt's claim, else a failure without a promise."""
+    """Record a response in the ledger under this attempt's claim.
+
+    Returns a Deferred of the response, or of Unknown if it was not recorded.
+    """
     resolved = ResolveOperationKey(key, call.attempt, pack(whole))
     result = yield call_replicas(agent, resolved, lasting_ms(agent, until_ms))
     if result.is_ok():
@@ -72,7 +75,7 @@
 
 @inlineCallbacks
 def disclaim(agent, key, call):
-    """Withdraw a claim under which nothing ran."""
+    """Release the claim of a request that was not executed."""
     operation = ReleaseOperationKey(key, call.attempt)
     result = yield call_replicas(agent, operation, DISCLAIM_MS)
     if not result.is_ok():
--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/lookup.py
@@ -1,4 +1,4 @@
-"""Requests that need no order: safe ones, which may be repeated, and unsafe ones, which run once."""
+"""Requests that bypass the ledger: safe ones may be retried, unsafe ones are executed at most once."""
 
 from twisted.internet.defer import inlineCallbacks
 
@@ -15,23 +15,30 @@
 
 
 def retry_ms(route):
-    """When a refused request should come back."""
+    """Return the retry delay suggested to a refused client."""
     return max(50, min(route.aim_ms // 4, 1000))
 
 
 def hold_until_ms(agent, route, until_ms):
-    """Until when a request may wait for a slot."""
+    """Return until when a request may wait for a runner slot."""
     return slot_hold_until_ms(now_ms(agent), until_ms, route.aim_ms)
 
 
 def lasting_ms(agent, until_ms):
-    """How long an answer that came whole may wait for the ledger; not much past its time, when its client is gone."""
+    """Return how long to wait for the ledger to record a complete response.
+
+    Little longer than the request's deadline, after which the client has gone.
+    """
     return max(LEAST_LASTING_MS, until_ms - now_ms(agent))
 
 
 @inlineCallbacks
 def settle(agent, route, service, call, until_ms, repeatable, watch):
-    """Deferred Answer, ClientLeft or a failure; only a failure with a promise means that nothing ran."""
+    """Send a request to runners until one responds or no further send is allowed.
+
+    Returns a Deferred of an Answer, ClientLeft or a failure; only a failure with `not_executed` guarantees that no
+    runner executed the request.
+    """
     attempts = attempts_for(route, repeatable)
     hold_ms, least_ms = hold_until_ms(agent, route, until_ms), route.aim_ms // 10
     maybe, whole, why = None, None, ""
@@ -84,7 +91,7 @@
 
 
 def hand_over(agent, outcome, sink):
-    """Give the client of a request its outcome, where it has not left."""
+    """Send the outcome of a request to its client, unless the client has disconnected."""
     if isinstance(outcome, ClientLeft) or sink.gone():
         return count(agent, "client_left")
     if isinstance(outcome, Answer):
@@ -94,7 +101,7 @@
 
 
 def answer(sink, whole):
-    """Hand a whole answer over."""
+    """Write a complete response to the sink."""
     sink.head(whole.status, whole.headers)
     if whole.body:
         sink.data(whole.body)
--- a/frostpost/proxy/order_calls.py
+++ b/frostpost/proxy/order_calls.py
@@ -1,4 +1,4 @@
-"""Operations that a request needs decided before it may run, asked for through the loss of a lease or of a leader."""
+"""Ledger operations that have to be decided before a request may proceed, retried across lease loss and failover."""
 
 from twisted.internet.defer import inlineCallbacks
 
@@ -9,16 +9,16 @@
 from .hold_policy import order_hold_ms
 
 LEAST_WAIT_MS = 200
-# When to come back after the replicas have decided nothing for as long as a request may wait.
+# Retry delay suggested to the client when the replicas did not decide in time.
 ORDER_RETRY_MS = 400
 
 
 @inlineCallbacks
 def call_until_decided(agent, operation, left_ms, delays):
-    """-> Deferred of the operation's result, or of an Unavailable once the request has waited as long as it may.
+    """Submit an operation until it is decided or the request's wait bound has passed.
 
-    The operation may be submitted again with the same effect. left_ms: what the request has left. A lease that has
-    lapsed is waited for meanwhile. What was waited is added to `delays`.
+    The operation must be idempotent. While the daemon has no lease, waits for one. Adds the time spent waiting to
+    `delays`. left_ms: time until the request's deadline. Returns a Deferred of the result, or of an Unavailable.
     """
     from_ms = now_ms(agent)
     until_ms = from_ms + max(1, min(left_ms, max(LEAST_WAIT_MS, order_hold_ms(left_ms))))
@@ -31,6 +31,6 @@
         returned = result.error.why == "lease" and decided_ms < until_ms and (yield wait_for_lease(agent, until_ms))
         from_ms = now_ms(agent)
         delays.lease_ms += from_ms - decided_ms
-        # A wait that took no time would be followed by the same refusal, again and again.
+        # If no time has passed, resubmitting would be refused again in an endless loop.
         if not returned or from_ms == decided_ms:
             return result.error
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -1,4 +1,4 @@
-"""The way of one request: filters in order, then the way of its route's kind."""
+"""Entry point for client requests: admission checks, then dispatch by route kind."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -22,7 +22,7 @@
 
 
 class Admitted(Struct, frozen=True):
-    """A request that is taken. until_ms: when its answer has to be whole, on this daemon's clock."""
+    """An admitted request. until_ms: deadline for the complete response, on this daemon's clock."""
 
     route: Route
     service: Service
@@ -30,22 +30,22 @@
 
 
 def takes_no_more(agent):
-    """Whether this daemon is leaving and has stopped taking requests."""
+    """Return whether this daemon is shutting down and has stopped accepting requests."""
     return agent.leaving and bool(agent.extras.get("last_call"))
 
 
 def route_of(agent, call):
-    """The route of a call in the routing that this daemon has, or None."""
+    """Return the route of a request in the current routing, or None."""
     return find_route(agent, call.host, call.uri.partition(b"?")[0].decode("latin-1"))
 
 
 def deadline_of(call, route):
-    """When the answer to a call has to be whole."""
+    """Return the deadline for the complete response."""
     return call.deadline_ms if route is None else min(call.deadline_ms, call.started_ms + route.timeout_ms)
 
 
 def admit(agent, call):
-    """-> Admitted, or the failure that says why the call isn't taken."""
+    """Check whether a request can be served; returns Admitted or a failure."""
     if takes_no_more(agent):
         return Leaving()
     if not may_serve(agent):
@@ -65,7 +65,7 @@
 
 
 def clean(call):
-    """Nothing in it could be read as another request."""
+    """Return whether the request is unambiguous: no control characters that could smuggle another request."""
     if any(byte <= 32 for byte in call.uri + call.method) or not call.attempt or not call.host.isascii():
         return False
     head = b"".join(name + value for name, value in call.headers) + call.host.encode()
@@ -74,7 +74,7 @@
 
 @inlineCallbacks
 def hold_for_lease(agent, call):
-    """Wait until this daemon may serve, as long as the call may be held for that."""
+    """Wait until this daemon has a lease, as long as the request may be delayed for it."""
     now = now_ms(agent)
     left_ms = deadline_of(call, route_of(agent, call)) - now
     until_ms = lease_hold_until_ms(now, left_ms, lease_gone_since_ms(agent), agent.settings.lease_ms)
@@ -84,7 +84,7 @@
 
 @inlineCallbacks
 def serve(agent, call, sink):
-    """Serve a call; the Deferred fires once the sink has been told all."""
+    """Serve a request; the returned Deferred fires when the sink is finished."""
     count(agent, "requests")
     observer = RequestObserver(agent, call, sink)
     sink = observer.observed_sink()
--- a/frostpost/proxy/words.py
+++ b/frostpost/proxy/words.py
@@ -1,6 +1,6 @@
-"""What the way of a request works on; a front translates its own wire into these and back.
+"""Data types of the proxy. A front end translates its protocol to and from these types.
 
-Times are milliseconds, header names and values are bytes, ids are text.
+Times are in milliseconds, header names and values are bytes, ids are strings.
 """
 
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class Route(Struct, frozen=True):
-    """kind: safe, unsafe, idempotent or streaming. weights: (service, weight) pairs."""
+    """A route. kind: safe, unsafe, idempotent or streaming. weights: (service, weight) pairs. rank: 0 first."""
 
     name: str
     host: str
@@ -27,7 +27,7 @@
 
 
 class Service(Struct, frozen=True):
-    """A service and what its runners can take."""
+    """A service and the capacity of its runners."""
 
     name: str
     max_connections: int
@@ -38,7 +38,7 @@
 
 
 class ClientBounds(Struct, frozen=True):
-    """What a client may send and how long it may take."""
+    """Size and time limits for client requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -47,7 +47,7 @@
 
 
 class Routing(Struct, frozen=True):
-    """One version of the configuration, as requests are served by it."""
+    """One version of the routing configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -56,7 +56,7 @@
 
 
 class Runner(Struct, frozen=True):
-    """One life of a runner, as the list of runners shows it."""
+    """An instance of a runner as listed by the platform."""
 
     id: str
     service: str
@@ -68,7 +68,7 @@
 
 
 class Delays(Struct):
-    """How long a request waited, in milliseconds, for what it lacked: a lease, a decision of the order, a slot."""
+    """Time that a request has spent waiting for a lease, a ledger decision and a runner slot."""
 
     lease_ms: int = 0
     order_ms: int = 0
@@ -76,7 +76,7 @@
 
 
 class Call(Struct):
-    """One try of a client. uri: path and query as sent; headers: those to pass on, in order; delays: so far."""
+    """A client request. uri: path and query as received. headers: those to forward, in order."""
 
     attempt: str
     method: bytes
@@ -100,7 +100,7 @@
 
 
 class RunnerHead(Struct, frozen=True):
-    """The head of a runner's answer. headers: those to pass back, in order. load: running, waiting, slots."""
+    """A response head. headers: those to forward, in order. load: running and waiting requests, and slots."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -114,10 +114,10 @@
 
 
 class Wire(Struct, frozen=True):
-    """How a front speaks to runners.
+    """A front end's protocol for requests to runners.
 
-    request_headers(call, runner, left_ms) -> list of (name, value) pairs, without Host, lengths and connection
-    headers; read_head(status, headers) -> RunnerHead, from a status and (name, value) pairs.
+    request_headers(call, runner, left_ms) returns (name, value) pairs, without Host, length and connection headers.
+    read_head(status, headers) returns a RunnerHead.
     """
 
     request_headers: Callable
@@ -125,9 +125,11 @@
 
 
 class Sink(Struct):
-    """Where an answer goes: head(status, headers), data(bytes), end(), cut() (close without an end),
-    failed(failure) (a whole answer made from a product's failure), gone() -> bool (the client has left),
-    on_gone(callback), set once by whoever wants to know. Backpressure: on_pause(callback), on_resume(callback).
+    """The client's side of a request.
+
+    head(status, headers), data(bytes) and end() write a response; cut() aborts it. failed(failure) responds with a
+    failure. gone() returns whether the client has disconnected. on_gone(callback) is called at most once.
+    on_pause(callback) and on_resume(callback) register for backpressure.
     """
 
     head: Callable
