--- a/frostpost/proxy/events.py
+++ b/frostpost/proxy/events.py
@@ -1,10 +1,10 @@
-"""An incremental reader of server-sent events; whole events only leave it."""
+"""Incremental parser for server-sent events."""
 
 from msgspec import Struct
 
 
 class Event(Struct, frozen=True):
-    """raw: the bytes as they came, the blank line included. data is None without a data line."""
+    """A server-sent event. raw: its bytes including the terminating blank line. data: None if it has no data field."""
 
     raw: bytes
     id: str | None
@@ -12,16 +12,15 @@
 
 
 class EventParser:
-    """Splits a body into events; keeps the bytes of the one that is not whole."""
+    """Splits a body into complete events and buffers an incomplete one."""
 
     __slots__ = ("_held", "_from")
 
     def __init__(self):
-        """Hold nothing yet."""
         self._held, self._from = b"", 0
 
     def feed(self, data):
-        """The events that these bytes complete, in order."""
+        """Return the events completed by `data`, in order."""
         held = self._held + data if self._held else data
         events, start, line, size = [], 0, self._from, len(held)
         while True:
@@ -36,7 +35,7 @@
         return events
 
     def rest(self):
-        """The bytes of an event that isn't whole."""
+        """Return the buffered bytes of the incomplete event."""
         return self._held
 
 
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -1,4 +1,4 @@
-"""Streams: passed on event by event, never joined from two runs, never ended before they are whole."""
+"""Streaming requests: responses are forwarded event by event and never mix the output of two executions."""
 
 from msgspec import structs
 from twisted.internet.defer import inlineCallbacks
@@ -18,7 +18,12 @@
 
 
 class Stream:
-    """One answer under way. passed: events handed to the client. maybe: it may have run somewhere."""
+    """A response being streamed to a client.
+
+    passed: number of events forwarded. maybe: whether a runner may have executed the request. joined: whether the
+    stream was resumed after events had been forwarded. spliced: whether a resumed stream did not continue the earlier
+    events.
+    """
 
     __slots__ = (
         "call",
@@ -36,20 +41,19 @@
     )
 
     def __init__(self, call, sink, watch, keeps):
-        """Hand nothing on yet."""
         self.call, self.sink, self.watch, self.keeps = call, sink, watch, keeps
         self.parser, self.headed, self.passed, self.last_id = EventParser(), False, 0, call.last_event
         self.data, self.maybe, self.joined, self.spliced = [], False, False, False
 
     def head(self, head):
-        """The head of a run's answer; only the first one reaches the client."""
+        """Handle a response head; only the first one is forwarded to the client."""
         self.parser, self.maybe = EventParser(), True
         if not self.headed:
             self.headed = True
             self.sink.head(head.status, head.headers)
 
     def heard(self, data):
-        """Hand whole events on, as long as they follow on those before."""
+        """Forward complete events as long as they continue the previous ones."""
         events = self.parser.feed(data)
         if not events or self.spliced:
             return
@@ -72,7 +76,7 @@
             self.sink.data(b"".join(passed))
 
     def rest(self):
-        """The bytes after the last whole event of a body that is whole."""
+        """Forward the bytes after the last complete event once the body has ended."""
         rest = self.parser.rest()
         if rest:
             self.passed += 1
@@ -80,7 +84,7 @@
 
 
 def rises(last, name):
-    """Whether an event's id follows the last one passed on."""
+    """Return whether an event id follows the last one forwarded."""
     if last.isdigit() and name.isdigit():
         return int(name) > int(last)
     return last != name
@@ -105,7 +109,10 @@
 
 @inlineCallbacks
 def send_on(agent, route, service, state, ordered, runner, body, until_ms):
-    """Send to one runner after another while that is allowed; the last outcome, or a failure with a promise."""
+    """Send the request to runners in turn while that is allowed.
+
+    Returns a Deferred of the last outcome, or of a failure if no runner executed the request.
+    """
     attempts, call = attempts_for(route, route.resumable), state.call
     tried = attempts.picked
     hold_ms, outcome = hold_until_ms(agent, route, until_ms), None
@@ -141,7 +148,7 @@
 
 
 def may_resume(route, state, outcome):
-    """Whether a stream that broke off may be taken up at another runner."""
+    """Return whether an interrupted stream may be resumed at another runner."""
     if not route.resumable or state.spliced or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
         return False
     return state.passed == 0 or state.last_id not in ("", state.call.last_event)
@@ -149,7 +156,10 @@
 
 @inlineCallbacks
 def next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms):
-    """A runner, or the failure when there is none; the ledger moves only what no runner may have run."""
+    """Return a Deferred of the next runner, or of a failure if there is none.
+
+    The ledger reassigns an attempt only while no runner may have executed it.
+    """
     if ordered and not state.maybe:
         name = yield turn.move(agent, route, service, state.call, tried, until_ms)
         if not isinstance(name, str):
@@ -163,7 +173,7 @@
 
 @inlineCallbacks
 def finish(agent, route, service, state, ordered, outcome, until_ms):
-    """Close the attempt in the ledger and the answer at the client, in that order where it is whole."""
+    """End the attempt in the ledger and then the response at the client; a complete response waits for the ledger."""
     sink, call, tokens = state.sink, state.call, state.passed * service.event_tokens
     if isinstance(outcome, Whole) and not state.spliced:
         state.rest()
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -1,4 +1,4 @@
-"""What the ledger is asked and told about one attempt at a stream, and the bodies that belong to it."""
+"""Ledger operations and body storage for one attempt at a streamed turn."""
 
 from msgspec import Struct
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
@@ -31,19 +31,19 @@
 
 
 class Placed(Struct, frozen=True):
-    """A runner, and the whole body that it is to get."""
+    """A runner and the complete body to send to it."""
 
     runner: object
     body: bytes
 
 
 def ordered(route, call):
-    """Whether the ledger has to know of the attempt."""
+    """Return whether the attempt has to be recorded in the ledger."""
     return bool(call.program) or call.budget > 0 or route.retained
 
 
 def pause(agent, wait_ms):
-    """A Deferred that fires after a time."""
+    """Return a Deferred that fires after wait_ms."""
     woken = Deferred()
     agent.reactor.callLater(wait_ms / 1000, woken.callback, None)
     return woken
@@ -51,9 +51,10 @@
 
 @inlineCallbacks
 def decide(agent, route, service, call, tried, operation, until_ms, waits_at_leader=False):
-    """The verdict, asked for again while no candidate has room; an Unavailable when there is none.
+    """Submit an operation that needs a runner slot, again while no candidate has one.
 
-    waits_at_leader: what lacks a slot has waited there before its NoCapacity, so it isn't asked for again.
+    waits_at_leader: the leader queues the operation until a slot is free, so a NoCapacity is final. Returns a Deferred
+    of the ledger's result, or of an Unavailable.
     """
     hold_ms = None
     while True:
@@ -68,7 +69,7 @@
             return Unavailable(ORDER_RETRY_MS, "order")
         if not isinstance(verdict, NoCapacity) or offered and waits_at_leader:
             return verdict
-        # The wait for a slot begins with the first refusal, not with the wait for the order before it.
+        # The slot wait starts at the first NoCapacity; waiting for the ledger's decision doesn't count.
         hold_ms = hold_until_ms(agent, route, until_ms) if hold_ms is None else hold_ms
         wait_ms = max(1, min(verdict.wait_ms, PAUSE_MS))
         if now_ms(agent) + wait_ms >= hold_ms:
@@ -78,14 +79,17 @@
 
 
 def due_in_ms(agent, call):
-    """How long it is until a call's program should be over, or the call where it belongs to none."""
+    """Return the time left to the deadline of the request's program, or of the request if it belongs to none."""
     total_ms = call.program_left_ms or call.deadline_ms - call.started_ms
     return total_ms - (now_ms(agent) - call.started_ms)
 
 
 @inlineCallbacks
 def begin(agent, route, service, call, until_ms):
-    """Placed, or a failure; after a failure the ledger holds nothing of the attempt."""
+    """Begin an attempt in the ledger and fetch the bodies of its preceding turns.
+
+    Returns a Deferred of Placed or of a failure, after which the ledger holds no state of the attempt.
+    """
 
     def operation(offered, left_ms):
         return BeginAttempt(
@@ -129,7 +133,10 @@
 
 @inlineCallbacks
 def move(agent, route, service, call, tried, until_ms):
-    """The id of another runner for an attempt that surely wasn't run, or a failure; the caller aborts it then."""
+    """Reassign an attempt that was not executed to another runner.
+
+    Returns a Deferred of the runner's id or of a failure, on which the caller aborts the attempt.
+    """
 
     def operation(offered, _left_ms):
         return ReassignAttempt(call.attempt, offered, len(tried))
@@ -141,17 +148,17 @@
 
 
 def abort(agent, call):
-    """Tell the ledger that no runner ran the attempt."""
+    """Abort an attempt that no runner executed."""
     submit_until_decided(agent, AbortAttempt(call.attempt))
 
 
 def broke_off(agent, call, tokens):
-    """It ended without a whole answer, having put out these tokens."""
+    """End an attempt without a complete response, after `tokens` output tokens."""
     submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=0))
 
 
 def time_order(agent, service, answer):
-    """Measure how long the end of an attempt takes to be decided. -> the same Deferred"""
+    """Measure how long the end of an attempt takes to be decided. Returns the same Deferred."""
     from_ms = now_ms(agent)
 
     def decided(result):
@@ -163,10 +170,11 @@
 
 
 def close(agent, route, service, call, tokens, data, until_ms):
-    """-> True, or a Deferred of whether the turn lasts; the client's answer may end once that is true.
+    """End an attempt with a complete response.
 
-    Nothing may follow a turn that isn't retained, so its answer need not wait for the ledger: until its end is decided
-    the attempt stays counted at its most, which is at least what was put out.
+    Returns True, or a Deferred of whether the turn is durable; only then may the client's response end. No turn can
+    follow one that isn't retained, so its response doesn't wait for the ledger: until its end is decided, the attempt
+    is charged with its maximum number of tokens.
     """
     if not route.retained:
         time_order(agent, service, submit_until_decided(agent, EndAttempt(call.attempt, tokens)))
@@ -176,10 +184,11 @@
 
 @inlineCallbacks
 def close_retained(agent, route, service, call, tokens, data, until_ms):
-    """True once the turn lasts: its end decided, and its body on disks of a majority of the voters of a running lease.
+    """End a retained turn.
 
-    The voters are looked at last: a body that was put while the end was being decided may have been put on voters that
-    others took the place of meanwhile.
+    Returns a Deferred of whether it is durable: its end is decided, and its body is stored by a majority of the voters
+    of a running lease. The voters are checked last, since they may have been replaced while the end was being decided;
+    the body is then stored again.
     """
     wait_ms = lasting_ms(agent, until_ms)
     keep_ms = route.keep_ms + KEEP_TICKS * agent.settings.tick_ms
