--- a/frostpost/proxy/picking.py
+++ b/frostpost/proxy/picking.py
@@ -1,4 +1,4 @@
-"""Which runner a request goes to, from what this daemon knows of their loads."""
+"""Runner selection based on this daemon's view of the runners' load."""
 
 from zlib import crc32
 
@@ -19,7 +19,11 @@
 
 
 class Load(Struct):
-    """own: requests of this daemon there. others: requests of all others, as told at told_ms."""
+    """The load of a runner.
+
+    own: requests in flight from this daemon. others: requests of other daemons, reported at told_ms. failed:
+    consecutive failures. resting_until_ms: until when the runner is ejected.
+    """
 
     own: int = 0
     others: int = 0
@@ -29,7 +33,7 @@
 
 
 class Waiter(Struct):
-    """A request that waits for a runner with room."""
+    """A queued request waiting for a runner with a free slot."""
 
     rank: int
     number: int
@@ -40,7 +44,7 @@
 
 
 def load_of(agent, runner_id):
-    """What is known of a runner's load."""
+    """Return the load record of a runner; created on first use."""
     load = agent.loads.get(runner_id)
     if load is None:
         load = agent.loads[runner_id] = Load()
@@ -48,7 +52,10 @@
 
 
 def by_service(agent):
-    """Runners of each service; agent.runners is replaced as a whole, never changed in place."""
+    """Return the runners of each service that are not draining.
+
+    The index is rebuilt when `agent.runners` is replaced; that dict is never modified in place.
+    """
     held = agent.extras.get("by_service")
     if held is None or held[0] is not agent.runners:
         index = {}
@@ -60,7 +67,7 @@
 
 
 def usable(agent, service, tried=()):
-    """Runners of a service that are not draining, tried or resting; never more than half of them rest."""
+    """Return the runners of a service that are not draining, tried or ejected; at most half of them are ejected."""
     known = by_service(agent).get(service.name, ())
     now = now_ms(agent)
     resting = [r for r in known if r.id in agent.loads and agent.loads[r.id].resting_until_ms > now]
@@ -72,7 +79,7 @@
 
 
 def occupied(agent, runner, now):
-    """How many slots of a runner are taken, as far as this daemon knows."""
+    """Return the estimated number of slots in use at a runner."""
     load = agent.loads.get(runner.id)
     if load is None:
         return 0.0
@@ -81,12 +88,12 @@
 
 
 def slots_of(service, runner):
-    """How many requests a runner works on at once."""
+    """Return how many requests a runner executes concurrently."""
     return max(1, runner.slots or service.slots)
 
 
 def pick(agent, service, tried=(), salt=""):
-    """The least loaded runner that has room, or None."""
+    """Return the least loaded runner with a free slot, or None."""
     now, zone = now_ms(agent), getattr(agent.settings, "zone", "")
     best, lowest = None, None
     for runner in usable(agent, service, tried):
@@ -100,7 +107,7 @@
 
 
 def candidates(agent, service, tried=()):
-    """What the ledger may choose from."""
+    """Return the runners that the ledger may choose from."""
     overhead = overhead_of(agent, service.name)
     return tuple(
         Candidate(r.id, countable_slots(overhead, slots_of(service, r))) for r in usable(agent, service, tried)
@@ -108,7 +115,10 @@
 
 
 def place(agent, route, service, tried, salt, until_ms):
-    """A runner with room, at once or inside the time; requests of a higher rank come first."""
+    """Return a Deferred of a runner with a free slot, or of None if there is none until until_ms.
+
+    Queued requests are served by rank, then in order of arrival.
+    """
     queue = agent.extras.setdefault("queues", {}).setdefault(service.name, [])
     if not queue:
         runner = pick(agent, service, tried, salt)
@@ -122,7 +132,7 @@
 
 
 def serve_queue(agent, service, queue):
-    """Place waiting requests, the most urgent first, and end the wait of those whose time is up."""
+    """Assign runners to queued requests in order of urgency, and expire those whose wait is over."""
     now = now_ms(agent)
     for waiter in sorted(queue, key=lambda w: (w.rank, w.number)):
         runner = pick(agent, service, waiter.tried, waiter.salt)
@@ -139,7 +149,7 @@
 
 
 def ended(agent, runner, outcome, head):
-    """Learn from how a send ended; head is None when none came."""
+    """Update a runner's load after a send; head is None if no response head was received."""
     load = load_of(agent, runner.id)
     load.own -= 1
     now = now_ms(agent)
@@ -155,7 +165,7 @@
 
 
 def troubled(outcome, head):
-    """It speaks against the runner, not against the request or its client."""
+    """Return whether an outcome indicates a failure of the runner, not of the request or its client."""
     if isinstance(outcome, NotSent):
         return outcome.why == "connect"
     if isinstance(outcome, NotRun):
--- a/frostpost/proxy/routing.py
+++ b/frostpost/proxy/routing.py
@@ -1,10 +1,10 @@
-"""Which route and which service a request belongs to."""
+"""Mapping of requests to routes and services."""
 
 from zlib import crc32
 
 
 def build_index(routing):
-    """Host -> prefix -> route."""
+    """Return a dict of host to a dict of path prefix to route."""
     index = {}
     for route in routing.routes:
         index.setdefault(route.host.lower(), {})[route.prefix] = route
@@ -12,7 +12,7 @@
 
 
 def current_index(agent):
-    """The index of the routing in force."""
+    """Return the index of the current routing, rebuilt when the routing changes."""
     held = agent.extras.get("route_index")
     if held is None or held[0] is not agent.routing:
         held = agent.extras["route_index"] = (agent.routing, build_index(agent.routing))
@@ -20,7 +20,7 @@
 
 
 def find_route(agent, host, path):
-    """The host's route with the longest prefix that begins the path, or None."""
+    """Return the host's route with the longest prefix of the path, or None."""
     if agent.routing is None:
         return None
     host = host.lower()
@@ -40,7 +40,7 @@
 
 
 def pick_service(routing, route, attempt):
-    """A service by weight, the same one for the same attempt; None when none has weight."""
+    """Choose a service by weight, deterministically for an attempt id; returns None if all weights are zero."""
     total = sum(weight for _, weight in route.weights)
     if total <= 0:
         return None
--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -1,4 +1,4 @@
-"""The list of runners, kept current; what one daemon's list shows as draining, all daemons know."""
+"""Polling of the runner list, and propagation of drains between daemons."""
 
 from msgspec import structs
 from twisted.internet.defer import maybeDeferred
@@ -10,23 +10,23 @@
 from .pool import close_pools, sweep
 
 MOST_BACKOFF = 8
-# The part of the list's rate that all agents together use.
+# Share of the list's request rate that all agents together may use.
 RATE_SHARE = 0.5
 SHARING = 4
 SHARED_DRAIN_RATIO = 0.8
-# The leader gives out this many turns at reading in the time that a draining runner may still be sent to. A turn and
-# the news of it take two renewals of a lease beside; so three turns in a row may fail.
+# Turns that the leader grants within one drain interval. A turn and the propagation of its result take two lease
+# renewals, so three consecutive turns may fail.
 TURNS_PER_DRAIN = 10
-# Where nobody tells of a newer reading for this part of the drain time, agents begin to read by themselves.
+# Share of the drain interval without a newer reading after which agents poll on their own.
 UNLED_DRAIN_RATIO = 0.5
 UNLED_SPREAD_RATIO = 0.5
-# Those who learn that the list has changed read it within this part of the shortest interval, not all at once.
+# Share of the minimum interval over which agents spread their reads after a change.
 SPREAD_RATIO = 0.15
 REPORTED_DRAINING_MS = 15000
 
 
 def take_list(agent, runners):
-    """Replace the runners by those of a new list."""
+    """Apply a newly fetched list of runners."""
     listed = agent.runner_list
     draining = tuple(sorted(runner.id for runner in runners if runner.draining))
     newly_draining = set(draining) - set(listed.draining)
@@ -40,7 +40,7 @@
 
 
 def set_runners(agent, runners):
-    """Replace the runners; those that other daemons tell of as draining are so here too."""
+    """Replace the runners, marking those reported by other daemons as draining."""
     now, told = now_ms(agent), agent.runner_list.reported_draining
     agent.runners = {
         r.id: structs.replace(r, draining=True) if told.get(r.id, 0) > now and not r.draining else r for r in runners
@@ -49,7 +49,7 @@
 
 
 def on_draining(agent, names):
-    """Runners that another daemon's list shows as draining."""
+    """Mark runners as draining that another daemon's list shows as draining."""
     told, until_ms = agent.runner_list.reported_draining, now_ms(agent) + REPORTED_DRAINING_MS
     told.update((name, until_ms) for name in names)
     if any(name in agent.runners and not agent.runners[name].draining for name in names):
@@ -59,7 +59,7 @@
 
 
 def least_interval_ms(agent):
-    """The shortest time between two readings after changes: often enough alone, never above the list's rate for all."""
+    """Return the minimum interval between two reads after changes, bounded by the list's rate for all agents."""
     settings, agents = agent.settings, session_of(agent).agent_count
     own_ms = settings.list_ms if agents < SHARING else int(settings.drain_ms * SHARED_DRAIN_RATIO)
     calls = agents * agent.runner_list.pages
@@ -67,16 +67,16 @@
 
 
 def turn_period_ms(agent):
-    """The time between two turns of the whole fleet: some in each drain time, never above the list's rate."""
+    """Return the interval between two turns of the whole fleet, bounded by the list's rate."""
     settings = agent.settings
     rate_ms = 1000 * agent.runner_list.pages / (RATE_SHARE * settings.list_rate_per_s)
     return max(1, settings.drain_ms // TURNS_PER_DRAIN, int(rate_ms))
 
 
 def unled_wait_ms(agent, random):
-    """How old the newest known reading may be before this agent reads by itself, no leader having given it a turn.
+    """Return the age of the newest known reading at which this agent polls on its own, without a turn from the leader.
 
-    random: from 0 to 1. Spread over all agents' turns, so that about one of them reads in a period.
+    random: from 0 to 1. Spread over the turns of all agents, so that about one of them reads in a period.
     """
     drain_ms = agent.settings.drain_ms
     spread_ms = max(drain_ms * UNLED_SPREAD_RATIO, session_of(agent).agent_count * turn_period_ms(agent))
@@ -84,10 +84,10 @@
 
 
 class ListPoller:
-    """Reads the list when the leader gives this agent the turn, or when another agent's newer reading differs.
+    """Reads the list when the leader grants this agent a turn, or when another agent's newer reading differs.
 
-    Without a leader it reads by itself. Made by `poll`; runs on the event loop. failures: readings in a row that
-    failed. started_ms: of the last reading; newest_ms: of the newest one that is known of, by any agent.
+    Without a leader it polls on its own. Runs on the event loop; created by `poll`. failures: consecutive failed reads.
+    started_ms: start of the last read. newest_ms: time of the newest reading by any agent.
     """
 
     __slots__ = ("agent", "timer", "failures", "stopped", "started_ms", "newest_ms", "due_ms", "reading", "changed")
@@ -105,16 +105,16 @@
         maybeDeferred(self.agent.extras["fetch_list"]).addCallbacks(self._fetched, self._failed)
 
     def turn_period_ms(self):
-        """What the next lease request asks for: the period of the fleet's turns, 0 while this agent can take none."""
+        """Return the turn period that the next lease request asks for; 0 while this agent can take no turn."""
         return turn_period_ms(self.agent) if self._may_read() else 0
 
     def on_turn(self):
-        """The leader has given this agent the turn."""
+        """Handle a turn granted by the leader."""
         if self._may_read():
             self.fetch()
 
     def on_newest(self, newest):
-        """A lease tells of the newest reading of any agent: read too where that showed something else."""
+        """Handle the newest reading of any agent, received with a lease; schedules a read if its list differs."""
         if not self._may_read() or newest.read_ms <= self.newest_ms:
             return
         self.newest_ms = newest.read_ms
@@ -125,7 +125,7 @@
             self._plan_unled()
 
     def stop(self):
-        """Read no more."""
+        """Stop polling."""
         self.stopped = True
         self._cancel()
 
@@ -150,7 +150,7 @@
         return int(self.agent.machine.token(2), 16) / 65535
 
     def _plan_change(self):
-        """Read soon, as this agent's list isn't the newest any more."""
+        """Schedule a read soon, since another agent has read a newer list."""
         least_ms = least_interval_ms(self.agent)
         spread_ms = int(SPREAD_RATIO * least_ms * self._random())
         due_ms = max(now_ms(self.agent) + spread_ms, self.started_ms + least_ms)
@@ -159,7 +159,7 @@
             self._plan(due_ms)
 
     def _plan_unled(self):
-        """Read by oneself if no newer reading is heard of for long."""
+        """Schedule a read for the case that no newer reading is reported."""
         self._plan(self.newest_ms + unled_wait_ms(self.agent, self._random()))
 
     def _plan(self, due_ms):
@@ -176,7 +176,7 @@
 
 
 def poll(agent):
-    """Read the list again and again; returns what stops it."""
+    """Start polling the list; returns a function that stops it."""
     poller, listed = ListPoller(agent), agent.runner_list
     listed.on_draining = lambda names: on_draining(agent, names)
     listed.on_newest, listed.on_turn, listed.turn_period_ms = poller.on_newest, poller.on_turn, poller.turn_period_ms
