--- a/frostpost/cluster/settings.py
+++ b/frostpost/cluster/settings.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from frostpost.proxy.words import Wire
+from frostpost.proxy.models import Wire
 
 from .voter_policy import Tolerance
 
--- a/frostpost/platform/calls.py
+++ b/frostpost/platform/calls.py
@@ -3,7 +3,7 @@
 from expression import Error, Ok
 
 from frostpost.proxy.failures import BadRequest
-from frostpost.proxy.words import Call
+from frostpost.proxy.models import Call
 
 from . import names
 
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -15,7 +15,7 @@
 from frostpost.cluster.lease_client import holds_lease
 from frostpost.daemon.structured_log import log_event
 from frostpost.proxy.failures import Unavailable
-from frostpost.proxy.words import ClientBounds
+from frostpost.proxy.models import ClientBounds
 
 from . import names, routing
 from .server import Server, reply
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -10,7 +10,7 @@
 from frostpost.cluster.attempt_tracing import is_traced, trace_request
 from frostpost.daemon.structured_log import log_event
 from frostpost.proxy import failures
-from frostpost.proxy.words import ClientBounds, Sink
+from frostpost.proxy.models import ClientBounds, Sink
 
 from .calls import call_of
 from .names import ATTEMPT
--- a/frostpost/platform/listing.py
+++ b/frostpost/platform/listing.py
@@ -7,7 +7,7 @@
 from twisted.web.client import Agent, HTTPConnectionPool
 
 from frostpost.daemon.body_reader import read_body
-from frostpost.proxy.words import Runner
+from frostpost.proxy.models import Runner
 
 from .settings import address_of
 
--- a/frostpost/platform/readiness.py
+++ b/frostpost/platform/readiness.py
@@ -1,6 +1,6 @@
 """Whether this daemon wants new connections."""
 
-from frostpost.proxy.words import ClientBounds
+from frostpost.proxy.models import ClientBounds
 
 from .server import Server, reply
 
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -8,7 +8,7 @@
 from expression import Error, Ok
 from msgspec import Raw, Struct
 
-from frostpost.proxy.words import ClientBounds, Route, Routing, Service
+from frostpost.proxy.models import ClientBounds, Route, Routing, Service
 
 from .documents import BoundItem, Document, Engine
 from .strict_json import RoutingInvalid, read_json
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -1,6 +1,6 @@
 """How runners are spoken to: headers of a request sent to one, and the head of its answer."""
 
-from frostpost.proxy.words import RunnerHead, Wire
+from frostpost.proxy.models import RunnerHead, Wire
 
 from .names import ATTEMPT, HOP_BY_HOP, INSTANCE, LAST_EVENT, LEFT, LOAD, NOT_RUN, SEAL, TARGET, connection_names
 
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import Protocol
 
-from .parsing import ResponseParser, UnreadableError
+from .response_parser import ResponseParser, UnreadableError
 
 USER_TIMEOUT_MS = 2000
 DRAIN_S = 1.0
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -2,7 +2,7 @@
 
 from frostpost.cluster.agent_context import now_ms
 
-from .sending import (
+from .exchange_state import (
     BodyEnded,
     ConnectionFailed,
     DataRead,
--- a/frostpost/proxy/sending.py
+++ b/frostpost/proxy/exchange_state.py
@@ -11,8 +11,8 @@
 
 from msgspec import Struct
 
+from .models import RunnerHead
 from .outcomes import Broken, NotRun, NotSent, Whole
-from .words import RunnerHead
 
 PROMISES = (408, 429, 503)
 MISDIRECTED = 421
--- a/frostpost/proxy/lookup.py
+++ b/frostpost/proxy/forwarding.py
@@ -4,12 +4,12 @@
 
 from frostpost.cluster.agent_context import count, now_ms
 
-from . import picking
+from . import load_balancing
 from .attempts import attempts_for, may_offer, record
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
-from .hold_policy import slot_hold_until_ms
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent
-from .run import run_once
+from .runner_request import run_once
+from .wait_policy import slot_hold_until_ms
 
 LEAST_LASTING_MS = 200
 
@@ -45,7 +45,7 @@
     while may_offer(attempts):
         if until_ms - now_ms(agent) < max(1, least_ms):
             break
-        runner = yield picking.place(agent, route, service, attempts.picked, call.attempt, hold_ms)
+        runner = yield load_balancing.place(agent, route, service, attempts.picked, call.attempt, hold_ms)
         if runner is None:
             break
         if watch is not None and watch.left:
--- a/frostpost/proxy/keyed.py
+++ b/frostpost/proxy/idempotency.py
@@ -16,8 +16,8 @@
 )
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
-from .lookup import hand_over, lasting_ms, settle
-from .order_calls import ORDER_RETRY_MS, call_until_decided
+from .forwarding import hand_over, lasting_ms, settle
+from .operation_retry import ORDER_RETRY_MS, call_until_decided
 from .outcomes import Answer
 
 DISCLAIM_MS = 300
--- a/frostpost/proxy/order_calls.py
+++ b/frostpost/proxy/operation_retry.py
@@ -6,7 +6,7 @@
 from frostpost.cluster.lease_waiters import wait_for_lease
 from frostpost.cluster.operation_client import call_replicas
 
-from .hold_policy import order_hold_ms
+from .wait_policy import order_hold_ms
 
 LEAST_WAIT_MS = 200
 # Retry delay suggested to the client when the replicas did not decide in time.
--- a/frostpost/proxy/run.py
+++ b/frostpost/proxy/runner_request.py
@@ -4,7 +4,7 @@
 
 from frostpost.cluster.agent_context import now_ms
 
-from . import picking, pool
+from . import load_balancing, pool
 from .outcomes import Answer, Broken, ClientLeft, Late, NotSent, Whole
 
 MOST_BODY = 8 << 20
@@ -67,7 +67,7 @@
     def start(self, call, body, until_ms):
         """Send the request; returns a Deferred of its outcome."""
         left_ms = until_ms - now_ms(self.agent)
-        picking.sent(self.agent, self.runner)
+        load_balancing.sent(self.agent, self.runner)
         if self.watch is not None:
             self.watch.run = self
         self.timer = self.agent.reactor.callLater(max(0, left_ms) / 1000, self.stop, Late(), "late")
@@ -125,7 +125,7 @@
         if self.watch is not None:
             self.watch.run = None
         head = self.handle.head if self.handle is not None else None
-        picking.ended(self.agent, self.runner, outcome, head)
+        load_balancing.ended(self.agent, self.runner, outcome, head)
         self.ended.callback(outcome)
 
 
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -8,14 +8,14 @@
 
 from .decision_record import RequestObserver
 from .failures import BadRequest, Leaving, NoRoute, Overloaded, Unavailable
-from .hold_policy import lease_hold_until_ms
-from .keyed import keyed
-from .lookup import hand_over, lookup, retry_ms
+from .forwarding import hand_over, lookup, retry_ms
+from .idempotency import keyed
+from .models import Route, Service
 from .outcomes import ClientLeft
 from .routing import find_route, pick_service
-from .run import Watch
+from .runner_request import Watch
 from .stream import stream
-from .words import Route, Service
+from .wait_policy import lease_hold_until_ms
 
 RETRY_MS = 700
 WAYS = {"safe": lookup, "unsafe": lookup, "idempotent": keyed, "streaming": stream}
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -5,13 +5,13 @@
 
 from frostpost.cluster.agent_context import count, now_ms
 
-from . import picking, turn
+from . import load_balancing, turn
 from .attempts import attempts_for, may_offer, record
-from .events import EventParser
+from .event_stream import EventParser
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
-from .lookup import answer, hold_until_ms, retry_ms
+from .forwarding import answer, hold_until_ms, retry_ms
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent, Whole
-from .run import run_once
+from .runner_request import run_once
 from .slot_overhead import observe_run, overhead_of
 
 PROMISES = (402, 404)
@@ -167,7 +167,7 @@
         return agent.runners.get(name) or Overloaded(retry_ms(route))
     if state.maybe:
         hold_ms = hold_until_ms(agent, route, until_ms)
-    runner = yield picking.place(agent, route, service, tried, state.call.attempt, hold_ms)
+    runner = yield load_balancing.place(agent, route, service, tried, state.call.attempt, hold_ms)
     return runner or Overloaded(retry_ms(route))
 
 
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -19,12 +19,12 @@
 from frostpost.turn_store.client import fetch, put
 from frostpost.turn_store.client import is_durable_at as bodies_last
 
-from . import picking
+from . import load_balancing
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
-from .hold_policy import begin_hold_ms
-from .lookup import hold_until_ms, lasting_ms, retry_ms
-from .order_calls import ORDER_RETRY_MS, call_until_decided
+from .forwarding import hold_until_ms, lasting_ms, retry_ms
+from .operation_retry import ORDER_RETRY_MS, call_until_decided
 from .slot_overhead import observe_order, overhead_of
+from .wait_policy import begin_hold_ms
 
 PAUSE_MS = 20
 KEEP_TICKS = 10
@@ -59,7 +59,7 @@
     hold_ms = None
     while True:
         left_ms = until_ms - now_ms(agent)
-        offered = picking.candidates(agent, service, tried)
+        offered = load_balancing.candidates(agent, service, tried)
         verdict = NoCapacity(PAUSE_MS)
         if left_ms <= 0:
             return verdict
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -16,7 +16,7 @@
     RoutingSet,
     SetRouting,
 )
-from frostpost.proxy import lookup, pool, sending, stream, turn
+from frostpost.proxy import exchange_state, forwarding, pool, stream, turn
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
@@ -81,7 +81,7 @@
 
 
 def echo_unread():
-    return [(sending, "doubt", lambda head, call, fresh: "")]
+    return [(exchange_state, "doubt", lambda head, call, fresh: "")]
 
 
 def cut_ended():
@@ -104,7 +104,7 @@
     def attempts_for(route, repeatable):
         return Attempts(9 if repeatable else 1, 9)
 
-    return [(lookup, "attempts_for", attempts_for), (stream, "attempts_for", attempts_for)]
+    return [(forwarding, "attempts_for", attempts_for), (stream, "attempts_for", attempts_for)]
 
 
 def tokens_forgotten():
--- a/tests/test_proxy_stage.py
+++ b/tests/proxy_harness.py
@@ -17,9 +17,9 @@
     EndAttempt,
     KeyClaimed,
 )
-from frostpost.proxy import keyed, order_calls, pool, serve, turn
+from frostpost.proxy import idempotency, operation_retry, pool, serve, turn
 from frostpost.proxy.failures import Unavailable
-from frostpost.proxy.words import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
+from frostpost.proxy.models import Call, Route, Routing, Runner, RunnerHead, Service, Sink, Wire
 from frostpost.turn_store.client import Synced
 
 HOLDERS = frozenset({"s1", "s2"})
@@ -90,9 +90,9 @@
         self.verdicts, self.chain, self.lease, self.gone, self.voters = {}, {}, True, None, HOLDERS
         self.wires = []
         if patch is not None:
-            for module in (keyed, order_calls, turn):
+            for module in (idempotency, operation_retry, turn):
                 patch.setattr(module, "call_replicas", self.ask)
-            for module in (keyed, turn):
+            for module in (idempotency, turn):
                 patch.setattr(module, "submit_until_decided", self.submit_until_decided)
             patch.setattr(turn, "put", self.put)
             patch.setattr(turn, "bodies_last", lambda agent, holders: holders <= self.voters)
--- a/tests/test_cluster_list_turns.py
+++ b/tests/test_cluster_list_turns.py
@@ -13,7 +13,7 @@
 from frostpost.cluster.list_turns import ListTurns, give_turn
 from frostpost.daemon.machine import Machine
 from frostpost.proxy import runner_discovery
-from frostpost.proxy.words import Runner
+from frostpost.proxy.models import Runner
 from frostpost.virtual_synchrony.agent_messages import LeaseReply, LeaseRequest
 from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -16,7 +16,7 @@
 from frostpost.program_ledger.messages import BeginAttempt, ClaimOperationKey, EndAttempt, ResolveOperationKey
 from frostpost.proxy import pool
 from frostpost.proxy.exchange import Exchange
-from frostpost.proxy.hold_policy import HOLD_RATIO, LEASE_OUTAGES
+from frostpost.proxy.wait_policy import HOLD_RATIO, LEASE_OUTAGES
 
 LEASE_LOST_MS, LONG_MS = 1500, 6000
 KEYED, UNSAFE, SAFE, TURN = "/keyed/c", "/unsafe/b", "/safe/a", "/chat/x"
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -8,7 +8,7 @@
 from frostpost.daemon.machine import Machine
 from frostpost.platform import front
 from frostpost.proxy import failures
-from frostpost.proxy.words import ClientBounds, Routing
+from frostpost.proxy.models import ClientBounds, Routing
 
 GET = b"GET /x/1?q=a%20b HTTP/1.1\r\nHost: A.Example:80\r\nX-Attempt-Id: a1\r\n"
 
--- a/tests/test_platform_front_properties.py
+++ b/tests/test_platform_front_properties.py
@@ -11,8 +11,8 @@
 from frostpost.platform.wire import wire
 from frostpost.proxy import failures
 from frostpost.proxy.exchange import request_bytes
+from frostpost.proxy.models import Runner
 from frostpost.proxy.serve import clean
-from frostpost.proxy.words import Runner
 
 BOUNDS = {"header_bytes": 600, "body_bytes": 64}
 RUNNER = Runner(id="i-1", service="s", host="10.0.0.1", port=80, zone="z", slots=1)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,8 +1,8 @@
 """The whole way of a request: a client's connection, the front, the proxy, and a runner's connection."""
 
 import pytest
+from proxy_harness import Stage, a_route, a_runner, chunk
 from test_platform_front import Wire
-from test_proxy_stage import Stage, a_route, a_runner, chunk
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -7,7 +7,7 @@
 
 from frostpost.platform import listing
 from frostpost.platform.wire import wire
-from frostpost.proxy.words import Call, Runner
+from frostpost.proxy.models import Call, Runner
 
 ROOT = Path(__file__).parent.parent
 NAMES = [
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -1,7 +1,7 @@
 """A try runs at no more runners than its route allows; what surely was not run may go elsewhere."""
 
 import pytest
-from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from proxy_harness import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_components.py
@@ -1,11 +1,11 @@
 import pytest
-from test_proxy_stage import Stage, a_route, a_runner
+from proxy_harness import Stage, a_route, a_runner
 from twisted.web._newclient import ParseError
 
-from frostpost.proxy.events import EventParser
+from frostpost.proxy.event_stream import EventParser
+from frostpost.proxy.load_balancing import candidates, ended, pick, sent, usable
 from frostpost.proxy.outcomes import Broken, NotSent
-from frostpost.proxy.parsing import ResponseParser
-from frostpost.proxy.picking import candidates, ended, pick, sent, usable
+from frostpost.proxy.response_parser import ResponseParser
 from frostpost.proxy.routing import find_route, pick_service
 
 WIRE = b"id: 1\ndata: a\ndata:  b\n\n:note\r\n\r\nid: 2\r\ndata:c\r\n\r\ndata: part"
--- a/tests/test_proxy_strikes.py
+++ b/tests/test_proxy_connection_failures.py
@@ -8,15 +8,15 @@
 
 import pytest
 from msgspec import Struct
-from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from proxy_harness import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
 from frostpost.program_ledger.messages import AttemptBegun, ReassignAttempt
-from frostpost.proxy import exchange, failures, lookup, outcomes, sending, stream
+from frostpost.proxy import exchange, exchange_state, failures, forwarding, outcomes, stream
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.connection import Connection
-from frostpost.proxy.picking import load_of
+from frostpost.proxy.load_balancing import load_of
 
 ONE, TWO, THREE = (b"id: %d\ndata: %c\n\n" % (n, c) for n, c in ((1, b"a"), (2, b"b"), (3, b"c")))
 RUNNERS = [a_runner("r1"), a_runner("r2"), a_runner("r3")]
@@ -272,15 +272,15 @@
 
 
 def reset_taken_for_refusal(call, state, heard):
-    if isinstance(state, sending.MaybeSent) and isinstance(heard, sending.ConnectionFailed):
-        return sending.end(outcomes.NotRun(503), False)
-    return sending.step(call, state, heard)
+    if isinstance(state, exchange_state.MaybeSent) and isinstance(heard, exchange_state.ConnectionFailed):
+        return exchange_state.end(outcomes.NotRun(503), False)
+    return exchange_state.step(call, state, heard)
 
 
 def cut_taken_for_whole(call, state, heard):
-    if isinstance(state, sending.Answering) and isinstance(heard, sending.ConnectionFailed):
-        return sending.end(outcomes.Whole(), True)
-    return sending.step(call, state, heard)
+    if isinstance(state, exchange_state.Answering) and isinstance(heard, exchange_state.ConnectionFailed):
+        return exchange_state.end(outcomes.Whole(), True)
+    return exchange_state.step(call, state, heard)
 
 
 def requests_struck(patch):
@@ -305,12 +305,12 @@
 
 PLANTS = {
     "one runner more": (
-        [(lookup, "attempts_for", one_runner_more), (stream, "attempts_for", one_runner_more)],
+        [(forwarding, "attempts_for", one_runner_more), (stream, "attempts_for", one_runner_more)],
         requests_struck,
     ),
     "reset taken for a refusal": ([(exchange, "step", reset_taken_for_refusal)], requests_struck),
     "cut taken for whole": ([(exchange, "step", cut_taken_for_whole)], answers_struck),
-    "any head is the call's own": ([(sending, "doubt", lambda head, call, fresh: "")], late_answers),
+    "any head is the call's own": ([(exchange_state, "doubt", lambda head, call, fresh: "")], late_answers),
     "surplus bytes ignored": ([(Connection, "drop", lambda connection: None)], surplus),
 }
 
--- a/tests/test_proxy_sending.py
+++ b/tests/test_proxy_exchange_state.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from frostpost.proxy.outcomes import Broken, NotRun, NotSent, Whole
-from frostpost.proxy.sending import (
+from frostpost.proxy.exchange_state import (
     Answering,
     BodyEnded,
     ConnectionFailed,
@@ -26,7 +25,8 @@
     may_have_run,
     step,
 )
-from frostpost.proxy.words import Call, RunnerHead
+from frostpost.proxy.models import Call, RunnerHead
+from frostpost.proxy.outcomes import Broken, NotRun, NotSent, Whole
 
 CALL = Call(attempt="a1", method=b"POST", uri=b"/", host="h", headers=[], body=b"", started_ms=0, deadline_ms=9)
 OWN = RunnerHead(200, [], attempt="a1", sealed=True)
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -2,7 +2,7 @@
 
 import pytest
 from expression import Ok
-from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from proxy_harness import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred
 
 from frostpost.program_ledger.messages import (
@@ -65,7 +65,7 @@
     s = stage(monkeypatch, kind, retained=kind == "streaming", keep_ms=9000)
     s.waits = {}
     kept = s.ask
-    for module in ("keyed", "turn"):
+    for module in ("idempotency", "turn"):
         monkeypatch.setattr(
             f"frostpost.proxy.{module}.call_replicas", lambda agent, op, ms: noted(s, kept, agent, op, ms)
         )
--- a/tests/test_proxy_lookup.py
+++ b/tests/test_proxy_forwarding.py
@@ -1,6 +1,6 @@
 import pytest
 from expression import Ok
-from test_proxy_stage import Stage, a_route, a_runner, answer_bytes
+from proxy_harness import Stage, a_route, a_runner, answer_bytes
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -14,7 +14,7 @@
     ResolveOperationKey,
 )
 from frostpost.proxy import failures, runner_discovery
-from frostpost.proxy.keyed import pack, unpack
+from frostpost.proxy.idempotency import pack, unpack
 from frostpost.proxy.outcomes import Answer
 
 OK = [("head", 200), ("data", b"out"), "end"]
--- a/tests/test_proxy_answer_properties.py
+++ b/tests/test_proxy_response_properties.py
@@ -5,10 +5,10 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_proxy_stage import Stage, a_route, a_runner
+from proxy_harness import Stage, a_route, a_runner
 
 from frostpost.proxy import failures
-from frostpost.proxy.parsing import ResponseParser, UnreadableError
+from frostpost.proxy.response_parser import ResponseParser, UnreadableError
 
 QUICK = settings(max_examples=400, deadline=None, derandomize=True)
 NAMES = st.text("abcXYZ09-_", min_size=1, max_size=6).map(lambda text: b"x-" + text.encode())
--- a/tests/test_proxy_runner_discovery.py
+++ b/tests/test_proxy_runner_discovery.py
@@ -12,7 +12,7 @@
 from frostpost.cluster.list_reading import ListReading, digest_of
 from frostpost.daemon.machine import Machine
 from frostpost.proxy import runner_discovery
-from frostpost.proxy.words import Runner
+from frostpost.proxy.models import Runner
 from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
 
--- a/tests/test_proxy_slot_overhead.py
+++ b/tests/test_proxy_slot_overhead.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from test_proxy_stage import HEAD, Stage, a_route, a_runner, chunk
+from proxy_harness import HEAD, Stage, a_route, a_runner, chunk
 
 from frostpost.program_ledger.messages import BeginAttempt, Candidate
 from frostpost.proxy.slot_overhead import SlotOverhead, countable_slots, observe_order, observe_run, overhead_of
--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -1,6 +1,6 @@
 import pytest
 from expression import Error, Ok
-from test_proxy_stage import HEAD, HOLDERS, Stage, a_route, a_runner, answer_bytes, chunk
+from proxy_harness import HEAD, HOLDERS, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
--- a/tests/test_proxy_waiting.py
+++ b/tests/test_proxy_wait_policy.py
@@ -4,7 +4,7 @@
 from expression import Error, Ok
 from hypothesis import given
 from hypothesis import strategies as st
-from test_proxy_stage import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from proxy_harness import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.cluster import lease_client, lease_waiters
@@ -18,8 +18,8 @@
     NoCapacity,
     ReassignAttempt,
 )
-from frostpost.proxy import decision_record, failures, hold_policy, order_calls
-from frostpost.proxy.words import Delays
+from frostpost.proxy import decision_record, failures, operation_retry, wait_policy
+from frostpost.proxy.models import Delays
 
 TIMES = st.integers(0, 10**7)
 
@@ -124,7 +124,7 @@
         result = waiting.pop(0)
         return result if isinstance(result, Deferred) else succeed(result)
 
-    monkeypatch.setattr(order_calls, "call_replicas", call_replicas)
+    monkeypatch.setattr(operation_retry, "call_replicas", call_replicas)
     return asked
 
 
@@ -132,7 +132,7 @@
     s = stage(monkeypatch)
     asked = calls(monkeypatch, Error(failures.Unavailable(1, "lease")), Ok(KeyClaimed()))
     s.lease, delays, found = False, Delays(), []
-    order_calls.call_until_decided(s.agent, ClaimOperationKey("k", "a", 9), 1000, delays).addCallback(found.append)
+    operation_retry.call_until_decided(s.agent, ClaimOperationKey("k", "a", 9), 1000, delays).addCallback(found.append)
     s.reactor.advance(0.3)
     assert found == []
     lease_returns(s)
@@ -145,7 +145,7 @@
     undecided = Deferred()
     asked = calls(monkeypatch, undecided)
     delays, found = Delays(), []
-    order_calls.call_until_decided(s.agent, ClaimOperationKey("k", "a", 9), 3000, delays).addCallback(found.append)
+    operation_retry.call_until_decided(s.agent, ClaimOperationKey("k", "a", 9), 3000, delays).addCallback(found.append)
     s.reactor.advance(1.2)
     undecided.callback(Error(failures.Unavailable(1, "undecided")))
     assert found == [failures.Unavailable(1, "undecided")] and asked == [1200] and delays.order_ms == 1200
@@ -200,18 +200,20 @@
 
 @given(TIMES, TIMES, TIMES, st.integers(1, 5000))
 def test_no_hold_takes_half_of_the_time_left_or_outlasts_the_end_of_the_lease(now, left, gone, lease):
-    until_ms = hold_policy.lease_hold_until_ms(now, left, gone, lease)
-    assert until_ms <= now + left / 2 and until_ms <= gone + hold_policy.LEASE_OUTAGES * lease
+    until_ms = wait_policy.lease_hold_until_ms(now, left, gone, lease)
+    assert until_ms <= now + left / 2 and until_ms <= gone + wait_policy.LEASE_OUTAGES * lease
 
 
 @pytest.mark.parametrize("left", [-5, 0])
 def test_what_has_no_time_left_is_not_held(left):
-    assert hold_policy.order_hold_ms(left) == 0
+    assert wait_policy.order_hold_ms(left) == 0
 
 
 def test_a_lease_that_is_there_and_refused_all_the_same_is_not_asked_about_for_ever(monkeypatch):
     s = stage(monkeypatch)
     asked = calls(monkeypatch, *[Error(failures.Unavailable(1, "lease"))] * 2)
     found = []
-    order_calls.call_until_decided(s.agent, ClaimOperationKey("k", "a", 9), 1000, Delays()).addCallback(found.append)
+    operation_retry.call_until_decided(s.agent, ClaimOperationKey("k", "a", 9), 1000, Delays()).addCallback(
+        found.append
+    )
     assert found == [failures.Unavailable(1, "lease")] and len(asked) == 1
