--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -59,12 +59,12 @@
         status=status,
         headers=[(name, value) for name, value in headers if name.lower() not in gone],
         attempt=found.get(ATTEMPT, b"").decode("latin-1"),
-        not_run=status == 421 or NOT_RUN in found,
+        not_executed=status == 421 or NOT_RUN in found,
         sealed=sum(name.lower() == SEAL for name, _ in headers) == 1 and bool(found[SEAL]),
         instance=found.get(INSTANCE, b"").decode("latin-1"),
         load=load_of(found[LOAD]) if LOAD in found else None,
         close=any(token.strip().lower() == b"close" for value in connection for token in value.split(b",")),
-        keep_ms=keep_ms_of(found.get(b"keep-alive", b"")),
+        keep_alive_ms=keep_ms_of(found.get(b"keep-alive", b"")),
     )
 
 
--- a/frostpost/proxy/attempts.py
+++ b/frostpost/proxy/attempts.py
@@ -8,8 +8,8 @@
 
 from .outcomes import NotRun, NotSent
 
-LEAST_OFFERS_REPEATABLE = 2
-SPARE_PICKS = 2
+MIN_OFFERS_REPEATABLE = 2
+EXTRA_PICKS = 2
 
 
 class Attempts(Struct):
@@ -19,8 +19,8 @@
     including those that refuse it. picked: ids of the selected runners in order, including those never reached.
     """
 
-    most_runs: int
-    most_offers: int
+    max_runs: int
+    max_offers: int
     runs: int = 0
     offers: int = 0
     picked: list[str] = []
@@ -28,20 +28,20 @@
 
 def attempts_for(route, repeatable):
     """Create the counters for a request; one that is not repeatable is executed at most once on any route."""
-    allowed = max(route.attempts, 1)
+    max_runs = max(route.attempts, 1)
     if repeatable:
-        return Attempts(allowed, max(allowed, LEAST_OFFERS_REPEATABLE))
-    return Attempts(1, allowed)
+        return Attempts(max_runs, max(max_runs, MIN_OFFERS_REPEATABLE))
+    return Attempts(1, max_runs)
 
 
 def may_offer(attempts):
     """Return whether the request may be sent to one more runner."""
-    if attempts.runs >= attempts.most_runs or attempts.offers >= attempts.most_offers:
+    if attempts.runs >= attempts.max_runs or attempts.offers >= attempts.max_offers:
         return False
-    return len(attempts.picked) < 2 * attempts.most_offers + SPARE_PICKS
+    return len(attempts.picked) < 2 * attempts.max_offers + EXTRA_PICKS
 
 
-def record(attempts, outcome):
+def record_outcome(attempts, outcome):
     """Count a finished send; any outcome but NotSent and NotRun may have been executed."""
     if isinstance(outcome, NotSent):
         return
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -3,25 +3,25 @@
 from frostpost.cluster.agent_context import now_ms
 
 from .exchange_state import (
+    AbortConnection,
     BodyEnded,
+    Cancelled,
     ConnectionFailed,
     DataRead,
     DrainConnection,
-    DropConnection,
     Ended,
     Finish,
-    GivenUp,
+    ForwardData,
+    ForwardHead,
     HeadRead,
     NotWritten,
-    PassData,
-    PassHead,
     Queued,
     Wrote,
     may_have_run,
     step,
 )
 
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -35,8 +35,8 @@
         b"expect",
     )
 )
-QUEUED, GIVEN_UP, BODY_ENDED = Queued(), GivenUp(), BodyEnded()
-WITH_BODY = (b"POST", b"PUT", b"PATCH")
+QUEUED, CANCELLED, BODY_ENDED = Queued(), Cancelled(), BodyEnded()
+METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")
 
 
 class Exchange:
@@ -54,7 +54,7 @@
         self.connection, self.head, self.state = None, None, QUEUED
 
     @property
-    def over(self):
+    def has_ended(self):
         """Whether the exchange has ended."""
         return isinstance(self.state, Ended)
 
@@ -63,17 +63,17 @@
 
         Returns True if the runner may have started to execute the request.
         """
-        self.feed(GIVEN_UP)
+        self.handle_event(CANCELLED)
         return may_have_run(self.state)
 
     def pause(self):
         """Stop reading the response."""
-        if not self.over and self.connection is not None:
+        if not self.has_ended and self.connection is not None:
             self.connection.pause()
 
     def resume(self):
         """Resume reading the response."""
-        if not self.over and self.connection is not None:
+        if not self.has_ended and self.connection is not None:
             self.connection.resume()
 
     def write_to(self, connection):
@@ -81,44 +81,44 @@
         left_ms = self.until_ms - now_ms(self.agent)
         data = request_bytes(self.agent.wire, self.runner, self.call, self.body, left_ms)
         self.connection = connection
-        self.feed(Wrote(connection.exchanges == 0))
+        self.handle_event(Wrote(connection.exchange_count == 0))
         connection.start(self, data, self.call.method == b"HEAD")
 
-    def not_sent(self, why):
+    def fail_unsent(self, reason):
         """End the exchange without having written the request."""
-        self.feed(NotWritten(why))
+        self.handle_event(NotWritten(reason))
 
-    def heard_head(self, status, fields):
+    def on_head(self, status, fields):
         """Handle a response head."""
         head = self.head = self.agent.wire.read_head(status, fields)
-        self.connection.learn(head)
-        self.feed(HeadRead(head))
+        self.connection.apply_head(head)
+        self.handle_event(HeadRead(head))
 
-    def heard_data(self, data):
+    def on_data(self, data):
         """Handle a piece of the response body."""
-        self.feed(DataRead(data))
+        self.handle_event(DataRead(data))
 
-    def heard_whole(self):
+    def on_body_end(self):
         """Handle the end of the response body."""
-        self.feed(BODY_ENDED)
+        self.handle_event(BODY_ENDED)
 
-    def heard_broken(self, why):
+    def on_failure(self, reason):
         """Handle the loss of the connection or a malformed response."""
-        self.feed(ConnectionFailed(why))
+        self.handle_event(ConnectionFailed(reason))
 
-    def feed(self, heard):
+    def handle_event(self, event):
         """Advance the state machine by one event and execute its actions."""
-        self.state, actions = step(self.call, self.state, heard)
+        self.state, actions = step(self.call, self.state, event)
         for action in actions:
             match action:
-                case PassHead(head):
+                case ForwardHead(head):
                     self.listener.head(head)
-                case PassData(data):
+                case ForwardData(data):
                     self.listener.data(data)
-                case DropConnection():
-                    self.connection.drop()
+                case AbortConnection():
+                    self.connection.abort()
                 case DrainConnection():
-                    self.connection.detach()
+                    self.connection.drain()
                 case Finish(outcome):
                     self.listener.done(outcome)
 
@@ -127,8 +127,8 @@
     """Serialize a request to a runner."""
     lines = [call.method + b" " + call.uri + b" HTTP/1.1", b"Host: " + call.host.encode("latin-1")]
     for name, value in wire.request_headers(call, runner, left_ms):
-        if name.lower() not in HOP:
+        if name.lower() not in HOP_BY_HOP_HEADERS:
             lines.append(name + b": " + value)
-    if body or call.method in WITH_BODY:
+    if body or call.method in METHODS_WITH_BODY:
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/frostpost/proxy/exchange_state.py
+++ b/frostpost/proxy/exchange_state.py
@@ -14,7 +14,7 @@
 from .models import RunnerHead
 from .outcomes import Broken, NotRun, NotSent, Whole
 
-PROMISES = (408, 429, 503)
+REFUSAL_STATUSES = (408, 429, 503)
 MISDIRECTED = 421
 
 
@@ -28,7 +28,7 @@
     fresh: bool
 
 
-class Answering(Struct, frozen=True, tag=True):
+class ReceivingBody(Struct, frozen=True, tag=True):
     """A valid response head was read; the body is being received."""
 
     head: RunnerHead
@@ -75,17 +75,17 @@
     why: str
 
 
-class GivenUp(Struct, frozen=True, tag=True):
+class Cancelled(Struct, frozen=True, tag=True):
     """The client disconnected or the deadline passed."""
 
 
-class PassHead(Struct, frozen=True, tag=True):
+class ForwardHead(Struct, frozen=True, tag=True):
     """Forward the response head."""
 
     head: RunnerHead
 
 
-class PassData(Struct, frozen=True, tag=True):
+class ForwardData(Struct, frozen=True, tag=True):
     """Forward a piece of the response body."""
 
     data: bytes
@@ -97,7 +97,7 @@
     outcome: NotSent | NotRun | Broken | Whole
 
 
-class DropConnection(Struct, frozen=True, tag=True):
+class AbortConnection(Struct, frozen=True, tag=True):
     """Abort the connection: nothing further read from it may be used."""
 
 
@@ -105,7 +105,7 @@
     """Read the rest of a refusal, so that the connection can be reused."""
 
 
-DROP, DRAIN = DropConnection(), DrainConnection()
+ABORT_CONNECTION, DRAIN_CONNECTION = AbortConnection(), DrainConnection()
 
 
 def may_have_run(state):
@@ -115,12 +115,12 @@
     return not isinstance(state, Queued)
 
 
-def doubt(head, call, fresh):
+def rejection_reason(head, call, fresh):
     """Return why a response head cannot be accepted for the request, or an empty string.
 
     fresh: the first exchange on its connection; there a refusal without an attempt id can only belong to this request.
     """
-    refused = head.not_run or head.status == MISDIRECTED
+    refused = head.not_executed or head.status == MISDIRECTED
     succeeded = 200 <= head.status < 300
     if head.attempt != call.attempt and not (refused and fresh and not head.attempt):
         return "attempt"
@@ -130,47 +130,47 @@
         return "contradiction"
     if succeeded and not head.sealed:
         return "unsealed"
-    if head.status in PROMISES and not refused:
+    if head.status in REFUSAL_STATUSES and not refused:
         return "promise"
     return ""
 
 
-def step(call, state, heard):
+def step(call, state, event):
     """Return the next state and the actions to execute, in order."""
-    match state, heard:
+    match state, event:
         case Ended(), _:
             return state, ()
         case Queued(), Wrote(fresh):
             return MaybeSent(fresh), ()
         case Queued(), NotWritten(why):
-            return end(NotSent(why), False)
-        case Queued(), GivenUp():
+            return end_with(NotSent(why), False)
+        case Queued(), Cancelled():
             return Ended(None, False), ()
-        case _, GivenUp():
-            return Ended(None, True), (DROP,)
+        case _, Cancelled():
+            return Ended(None, True), (ABORT_CONNECTION,)
         case MaybeSent(fresh), HeadRead(head):
-            return take_head(call, head, fresh)
-        case Answering(), DataRead(data):
-            return state, (PassData(data),)
-        case Answering(), BodyEnded():
-            return end(Whole(), True)
-        case ((MaybeSent() | Answering()), ConnectionFailed(why)):
-            return end(Broken(why), True)
-        case ((MaybeSent() | Answering()), _):
-            return end(Broken("order"), True, DROP)
+            return accept_head(call, head, fresh)
+        case ReceivingBody(), DataRead(data):
+            return state, (ForwardData(data),)
+        case ReceivingBody(), BodyEnded():
+            return end_with(Whole(), True)
+        case ((MaybeSent() | ReceivingBody()), ConnectionFailed(why)):
+            return end_with(Broken(why), True)
+        case ((MaybeSent() | ReceivingBody()), _):
+            return end_with(Broken("order"), True, ABORT_CONNECTION)
     return state, ()
 
 
-def take_head(call, head, fresh):
+def accept_head(call, head, fresh):
     """Handle the first response head after the request was written."""
-    why = doubt(head, call, fresh)
-    if why:
-        return end(Broken(why), True, DROP)
-    if head.not_run or head.status == MISDIRECTED:
-        return end(NotRun(head.status), False, DRAIN)
-    return Answering(head), (PassHead(head),)
+    reason = rejection_reason(head, call, fresh)
+    if reason:
+        return end_with(Broken(reason), True, ABORT_CONNECTION)
+    if head.not_executed or head.status == MISDIRECTED:
+        return end_with(NotRun(head.status), False, DRAIN_CONNECTION)
+    return ReceivingBody(head), (ForwardHead(head),)
 
 
-def end(outcome, ran, *before):
+def end_with(outcome, may_have_executed, *actions):
     """Return the final state with `outcome`, and the preceding actions followed by Finish."""
-    return Ended(outcome, ran), (*before, Finish(outcome))
+    return Ended(outcome, may_have_executed), (*actions, Finish(outcome))
--- a/frostpost/proxy/forwarding.py
+++ b/frostpost/proxy/forwarding.py
@@ -5,7 +5,7 @@
 from frostpost.cluster.agent_context import count, now_ms
 
 from . import load_balancing
-from .attempts import attempts_for, may_offer, record
+from .attempts import attempts_for, may_offer, record_outcome
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent
 from .runner_request import run_once
@@ -52,7 +52,7 @@
             return ClientLeft()
         attempts.picked.append(runner.id)
         outcome = yield run_once(agent, runner, call, call.body, until_ms, watch)
-        record(attempts, outcome)
+        record_outcome(attempts, outcome)
         if isinstance(outcome, NotSent):
             why = outcome.why
             if why == "left":
--- a/frostpost/proxy/models.py
+++ b/frostpost/proxy/models.py
@@ -105,12 +105,12 @@
     status: int
     headers: list[tuple[bytes, bytes]]
     attempt: str = ""
-    not_run: bool = False
+    not_executed: bool = False
     sealed: bool = False
     instance: str = ""
     load: tuple[int, int, int] | None = None
     close: bool = False
-    keep_ms: int = 0
+    keep_alive_ms: int = 0
 
 
 class Wire(Struct, frozen=True):
--- a/frostpost/proxy/pool.py
+++ b/frostpost/proxy/pool.py
@@ -11,73 +11,75 @@
 from .connection import Connection
 from .exchange import Exchange
 
-WAITING = 64
+MAX_WAITING = 64
 
 
-def setting(agent, name, otherwise):
+def setting(agent, name, default):
     """Return a setting, or a default if the settings object lacks it, as those of tests do."""
-    return getattr(agent.settings, name, otherwise)
+    return getattr(agent.settings, name, default)
 
 
 class Pool:
     """The connections to one runner and the exchanges waiting for one."""
 
-    __slots__ = ("agent", "runner", "idle", "open", "opening", "waiting", "closing")
+    __slots__ = ("agent", "runner", "idle", "open_count", "opening_count", "waiting", "closing")
 
     def __init__(self, agent, runner):
         self.agent, self.runner, self.idle, self.waiting = agent, runner, [], deque()
-        self.open, self.opening, self.closing = 0, 0, False
+        self.open_count, self.opening_count, self.closing = 0, 0, False
 
-    def freed(self, connection):
+    def release(self, connection):
         """Return a connection to the pool after its exchange has completed."""
         if self.closing:
-            connection.dirty = True
+            connection.unusable = True
             return connection.transport.loseConnection()
-        keep_ms = connection.keep_ms
-        if keep_ms > 0:
-            keep_ms = keep_ms - 500 if keep_ms >= 2000 else keep_ms // 2
+        keep_alive_ms = connection.keep_alive_ms
+        if keep_alive_ms > 0:
+            keep_alive_ms = keep_alive_ms - 500 if keep_alive_ms >= 2000 else keep_alive_ms // 2
         else:
-            keep_ms = setting(self.agent, "idle_ms", 10_000)
-        connection.idle_until_ms = now_ms(self.agent) + keep_ms
+            keep_alive_ms = setting(self.agent, "idle_ms", 10_000)
+        connection.idle_until_ms = now_ms(self.agent) + keep_alive_ms
         connection.resume()
         self.idle.append(connection)
         if self.waiting:
-            self.agent.reactor.callLater(0, self.serve_waiting)
+            self.agent.reactor.callLater(0, self.assign_connections)
 
-    def closed(self, connection):
+    def remove(self, connection):
         """Remove a closed connection."""
-        self.open -= 1
+        self.open_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
-        self.serve_waiting()
+        self.assign_connections()
 
     def take_idle(self):
         """Return a usable idle connection, or None."""
         now = now_ms(self.agent)
         while self.idle:
             connection = self.idle.pop()
-            if connection.idle_until_ms > now and not connection.stale():
+            if connection.idle_until_ms > now and not connection.is_stale():
                 return connection
-            connection.drop()
+            connection.abort()
         return None
 
-    def serve_waiting(self):
+    def assign_connections(self):
         """Assign idle connections to waiting exchanges and open more connections if needed."""
         while self.waiting:
-            if self.waiting[0].over:
+            if self.waiting[0].has_ended:
                 self.waiting.popleft()
                 continue
             connection = self.take_idle()
             if connection is None:
                 break
-            write(self, self.waiting.popleft(), connection)
-        wanted = sum(1 for exchange in self.waiting if not exchange.over)
-        while self.opening < wanted and self.open + self.opening < most_connections(self.agent, self.runner):
+            write_request(self, self.waiting.popleft(), connection)
+        needed = sum(1 for exchange in self.waiting if not exchange.has_ended)
+        while self.opening_count < needed and self.open_count + self.opening_count < max_connections(
+            self.agent, self.runner
+        ):
             self.connect()
 
     def connect(self):
         """Open one more connection."""
-        self.opening += 1
+        self.opening_count += 1
         count(self.agent, "connects")
         endpoint = TCP4ClientEndpoint(
             self.agent.reactor,
@@ -87,40 +89,40 @@
         )
         factory = Factory.forProtocol(lambda: Connection(self))
         factory.noisy = False
-        endpoint.connect(factory).addCallbacks(self._connected, self._no_connection)
+        endpoint.connect(factory).addCallbacks(self._connected, self._connection_failed)
 
     def _connected(self, connection):
-        self.opening -= 1
-        self.open += 1
-        self.freed(connection)
-        self.serve_waiting()
+        self.opening_count -= 1
+        self.open_count += 1
+        self.release(connection)
+        self.assign_connections()
 
-    def _no_connection(self, failure):
-        self.opening -= 1
+    def _connection_failed(self, failure):
+        self.opening_count -= 1
         while self.waiting:
             exchange = self.waiting.popleft()
-            if not exchange.over:
-                return exchange.not_sent("connect")
+            if not exchange.has_ended:
+                return exchange.fail_unsent("connect")
 
     def close(self):
         """Close idle connections now and busy ones when their exchange completes."""
         self.closing = True
         idle, self.idle = self.idle, []
         for connection in idle:
-            connection.drop()
+            connection.abort()
         waiting, self.waiting = self.waiting, deque()
         for exchange in waiting:
-            exchange.not_sent("gone")
+            exchange.fail_unsent("gone")
 
 
-def most_connections(agent, runner):
+def max_connections(agent, runner):
     """Return how many connections this daemon may open to a runner."""
     service = agent.routing.services.get(runner.service) if agent.routing is not None else None
     share = setting(agent, "connection_share", 0.5)
     return max(2, int(service.max_connections * share)) if service is not None else 2
 
 
-def may_send(agent, exchange):
+def refusal_reason(agent, exchange):
     """Return the reason why the exchange may not be sent now, or an empty string."""
     runner = agent.runners.get(exchange.runner.id)
     if runner is None or runner.draining or (runner.host, runner.port) != (exchange.runner.host, exchange.runner.port):
@@ -130,12 +132,12 @@
     return "" if holds_lease(agent) else "lease"
 
 
-def write(pool, exchange, connection):
+def write_request(pool, exchange, connection):
     """Write a request, or end it as not sent if it may no longer be sent."""
-    why = may_send(pool.agent, exchange)
-    if why:
-        pool.freed(connection)
-        return exchange.not_sent(why)
+    reason = refusal_reason(pool.agent, exchange)
+    if reason:
+        pool.release(connection)
+        return exchange.fail_unsent(reason)
     exchange.write_to(connection)
 
 
@@ -145,16 +147,16 @@
     pool = agent.pools.get(runner.id)
     if pool is None:
         pool = agent.pools[runner.id] = Pool(agent, runner)
-    why = may_send(agent, exchange)
-    if why or pool.closing or len(pool.waiting) >= WAITING:
-        agent.reactor.callLater(0, exchange.not_sent, why or "full")
+    reason = refusal_reason(agent, exchange)
+    if reason or pool.closing or len(pool.waiting) >= MAX_WAITING:
+        agent.reactor.callLater(0, exchange.fail_unsent, reason or "full")
         return exchange
     connection = pool.take_idle()
     if connection is not None:
-        write(pool, exchange, connection)
+        write_request(pool, exchange, connection)
     else:
         pool.waiting.append(exchange)
-        pool.serve_waiting()
+        pool.assign_connections()
     return exchange
 
 
@@ -166,10 +168,10 @@
             pool.close()
 
 
-def sweep(agent):
+def close_expired(agent):
     """Close idle connections that have expired."""
     now = now_ms(agent)
     for pool in agent.pools.values():
         for connection in [c for c in pool.idle if c.idle_until_ms <= now]:
             pool.idle.remove(connection)
-            connection.drop()
+            connection.abort()
--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -7,7 +7,7 @@
 from frostpost.cluster.lease_client import send_lease_requests, session_of
 from frostpost.cluster.list_reading import ListReading, digest_of
 
-from .pool import close_pools, sweep
+from .pool import close_expired, close_pools
 
 MOST_BACKOFF = 8
 # Share of the list's request rate that all agents together may use.
@@ -101,7 +101,7 @@
         """Read the list now."""
         self._cancel()
         self.started_ms, self.reading, self.changed = now_ms(self.agent), True, False
-        sweep(self.agent)
+        close_expired(self.agent)
         maybeDeferred(self.agent.extras["fetch_list"]).addCallbacks(self._fetched, self._failed)
 
     def turn_period_ms(self):
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -6,7 +6,7 @@
 from frostpost.cluster.agent_context import count, now_ms
 
 from . import load_balancing, turn
-from .attempts import attempts_for, may_offer, record
+from .attempts import attempts_for, may_offer, record_outcome
 from .event_stream import EventParser
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
 from .forwarding import answer, hold_until_ms, retry_ms
@@ -130,7 +130,7 @@
         outcome = yield run_once(agent, runner, call, body, until_ms, state.watch, state.head, state.heard)
         if isinstance(outcome, Whole):
             observe_run(overhead_of(agent, service.name), now_ms(agent) - sent_ms)
-        record(attempts, outcome)
+        record_outcome(attempts, outcome)
         if isinstance(outcome, NotSent):
             if outcome.why in ("left", "late"):
                 return ClientLeft() if outcome.why == "left" else Late() if state.maybe else outcome
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -81,7 +81,7 @@
 
 
 def echo_unread():
-    return [(exchange_state, "doubt", lambda head, call, fresh: "")]
+    return [(exchange_state, "rejection_reason", lambda head, call, fresh: "")]
 
 
 def cut_ended():
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -68,7 +68,7 @@
         status,
         [(n, v) for n, v in fields if n.lower() != b"connection"],
         attempt=held.get(b"attempt", b"").decode(),
-        not_run=b"not-run" in held,
+        not_executed=b"not-run" in held,
         sealed=b"seal" in held,
         close=held.get(b"connection") == b"close",
     )
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -176,6 +176,6 @@
     path.channel.connectionLost(Failure(ConnectionDone()))
     path.client()
     path.ask(b"a2")
-    if not wire.dirty:
+    if not wire.unusable:
         wire.dataReceived(answer())
-    assert path.said() == b"" and wire.dirty
+    assert path.said() == b"" and wire.unusable
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -110,8 +110,14 @@
         Odd=b"1",
         ETag=b"e",
     )
-    assert (found.status, found.attempt, found.sealed, found.not_run, found.instance) == (200, "a1", True, False, "i-1")
-    assert (found.load, found.close, found.keep_ms) == ((3, 0, 8), True, 5000)
+    assert (found.status, found.attempt, found.sealed, found.not_executed, found.instance) == (
+        200,
+        "a1",
+        True,
+        False,
+        "i-1",
+    )
+    assert (found.load, found.close, found.keep_alive_ms) == ((3, 0, 8), True, 5000)
     assert [name for name, _ in found.headers] == [
         b"X-Attempt-Id",
         b"X-Server-Seal",
@@ -122,8 +128,8 @@
 
 
 def test_only_two_things_say_that_it_was_not_run():
-    assert head(503, X_Not_Executed=b"1").not_run and head(421).not_run
-    assert not head(503).not_run and not head(500).not_run
+    assert head(503, X_Not_Executed=b"1").not_executed and head(421).not_executed
+    assert not head(503).not_executed and not head(500).not_executed
 
 
 @pytest.mark.parametrize("seals", [[], [b""], [b"s", b"t"], [b"s", b"s"]])
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -7,7 +7,7 @@
 
 from frostpost.program_ledger.messages import AttemptBegun, ReassignAttempt
 from frostpost.proxy import failures
-from frostpost.proxy.attempts import attempts_for, may_offer, record
+from frostpost.proxy.attempts import attempts_for, may_offer, record_outcome
 from frostpost.proxy.outcomes import Broken, ClientLeft, Late, NotRun, NotSent
 
 RUNNERS = [a_runner("r1"), a_runner("r2"), a_runner("r3")]
@@ -88,12 +88,12 @@
     attempts = attempts_for(a_route(attempts=2), True)
     for outcome in (NotSent("connect"), NotRun(503), Broken("x")):
         assert may_offer(attempts)
-        record(attempts, outcome)
+        record_outcome(attempts, outcome)
     assert (attempts.runs, attempts.offers, may_offer(attempts)) == (1, 2, False)
 
 
 @pytest.mark.parametrize("outcome", [Broken("x"), Late(), ClientLeft()])
 def test_what_may_have_run_and_is_not_repeatable_goes_nowhere_else(outcome):
     attempts = attempts_for(a_route(attempts=3), False)
-    record(attempts, outcome)
+    record_outcome(attempts, outcome)
     assert not may_offer(attempts)
--- a/tests/test_proxy_connection_failures.py
+++ b/tests/test_proxy_connection_failures.py
@@ -155,7 +155,7 @@
         strike(played, wire)
         played.finish_elsewhere()
         played.judge()
-        assert wire.dirty
+        assert wire.unusable
         at += 1
 
 
@@ -172,7 +172,7 @@
         strike(played, wire)
         played.finish_elsewhere()
         played.judge()
-        assert wire.dirty
+        assert wire.unusable
 
 
 @EACH_KIND
@@ -202,7 +202,7 @@
             if apart:
                 wire.dataReceived(extra[:at])
             played.judge()
-            assert played.clients["a1"][-1] == "end" and wire.dirty
+            assert played.clients["a1"][-1] == "end" and wire.unusable
             played.ask("b1")
             assert wire.transport.value().count(b"POST") == 1
             played.finish_elsewhere()
@@ -224,7 +224,7 @@
             wire.dataReceived(late[at:] + kind.answer.replace(b"a1", b"b1"))
             played.finish_elsewhere()
             played.judge("b1")
-            assert played.clients["a1"][-1] == "end" and wire.dirty
+            assert played.clients["a1"][-1] == "end" and wire.unusable
 
 
 @EACH_KIND
@@ -273,13 +273,13 @@
 
 def reset_taken_for_refusal(call, state, heard):
     if isinstance(state, exchange_state.MaybeSent) and isinstance(heard, exchange_state.ConnectionFailed):
-        return exchange_state.end(outcomes.NotRun(503), False)
+        return exchange_state.end_with(outcomes.NotRun(503), False)
     return exchange_state.step(call, state, heard)
 
 
 def cut_taken_for_whole(call, state, heard):
-    if isinstance(state, exchange_state.Answering) and isinstance(heard, exchange_state.ConnectionFailed):
-        return exchange_state.end(outcomes.Whole(), True)
+    if isinstance(state, exchange_state.ReceivingBody) and isinstance(heard, exchange_state.ConnectionFailed):
+        return exchange_state.end_with(outcomes.Whole(), True)
     return exchange_state.step(call, state, heard)
 
 
@@ -310,8 +310,8 @@
     ),
     "reset taken for a refusal": ([(exchange, "step", reset_taken_for_refusal)], requests_struck),
     "cut taken for whole": ([(exchange, "step", cut_taken_for_whole)], answers_struck),
-    "any head is the call's own": ([(exchange_state, "doubt", lambda head, call, fresh: "")], late_answers),
-    "surplus bytes ignored": ([(Connection, "drop", lambda connection: None)], surplus),
+    "any head is the call's own": ([(exchange_state, "rejection_reason", lambda head, call, fresh: "")], late_answers),
+    "surplus bytes ignored": ([(Connection, "abort", lambda connection: None)], surplus),
 }
 
 
--- a/tests/test_proxy_exchange_state.py
+++ b/tests/test_proxy_exchange_state.py
@@ -5,24 +5,24 @@
 import pytest
 
 from frostpost.proxy.exchange_state import (
-    Answering,
+    AbortConnection,
     BodyEnded,
+    Cancelled,
     ConnectionFailed,
     DataRead,
     DrainConnection,
-    DropConnection,
     Ended,
     Finish,
-    GivenUp,
+    ForwardData,
+    ForwardHead,
     HeadRead,
     MaybeSent,
     NotWritten,
-    PassData,
-    PassHead,
     Queued,
+    ReceivingBody,
     Wrote,
-    doubt,
     may_have_run,
+    rejection_reason,
     step,
 )
 from frostpost.proxy.models import Call, RunnerHead
@@ -31,7 +31,7 @@
 CALL = Call(attempt="a1", method=b"POST", uri=b"/", host="h", headers=[], body=b"", started_ms=0, deadline_ms=9)
 OWN = RunnerHead(200, [], attempt="a1", sealed=True)
 FAILURE = RunnerHead(500, [], attempt="a1")
-REFUSAL = RunnerHead(503, [], attempt="a1", not_run=True)
+REFUSAL = RunnerHead(503, [], attempt="a1", not_executed=True)
 MISDIRECTED = RunnerHead(421, [], attempt="a1")
 FOREIGN = RunnerHead(200, [], attempt="a0", sealed=True)
 HEARD = [
@@ -42,7 +42,7 @@
     DataRead(b"x"),
     BodyEnded(),
     ConnectionFailed("reset"),
-    GivenUp(),
+    Cancelled(),
 ]
 
 
@@ -64,13 +64,13 @@
     for history in histories(4):
         state, actions = played(history)
         kinds = [type(action) for action in actions]
-        assert kinds.count(Finish) <= 1 and kinds.count(PassHead) <= 1, history
+        assert kinds.count(Finish) <= 1 and kinds.count(ForwardHead) <= 1, history
         if Finish in kinds:
             assert kinds[-1] is Finish and isinstance(state, Ended), history
-        if PassData in kinds:
-            assert kinds.index(PassHead) < kinds.index(PassData), history
+        if ForwardData in kinds:
+            assert kinds.index(ForwardHead) < kinds.index(ForwardData), history
         if isinstance(state, Ended) and state.outcome is None:
-            assert Finish not in kinds and GivenUp() in history, history
+            assert Finish not in kinds and Cancelled() in history, history
 
 
 def test_only_a_send_that_was_not_written_or_was_refused_surely_did_not_run():
@@ -95,7 +95,7 @@
 def test_a_head_is_handed_on_only_when_it_is_the_calls_own():
     for history in histories(4):
         _, actions = played(history)
-        passed = [action.head for action in actions if isinstance(action, PassHead)]
+        passed = [action.head for action in actions if isinstance(action, ForwardHead)]
         assert passed in ([], [OWN], [FAILURE]), history
 
 
@@ -104,9 +104,9 @@
     [
         (Queued(), Wrote(True), MaybeSent(True), ()),
         (Queued(), NotWritten("late"), Ended(NotSent("late"), False), (Finish(NotSent("late")),)),
-        (Queued(), GivenUp(), Ended(None, False), ()),
-        (MaybeSent(False), GivenUp(), Ended(None, True), (DropConnection(),)),
-        (MaybeSent(False), HeadRead(OWN), Answering(OWN), (PassHead(OWN),)),
+        (Queued(), Cancelled(), Ended(None, False), ()),
+        (MaybeSent(False), Cancelled(), Ended(None, True), (AbortConnection(),)),
+        (MaybeSent(False), HeadRead(OWN), ReceivingBody(OWN), (ForwardHead(OWN),)),
         (
             MaybeSent(False),
             HeadRead(REFUSAL),
@@ -117,25 +117,25 @@
             MaybeSent(False),
             HeadRead(FOREIGN),
             Ended(Broken("attempt"), True),
-            (DropConnection(), Finish(Broken("attempt"))),
+            (AbortConnection(), Finish(Broken("attempt"))),
         ),
         (MaybeSent(True), ConnectionFailed("r"), Ended(Broken("r"), True), (Finish(Broken("r")),)),
         (
             MaybeSent(True),
             DataRead(b"x"),
             Ended(Broken("order"), True),
-            (DropConnection(), Finish(Broken("order"))),
+            (AbortConnection(), Finish(Broken("order"))),
         ),
-        (Answering(OWN), DataRead(b"x"), Answering(OWN), (PassData(b"x"),)),
-        (Answering(OWN), BodyEnded(), Ended(Whole(), True), (Finish(Whole()),)),
-        (Answering(OWN), ConnectionFailed("r"), Ended(Broken("r"), True), (Finish(Broken("r")),)),
+        (ReceivingBody(OWN), DataRead(b"x"), ReceivingBody(OWN), (ForwardData(b"x"),)),
+        (ReceivingBody(OWN), BodyEnded(), Ended(Whole(), True), (Finish(Whole()),)),
+        (ReceivingBody(OWN), ConnectionFailed("r"), Ended(Broken("r"), True), (Finish(Broken("r")),)),
         (
-            Answering(OWN),
+            ReceivingBody(OWN),
             HeadRead(OWN),
             Ended(Broken("order"), True),
-            (DropConnection(), Finish(Broken("order"))),
+            (AbortConnection(), Finish(Broken("order"))),
         ),
-        (Answering(OWN), GivenUp(), Ended(None, True), (DropConnection(),)),
+        (ReceivingBody(OWN), Cancelled(), Ended(None, True), (AbortConnection(),)),
     ],
 )
 def test_steps(state, heard, after, actions):
@@ -153,15 +153,15 @@
         (head(200), True, "unsealed"),
         (head(200, sealed=True, attempt="a0"), True, "attempt"),
         (head(200, sealed=True, attempt=""), True, "attempt"),
-        (head(200, sealed=True, not_run=True), True, "contradiction"),
+        (head(200, sealed=True, not_executed=True), True, "contradiction"),
         (head(200, sealed=True, headers=[(b"Content-Encoding", b"gzip")]), True, "encoding"),
         (head(200, sealed=True, headers=[(b"content-encoding", b"identity")]), True, "encoding"),
         (head(500, sealed=True), False, ""),
         (head(404), False, ""),
-        (head(503, not_run=True), False, ""),
-        (head(503, not_run=True, attempt=""), True, ""),
-        (head(503, not_run=True, attempt=""), False, "attempt"),
-        (head(503, not_run=True, attempt="a0"), True, "attempt"),
+        (head(503, not_executed=True), False, ""),
+        (head(503, not_executed=True, attempt=""), True, ""),
+        (head(503, not_executed=True, attempt=""), False, "attempt"),
+        (head(503, not_executed=True, attempt="a0"), True, "attempt"),
         (head(421, attempt=""), True, ""),
         (head(421, attempt=""), False, "attempt"),
         (head(503), True, "promise"),
@@ -170,4 +170,4 @@
     ],
 )
 def test_which_heads_are_doubted(answer, fresh, why):
-    assert doubt(answer, CALL, fresh) == why
+    assert rejection_reason(answer, CALL, fresh) == why
--- a/tests/test_proxy_forwarding.py
+++ b/tests/test_proxy_forwarding.py
@@ -62,7 +62,7 @@
     wire = s.connect()
     wire.dataReceived(data)
     assert [type(x) for x in s.seen] == [failures.Unknown]
-    assert wire.dirty and len(s.reactor.tcpClients) == 1
+    assert wire.unusable and len(s.reactor.tcpClients) == 1
 
 
 def test_a_cut_answer_of_an_unsafe_request_is_unknown_and_never_sent_again(monkeypatch):
@@ -82,7 +82,7 @@
     wire.dataReceived(answer_bytes() + (b"more" if surplus_at_once else b""))
     if not surplus_at_once:
         wire.dataReceived(answer_bytes())
-    assert s.seen == OK and wire.dirty
+    assert s.seen == OK and wire.unusable
     s.serve()
     assert len(s.reactor.tcpClients) == 2
 
--- a/tests/test_proxy_response_properties.py
+++ b/tests/test_proxy_response_properties.py
@@ -137,7 +137,7 @@
             stage.serve()
             wire = stage.connect()
             for piece in cut(data, places):
-                if not wire.dirty and not wire.lost:
+                if not wire.unusable and not wire.lost:
                     wire.dataReceived(piece)
             stage.reactor.advance(4.1)
         heads, body, rest, _ = parsed([data])
--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -148,7 +148,7 @@
     wire = s.connect()
     wire.dataReceived(HEAD + chunk(ONE))
     s.gone()
-    assert wire.dirty and s.told == [EndAttempt("a1", 2)] and s.seen[-1] == ("data", ONE)
+    assert wire.unusable and s.told == [EndAttempt("a1", 2)] and s.seen[-1] == ("data", ONE)
 
 
 def test_a_resumable_stream_goes_on_inside_the_same_answer(monkeypatch):
