--- a/frostpost/proxy/failures.py
+++ b/frostpost/proxy/failures.py
@@ -9,32 +9,32 @@
 class NoRoute(Struct, frozen=True, tag="NoRoute"):
     """No route matches the host and path."""
 
-    promised = True
+    not_executed = True
 
 
 class BadRequest(Struct, frozen=True, tag="BadRequest"):
     """The request is malformed or ambiguous."""
 
     why: str
-    promised = True
+    not_executed = True
 
 
 class UnknownTurn(Struct, frozen=True, tag="UnknownTurn"):
     """The referenced turn is not retained."""
 
-    promised = True
+    not_executed = True
 
 
 class BudgetSpent(Struct, frozen=True, tag="BudgetSpent"):
     """The program has used up its token budget."""
 
-    promised = True
+    not_executed = True
 
 
 class AtWork(Struct, frozen=True, tag="AtWork"):
     """The first request with this idempotency key is still running, or its outcome is unknown."""
 
-    promised = True
+    not_executed = True
 
 
 class Unavailable(Struct, frozen=True, tag="Unavailable"):
@@ -42,30 +42,30 @@
 
     retry_ms: int
     why: str = ""
-    promised = True
+    not_executed = True
 
 
 class Overloaded(Struct, frozen=True, tag="Overloaded"):
     """No runner has a free slot, or too little time is left; the client may retry after retry_ms."""
 
     retry_ms: int
-    promised = True
+    not_executed = True
 
 
 class Leaving(Struct, frozen=True, tag="Leaving"):
     """This daemon is shutting down; the client should retry at another one."""
 
-    promised = True
+    not_executed = True
 
 
 class Unknown(Struct, frozen=True, tag="Unknown"):
     """The request was sent but no complete response was received: it may have been executed."""
 
     why: str = ""
-    promised = False
+    not_executed = False
 
 
 class TimedOut(Struct, frozen=True, tag="TimedOut"):
     """The request was sent and its deadline passed: it may have been executed."""
 
-    promised = False
+    not_executed = False
--- a/frostpost/proxy/idempotency.py
+++ b/frostpost/proxy/idempotency.py
@@ -16,67 +16,67 @@
 )
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
-from .forwarding import hand_over, lasting_ms, settle
+from .forwarding import deliver, forward, record_wait_ms
 from .operation_retry import ORDER_RETRY_MS, call_until_decided
 from .outcomes import Answer
 
-DISCLAIM_MS = 300
-WINDOW_TICKS = 6
+RELEASE_TIMEOUT_MS = 300
+WINDOW_MARGIN_TICKS = 6
 
 
-def pack(whole):
+def serialize_answer(answer):
     """Serialize a response for the ledger."""
-    return msgpack.encode((whole.status, whole.headers, whole.body))
+    return msgpack.encode((answer.status, answer.headers, answer.body))
 
 
-def unpack(data):
+def deserialize_answer(data):
     """Deserialize a response stored by `pack`."""
     return Answer(*msgpack.decode(data, type=tuple[int, list[tuple[bytes, bytes]], bytes]))
 
 
 @inlineCallbacks
-def keyed(agent, route, service, call, sink, until_ms, watch):
+def serve_idempotent(agent, route, service, call, sink, until_ms, watch):
     """Serve an idempotent request."""
     if not call.key:
-        return hand_over(agent, BadRequest("no key"), sink)
+        return deliver(agent, BadRequest("no key"), sink)
     key = f"{call.host}|{call.key}"
-    window_ms = agent.settings.key_window_ms + WINDOW_TICKS * agent.settings.tick_ms
+    window_ms = agent.settings.key_window_ms + WINDOW_MARGIN_TICKS * agent.settings.tick_ms
     claim = ClaimOperationKey(key, call.attempt, window_ms)
-    verdict = yield call_until_decided(agent, claim, max(1, until_ms - now_ms(agent)), call.delays)
-    if isinstance(verdict, KeyInProgress):
-        return hand_over(agent, AtWork(), sink)
-    if isinstance(verdict, KeyAnswered):
-        return hand_over(agent, unpack(verdict.answer), sink)
-    if not isinstance(verdict, KeyClaimed):
+    claim_result = yield call_until_decided(agent, claim, max(1, until_ms - now_ms(agent)), call.delays)
+    if isinstance(claim_result, KeyInProgress):
+        return deliver(agent, AtWork(), sink)
+    if isinstance(claim_result, KeyAnswered):
+        return deliver(agent, deserialize_answer(claim_result.answer), sink)
+    if not isinstance(claim_result, KeyClaimed):
         submit_until_decided(agent, ReleaseOperationKey(key, call.attempt))
-        return hand_over(agent, Unavailable(ORDER_RETRY_MS, "claim"), sink)
-    outcome = yield settle(agent, route, service, call, until_ms, service.dedupes, None)
+        return deliver(agent, Unavailable(ORDER_RETRY_MS, "claim"), sink)
+    outcome = yield forward(agent, route, service, call, until_ms, service.dedupes, None)
     if isinstance(outcome, Answer):
-        outcome = yield resolve(agent, key, call, outcome, until_ms)
-        return hand_over(agent, outcome, sink)
-    hand_over(agent, outcome, sink)
-    if outcome.promised:
-        yield disclaim(agent, key, call)
+        outcome = yield record_answer(agent, key, call, outcome, until_ms)
+        return deliver(agent, outcome, sink)
+    deliver(agent, outcome, sink)
+    if outcome.not_executed:
+        yield release_claim(agent, key, call)
 
 
 @inlineCallbacks
-def resolve(agent, key, call, whole, until_ms):
+def record_answer(agent, key, call, answer, until_ms):
     """Record a response in the ledger under this attempt's claim.
 
     Returns a Deferred of the response, or of Unknown if it was not recorded.
     """
-    resolved = ResolveOperationKey(key, call.attempt, pack(whole))
-    result = yield call_replicas(agent, resolved, lasting_ms(agent, until_ms))
+    operation = ResolveOperationKey(key, call.attempt, serialize_answer(answer))
+    result = yield call_replicas(agent, operation, record_wait_ms(agent, until_ms))
     if result.is_ok():
-        return whole if isinstance(result.ok, AttemptEnded) else Unknown("claim lost")
-    submit_until_decided(agent, resolved)
+        return answer if isinstance(result.ok, AttemptEnded) else Unknown("claim lost")
+    submit_until_decided(agent, operation)
     return Unknown("not resolved")
 
 
 @inlineCallbacks
-def disclaim(agent, key, call):
+def release_claim(agent, key, call):
     """Release the claim of a request that was not executed."""
     operation = ReleaseOperationKey(key, call.attempt)
-    result = yield call_replicas(agent, operation, DISCLAIM_MS)
+    result = yield call_replicas(agent, operation, RELEASE_TIMEOUT_MS)
     if not result.is_ok():
         submit_until_decided(agent, operation)
--- a/frostpost/proxy/operation_retry.py
+++ b/frostpost/proxy/operation_retry.py
@@ -6,9 +6,9 @@
 from frostpost.cluster.lease_waiters import wait_for_lease
 from frostpost.cluster.operation_client import call_replicas
 
-from .wait_policy import order_hold_ms
+from .wait_policy import decision_wait_ms
 
-LEAST_WAIT_MS = 200
+MIN_WAIT_MS = 200
 # Retry delay suggested to the client when the replicas did not decide in time.
 ORDER_RETRY_MS = 400
 
@@ -20,17 +20,19 @@
     The operation must be idempotent. While the daemon has no lease, waits for one. Adds the time spent waiting to
     `delays`. left_ms: time until the request's deadline. Returns a Deferred of the result, or of an Unavailable.
     """
-    from_ms = now_ms(agent)
-    until_ms = from_ms + max(1, min(left_ms, max(LEAST_WAIT_MS, order_hold_ms(left_ms))))
+    start_ms = now_ms(agent)
+    until_ms = start_ms + max(1, min(left_ms, max(MIN_WAIT_MS, decision_wait_ms(left_ms))))
     while True:
-        result = yield call_replicas(agent, operation, max(1, until_ms - from_ms))
+        result = yield call_replicas(agent, operation, max(1, until_ms - start_ms))
         decided_ms = now_ms(agent)
-        delays.order_ms += decided_ms - from_ms
+        delays.order_ms += decided_ms - start_ms
         if result.is_ok():
             return result.ok
-        returned = result.error.why == "lease" and decided_ms < until_ms and (yield wait_for_lease(agent, until_ms))
-        from_ms = now_ms(agent)
-        delays.lease_ms += from_ms - decided_ms
+        lease_returned = (
+            result.error.why == "lease" and decided_ms < until_ms and (yield wait_for_lease(agent, until_ms))
+        )
+        start_ms = now_ms(agent)
+        delays.lease_ms += start_ms - decided_ms
         # If no time has passed, resubmitting would be refused again in an endless loop.
-        if not returned or from_ms == decided_ms:
+        if not lease_returned or start_ms == decided_ms:
             return result.error
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -8,17 +8,17 @@
 
 from .decision_record import RequestObserver
 from .failures import BadRequest, Leaving, NoRoute, Overloaded, Unavailable
-from .forwarding import hand_over, lookup, retry_ms
-from .idempotency import keyed
+from .forwarding import deliver, retry_ms, serve_unordered
+from .idempotency import serve_idempotent
 from .models import Route, Service
 from .outcomes import ClientLeft
 from .routing import find_route, pick_service
 from .runner_request import Watch
 from .stream import stream
-from .wait_policy import lease_hold_until_ms
+from .wait_policy import lease_wait_until_ms
 
 RETRY_MS = 700
-WAYS = {"safe": lookup, "unsafe": lookup, "idempotent": keyed, "streaming": stream}
+WAYS = {"safe": serve_unordered, "unsafe": serve_unordered, "idempotent": serve_idempotent, "streaming": stream}
 
 
 class Admitted(Struct, frozen=True):
@@ -77,7 +77,7 @@
     """Wait until this daemon has a lease, as long as the request may be delayed for it."""
     now = now_ms(agent)
     left_ms = deadline_of(call, route_of(agent, call)) - now
-    until_ms = lease_hold_until_ms(now, left_ms, lease_gone_since_ms(agent), agent.settings.lease_ms)
+    until_ms = lease_wait_until_ms(now, left_ms, lease_gone_since_ms(agent), agent.settings.lease_ms)
     yield wait_for_lease(agent, until_ms)
     call.delays.lease_ms = now_ms(agent) - now
 
@@ -95,7 +95,7 @@
             yield hold_for_lease(agent, call)
         admitted = ClientLeft() if watch.left else admit(agent, call)
         if not isinstance(admitted, Admitted):
-            return hand_over(agent, admitted, sink)
+            return deliver(agent, admitted, sink)
         route = admitted.route
         observer.route = route.name
         yield WAYS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watch)
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -9,7 +9,7 @@
 from .attempts import attempts_for, may_offer, record_outcome
 from .event_stream import EventParser
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
-from .forwarding import answer, hold_until_ms, retry_ms
+from .forwarding import retry_ms, slot_deadline_ms, write_answer
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent, Whole
 from .runner_request import run_once
 from .slot_overhead import observe_run, overhead_of
@@ -115,12 +115,12 @@
     """
     attempts, call = attempts_for(route, route.resumable), state.call
     tried = attempts.picked
-    hold_ms, outcome = hold_until_ms(agent, route, until_ms), None
+    slot_until_ms, outcome = slot_deadline_ms(agent, route, until_ms), None
     if ordered and runner is None:
-        runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
+        runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
     while True:
         if runner is None and not ordered:
-            runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
+            runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
         if not hasattr(runner, "id"):
             return outcome if state.maybe else runner
         if state.watch.left:
@@ -144,7 +144,7 @@
             call = structs.replace(state.call, last_event=state.last_id)
         if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
             return outcome
-        runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
+        runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
 
 
 def may_resume(route, state, outcome):
@@ -155,7 +155,7 @@
 
 
 @inlineCallbacks
-def next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms):
+def next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms):
     """Return a Deferred of the next runner, or of a failure if there is none.
 
     The ledger reassigns an attempt only while no runner may have executed it.
@@ -166,8 +166,8 @@
             return name
         return agent.runners.get(name) or Overloaded(retry_ms(route))
     if state.maybe:
-        hold_ms = hold_until_ms(agent, route, until_ms)
-    runner = yield load_balancing.place(agent, route, service, tried, state.call.attempt, hold_ms)
+        slot_until_ms = slot_deadline_ms(agent, route, until_ms)
+    runner = yield load_balancing.place(agent, route, service, tried, state.call.attempt, slot_until_ms)
     return runner or Overloaded(retry_ms(route))
 
 
@@ -195,7 +195,7 @@
         return sink.cut()
     count(agent, type(outcome).__name__)
     if isinstance(outcome, Answer) and not (ordered and outcome.status in PROMISES):
-        return answer(sink, outcome)
+        return write_answer(sink, outcome)
     if state.maybe:
         return sink.failed(TimedOut() if isinstance(outcome, Late) else Unknown(getattr(outcome, "why", "")))
     if isinstance(outcome, (NotSent, NotRun)):
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -21,10 +21,10 @@
 
 from . import load_balancing
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
-from .forwarding import hold_until_ms, lasting_ms, retry_ms
+from .forwarding import record_wait_ms, retry_ms, slot_deadline_ms
 from .operation_retry import ORDER_RETRY_MS, call_until_decided
 from .slot_overhead import observe_order, overhead_of
-from .wait_policy import begin_hold_ms
+from .wait_policy import leader_wait_ms
 
 PAUSE_MS = 20
 KEEP_TICKS = 10
@@ -56,7 +56,7 @@
     waits_at_leader: the leader queues the operation until a slot is free, so a NoCapacity is final. Returns a Deferred
     of the ledger's result, or of an Unavailable.
     """
-    hold_ms = None
+    slot_until_ms = None
     while True:
         left_ms = until_ms - now_ms(agent)
         offered = load_balancing.candidates(agent, service, tried)
@@ -70,9 +70,9 @@
         if not isinstance(verdict, NoCapacity) or offered and waits_at_leader:
             return verdict
         # The slot wait starts at the first NoCapacity; waiting for the ledger's decision doesn't count.
-        hold_ms = hold_until_ms(agent, route, until_ms) if hold_ms is None else hold_ms
+        slot_until_ms = slot_deadline_ms(agent, route, until_ms) if slot_until_ms is None else slot_until_ms
         wait_ms = max(1, min(verdict.wait_ms, PAUSE_MS))
-        if now_ms(agent) + wait_ms >= hold_ms:
+        if now_ms(agent) + wait_ms >= slot_until_ms:
             return verdict
         yield pause(agent, wait_ms)
         call.delays.slot_ms = call.delays.slot_ms + wait_ms
@@ -106,7 +106,7 @@
             cache_tokens=service.cache_tokens,
             pool=service.name,
             rank=route.rank,
-            max_queue_ms=begin_hold_ms(left_ms),
+            max_queue_ms=leader_wait_ms(left_ms),
             deadline_in_ms=due_in_ms(agent, call),
         )
 
@@ -190,7 +190,7 @@
     of a running lease. The voters are checked last, since they may have been replaced while the end was being decided;
     the body is then stored again.
     """
-    wait_ms = lasting_ms(agent, until_ms)
+    wait_ms = record_wait_ms(agent, until_ms)
     keep_ms = route.keep_ms + KEEP_TICKS * agent.settings.tick_ms
     end = EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data))
     ended, stored = yield gatherResults(
@@ -201,6 +201,6 @@
         lasts = False
         submit_until_decided(agent, end if stored.is_ok() else EndAttempt(call.attempt, tokens))
     if lasts and not bodies_last(agent, stored.ok.holders):
-        again = yield put(agent, call.attempt, data, lasting_ms(agent, until_ms))
+        again = yield put(agent, call.attempt, data, record_wait_ms(agent, until_ms))
         lasts = again.is_ok()
     return lasts
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -16,7 +16,7 @@
 from frostpost.program_ledger.messages import BeginAttempt, ClaimOperationKey, EndAttempt, ResolveOperationKey
 from frostpost.proxy import pool
 from frostpost.proxy.exchange import Exchange
-from frostpost.proxy.wait_policy import HOLD_RATIO, LEASE_OUTAGES
+from frostpost.proxy.wait_policy import MAX_OUTAGE_LEASES, WAIT_RATIO
 
 LEASE_LOST_MS, LONG_MS = 1500, 6000
 KEYED, UNSAFE, SAFE, TURN = "/keyed/c", "/unsafe/b", "/safe/a", "/chat/x"
@@ -199,7 +199,7 @@
     story.cut(True)
     story.run(LEASE_LOST_MS)
     request = story.ask(path, **MORE.get(path, {}))
-    story.run(int(request.left_ms * HOLD_RATIO) - 200)
+    story.run(int(request.left_ms * WAIT_RATIO) - 200)
     assert not request.whole and story.runs(request) == []
     story.run(400)
     assert request.whole and request.status == 503 and request.retry_ms > 0 and story.runs(request) == []
@@ -209,7 +209,7 @@
 def test_a_request_that_a_daemon_long_without_lease_takes_is_refused_at_once(path):
     story = Story()
     story.cut(True)
-    story.run(LEASE_LOST_MS + (LEASE_OUTAGES + 1) * 1200)
+    story.run(LEASE_LOST_MS + (MAX_OUTAGE_LEASES + 1) * 1200)
     request = story.ask(path, **MORE.get(path, {}))
     story.run(100)
     assert request.whole and request.status == 503 and request.retry_ms > 0 and story.runs(request) == []
--- a/tests/test_proxy_forwarding.py
+++ b/tests/test_proxy_forwarding.py
@@ -14,7 +14,7 @@
     ResolveOperationKey,
 )
 from frostpost.proxy import failures, runner_discovery
-from frostpost.proxy.idempotency import pack, unpack
+from frostpost.proxy.idempotency import deserialize_answer, serialize_answer
 from frostpost.proxy.outcomes import Answer
 
 OK = [("head", 200), ("data", b"out"), "end"]
@@ -219,4 +219,4 @@
 
 def test_packed_answers_come_back_byte_for_byte():
     whole = Answer(201, [(b"A", b"\xff")], b"\x00b")
-    assert unpack(pack(whole)) == whole
+    assert deserialize_answer(serialize_answer(whole)) == whole
--- a/tests/test_proxy_wait_policy.py
+++ b/tests/test_proxy_wait_policy.py
@@ -200,13 +200,13 @@
 
 @given(TIMES, TIMES, TIMES, st.integers(1, 5000))
 def test_no_hold_takes_half_of_the_time_left_or_outlasts_the_end_of_the_lease(now, left, gone, lease):
-    until_ms = wait_policy.lease_hold_until_ms(now, left, gone, lease)
-    assert until_ms <= now + left / 2 and until_ms <= gone + wait_policy.LEASE_OUTAGES * lease
+    until_ms = wait_policy.lease_wait_until_ms(now, left, gone, lease)
+    assert until_ms <= now + left / 2 and until_ms <= gone + wait_policy.MAX_OUTAGE_LEASES * lease
 
 
 @pytest.mark.parametrize("left", [-5, 0])
 def test_what_has_no_time_left_is_not_held(left):
-    assert wait_policy.order_hold_ms(left) == 0
+    assert wait_policy.decision_wait_ms(left) == 0
 
 
 def test_a_lease_that_is_there_and_refused_all_the_same_is_not_asked_about_for_ever(monkeypatch):
