--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -74,7 +74,7 @@
 def agent_facts(agent):
     """An agent's facts, as JSON values."""
     held, now, runners = session_of(agent), now_ms(agent), agent.runners
-    resting = [i for i, load in agent.loads.items() if i in runners and load.resting_until_ms > now]
+    resting = [i for i, load in agent.loads.items() if i in runners and load.ejected_until_ms > now]
     return common_facts(agent.endpoint, now - agent.extras.get("started_ms", now), agent.counts) | {
         "sequencer": held.sequencer,
         "lease_left_ms": max(0, held.until_ms - now),
--- a/frostpost/proxy/connection.py
+++ b/frostpost/proxy/connection.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import Protocol
 
-from .response_parser import ResponseParser, UnreadableError
+from .response_parser import InvalidResponseError, ResponseParser
 
 USER_TIMEOUT_MS = 2000
 DRAIN_S = 1.0
@@ -54,7 +54,7 @@
             return self.abort()
         try:
             self.parser.read(data)
-        except UnreadableError as error:
+        except InvalidResponseError as error:
             self._fail(str(error))
 
     def connectionLost(self, reason):
--- a/frostpost/proxy/forwarding.py
+++ b/frostpost/proxy/forwarding.py
@@ -8,7 +8,7 @@
 from .attempts import attempts_for, may_offer, record_outcome
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent
-from .runner_request import run_once
+from .runner_request import send_once
 from .wait_policy import slot_wait_until_ms
 
 MIN_RECORD_WAIT_MS = 200
@@ -33,7 +33,7 @@
 
 
 @inlineCallbacks
-def forward(agent, route, service, call, until_ms, repeatable, watch):
+def forward(agent, route, service, call, until_ms, repeatable, watcher):
     """Send a request to runners until one responds or no further send is allowed.
 
     Returns a Deferred of an Answer, ClientLeft or a failure; only a failure with `not_executed` guarantees that no
@@ -45,13 +45,15 @@
     while may_offer(attempts):
         if until_ms - now_ms(agent) < max(1, min_left_ms):
             break
-        runner = yield load_balancing.place(agent, route, service, attempts.picked, call.attempt, slot_until_ms)
+        runner = yield load_balancing.wait_for_runner(
+            agent, route, service, attempts.picked, call.attempt, slot_until_ms
+        )
         if runner is None:
             break
-        if watch is not None and watch.left:
+        if watcher is not None and watcher.disconnected:
             return ClientLeft()
         attempts.picked.append(runner.id)
-        outcome = yield run_once(agent, runner, call, call.body, until_ms, watch)
+        outcome = yield send_once(agent, runner, call, call.body, until_ms, watcher)
         record_outcome(attempts, outcome)
         if isinstance(outcome, NotSent):
             reason = outcome.why
@@ -84,9 +86,9 @@
 
 
 @inlineCallbacks
-def serve_unordered(agent, route, service, call, sink, until_ms, watch):
+def serve_unordered(agent, route, service, call, sink, until_ms, watcher):
     """Serve a safe or an unsafe request."""
-    outcome = yield forward(agent, route, service, call, until_ms, route.kind == "safe", watch)
+    outcome = yield forward(agent, route, service, call, until_ms, route.kind == "safe", watcher)
     deliver(agent, outcome, sink)
 
 
--- a/frostpost/proxy/idempotency.py
+++ b/frostpost/proxy/idempotency.py
@@ -35,7 +35,7 @@
 
 
 @inlineCallbacks
-def serve_idempotent(agent, route, service, call, sink, until_ms, watch):
+def serve_idempotent(agent, route, service, call, sink, until_ms, watcher):
     """Serve an idempotent request."""
     if not call.key:
         return deliver(agent, BadRequest("no key"), sink)
--- a/frostpost/proxy/response_parser.py
+++ b/frostpost/proxy/response_parser.py
@@ -5,31 +5,31 @@
 from twisted.web._newclient import HEADER, HTTPParser, ParseError
 from twisted.web.http import _ChunkedTransferDecoder, _IdentityTransferDecoder, _MalformedChunkedDataError
 
-BODYLESS = (204, 304)
-HEAD_LINES = 256
-MOST_LENGTH_DIGITS = 18
+BODYLESS_STATUSES = (204, 304)
+MAX_HEADERS = 256
+MAX_LENGTH_DIGITS = 18
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([0-9]{3})(?: [^\0\r]*)?")
-NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+HEADER_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 
 
-class UnreadableError(Exception):
+class InvalidResponseError(Exception):
     """The bytes are not a valid response."""
 
 
 class ResponseParser(HTTPParser):
     """Calls on_head(status, headers), on_data(bytes) and finally on_whole(surplus bytes)."""
 
-    def __init__(self, bodyless, on_head, on_data, on_whole):
+    def __init__(self, bodyless, on_head, on_data, on_complete):
         """bodyless: the response has no body whatever its head declares, as for HEAD."""
-        self.bodyless, self.on_head, self.on_data, self.on_whole = bodyless, on_head, on_data, on_whole
-        self.fields, self.status, self.minor = [], 0, 1
+        self.bodyless, self.on_head, self.on_data, self.on_complete = bodyless, on_head, on_data, on_complete
+        self.fields, self.status, self.minor_version = [], 0, 1
 
     def read(self, data):
         """Parse bytes; raises UnreadableError if they are not a valid response."""
         try:
             self.dataReceived(data)
         except (ParseError, _MalformedChunkedDataError, ValueError) as error:
-            raise UnreadableError(type(error).__name__) from error
+            raise InvalidResponseError(type(error).__name__) from error
 
     def lineReceived(self, line):
         """Reject a folded line before the first header; parse any other line."""
@@ -39,14 +39,14 @@
 
     def statusReceived(self, status):
         """Parse the status line."""
-        found = STATUS_LINE.fullmatch(status)
-        if found is None:
+        match = STATUS_LINE.fullmatch(status)
+        if match is None:
             raise ParseError("no status line", status)
-        self.minor, self.status = int(found[1]), int(found[2])
+        self.minor_version, self.status = int(match[1]), int(match[2])
 
     def headerReceived(self, name, value):
         """Validate and store one header."""
-        if not NAME.fullmatch(name) or b"\r" in value or b"\0" in value or len(self.fields) >= HEAD_LINES:
+        if not HEADER_NAME.fullmatch(name) or b"\r" in value or b"\0" in value or len(self.fields) >= MAX_HEADERS:
             raise ParseError("bad header", name)
         self.fields.append((name, value))
 
@@ -59,29 +59,29 @@
             return self.connectionMade()
         lengths = {v for n, v in self.fields if n.lower() == b"content-length"}
         codings = [v.lower() for n, v in self.fields if n.lower() == b"transfer-encoding"]
-        if codings not in ([], [b"chunked"]) or len(lengths) > 1 or (codings and (lengths or not self.minor)):
+        if codings not in ([], [b"chunked"]) or len(lengths) > 1 or (codings and (lengths or not self.minor_version)):
             raise ParseError("unclear length", b"")
-        length = _length(lengths)
+        length = _parse_length(lengths)
         self.on_head(self.status, self.fields)
-        if self.bodyless or self.status in BODYLESS or length == 0 and not codings:
-            return self._whole(self.clearLineBuffer())
+        if self.bodyless or self.status in BODYLESS_STATUSES or length == 0 and not codings:
+            return self._complete(self.clearLineBuffer())
         if codings:
-            return self.switchToBodyMode(_ChunkedTransferDecoder(self.on_data, self._whole))
+            return self.switchToBodyMode(_ChunkedTransferDecoder(self.on_data, self._complete))
         # A close-delimited body can't be told from a truncated one, so it never completes.
-        return self.switchToBodyMode(_IdentityTransferDecoder(length, self.on_data, self._whole))
+        return self.switchToBodyMode(_IdentityTransferDecoder(length, self.on_data, self._complete))
 
     def lineLengthExceeded(self, line):
         """Reject an overlong line."""
         raise ParseError("line too long", b"")
 
-    def _whole(self, rest):
+    def _complete(self, surplus):
         self.state = "DONE"
-        self.on_whole(rest)
+        self.on_complete(surplus)
 
 
-def _length(lengths):
+def _parse_length(lengths):
     for value in lengths:
-        if not value.isdigit() or len(value) > MOST_LENGTH_DIGITS:
+        if not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
             raise ParseError("bad length", value)
         return int(value)
     return None
--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -33,7 +33,7 @@
     listed.draining = draining
     listed.last = ListReading(digest_of(runner.id for runner in runners), now_ms(agent))
     set_runners(agent, runners)
-    for runner_id in [i for i, load in agent.loads.items() if i not in agent.runners and load.own <= 0]:
+    for runner_id in [i for i, load in agent.loads.items() if i not in agent.runners and load.own_requests <= 0]:
         del agent.loads[runner_id]
     if newly_draining:
         send_lease_requests(agent)
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -13,7 +13,7 @@
 from .models import Route, Service
 from .outcomes import ClientLeft
 from .routing import find_route, pick_service
-from .runner_request import Watch
+from .runner_request import ClientWatcher
 from .stream import stream
 from .wait_policy import lease_wait_until_ms
 
@@ -90,14 +90,14 @@
     sink = observer.observed_sink()
     agent.flights += 1
     try:
-        watch = Watch(sink)
+        watcher = ClientWatcher(sink)
         if not may_serve(agent) and not takes_no_more(agent):
             yield hold_for_lease(agent, call)
-        admitted = ClientLeft() if watch.left else admit(agent, call)
+        admitted = ClientLeft() if watcher.disconnected else admit(agent, call)
         if not isinstance(admitted, Admitted):
             return deliver(agent, admitted, sink)
         route = admitted.route
         observer.route = route.name
-        yield WAYS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watch)
+        yield WAYS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watcher)
     finally:
         agent.flights -= 1
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -11,7 +11,7 @@
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
 from .forwarding import retry_ms, slot_deadline_ms, write_answer
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent, Whole
-from .runner_request import run_once
+from .runner_request import send_once
 from .slot_overhead import observe_run, overhead_of
 
 PROMISES = (402, 404)
@@ -28,7 +28,7 @@
     __slots__ = (
         "call",
         "sink",
-        "watch",
+        "watcher",
         "parser",
         "headed",
         "passed",
@@ -40,8 +40,8 @@
         "spliced",
     )
 
-    def __init__(self, call, sink, watch, keeps):
-        self.call, self.sink, self.watch, self.keeps = call, sink, watch, keeps
+    def __init__(self, call, sink, watcher, keeps):
+        self.call, self.sink, self.watcher, self.keeps = call, sink, watcher, keeps
         self.parser, self.headed, self.passed, self.last_id = EventParser(), False, 0, call.last_event
         self.data, self.maybe, self.joined, self.spliced = [], False, False, False
 
@@ -91,7 +91,7 @@
 
 
 @inlineCallbacks
-def stream(agent, route, service, call, sink, until_ms, watch):
+def stream(agent, route, service, call, sink, until_ms, watcher):
     """Serve a request of a streaming route."""
     if until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
         return sink.failed(Overloaded(retry_ms(route)))
@@ -100,9 +100,9 @@
         placed = yield turn.begin(agent, route, service, call, until_ms)
         if not isinstance(placed, turn.Placed):
             count(agent, type(placed).__name__)
-            return None if watch.left else sink.failed(placed)
+            return None if watcher.disconnected else sink.failed(placed)
         runner, body = placed.runner, placed.body
-    state = Stream(call, sink, watch, route.retained)
+    state = Stream(call, sink, watcher, route.retained)
     outcome = yield send_on(agent, route, service, state, ordered, runner, body, until_ms)
     yield finish(agent, route, service, state, ordered, outcome, until_ms)
 
@@ -123,11 +123,11 @@
             runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
         if not hasattr(runner, "id"):
             return outcome if state.maybe else runner
-        if state.watch.left:
+        if state.watcher.disconnected:
             return ClientLeft()
         tried.append(runner.id)
         sent_ms = now_ms(agent)
-        outcome = yield run_once(agent, runner, call, body, until_ms, state.watch, state.head, state.heard)
+        outcome = yield send_once(agent, runner, call, body, until_ms, state.watcher, state.head, state.heard)
         if isinstance(outcome, Whole):
             observe_run(overhead_of(agent, service.name), now_ms(agent) - sent_ms)
         record_outcome(attempts, outcome)
@@ -167,7 +167,7 @@
         return agent.runners.get(name) or Overloaded(retry_ms(route))
     if state.maybe:
         slot_until_ms = slot_deadline_ms(agent, route, until_ms)
-    runner = yield load_balancing.place(agent, route, service, tried, state.call.attempt, slot_until_ms)
+    runner = yield load_balancing.wait_for_runner(agent, route, service, tried, state.call.attempt, slot_until_ms)
     return runner or Overloaded(retry_ms(route))
 
 
@@ -188,7 +188,7 @@
         turn.broke_off(agent, call, tokens)
     elif ordered:
         turn.abort(agent, call)
-    if state.watch.left or isinstance(outcome, ClientLeft):
+    if state.watcher.disconnected or isinstance(outcome, ClientLeft):
         return count(agent, "client_left")
     if state.headed:
         count(agent, "streams_cut")
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -60,7 +60,7 @@
     assembly.on_frame(agent, Frame(FRAME_VERSION, endpoint_of("s1"), "", DiscoveryUpdate((), False)))
     operation_client.submit_until_decided(agent, EndAttempt("a", 3))
     agent.runners = {"r": SimpleNamespace(draining=True)}
-    agent.loads = {"r": SimpleNamespace(resting_until_ms=9999), "gone": SimpleNamespace(resting_until_ms=9999)}
+    agent.loads = {"r": SimpleNamespace(ejected_until_ms=9999), "gone": SimpleNamespace(ejected_until_ms=9999)}
     assembly.on_frame(agent, ASK)
     facts = facts_of(replies)
     assert (facts["name"], facts["role"], facts["uptime_ms"], facts["lease_left_ms"]) == ("e1", "edge", 2000, 0)
--- a/tests/test_proxy_components.py
+++ b/tests/test_proxy_components.py
@@ -3,7 +3,7 @@
 from twisted.web._newclient import ParseError
 
 from frostpost.proxy.event_stream import EventParser
-from frostpost.proxy.load_balancing import candidates, ended, pick, sent, usable
+from frostpost.proxy.load_balancing import available_runners, candidates, count_ended, count_sent, pick_runner
 from frostpost.proxy.outcomes import Broken, NotSent
 from frostpost.proxy.response_parser import ResponseParser
 from frostpost.proxy.routing import find_route, pick_service
@@ -40,24 +40,24 @@
 def test_the_least_loaded_runner_is_picked_and_full_ones_are_not():
     stage = Stage([a_route()], [a_runner("r1", slots=1), a_runner("r2", slots=4)])
     agent, service = stage.agent, stage.agent.routing.services["s"]
-    sent(agent, agent.runners["r1"])
-    assert pick(agent, service).id == "r2"
-    sent(agent, agent.runners["r1"])
-    assert pick(agent, service, tried=("r2",)) is None
+    count_sent(agent, agent.runners["r1"])
+    assert pick_runner(agent, service).id == "r2"
+    count_sent(agent, agent.runners["r1"])
+    assert pick_runner(agent, service, tried=("r2",)) is None
 
 
 def test_failing_runners_rest_but_never_more_than_half():
     stage = Stage([a_route()], [a_runner(f"r{i}") for i in range(4)] + [a_runner("d", draining=True)])
     agent, service = stage.agent, stage.agent.routing.services["s"]
     for i in range(3):
-        sent(agent, agent.runners[f"r{i}"])
-        ended(agent, agent.runners[f"r{i}"], Broken("x"), None)
-    assert len(usable(agent, service)) == 2
+        count_sent(agent, agent.runners[f"r{i}"])
+        count_ended(agent, agent.runners[f"r{i}"], Broken("x"), None)
+    assert len(available_runners(agent, service)) == 2
     assert "r3" in [c.runner for c in candidates(agent, service)]
     assert "d" not in [c.runner for c in candidates(agent, service)]
-    sent(agent, agent.runners["r3"])
-    ended(agent, agent.runners["r3"], NotSent("lease"), None)
-    assert agent.loads["r3"].resting_until_ms == 0
+    count_sent(agent, agent.runners["r3"])
+    count_ended(agent, agent.runners["r3"], NotSent("lease"), None)
+    assert agent.loads["r3"].ejected_until_ms == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_proxy_connection_failures.py
+++ b/tests/test_proxy_connection_failures.py
@@ -65,7 +65,7 @@
         stage.agent.runners = {r.id: a_runner(r.id, service=service) for r in RUNNERS}
         stage.verdicts[ReassignAttempt] = AttemptBegun("r2", ())
         for name in ("r2", "r3"):
-            load_of(stage.agent, name).own = 1
+            load_of(stage.agent, name).own_requests = 1
         self.clients = {}
 
     def ask(self, attempt):
--- a/tests/test_proxy_response_properties.py
+++ b/tests/test_proxy_response_properties.py
@@ -8,7 +8,7 @@
 from proxy_harness import Stage, a_route, a_runner
 
 from frostpost.proxy import failures
-from frostpost.proxy.response_parser import ResponseParser, UnreadableError
+from frostpost.proxy.response_parser import InvalidResponseError, ResponseParser
 
 QUICK = settings(max_examples=400, deadline=None, derandomize=True)
 NAMES = st.text("abcXYZ09-_", min_size=1, max_size=6).map(lambda text: b"x-" + text.encode())
@@ -81,7 +81,7 @@
             continue
         try:
             parser.read(piece)
-        except UnreadableError:
+        except InvalidResponseError:
             return heads, b"".join(body), b"".join(rest) if rest else None, True
     return heads, b"".join(body), b"".join(rest) if rest else None, False
 
