--- a/frostpost/proxy/decision_record.py
+++ b/frostpost/proxy/decision_record.py
@@ -8,7 +8,7 @@
 from .failures import AtWork, BadRequest, BudgetSpent, NoRoute
 
 # Refusals caused by the request itself: counted, but not logged.
-IN_ORDER = (AtWork, BadRequest, BudgetSpent, NoRoute)
+CLIENT_REFUSALS = (AtWork, BadRequest, BudgetSpent, NoRoute)
 
 
 class DecisionRecord(Struct, frozen=True):
@@ -47,7 +47,7 @@
 
     def failed(self, failure):
         """Record a failure and pass it to the sink."""
-        self._record(type(failure).__name__, getattr(failure, "why", ""), isinstance(failure, IN_ORDER))
+        self._record(type(failure).__name__, getattr(failure, "why", ""), isinstance(failure, CLIENT_REFUSALS))
         self.sink.failed(failure)
 
     def aborted(self):
@@ -55,10 +55,10 @@
         self._record("Aborted", "")
         self.sink.cut()
 
-    def _record(self, outcome, why, in_order=False):
+    def _record(self, outcome, why, is_client_refusal=False):
         call = self.call
         count(self.agent, f"not_served/{outcome}/{why}" if why else f"not_served/{outcome}")
-        if in_order:
+        if is_client_refusal:
             return
         record = DecisionRecord(
             call.attempt,
--- a/frostpost/proxy/routing.py
+++ b/frostpost/proxy/routing.py
@@ -13,10 +13,10 @@
 
 def current_index(agent):
     """Return the index of the current routing, rebuilt when the routing changes."""
-    held = agent.extras.get("route_index")
-    if held is None or held[0] is not agent.routing:
-        held = agent.extras["route_index"] = (agent.routing, build_index(agent.routing))
-    return held[1]
+    cached = agent.extras.get("route_index")
+    if cached is None or cached[0] is not agent.routing:
+        cached = agent.extras["route_index"] = (agent.routing, build_index(agent.routing))
+    return cached[1]
 
 
 def find_route(agent, host, path):
@@ -44,9 +44,9 @@
     total = sum(weight for _, weight in route.weights)
     if total <= 0:
         return None
-    place = crc32(attempt.encode()) % total
+    position = crc32(attempt.encode()) % total
     for name, weight in route.weights:
-        if place < weight:
+        if position < weight:
             return routing.services.get(name)
-        place -= weight
+        position -= weight
     return None
--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -9,23 +9,23 @@
 
 from .pool import close_expired, close_pools
 
-MOST_BACKOFF = 8
+MAX_BACKOFF = 8
 # Share of the list's request rate that all agents together may use.
 RATE_SHARE = 0.5
-SHARING = 4
+SHARING_MIN_AGENTS = 4
 SHARED_DRAIN_RATIO = 0.8
 # Turns that the leader grants within one drain interval. A turn and the propagation of its result take two lease
 # renewals, so three consecutive turns may fail.
 TURNS_PER_DRAIN = 10
 # Share of the drain interval without a newer reading after which agents poll on their own.
-UNLED_DRAIN_RATIO = 0.5
-UNLED_SPREAD_RATIO = 0.5
+LEADERLESS_DRAIN_RATIO = 0.5
+LEADERLESS_SPREAD_RATIO = 0.5
 # Share of the minimum interval over which agents spread their reads after a change.
 SPREAD_RATIO = 0.15
 REPORTED_DRAINING_MS = 15000
 
 
-def take_list(agent, runners):
+def apply_list(agent, runners):
     """Apply a newly fetched list of runners."""
     listed = agent.runner_list
     draining = tuple(sorted(runner.id for runner in runners if runner.draining))
@@ -41,27 +41,28 @@
 
 def set_runners(agent, runners):
     """Replace the runners, marking those reported by other daemons as draining."""
-    now, told = now_ms(agent), agent.runner_list.reported_draining
+    now, reported = now_ms(agent), agent.runner_list.reported_draining
     agent.runners = {
-        r.id: structs.replace(r, draining=True) if told.get(r.id, 0) > now and not r.draining else r for r in runners
+        r.id: structs.replace(r, draining=True) if reported.get(r.id, 0) > now and not r.draining else r
+        for r in runners
     }
     close_pools(agent, [i for i in agent.pools if i not in agent.runners or agent.runners[i].draining])
 
 
-def on_draining(agent, names):
+def on_draining(agent, runner_ids):
     """Mark runners as draining that another daemon's list shows as draining."""
-    told, until_ms = agent.runner_list.reported_draining, now_ms(agent) + REPORTED_DRAINING_MS
-    told.update((name, until_ms) for name in names)
-    if any(name in agent.runners and not agent.runners[name].draining for name in names):
+    reported, until_ms = agent.runner_list.reported_draining, now_ms(agent) + REPORTED_DRAINING_MS
+    reported.update((runner_id, until_ms) for runner_id in runner_ids)
+    if any(runner_id in agent.runners and not agent.runners[runner_id].draining for runner_id in runner_ids):
         set_runners(agent, agent.runners.values())
-    for name in [n for n, until in told.items() if until <= now_ms(agent)]:
-        del told[name]
+    for runner_id in [n for n, until in reported.items() if until <= now_ms(agent)]:
+        del reported[runner_id]
 
 
-def least_interval_ms(agent):
+def min_interval_ms(agent):
     """Return the minimum interval between two reads after changes, bounded by the list's rate for all agents."""
     settings, agents = agent.settings, session_of(agent).agent_count
-    own_ms = settings.list_ms if agents < SHARING else int(settings.drain_ms * SHARED_DRAIN_RATIO)
+    own_ms = settings.list_ms if agents < SHARING_MIN_AGENTS else int(settings.drain_ms * SHARED_DRAIN_RATIO)
     calls = agents * agent.runner_list.pages
     return max(own_ms, int(1000 * calls / (RATE_SHARE * settings.list_rate_per_s)))
 
@@ -73,14 +74,14 @@
     return max(1, settings.drain_ms // TURNS_PER_DRAIN, int(rate_ms))
 
 
-def unled_wait_ms(agent, random):
+def leaderless_wait_ms(agent, random):
     """Return the age of the newest known reading at which this agent polls on its own, without a turn from the leader.
 
     random: from 0 to 1. Spread over the turns of all agents, so that about one of them reads in a period.
     """
     drain_ms = agent.settings.drain_ms
-    spread_ms = max(drain_ms * UNLED_SPREAD_RATIO, session_of(agent).agent_count * turn_period_ms(agent))
-    return int(drain_ms * UNLED_DRAIN_RATIO + random * spread_ms)
+    spread_ms = max(drain_ms * LEADERLESS_SPREAD_RATIO, session_of(agent).agent_count * turn_period_ms(agent))
+    return int(drain_ms * LEADERLESS_DRAIN_RATIO + random * spread_ms)
 
 
 class ListPoller:
@@ -90,19 +91,29 @@
     started_ms: start of the last read. newest_ms: time of the newest reading by any agent.
     """
 
-    __slots__ = ("agent", "timer", "failures", "stopped", "started_ms", "newest_ms", "due_ms", "reading", "changed")
+    __slots__ = (
+        "agent",
+        "timer",
+        "failures",
+        "stopped",
+        "started_ms",
+        "newest_ms",
+        "due_ms",
+        "is_reading",
+        "change_pending",
+    )
 
     def __init__(self, agent):
         self.agent, self.timer, self.failures, self.stopped = agent, None, 0, False
         self.started_ms = self.newest_ms = self.due_ms = now_ms(agent)
-        self.reading = self.changed = False
+        self.is_reading = self.change_pending = False
 
     def fetch(self):
         """Read the list now."""
         self._cancel()
-        self.started_ms, self.reading, self.changed = now_ms(self.agent), True, False
+        self.started_ms, self.is_reading, self.change_pending = now_ms(self.agent), True, False
         close_expired(self.agent)
-        maybeDeferred(self.agent.extras["fetch_list"]).addCallbacks(self._fetched, self._failed)
+        maybeDeferred(self.agent.extras["fetch_list"]).addCallbacks(self._on_fetched, self._on_failed)
 
     def turn_period_ms(self):
         """Return the turn period that the next lease request asks for; 0 while this agent can take no turn."""
@@ -120,9 +131,9 @@
         self.newest_ms = newest.read_ms
         last = self.agent.runner_list.last
         if newest.digest != last.digest and newest.read_ms > last.read_ms:
-            self._plan_change()
-        elif not self.changed:
-            self._plan_unled()
+            self._schedule_after_change()
+        elif not self.change_pending:
+            self._schedule_leaderless()
 
     def stop(self):
         """Stop polling."""
@@ -130,39 +141,39 @@
         self._cancel()
 
     def _may_read(self):
-        return not (self.reading or self.failures or self.stopped)
+        return not (self.is_reading or self.failures or self.stopped)
 
-    def _fetched(self, runners):
-        self.reading, self.failures = False, 0
-        take_list(self.agent, runners)
+    def _on_fetched(self, runners):
+        self.is_reading, self.failures = False, 0
+        apply_list(self.agent, runners)
         self.newest_ms = self.agent.runner_list.last.read_ms
-        self._plan_unled()
+        self._schedule_leaderless()
 
-    def _failed(self, failure):
+    def _on_failed(self, failure):
         count(self.agent, "list_failures")
-        self.reading = False
+        self.is_reading = False
         self.failures += 1
-        settings, times = self.agent.settings, min(MOST_BACKOFF, 1 << self.failures) / 2
-        wait_ms = min(times * settings.list_ms, max(settings.list_ms, settings.drain_ms // 2))
-        self._plan(now_ms(self.agent) + wait_ms * (0.8 + 0.2 * self._random()))
+        settings, backoff = self.agent.settings, min(MAX_BACKOFF, 1 << self.failures) / 2
+        wait_ms = min(backoff * settings.list_ms, max(settings.list_ms, settings.drain_ms // 2))
+        self._schedule(now_ms(self.agent) + wait_ms * (0.8 + 0.2 * self._random()))
 
     def _random(self):
         return int(self.agent.machine.token(2), 16) / 65535
 
-    def _plan_change(self):
+    def _schedule_after_change(self):
         """Schedule a read soon, since another agent has read a newer list."""
-        least_ms = least_interval_ms(self.agent)
-        spread_ms = int(SPREAD_RATIO * least_ms * self._random())
-        due_ms = max(now_ms(self.agent) + spread_ms, self.started_ms + least_ms)
-        if not self.changed or due_ms < self.due_ms:
-            self.changed = True
-            self._plan(due_ms)
-
-    def _plan_unled(self):
+        min_ms = min_interval_ms(self.agent)
+        spread_ms = int(SPREAD_RATIO * min_ms * self._random())
+        due_ms = max(now_ms(self.agent) + spread_ms, self.started_ms + min_ms)
+        if not self.change_pending or due_ms < self.due_ms:
+            self.change_pending = True
+            self._schedule(due_ms)
+
+    def _schedule_leaderless(self):
         """Schedule a read for the case that no newer reading is reported."""
-        self._plan(self.newest_ms + unled_wait_ms(self.agent, self._random()))
+        self._schedule(self.newest_ms + leaderless_wait_ms(self.agent, self._random()))
 
-    def _plan(self, due_ms):
+    def _schedule(self, due_ms):
         self._cancel()
         if not self.stopped:
             self.due_ms = int(due_ms)
@@ -178,7 +189,7 @@
 def poll(agent):
     """Start polling the list; returns a function that stops it."""
     poller, listed = ListPoller(agent), agent.runner_list
-    listed.on_draining = lambda names: on_draining(agent, names)
+    listed.on_draining = lambda runner_ids: on_draining(agent, runner_ids)
     listed.on_newest, listed.on_turn, listed.turn_period_ms = poller.on_newest, poller.on_turn, poller.turn_period_ms
     poller.fetch()
     return poller.stop
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -14,11 +14,16 @@
 from .outcomes import ClientLeft
 from .routing import find_route, pick_service
 from .runner_request import ClientWatcher
-from .stream import stream
+from .stream import serve_stream
 from .wait_policy import lease_wait_until_ms
 
 RETRY_MS = 700
-WAYS = {"safe": serve_unordered, "unsafe": serve_unordered, "idempotent": serve_idempotent, "streaming": stream}
+HANDLERS = {
+    "safe": serve_unordered,
+    "unsafe": serve_unordered,
+    "idempotent": serve_idempotent,
+    "streaming": serve_stream,
+}
 
 
 class Admitted(Struct, frozen=True):
@@ -29,7 +34,7 @@
     until_ms: int
 
 
-def takes_no_more(agent):
+def is_shutting_down(agent):
     """Return whether this daemon is shutting down and has stopped accepting requests."""
     return agent.leaving and bool(agent.extras.get("last_call"))
 
@@ -46,17 +51,17 @@
 
 def admit(agent, call):
     """Check whether a request can be served; returns Admitted or a failure."""
-    if takes_no_more(agent):
+    if is_shutting_down(agent):
         return Leaving()
     if not may_serve(agent):
         return Unavailable(RETRY_MS, "lease")
-    if not clean(call):
+    if not is_unambiguous(call):
         return BadRequest("header")
     route = route_of(agent, call)
     if route is None:
         return NoRoute()
     service = pick_service(agent.routing, route, call.attempt)
-    if service is None or route.kind not in WAYS:
+    if service is None or route.kind not in HANDLERS:
         return Unavailable(RETRY_MS, "service")
     until_ms = deadline_of(call, route)
     if until_ms <= now_ms(agent):
@@ -64,7 +69,7 @@
     return Admitted(route, service, until_ms)
 
 
-def clean(call):
+def is_unambiguous(call):
     """Return whether the request is unambiguous: no control characters that could smuggle another request."""
     if any(byte <= 32 for byte in call.uri + call.method) or not call.attempt or not call.host.isascii():
         return False
@@ -73,7 +78,7 @@
 
 
 @inlineCallbacks
-def hold_for_lease(agent, call):
+def delay_for_lease(agent, call):
     """Wait until this daemon has a lease, as long as the request may be delayed for it."""
     now = now_ms(agent)
     left_ms = deadline_of(call, route_of(agent, call)) - now
@@ -91,13 +96,13 @@
     agent.flights += 1
     try:
         watcher = ClientWatcher(sink)
-        if not may_serve(agent) and not takes_no_more(agent):
-            yield hold_for_lease(agent, call)
+        if not may_serve(agent) and not is_shutting_down(agent):
+            yield delay_for_lease(agent, call)
         admitted = ClientLeft() if watcher.disconnected else admit(agent, call)
         if not isinstance(admitted, Admitted):
             return deliver(agent, admitted, sink)
         route = admitted.route
         observer.route = route.name
-        yield WAYS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watcher)
+        yield HANDLERS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watcher)
     finally:
         agent.flights -= 1
--- a/frostpost/proxy/slot_overhead.py
+++ b/frostpost/proxy/slot_overhead.py
@@ -12,7 +12,7 @@
 # Ledger rounds during which an attempt is counted but not executing: its end, and half of its begin.
 IDLE_ROUNDS = 1.5
 # Further attempts would only wait in the runner's own queue.
-MOST_EXTRA_RATIO = 1.0
+MAX_EXTRA_RATIO = 1.0
 
 
 class SlotOverhead(Struct):
@@ -30,24 +30,24 @@
     return overhead
 
 
-def smoothed(average, value):
+def update_average(average, value):
     """Return an exponential moving average updated with one sample; the first sample becomes the average."""
     return value if average <= 0 else average + SMOOTHING * (value - average)
 
 
 def observe_run(overhead, run_ms):
     """Record the execution time of an attempt, in milliseconds."""
-    overhead.run_ms = smoothed(overhead.run_ms, max(1, run_ms))
+    overhead.run_ms = update_average(overhead.run_ms, max(1, run_ms))
 
 
 def observe_order(overhead, order_ms):
     """Record how long the end of an attempt took to be decided, in milliseconds."""
-    overhead.order_ms = smoothed(overhead.order_ms, max(1, order_ms))
+    overhead.order_ms = update_average(overhead.order_ms, max(1, order_ms))
 
 
 def countable_slots(overhead, slots):
     """Return how many attempts the ledger may assign to a runner with `slots` slots."""
     if overhead.run_ms <= 0:
         return slots
-    extra_ratio = min(MOST_EXTRA_RATIO, IDLE_ROUNDS * overhead.order_ms / overhead.run_ms)
+    extra_ratio = min(MAX_EXTRA_RATIO, IDLE_ROUNDS * overhead.order_ms / overhead.run_ms)
     return slots + int(slots * extra_ratio)
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -14,10 +14,10 @@
 from .runner_request import send_once
 from .slot_overhead import observe_run, overhead_of
 
-PROMISES = (402, 404)
+RESERVED_STATUSES = (402, 404)
 
 
-class Stream:
+class StreamRelay:
     """A response being streamed to a client.
 
     passed: number of events forwarded. maybe: whether a runner may have executed the request. joined: whether the
@@ -30,85 +30,85 @@
         "sink",
         "watcher",
         "parser",
-        "headed",
-        "passed",
-        "last_id",
+        "head_sent",
+        "event_count",
+        "last_event_id",
         "data",
-        "keeps",
-        "maybe",
-        "joined",
-        "spliced",
+        "retains",
+        "may_have_run",
+        "resumed",
+        "diverged",
     )
 
-    def __init__(self, call, sink, watcher, keeps):
-        self.call, self.sink, self.watcher, self.keeps = call, sink, watcher, keeps
-        self.parser, self.headed, self.passed, self.last_id = EventParser(), False, 0, call.last_event
-        self.data, self.maybe, self.joined, self.spliced = [], False, False, False
+    def __init__(self, call, sink, watcher, retains):
+        self.call, self.sink, self.watcher, self.retains = call, sink, watcher, retains
+        self.parser, self.head_sent, self.event_count, self.last_event_id = EventParser(), False, 0, call.last_event
+        self.data, self.may_have_run, self.resumed, self.diverged = [], False, False, False
 
     def head(self, head):
         """Handle a response head; only the first one is forwarded to the client."""
-        self.parser, self.maybe = EventParser(), True
-        if not self.headed:
-            self.headed = True
+        self.parser, self.may_have_run = EventParser(), True
+        if not self.head_sent:
+            self.head_sent = True
             self.sink.head(head.status, head.headers)
 
-    def heard(self, data):
+    def on_data(self, data):
         """Forward complete events as long as they continue the previous ones."""
         events = self.parser.feed(data)
-        if not events or self.spliced:
+        if not events or self.diverged:
             return
-        passed = []
+        forwarded = []
         for event in events:
             if event.id is not None:
-                if self.joined and not rises(self.last_id, event.id):
-                    self.spliced = True
+                if self.resumed and not follows(self.last_event_id, event.id):
+                    self.diverged = True
                     break
-                self.last_id = event.id
-            elif self.joined and event.data is not None:
-                self.spliced = True
+                self.last_event_id = event.id
+            elif self.resumed and event.data is not None:
+                self.diverged = True
                 break
-            passed.append(event.raw)
+            forwarded.append(event.raw)
             if event.data is not None:
-                self.passed += 1
-                if self.keeps:
+                self.event_count += 1
+                if self.retains:
                     self.data.append(event.data)
-        if passed:
-            self.sink.data(b"".join(passed))
+        if forwarded:
+            self.sink.data(b"".join(forwarded))
 
-    def rest(self):
+    def forward_rest(self):
         """Forward the bytes after the last complete event once the body has ended."""
-        rest = self.parser.rest()
+        rest = self.parser.pending_bytes()
         if rest:
-            self.passed += 1
+            self.event_count += 1
             self.sink.data(rest)
 
 
-def rises(last, name):
+def follows(last_id, event_id):
     """Return whether an event id follows the last one forwarded."""
-    if last.isdigit() and name.isdigit():
-        return int(name) > int(last)
-    return last != name
+    if last_id.isdigit() and event_id.isdigit():
+        return int(event_id) > int(last_id)
+    return last_id != event_id
 
 
 @inlineCallbacks
-def stream(agent, route, service, call, sink, until_ms, watcher):
+def serve_stream(agent, route, service, call, sink, until_ms, watcher):
     """Serve a request of a streaming route."""
     if until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
         return sink.failed(Overloaded(retry_ms(route)))
-    ordered, runner, body = turn.ordered(route, call), None, call.body
+    ordered, runner, body = turn.needs_ledger(route, call), None, call.body
     if ordered:
-        placed = yield turn.begin(agent, route, service, call, until_ms)
+        placed = yield turn.begin_attempt(agent, route, service, call, until_ms)
         if not isinstance(placed, turn.Placed):
             count(agent, type(placed).__name__)
             return None if watcher.disconnected else sink.failed(placed)
         runner, body = placed.runner, placed.body
-    state = Stream(call, sink, watcher, route.retained)
-    outcome = yield send_on(agent, route, service, state, ordered, runner, body, until_ms)
-    yield finish(agent, route, service, state, ordered, outcome, until_ms)
+    state = StreamRelay(call, sink, watcher, route.retained)
+    outcome = yield send_with_failover(agent, route, service, state, ordered, runner, body, until_ms)
+    yield finish_stream(agent, route, service, state, ordered, outcome, until_ms)
 
 
 @inlineCallbacks
-def send_on(agent, route, service, state, ordered, runner, body, until_ms):
+def send_with_failover(agent, route, service, state, ordered, runner, body, until_ms):
     """Send the request to runners in turn while that is allowed.
 
     Returns a Deferred of the last outcome, or of a failure if no runner executed the request.
@@ -122,26 +122,26 @@
         if runner is None and not ordered:
             runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
         if not hasattr(runner, "id"):
-            return outcome if state.maybe else runner
+            return outcome if state.may_have_run else runner
         if state.watcher.disconnected:
             return ClientLeft()
         tried.append(runner.id)
         sent_ms = now_ms(agent)
-        outcome = yield send_once(agent, runner, call, body, until_ms, state.watcher, state.head, state.heard)
+        outcome = yield send_once(agent, runner, call, body, until_ms, state.watcher, state.head, state.on_data)
         if isinstance(outcome, Whole):
             observe_run(overhead_of(agent, service.name), now_ms(agent) - sent_ms)
         record_outcome(attempts, outcome)
         if isinstance(outcome, NotSent):
             if outcome.why in ("left", "late"):
-                return ClientLeft() if outcome.why == "left" else Late() if state.maybe else outcome
-            if outcome.why == "lease" and not state.maybe:
+                return ClientLeft() if outcome.why == "left" else Late() if state.may_have_run else outcome
+            if outcome.why == "lease" and not state.may_have_run:
                 return Unavailable(retry_ms(route), "lease")
         elif not isinstance(outcome, NotRun):
-            state.maybe = True
+            state.may_have_run = True
             if not may_resume(route, state, outcome):
                 return outcome
-            state.joined = state.passed > 0
-            call = structs.replace(state.call, last_event=state.last_id)
+            state.resumed = state.event_count > 0
+            call = structs.replace(state.call, last_event=state.last_event_id)
         if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
             return outcome
         runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
@@ -149,9 +149,9 @@
 
 def may_resume(route, state, outcome):
     """Return whether an interrupted stream may be resumed at another runner."""
-    if not route.resumable or state.spliced or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
+    if not route.resumable or state.diverged or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
         return False
-    return state.passed == 0 or state.last_id not in ("", state.call.last_event)
+    return state.event_count == 0 or state.last_event_id not in ("", state.call.last_event)
 
 
 @inlineCallbacks
@@ -160,43 +160,43 @@
 
     The ledger reassigns an attempt only while no runner may have executed it.
     """
-    if ordered and not state.maybe:
-        name = yield turn.move(agent, route, service, state.call, tried, until_ms)
-        if not isinstance(name, str):
-            return name
-        return agent.runners.get(name) or Overloaded(retry_ms(route))
-    if state.maybe:
+    if ordered and not state.may_have_run:
+        runner_id = yield turn.reassign_attempt(agent, route, service, state.call, tried, until_ms)
+        if not isinstance(runner_id, str):
+            return runner_id
+        return agent.runners.get(runner_id) or Overloaded(retry_ms(route))
+    if state.may_have_run:
         slot_until_ms = slot_deadline_ms(agent, route, until_ms)
     runner = yield load_balancing.wait_for_runner(agent, route, service, tried, state.call.attempt, slot_until_ms)
     return runner or Overloaded(retry_ms(route))
 
 
 @inlineCallbacks
-def finish(agent, route, service, state, ordered, outcome, until_ms):
+def finish_stream(agent, route, service, state, ordered, outcome, until_ms):
     """End the attempt in the ledger and then the response at the client; a complete response waits for the ledger."""
-    sink, call, tokens = state.sink, state.call, state.passed * service.event_tokens
-    if isinstance(outcome, Whole) and not state.spliced:
-        state.rest()
-        tokens = state.passed * service.event_tokens
-        lasts = True
+    sink, call, tokens = state.sink, state.call, state.event_count * service.event_tokens
+    if isinstance(outcome, Whole) and not state.diverged:
+        state.forward_rest()
+        tokens = state.event_count * service.event_tokens
+        durable = True
         if ordered:
-            data = b"".join([call.body, *(part + b"\n" for part in state.data)]) if state.keeps else b""
-            lasts = yield turn.close(agent, route, service, call, tokens, data, until_ms)
-        count(agent, "streams" if lasts else "streams_unkept")
-        return sink.end() if lasts else sink.cut()
-    if ordered and state.maybe:
-        turn.broke_off(agent, call, tokens)
+            data = b"".join([call.body, *(payload + b"\n" for payload in state.data)]) if state.retains else b""
+            durable = yield turn.end_attempt(agent, route, service, call, tokens, data, until_ms)
+        count(agent, "streams" if durable else "streams_unkept")
+        return sink.end() if durable else sink.cut()
+    if ordered and state.may_have_run:
+        turn.end_interrupted(agent, call, tokens)
     elif ordered:
-        turn.abort(agent, call)
+        turn.abort_attempt(agent, call)
     if state.watcher.disconnected or isinstance(outcome, ClientLeft):
         return count(agent, "client_left")
-    if state.headed:
+    if state.head_sent:
         count(agent, "streams_cut")
         return sink.cut()
     count(agent, type(outcome).__name__)
-    if isinstance(outcome, Answer) and not (ordered and outcome.status in PROMISES):
+    if isinstance(outcome, Answer) and not (ordered and outcome.status in RESERVED_STATUSES):
         return write_answer(sink, outcome)
-    if state.maybe:
+    if state.may_have_run:
         return sink.failed(TimedOut() if isinstance(outcome, Late) else Unknown(getattr(outcome, "why", "")))
     if isinstance(outcome, (NotSent, NotRun)):
         outcome = Overloaded(retry_ms(route))
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -17,7 +17,7 @@
     TokensSpent,
 )
 from frostpost.turn_store.client import fetch, put
-from frostpost.turn_store.client import is_durable_at as bodies_last
+from frostpost.turn_store.client import is_durable_at as is_durable_at
 
 from . import load_balancing
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
@@ -26,8 +26,8 @@
 from .slot_overhead import observe_order, overhead_of
 from .wait_policy import leader_wait_ms
 
-PAUSE_MS = 20
-KEEP_TICKS = 10
+RETRY_INTERVAL_MS = 20
+RETENTION_MARGIN_TICKS = 10
 
 
 class Placed(Struct, frozen=True):
@@ -37,20 +37,20 @@
     body: bytes
 
 
-def ordered(route, call):
+def needs_ledger(route, call):
     """Return whether the attempt has to be recorded in the ledger."""
     return bool(call.program) or call.budget > 0 or route.retained
 
 
-def pause(agent, wait_ms):
+def delay(agent, wait_ms):
     """Return a Deferred that fires after wait_ms."""
-    woken = Deferred()
-    agent.reactor.callLater(wait_ms / 1000, woken.callback, None)
-    return woken
+    fired = Deferred()
+    agent.reactor.callLater(wait_ms / 1000, fired.callback, None)
+    return fired
 
 
 @inlineCallbacks
-def decide(agent, route, service, call, tried, operation, until_ms, waits_at_leader=False):
+def request_slot(agent, route, service, call, tried, operation, until_ms, waits_at_leader=False):
     """Submit an operation that needs a runner slot, again while no candidate has one.
 
     waits_at_leader: the leader queues the operation until a slot is free, so a NoCapacity is final. Returns a Deferred
@@ -60,21 +60,21 @@
     while True:
         left_ms = until_ms - now_ms(agent)
         offered = load_balancing.candidates(agent, service, tried)
-        verdict = NoCapacity(PAUSE_MS)
+        result = NoCapacity(RETRY_INTERVAL_MS)
         if left_ms <= 0:
-            return verdict
+            return result
         if offered:
-            verdict = yield call_until_decided(agent, operation(offered, left_ms), left_ms, call.delays)
-        if isinstance(verdict, Unavailable):
+            result = yield call_until_decided(agent, operation(offered, left_ms), left_ms, call.delays)
+        if isinstance(result, Unavailable):
             return Unavailable(ORDER_RETRY_MS, "order")
-        if not isinstance(verdict, NoCapacity) or offered and waits_at_leader:
-            return verdict
+        if not isinstance(result, NoCapacity) or offered and waits_at_leader:
+            return result
         # The slot wait starts at the first NoCapacity; waiting for the ledger's decision doesn't count.
         slot_until_ms = slot_deadline_ms(agent, route, until_ms) if slot_until_ms is None else slot_until_ms
-        wait_ms = max(1, min(verdict.wait_ms, PAUSE_MS))
+        wait_ms = max(1, min(result.wait_ms, RETRY_INTERVAL_MS))
         if now_ms(agent) + wait_ms >= slot_until_ms:
-            return verdict
-        yield pause(agent, wait_ms)
+            return result
+        yield delay(agent, wait_ms)
         call.delays.slot_ms = call.delays.slot_ms + wait_ms
 
 
@@ -85,7 +85,7 @@
 
 
 @inlineCallbacks
-def begin(agent, route, service, call, until_ms):
+def begin_attempt(agent, route, service, call, until_ms):
     """Begin an attempt in the ledger and fetch the bodies of its preceding turns.
 
     Returns a Deferred of Placed or of a failure, after which the ledger holds no state of the attempt.
@@ -110,29 +110,29 @@
             deadline_in_ms=due_in_ms(agent, call),
         )
 
-    verdict = yield decide(agent, route, service, call, (), operation, until_ms, waits_at_leader=True)
-    if isinstance(verdict, TokensSpent):
+    result = yield request_slot(agent, route, service, call, (), operation, until_ms, waits_at_leader=True)
+    if isinstance(result, TokensSpent):
         return BudgetSpent()
-    if isinstance(verdict, NoTurn):
+    if isinstance(result, NoTurn):
         return UnknownTurn()
-    if isinstance(verdict, NoCapacity):
-        abort(agent, call)
+    if isinstance(result, NoCapacity):
+        abort_attempt(agent, call)
         return Overloaded(retry_ms(route))
-    if not isinstance(verdict, AttemptBegun):
-        abort(agent, call)
-        return verdict if isinstance(verdict, Unavailable) else Unavailable(retry_ms(route), "verdict")
+    if not isinstance(result, AttemptBegun):
+        abort_attempt(agent, call)
+        return result if isinstance(result, Unavailable) else Unavailable(retry_ms(route), "verdict")
     body = call.body
-    if verdict.chain:
-        fetched = yield fetch(agent, tuple(verdict.chain), max(1, until_ms - now_ms(agent)))
-        if not fetched.is_ok() or len(fetched.ok) != len(verdict.chain):
-            abort(agent, call)
+    if result.chain:
+        fetched = yield fetch(agent, tuple(result.chain), max(1, until_ms - now_ms(agent)))
+        if not fetched.is_ok() or len(fetched.ok) != len(result.chain):
+            abort_attempt(agent, call)
             return Unavailable(retry_ms(route), "bodies")
         body = b"".join(fetched.ok) + call.body
-    return Placed(agent.runners.get(verdict.runner), body)
+    return Placed(agent.runners.get(result.runner), body)
 
 
 @inlineCallbacks
-def move(agent, route, service, call, tried, until_ms):
+def reassign_attempt(agent, route, service, call, tried, until_ms):
     """Reassign an attempt that was not executed to another runner.
 
     Returns a Deferred of the runner's id or of a failure, on which the caller aborts the attempt.
@@ -141,35 +141,35 @@
     def operation(offered, _left_ms):
         return ReassignAttempt(call.attempt, offered, len(tried))
 
-    verdict = yield decide(agent, route, service, call, tried, operation, until_ms)
-    if isinstance(verdict, AttemptBegun) and verdict.runner not in tried:
-        return verdict.runner
-    return verdict if isinstance(verdict, Unavailable) else Overloaded(retry_ms(route))
+    result = yield request_slot(agent, route, service, call, tried, operation, until_ms)
+    if isinstance(result, AttemptBegun) and result.runner not in tried:
+        return result.runner
+    return result if isinstance(result, Unavailable) else Overloaded(retry_ms(route))
 
 
-def abort(agent, call):
+def abort_attempt(agent, call):
     """Abort an attempt that no runner executed."""
     submit_until_decided(agent, AbortAttempt(call.attempt))
 
 
-def broke_off(agent, call, tokens):
+def end_interrupted(agent, call, tokens):
     """End an attempt without a complete response, after `tokens` output tokens."""
     submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=0))
 
 
-def time_order(agent, service, answer):
+def measure_decision_time(agent, service, answer):
     """Measure how long the end of an attempt takes to be decided. Returns the same Deferred."""
-    from_ms = now_ms(agent)
+    start_ms = now_ms(agent)
 
     def decided(result):
         if result.is_ok():
-            observe_order(overhead_of(agent, service.name), now_ms(agent) - from_ms)
+            observe_order(overhead_of(agent, service.name), now_ms(agent) - start_ms)
         return result
 
     return answer.addCallback(decided)
 
 
-def close(agent, route, service, call, tokens, data, until_ms):
+def end_attempt(agent, route, service, call, tokens, data, until_ms):
     """End an attempt with a complete response.
 
     Returns True, or a Deferred of whether the turn is durable; only then may the client's response end. No turn can
@@ -177,13 +177,13 @@
     is charged with its maximum number of tokens.
     """
     if not route.retained:
-        time_order(agent, service, submit_until_decided(agent, EndAttempt(call.attempt, tokens)))
+        measure_decision_time(agent, service, submit_until_decided(agent, EndAttempt(call.attempt, tokens)))
         return True
-    return close_retained(agent, route, service, call, tokens, data, until_ms)
+    return end_retained_attempt(agent, route, service, call, tokens, data, until_ms)
 
 
 @inlineCallbacks
-def close_retained(agent, route, service, call, tokens, data, until_ms):
+def end_retained_attempt(agent, route, service, call, tokens, data, until_ms):
     """End a retained turn.
 
     Returns a Deferred of whether it is durable: its end is decided, and its body is stored by a majority of the voters
@@ -191,16 +191,19 @@
     the body is then stored again.
     """
     wait_ms = record_wait_ms(agent, until_ms)
-    keep_ms = route.keep_ms + KEEP_TICKS * agent.settings.tick_ms
-    end = EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data))
+    retention_ms = route.keep_ms + RETENTION_MARGIN_TICKS * agent.settings.tick_ms
+    end = EndAttempt(call.attempt, tokens, retention_ms=retention_ms, size=len(data))
     ended, stored = yield gatherResults(
-        [time_order(agent, service, call_replicas(agent, end, wait_ms)), put(agent, call.attempt, data, wait_ms)]
+        [
+            measure_decision_time(agent, service, call_replicas(agent, end, wait_ms)),
+            put(agent, call.attempt, data, wait_ms),
+        ]
     )
-    lasts = ended.is_ok() and stored.is_ok()
+    durable = ended.is_ok() and stored.is_ok()
     if not (ended.is_ok() and isinstance(ended.ok, AttemptEnded)):
-        lasts = False
+        durable = False
         submit_until_decided(agent, end if stored.is_ok() else EndAttempt(call.attempt, tokens))
-    if lasts and not bodies_last(agent, stored.ok.holders):
-        again = yield put(agent, call.attempt, data, record_wait_ms(agent, until_ms))
-        lasts = again.is_ok()
-    return lasts
+    if durable and not is_durable_at(agent, stored.ok.holders):
+        stored_again = yield put(agent, call.attempt, data, record_wait_ms(agent, until_ms))
+        durable = stored_again.is_ok()
+    return durable
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -27,14 +27,14 @@
 
 
 def end_unawaited():
-    def close(agent, route, service, call, tokens, data, until_ms):
+    def end_attempt(agent, route, service, call, tokens, data, until_ms):
         keep_ms = route.keep_ms if route.retained else 0
         turn.submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data)))
         if keep_ms:
             turn.put(agent, call.attempt, data, 5000)
         return succeed(True)
 
-    return [(turn, "close", close)]
+    return [(turn, "end_attempt", end_attempt)]
 
 
 def claim_skipped():
@@ -92,7 +92,7 @@
     kept = stream.attempts_for
 
     def may_resume(route, state, outcome):
-        return isinstance(outcome, Broken) and not state.spliced
+        return isinstance(outcome, Broken) and not state.diverged
 
     def attempts_for(route, repeatable):
         return kept(route, True)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -95,7 +95,7 @@
             for module in (idempotency, turn):
                 patch.setattr(module, "submit_until_decided", self.submit_until_decided)
             patch.setattr(turn, "put", self.put)
-            patch.setattr(turn, "bodies_last", lambda agent, holders: holders <= self.voters)
+            patch.setattr(turn, "is_durable_at", lambda agent, holders: holders <= self.voters)
             patch.setattr(
                 turn,
                 "fetch",
--- a/tests/test_platform_front_properties.py
+++ b/tests/test_platform_front_properties.py
@@ -12,7 +12,7 @@
 from frostpost.proxy import failures
 from frostpost.proxy.exchange import request_bytes
 from frostpost.proxy.models import Runner
-from frostpost.proxy.serve import clean
+from frostpost.proxy.serve import is_unambiguous
 
 BOUNDS = {"header_bytes": 600, "body_bytes": 64}
 RUNNER = Runner(id="i-1", service="s", host="10.0.0.1", port=80, zone="z", slots=1)
@@ -187,7 +187,7 @@
 def test_a_runner_reads_exactly_the_request_that_was_handed_on(data):
     fleet, _ = fed([data])
     for call, _ in fleet.calls:
-        if not clean(call):
+        if not is_unambiguous(call):
             continue
         request, end = read_request(written := request_bytes(wire(), RUNNER, call, call.body, 100))
         assert end == len(written)
@@ -202,7 +202,7 @@
     sent, _ = read_request(data)
     fleet, _ = fed([data])
     ((call, _),) = fleet.calls
-    assert clean(call)
+    assert is_unambiguous(call)
     request, _ = read_request(request_bytes(wire(), RUNNER, call, call.body, 100))
     assert isinstance(request, ReadRequest)
     assert (request.method, request.target, request.body) == (sent.method, sent.target, sent.body)
--- a/tests/test_proxy_components.py
+++ b/tests/test_proxy_components.py
@@ -17,8 +17,8 @@
     for at in range(0, len(WIRE), step):
         events += parser.feed(WIRE[at : at + step])
     assert [(e.id, e.data) for e in events] == [("1", b"a\n b"), (None, None), ("2", b"c")]
-    assert b"".join(e.raw for e in events) + parser.rest() == WIRE
-    assert parser.rest() == b"data: part"
+    assert b"".join(e.raw for e in events) + parser.pending_bytes() == WIRE
+    assert parser.pending_bytes() == b"data: part"
 
 
 def test_the_longest_prefix_of_the_host_wins():
--- a/tests/test_proxy_forwarding.py
+++ b/tests/test_proxy_forwarding.py
@@ -121,7 +121,7 @@
     if change == "lease":
         s.lease = False
     else:
-        runner_discovery.take_list(s.agent, [] if change == "gone" else [a_runner("r1", draining=True)])
+        runner_discovery.apply_list(s.agent, [] if change == "gone" else [a_runner("r1", draining=True)])
     wire = s.connect()
     s.reactor.advance(1)
     assert wire.transport.value() == b""
--- a/tests/test_proxy_runner_discovery.py
+++ b/tests/test_proxy_runner_discovery.py
@@ -72,7 +72,7 @@
 def test_all_daemons_together_read_no_more_than_half_of_the_lists_rate(leaves, pages, rate, wanted_ms):
     agent, _ = a_leaf(lambda: succeed([]), list_rate_per_s=rate)
     session_of(agent).agent_count, agent.runner_list.pages = leaves, pages
-    assert runner_discovery.least_interval_ms(agent) == wanted_ms
+    assert runner_discovery.min_interval_ms(agent) == wanted_ms
     assert leaves * pages * 1000 / wanted_ms <= max(rate / 2, leaves * pages / 1.2)
 
 
@@ -98,7 +98,7 @@
 def test_without_a_leader_all_agents_together_read_at_about_the_rate_of_the_turns(agents):
     agent, _ = a_leaf(lambda: succeed([]), list_rate_per_s=440.0)
     session_of(agent).agent_count = agents
-    waits_ms = [runner_discovery.unled_wait_ms(agent, step / 100) for step in range(101)]
+    waits_ms = [runner_discovery.leaderless_wait_ms(agent, step / 100) for step in range(101)]
     assert waits_ms == sorted(waits_ms) and waits_ms[0] == 1500
     assert (waits_ms[-1] - waits_ms[0]) / agents >= 300
 
