--- a/frostpost/platform/calls.py
+++ b/frostpost/platform/calls.py
@@ -68,14 +68,14 @@
                 deadline_ms=started_ms + number(fields, names.LEFT, DEFAULT_LEFT_MS),
                 key=text(fields, names.KEY),
                 program=text(fields, names.PROGRAM),
-                line=text(fields, names.LINE),
+                session_id=text(fields, names.LINE),
                 budget=number(fields, names.BUDGET),
-                previous=text(fields, names.PREVIOUS),
+                previous_turn=text(fields, names.PREVIOUS),
                 prompt_tokens=prompt,
-                most_tokens=most,
-                parts=parts_of(text(fields, names.PARTS)),
-                program_left_ms=number(fields, names.PROGRAM_LEFT),
-                last_event=text(fields, names.LAST_EVENT),
+                max_output_tokens=most,
+                prompt_parts=parts_of(text(fields, names.PARTS)),
+                program_remaining_ms=number(fields, names.PROGRAM_LEFT),
+                last_event_id=text(fields, names.LAST_EVENT),
             )
         )
     except (ValueError, OverflowError):
--- a/frostpost/platform/routing.py
+++ b/frostpost/platform/routing.py
@@ -102,14 +102,14 @@
         prefix=item.path_prefix,
         kind=item.route_class if item.route_class in KINDS else "unsafe",
         timeout_ms=timeout_ms,
-        aim_ms=milliseconds(item.target_latency_ms, timeout_ms),
+        target_latency_ms=milliseconds(item.target_latency_ms, timeout_ms),
         rank=item.precedence or 0,
         weights=weights_of(item),
         attempts=max(1, item.max_attempts or 1),
         retained=bool(item.retained),
-        keep_ms=milliseconds((item.retention_s or 0) * 1000),
+        retention_ms=milliseconds((item.retention_s or 0) * 1000),
         resumable=bool(item.resumable),
-        gap_ms=milliseconds(item.gap_target_ms),
+        max_event_gap_ms=milliseconds(item.gap_target_ms),
     )
 
 
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -9,7 +9,7 @@
 
 def request_headers(call, runner, left_ms):
     """The call's headers with the time left, the runner's id and the last event put in."""
-    resumed = bool(call.last_event)
+    resumed = bool(call.last_event_id)
     headers = [
         (name, value)
         for name, value in call.headers
@@ -18,7 +18,7 @@
     headers.append((b"X-Time-Remaining", b"%d" % max(0, int(left_ms))))
     headers.append((b"X-Target-Instance", runner.id.encode("latin-1")))
     if resumed:
-        headers.append((b"Last-Event-Id", call.last_event.encode("latin-1")))
+        headers.append((b"Last-Event-Id", call.last_event_id.encode("latin-1")))
     return headers
 
 
--- a/frostpost/proxy/decision_record.py
+++ b/frostpost/proxy/decision_record.py
@@ -43,7 +43,7 @@
 
     def observed_sink(self):
         """Return a copy of the sink whose failure and abort callbacks are recorded."""
-        return structs.replace(self.sink, failed=self.failed, cut=self.aborted)
+        return structs.replace(self.sink, failed=self.failed, abort=self.aborted)
 
     def failed(self, failure):
         """Record a failure and pass it to the sink."""
@@ -53,7 +53,7 @@
     def aborted(self):
         """Record an aborted response and abort it at the sink."""
         self._record("Aborted", "")
-        self.sink.cut()
+        self.sink.abort()
 
     def _record(self, outcome, why, is_client_refusal=False):
         call = self.call
--- a/frostpost/proxy/forwarding.py
+++ b/frostpost/proxy/forwarding.py
@@ -16,12 +16,12 @@
 
 def retry_ms(route):
     """Return the retry delay suggested to a refused client."""
-    return max(50, min(route.aim_ms // 4, 1000))
+    return max(50, min(route.target_latency_ms // 4, 1000))
 
 
 def slot_deadline_ms(agent, route, until_ms):
     """Return until when a request may wait for a runner slot."""
-    return slot_wait_until_ms(now_ms(agent), until_ms, route.aim_ms)
+    return slot_wait_until_ms(now_ms(agent), until_ms, route.target_latency_ms)
 
 
 def record_wait_ms(agent, until_ms):
@@ -40,7 +40,7 @@
     runner executed the request.
     """
     attempts = attempts_for(route, repeatable)
-    slot_until_ms, min_left_ms = slot_deadline_ms(agent, route, until_ms), route.aim_ms // 10
+    slot_until_ms, min_left_ms = slot_deadline_ms(agent, route, until_ms), route.target_latency_ms // 10
     uncertain, error_answer, reason = None, None, ""
     while may_offer(attempts):
         if until_ms - now_ms(agent) < max(1, min_left_ms):
@@ -94,7 +94,7 @@
 
 def deliver(agent, outcome, sink):
     """Send the outcome of a request to its client, unless the client has disconnected."""
-    if isinstance(outcome, ClientLeft) or sink.gone():
+    if isinstance(outcome, ClientLeft) or sink.is_disconnected():
         return count(agent, "client_left")
     if isinstance(outcome, Answer):
         return write_answer(sink, outcome)
--- a/frostpost/proxy/models.py
+++ b/frostpost/proxy/models.py
@@ -16,14 +16,14 @@
     prefix: str
     kind: str
     timeout_ms: int
-    aim_ms: int
+    target_latency_ms: int
     rank: int
     weights: tuple[tuple[str, int], ...]
     attempts: int = 1
     retained: bool = False
-    keep_ms: int = 0
+    retention_ms: int = 0
     resumable: bool = False
-    gap_ms: int = 0
+    max_event_gap_ms: int = 0
 
 
 class Service(Struct, frozen=True):
@@ -88,14 +88,14 @@
     deadline_ms: int
     key: str = ""
     program: str = ""
-    line: str = ""
+    session_id: str = ""
     budget: int = 0
-    previous: str = ""
+    previous_turn: str = ""
     prompt_tokens: int = 0
-    most_tokens: int = 0
-    parts: tuple[tuple[str, int], ...] = ()
-    program_left_ms: int = 0
-    last_event: str = ""
+    max_output_tokens: int = 0
+    prompt_parts: tuple[tuple[str, int], ...] = ()
+    program_remaining_ms: int = 0
+    last_event_id: str = ""
     delays: Delays = field(default_factory=Delays)
 
 
@@ -135,9 +135,9 @@
     head: Callable
     data: Callable
     end: Callable
-    cut: Callable
+    abort: Callable
     failed: Callable
-    gone: Callable
-    on_gone: Callable
+    is_disconnected: Callable
+    on_disconnect: Callable
     on_pause: Callable
     on_resume: Callable
--- a/frostpost/proxy/runner_request.py
+++ b/frostpost/proxy/runner_request.py
@@ -17,12 +17,12 @@
 
     def __init__(self, sink):
         """Register for the sink's notifications."""
-        self.disconnected, self.request, self.paused = bool(sink.gone()), None, False
-        sink.on_gone(self.gone)
+        self.disconnected, self.request, self.paused = bool(sink.is_disconnected()), None, False
+        sink.on_disconnect(self.on_disconnect)
         sink.on_pause(self.pause)
         sink.on_resume(self.resume)
 
-    def gone(self, *_):
+    def on_disconnect(self, *_):
         """Handle the client's disconnect."""
         self.disconnected = True
         if self.request is not None:
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -42,7 +42,7 @@
 
     def __init__(self, call, sink, watcher, retains):
         self.call, self.sink, self.watcher, self.retains = call, sink, watcher, retains
-        self.parser, self.head_sent, self.event_count, self.last_event_id = EventParser(), False, 0, call.last_event
+        self.parser, self.head_sent, self.event_count, self.last_event_id = EventParser(), False, 0, call.last_event_id
         self.data, self.may_have_run, self.resumed, self.diverged = [], False, False, False
 
     def head(self, head):
@@ -93,7 +93,7 @@
 @inlineCallbacks
 def serve_stream(agent, route, service, call, sink, until_ms, watcher):
     """Serve a request of a streaming route."""
-    if until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
+    if until_ms - now_ms(agent) < max(1, route.target_latency_ms // 10):
         return sink.failed(Overloaded(retry_ms(route)))
     ordered, runner, body = turn.needs_ledger(route, call), None, call.body
     if ordered:
@@ -141,8 +141,8 @@
             if not may_resume(route, state, outcome):
                 return outcome
             state.resumed = state.event_count > 0
-            call = structs.replace(state.call, last_event=state.last_event_id)
-        if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
+            call = structs.replace(state.call, last_event_id=state.last_event_id)
+        if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.target_latency_ms // 10):
             return outcome
         runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
 
@@ -151,7 +151,7 @@
     """Return whether an interrupted stream may be resumed at another runner."""
     if not route.resumable or state.diverged or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
         return False
-    return state.event_count == 0 or state.last_event_id not in ("", state.call.last_event)
+    return state.event_count == 0 or state.last_event_id not in ("", state.call.last_event_id)
 
 
 @inlineCallbacks
@@ -183,7 +183,7 @@
             data = b"".join([call.body, *(payload + b"\n" for payload in state.data)]) if state.retains else b""
             durable = yield turn.end_attempt(agent, route, service, call, tokens, data, until_ms)
         count(agent, "streams" if durable else "streams_unkept")
-        return sink.end() if durable else sink.cut()
+        return sink.end() if durable else sink.abort()
     if ordered and state.may_have_run:
         turn.end_interrupted(agent, call, tokens)
     elif ordered:
@@ -192,7 +192,7 @@
         return count(agent, "client_left")
     if state.head_sent:
         count(agent, "streams_cut")
-        return sink.cut()
+        return sink.abort()
     count(agent, type(outcome).__name__)
     if isinstance(outcome, Answer) and not (ordered and outcome.status in RESERVED_STATUSES):
         return write_answer(sink, outcome)
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -80,7 +80,7 @@
 
 def due_in_ms(agent, call):
     """Return the time left to the deadline of the request's program, or of the request if it belongs to none."""
-    total_ms = call.program_left_ms or call.deadline_ms - call.started_ms
+    total_ms = call.program_remaining_ms or call.deadline_ms - call.started_ms
     return total_ms - (now_ms(agent) - call.started_ms)
 
 
@@ -96,12 +96,12 @@
             attempt=call.attempt,
             program=call.program or call.attempt,
             budget=call.budget,
-            amount=call.most_tokens,
-            previous=call.previous,
+            amount=call.max_output_tokens,
+            previous=call.previous_turn,
             remaining_ms=left_ms,
             candidates=offered,
-            parts=call.parts,
-            line=call.line,
+            parts=call.prompt_parts,
+            line=call.session_id,
             prompt_tokens=call.prompt_tokens,
             cache_tokens=service.cache_tokens,
             pool=service.name,
@@ -191,18 +191,18 @@
     the body is then stored again.
     """
     wait_ms = record_wait_ms(agent, until_ms)
-    retention_ms = route.keep_ms + RETENTION_MARGIN_TICKS * agent.settings.tick_ms
-    end = EndAttempt(call.attempt, tokens, retention_ms=retention_ms, size=len(data))
+    retention_ms = route.retention_ms + RETENTION_MARGIN_TICKS * agent.settings.tick_ms
+    end_operation = EndAttempt(call.attempt, tokens, retention_ms=retention_ms, size=len(data))
     ended, stored = yield gatherResults(
         [
-            measure_decision_time(agent, service, call_replicas(agent, end, wait_ms)),
+            measure_decision_time(agent, service, call_replicas(agent, end_operation, wait_ms)),
             put(agent, call.attempt, data, wait_ms),
         ]
     )
     durable = ended.is_ok() and stored.is_ok()
     if not (ended.is_ok() and isinstance(ended.ok, AttemptEnded)):
         durable = False
-        submit_until_decided(agent, end if stored.is_ok() else EndAttempt(call.attempt, tokens))
+        submit_until_decided(agent, end_operation if stored.is_ok() else EndAttempt(call.attempt, tokens))
     if durable and not is_durable_at(agent, stored.ok.holders):
         stored_again = yield put(agent, call.attempt, data, record_wait_ms(agent, until_ms))
         durable = stored_again.is_ok()
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -28,7 +28,7 @@
 
 def end_unawaited():
     def end_attempt(agent, route, service, call, tokens, data, until_ms):
-        keep_ms = route.keep_ms if route.retained else 0
+        keep_ms = route.retention_ms if route.retained else 0
         turn.submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data)))
         if keep_ms:
             turn.put(agent, call.attempt, data, 5000)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -34,7 +34,7 @@
                 prefix="/a/",
                 kind="safe",
                 timeout_ms=5000,
-                aim_ms=400,
+                target_latency_ms=400,
                 rank=0,
                 weights=(("s", 1),),
                 attempts=2,
@@ -58,7 +58,7 @@
         *call.headers,
         (b"Attempt", call.attempt.encode()),
         (b"Left", b"%d" % left_ms),
-        (b"Last", call.last_event.encode()),
+        (b"Last", call.last_event_id.encode()),
     ]
 
 
@@ -154,10 +154,10 @@
             head=lambda s, h: note(("head", s)),
             data=lambda d: note(("data", d)),
             end=lambda: note("end"),
-            cut=lambda: note("cut"),
+            abort=lambda: note("cut"),
             failed=note,
-            gone=lambda: False,
-            on_gone=lambda f: setattr(self, "gone", f),
+            is_disconnected=lambda: False,
+            on_disconnect=lambda f: setattr(self, "gone", f),
             on_pause=lambda f: None,
             on_resume=lambda f: None,
         )
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -63,9 +63,9 @@
         b"a=b",
     )
     assert (call.started_ms, call.deadline_ms) == (100000, 101500)
-    assert (call.key, call.program, call.line, call.budget, call.previous) == ("k", "p", "l", 4640, "a0")
-    assert (call.prompt_tokens, call.most_tokens, call.parts) == (1460, 80, (("5c", 800), ("91", 410)))
-    assert (call.program_left_ms, call.last_event) == (5200, "12")
+    assert (call.key, call.program, call.session_id, call.budget, call.previous_turn) == ("k", "p", "l", 4640, "a0")
+    assert (call.prompt_tokens, call.max_output_tokens, call.prompt_parts) == (1460, 80, (("5c", 800), ("91", 410)))
+    assert (call.program_remaining_ms, call.last_event_id) == (5200, "12")
     low = [name.lower() for name, _ in call.headers]
     assert low.count(b"accept") == 2 and b"x-previous-turn" in low and b"x-attempt-id" in low
     assert not {b"host", b"connection", b"odd", b"te", b"content-length"} & set(low)
@@ -125,10 +125,10 @@
     _, sink = fleet.ask()
     sink.head(200, [(b"Content-Type", b"text/event-stream")])
     sink.data(b"ab")
-    sink.cut()
+    sink.abort()
     sink.data(b"c")
     sink.end()
-    assert fleet.said().endswith(b"2\r\nab\r\n") and fleet.transport.disconnecting and sink.gone()
+    assert fleet.said().endswith(b"2\r\nab\r\n") and fleet.transport.disconnecting and sink.is_disconnected()
     fleet.clock.advance(front.CUT_S)
     assert fleet.transport.aborted
 
@@ -191,13 +191,13 @@
 def test_a_client_that_leaves_is_told_and_backpressure_passes():
     fleet, seen = Fleet(), []
     _, sink = fleet.ask()
-    sink.on_gone(lambda: seen.append("gone"))
+    sink.on_disconnect(lambda: seen.append("gone"))
     sink.on_pause(lambda: seen.append("pause"))
     sink.on_resume(lambda: seen.append("resume"))
     fleet.channel.pauseProducing()
     fleet.channel.resumeProducing()
     fleet.channel.connectionLost(SimpleNamespace(value=None))
-    assert seen == ["pause", "resume", "gone"] and sink.gone() and fleet.agent.calls == 0
+    assert seen == ["pause", "resume", "gone"] and sink.is_disconnected() and fleet.agent.calls == 0
     sink.head(200, [])
     sink.data(b"x")
     sink.end()
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("status", [b"402 X", b"404 X"])
 def test_a_kept_turns_promise_is_never_taken_from_a_runner(monkeypatch, status):
-    path = Path(monkeypatch, kind="streaming", retained=True, keep_ms=9)
+    path = Path(monkeypatch, kind="streaming", retained=True, retention_ms=9)
     path.ask().dataReceived(answer(status))
     said = path.said()
     assert said.startswith(b"HTTP/1.1 502 ") and b"X-Server-Seal" not in said
--- a/tests/test_platform_routing.py
+++ b/tests/test_platform_routing.py
@@ -61,7 +61,7 @@
     document, found = routing.parse(body()).ok
     assert document == DOCUMENT
     one, two = found.routes
-    assert (one.host, one.prefix, one.kind, one.timeout_ms, one.aim_ms, one.rank) == (
+    assert (one.host, one.prefix, one.kind, one.timeout_ms, one.target_latency_ms, one.rank) == (
         "a.example",
         "/x/",
         "streaming",
@@ -69,7 +69,7 @@
         200,
         1,
     )
-    assert (one.weights, one.attempts, one.retained, one.keep_ms, one.resumable, one.gap_ms) == (
+    assert (one.weights, one.attempts, one.retained, one.retention_ms, one.resumable, one.max_event_gap_ms) == (
         (("s1", 90), ("s2", 10)),
         2,
         True,
@@ -77,7 +77,7 @@
         True,
         250,
     )
-    assert (two.weights, two.attempts, two.retained, two.aim_ms) == ((("s2", 1),), 1, False, 900)
+    assert (two.weights, two.attempts, two.retained, two.target_latency_ms) == ((("s2", 1),), 1, False, 900)
     service = found.services["s1"]
     assert (service.max_connections, service.dedupes, service.event_tokens, service.slots, service.cache_tokens) == (
         240,
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -92,7 +92,7 @@
 
 
 def test_a_stream_taken_up_names_its_last_event_and_time_never_falls_below_nothing():
-    sent = wire().request_headers(structs.replace(CALL, last_event="12"), RUNNER, -5)
+    sent = wire().request_headers(structs.replace(CALL, last_event_id="12"), RUNNER, -5)
     assert [value for name, value in sent if name == b"Last-Event-Id"] == [b"12"]
     assert (b"X-Time-Remaining", b"0") in sent
 
--- a/tests/test_proxy_connection_failures.py
+++ b/tests/test_proxy_connection_failures.py
@@ -48,7 +48,7 @@
     Kind("idempotent", {"kind": "idempotent", "attempts": 2}),
     Kind("idempotent, own record", {"kind": "idempotent", "attempts": 2, "weights": (("t", 1),)}, 2),
     Kind("stream", {"kind": "streaming", "attempts": 2}, 1, True),
-    Kind("stream, kept", {"kind": "streaming", "attempts": 2, "retained": True, "keep_ms": 9}, 1, True),
+    Kind("stream, kept", {"kind": "streaming", "attempts": 2, "retained": True, "retention_ms": 9}, 1, True),
     Kind("stream, resumable", {"kind": "streaming", "attempts": 2, "resumable": True}, 2, True),
     Kind("stream, resumable, one attempt", {"kind": "streaming", "attempts": 1, "resumable": True}, 1, True),
 ]
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -39,7 +39,7 @@
 
 
 def test_a_turn_that_the_ledger_does_not_know_any_more_is_not_ended_whole(monkeypatch):
-    s = stage(monkeypatch, "streaming", retained=True, keep_ms=9000)
+    s = stage(monkeypatch, "streaming", retained=True, retention_ms=9000)
     s.verdicts[EndAttempt] = NoAttempt("a1")
     s.serve()
     s.connect().dataReceived(HEAD + chunk(ONE) + b"0\r\n\r\n")
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("kind, operation", [("idempotent", ResolveOperationKey), ("streaming", EndAttempt)])
 def test_an_answer_that_is_not_made_to_last_is_given_up_soon_after_its_time(monkeypatch, kind, operation):
-    s = stage(monkeypatch, kind, retained=kind == "streaming", keep_ms=9000)
+    s = stage(monkeypatch, kind, retained=kind == "streaming", retention_ms=9000)
     s.waits = {}
     kept = s.ask
     for module in ("idempotency", "turn"):
@@ -92,7 +92,7 @@
 def test_nothing_is_sent_when_what_allowed_it_ended_while_the_ledger_was_asked(
     monkeypatch, kind, operation, verdict, change
 ):
-    s = stage(monkeypatch, kind, retained=kind == "streaming", keep_ms=9000)
+    s = stage(monkeypatch, kind, retained=kind == "streaming", retention_ms=9000)
     s.verdicts[operation] = asked = Deferred()
     s.serve(key="k", deadline_ms=1000)
     if change == "lease":
--- a/tests/test_proxy_slot_overhead.py
+++ b/tests/test_proxy_slot_overhead.py
@@ -35,14 +35,14 @@
 
 def test_a_stream_is_measured_and_the_ledger_offered_slots_by_it(monkeypatch):
     s = Stage([a_route(kind="streaming")], [a_runner("r1", slots=8)], monkeypatch)
-    s.serve(program="g", budget=9, most_tokens=5)
+    s.serve(program="g", budget=9, max_output_tokens=5)
     wire = s.connect()
     s.reactor.advance(0.1)
     wire.dataReceived(HEAD + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
     overhead = overhead_of(s.agent, "s")
     assert overhead.run_ms == 100 and overhead.order_ms == 1
     overhead.order_ms = 50
-    s.serve(attempt="a2", program="g", budget=9, most_tokens=5)
+    s.serve(attempt="a2", program="g", budget=9, max_output_tokens=5)
     assert [op.candidates for op in s.asked if isinstance(op, BeginAttempt)] == [
         (Candidate("r1", 8),),
         (Candidate("r1", 14),),
--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -26,7 +26,9 @@
 
 
 def stage(monkeypatch, **more):
-    return Stage([a_route(**{"kind": "streaming", "retained": True, "keep_ms": 9000, **more})], RUNNERS, monkeypatch)
+    return Stage(
+        [a_route(**{"kind": "streaming", "retained": True, "retention_ms": 9000, **more})], RUNNERS, monkeypatch
+    )
 
 
 def lose(wire):
@@ -41,7 +43,7 @@
     s = stage(monkeypatch)
     s.chain = {"p": b"old"}
     s.verdicts.update({BeginAttempt: AttemptBegun("r1", ("p",)), EndAttempt: Deferred(), "put": Deferred()})
-    s.serve(program="g", budget=9, previous="p", most_tokens=5)
+    s.serve(program="g", budget=9, previous_turn="p", max_output_tokens=5)
     assert s.asked[0].candidates == (Candidate("r1", 4), Candidate("r2", 4))
     wire = s.connect()
     assert wire.transport.value().endswith(b"\r\n\r\noldin")
@@ -60,7 +62,7 @@
     s = stage(monkeypatch)
     end, again = Deferred(), Deferred()
     s.verdicts.update({EndAttempt: end, "put": [Ok(Synced(HOLDERS)), again]})
-    s.serve(program="g", budget=9, most_tokens=5)
+    s.serve(program="g", budget=9, max_output_tokens=5)
     s.connect().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
     s.voters = frozenset({"others"})
     end.callback(Ok(AttemptEnded()))
@@ -73,7 +75,7 @@
     s = stage(monkeypatch)
     end = Deferred()
     s.verdicts.update({EndAttempt: end, "put": [Ok(Synced(HOLDERS)), Error(failures.Unavailable(9))]})
-    s.serve(program="g", budget=9, most_tokens=5)
+    s.serve(program="g", budget=9, max_output_tokens=5)
     s.connect().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
     s.voters = frozenset({"others"})
     end.callback(Ok(AttemptEnded()))
--- a/tests/test_proxy_wait_policy.py
+++ b/tests/test_proxy_wait_policy.py
@@ -109,7 +109,7 @@
 def test_an_answer_whose_turn_nobody_may_follow_ends_without_waiting_for_the_order(monkeypatch):
     s = stage(monkeypatch, kind="streaming")
     s.verdicts[EndAttempt] = Deferred()
-    s.serve(program="g", budget=9, most_tokens=5)
+    s.serve(program="g", budget=9, max_output_tokens=5)
     s.connect().dataReceived(HEAD + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
     assert s.seen[-1] == "end"
     assert s.told == [EndAttempt("a1", 2)] and s.puts == []
@@ -154,7 +154,7 @@
 def test_a_turn_that_waited_at_the_leader_in_vain_is_refused_and_not_asked_for_again(monkeypatch):
     s = stage(monkeypatch, kind="streaming", rank=2)
     s.verdicts[BeginAttempt] = NoCapacity(20)
-    s.serve(program="g", budget=9, most_tokens=5, program_left_ms=2500)
+    s.serve(program="g", budget=9, max_output_tokens=5, program_remaining_ms=2500)
     assert kinds(s.seen) == [failures.Overloaded] and s.told == [AbortAttempt("a1")]
     (begin,) = s.asked
     assert (begin.pool, begin.rank, begin.max_queue_ms, begin.deadline_in_ms) == ("s", 2, 1280, 2500)
@@ -164,7 +164,7 @@
     s = stage(monkeypatch, kind="streaming", attempts=2)
     first = Deferred()
     s.verdicts[ReassignAttempt] = [first, AttemptBegun("r2", ())]
-    s.serve(program="g", budget=9, most_tokens=5)
+    s.serve(program="g", budget=9, max_output_tokens=5)
     s.connect().dataReceived(answer_bytes(b"", status=b"503 Full", more=b"Not-Run: 1\r\n"))
     s.reactor.advance(1)
     first.callback(Ok(NoCapacity(20)))
