--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -25,7 +25,7 @@
 HOLDERS = frozenset({"s1", "s2"})
 
 
-def a_route(**more):
+def make_route(**overrides):
     return Route(
         **dict(
             dict(
@@ -39,16 +39,16 @@
                 weights=(("s", 1),),
                 attempts=2,
             ),
-            **more,
+            **overrides,
         )
     )
 
 
-def a_runner(name, **more):
+def make_runner(name, **overrides):
     return Runner(
         **dict(
             dict(id=name, service="s", host="10.0.0.1", port=int("1" + name[1:]) if name[1:] else 9, zone="z", slots=4),
-            **more,
+            **overrides,
         )
     )
 
@@ -63,18 +63,18 @@
 
 
 def read_head(status, fields):
-    held = {name.lower(): value for name, value in fields}
+    values = {name.lower(): value for name, value in fields}
     return RunnerHead(
         status,
         [(n, v) for n, v in fields if n.lower() != b"connection"],
-        attempt=held.get(b"attempt", b"").decode(),
-        not_executed=b"not-run" in held,
-        sealed=b"seal" in held,
-        close=held.get(b"connection") == b"close",
+        attempt=values.get(b"attempt", b"").decode(),
+        not_executed=b"not-run" in values,
+        sealed=b"seal" in values,
+        close=values.get(b"connection") == b"close",
     )
 
 
-class Stage:
+class ProxyHarness:
     def __init__(self, routes, runners=(), patch=None):
         self.reactor = MemoryReactorClock()
         settings = SimpleNamespace(
@@ -86,12 +86,12 @@
         )
         agent.runners = {runner.id: runner for runner in runners}
         agent.wire = Wire(request_headers, read_head)
-        self.told, self.asked, self.puts, self.seen = [], [], [], []
-        self.verdicts, self.chain, self.lease, self.gone, self.voters = {}, {}, True, None, HOLDERS
-        self.wires = []
+        self.background_operations, self.operations, self.stored_bodies, self.client_events = [], [], [], []
+        self.results, self.bodies, self.has_lease, self.disconnect_client, self.voters = {}, {}, True, None, HOLDERS
+        self.connections = []
         if patch is not None:
             for module in (idempotency, operation_retry, turn):
-                patch.setattr(module, "call_replicas", self.ask)
+                patch.setattr(module, "call_replicas", self.call_replicas)
             for module in (idempotency, turn):
                 patch.setattr(module, "submit_until_decided", self.submit_until_decided)
             patch.setattr(turn, "put", self.put)
@@ -100,40 +100,40 @@
                 turn,
                 "fetch",
                 lambda agent, turns, wait_ms: succeed(
-                    Ok(tuple(self.chain[t] for t in turns))
-                    if all(t in self.chain for t in turns)
+                    Ok(tuple(self.bodies[t] for t in turns))
+                    if all(t in self.bodies for t in turns)
                     else Error(Unavailable(100))
                 ),
             )
             for module in (pool, lease_client):
-                patch.setattr(module, "holds_lease", lambda agent: self.lease)
+                patch.setattr(module, "holds_lease", lambda agent: self.has_lease)
 
     def submit_until_decided(self, agent, op):
-        self.told.append(op)
+        self.background_operations.append(op)
         return succeed(Ok(AttemptEnded()))
 
-    def ask(self, agent, op, wait_ms):
-        self.asked.append(op)
-        verdict = self.verdicts.get(type(op))
-        if verdict is None:
-            verdict = {
+    def call_replicas(self, agent, op, wait_ms):
+        self.operations.append(op)
+        result = self.results.get(type(op))
+        if result is None:
+            result = {
                 BeginAttempt: AttemptBegun("r1", ()),
                 ClaimOperationKey: KeyClaimed(),
                 EndAttempt: AttemptEnded(),
             }.get(type(op), AttemptEnded())
-        if isinstance(verdict, (Deferred, list)):
-            verdict = verdict.pop(0) if isinstance(verdict, list) else verdict
-        if isinstance(verdict, Deferred):
-            return verdict
-        return succeed(Error(verdict) if isinstance(verdict, Unavailable) else Ok(verdict))
+        if isinstance(result, (Deferred, list)):
+            result = result.pop(0) if isinstance(result, list) else result
+        if isinstance(result, Deferred):
+            return result
+        return succeed(Error(result) if isinstance(result, Unavailable) else Ok(result))
 
     def put(self, agent, name, data, wait_ms):
-        self.puts.append((name, data))
-        verdict = self.verdicts.get("put", Ok(Synced(HOLDERS)))
-        verdict = verdict.pop(0) if isinstance(verdict, list) else verdict
-        return verdict if isinstance(verdict, Deferred) else succeed(verdict)
+        self.stored_bodies.append((name, data))
+        result = self.results.get("put", Ok(Synced(HOLDERS)))
+        result = result.pop(0) if isinstance(result, list) else result
+        return result if isinstance(result, Deferred) else succeed(result)
 
-    def serve(self, **more):
+    def serve(self, **overrides):
         call = Call(
             **dict(
                 dict(
@@ -146,49 +146,49 @@
                     started_ms=0,
                     deadline_ms=4000,
                 ),
-                **more,
+                **overrides,
             )
         )
-        note = self.seen.append
+        record = self.client_events.append
         sink = Sink(
-            head=lambda s, h: note(("head", s)),
-            data=lambda d: note(("data", d)),
-            end=lambda: note("end"),
-            abort=lambda: note("cut"),
-            failed=note,
+            head=lambda s, h: record(("head", s)),
+            data=lambda d: record(("data", d)),
+            end=lambda: record("end"),
+            abort=lambda: record("cut"),
+            failed=record,
             is_disconnected=lambda: False,
-            on_disconnect=lambda f: setattr(self, "gone", f),
+            on_disconnect=lambda f: setattr(self, "disconnect_client", f),
             on_pause=lambda f: None,
             on_resume=lambda f: None,
         )
         return serve.serve(self.agent, call, sink)
 
-    def connect(self):
+    def accept_connection(self):
         """Let the newest asked connection come up."""
-        factory = self.reactor.tcpClients[len(self.wires)][2]
+        factory = self.reactor.tcpClients[len(self.connections)][2]
         protocol = factory.buildProtocol(None)
         transport = StringTransport()
         transport.protocol = protocol
         protocol.makeConnection(transport)
         self.reactor.advance(0)
-        self.wires.append(protocol)
+        self.connections.append(protocol)
         return protocol._wrappedProtocol
 
-    def refuse_connection(self, reason):
-        factory = self.reactor.tcpClients[len(self.wires)][2]
-        self.wires.append(None)
+    def fail_connection(self, reason):
+        factory = self.reactor.tcpClients[len(self.connections)][2]
+        self.connections.append(None)
         factory.clientConnectionFailed(None, reason)
         self.reactor.advance(0)
 
 
-def answer_bytes(body=b"out", attempt=b"a1", status=b"200 OK", more=b"Seal: x\r\n", length=None):
+def answer_bytes(body=b"out", attempt=b"a1", status=b"200 OK", headers=b"Seal: x\r\n", length=None):
     return (
         b"HTTP/1.1 "
         + status
         + b"\r\nAttempt: "
         + attempt
         + b"\r\n"
-        + more
+        + headers
         + b"Content-Length: %d\r\n\r\n" % (len(body) if length is None else length)
     ) + body
 
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,7 +1,7 @@
 """The whole way of a request: a client's connection, the front, the proxy, and a runner's connection."""
 
 import pytest
-from proxy_harness import Stage, a_route, a_runner, chunk
+from proxy_harness import ProxyHarness, chunk, make_route, make_runner
 from test_platform_front import Wire
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
@@ -19,8 +19,10 @@
     """One client in front of one runner."""
 
     def __init__(self, patch, **route):
-        self.stage = Stage([a_route(**{"kind": "unsafe", "attempts": 1, **route})], [a_runner("r1")], patch)
-        agent = self.stage.agent
+        self.harness = ProxyHarness(
+            [make_route(**{"kind": "unsafe", "attempts": 1, **route})], [make_runner("r1")], patch
+        )
+        agent = self.harness.agent
         agent.wire, agent.settings.max_fds = wire(), 1000
         self.server = front.server(agent, serve.serve)
         self.client()
@@ -37,13 +39,13 @@
             b"POST /a/x HTTP/%s\r\nHost: h\r\nX-Attempt-Id: %s\r\n%sContent-Length: 2\r\n\r\nin"
             % (version, attempt, more)
         )
-        if len(self.stage.reactor.tcpClients) > len(self.stage.wires):
-            return self.stage.connect()
+        if len(self.harness.reactor.tcpClients) > len(self.harness.connections):
+            return self.harness.accept_connection()
         return None
 
     def said(self):
         """What the client got since it was asked last."""
-        self.stage.reactor.advance(0)
+        self.harness.reactor.advance(0)
         value = self.transport.value()
         self.transport.clear()
         return value
@@ -149,8 +151,8 @@
     path = Path(monkeypatch, kind="idempotent")
     path.ask(more=b"X-Operation-Key: k\r\n").dataReceived(answer(b"201 Made"))
     first = path.said()
-    (resolved,) = [operation for operation in path.stage.asked if isinstance(operation, ResolveOperationKey)]
-    path.stage.verdicts[ClaimOperationKey] = KeyAnswered(resolved.answer)
+    (resolved,) = [operation for operation in path.harness.operations if isinstance(operation, ResolveOperationKey)]
+    path.harness.results[ClaimOperationKey] = KeyAnswered(resolved.answer)
     path.client()
     path.ask(b"a2", more=b"X-Operation-Key: k\r\n")
     repeat = path.said()
--- a/tests/test_proxy_components.py
+++ b/tests/test_proxy_components.py
@@ -1,5 +1,5 @@
 import pytest
-from proxy_harness import Stage, a_route, a_runner
+from proxy_harness import ProxyHarness, make_route, make_runner
 from twisted.web._newclient import ParseError
 
 from frostpost.proxy.event_stream import EventParser
@@ -22,24 +22,26 @@
 
 
 def test_the_longest_prefix_of_the_host_wins():
-    stage = Stage([a_route(prefix="/a/"), a_route(name="long", prefix="/a/b/"), a_route(host="other", prefix="/")])
-    assert find_route(stage.agent, "H:80", "/a/b/c").name == "long"
-    assert find_route(stage.agent, "h", "/a/bc").prefix == "/a/"
-    assert find_route(stage.agent, "h", "/b/c") is None
-    assert find_route(stage.agent, "none", "/a/") is None
+    harness = ProxyHarness(
+        [make_route(prefix="/a/"), make_route(name="long", prefix="/a/b/"), make_route(host="other", prefix="/")]
+    )
+    assert find_route(harness.agent, "H:80", "/a/b/c").name == "long"
+    assert find_route(harness.agent, "h", "/a/bc").prefix == "/a/"
+    assert find_route(harness.agent, "h", "/b/c") is None
+    assert find_route(harness.agent, "none", "/a/") is None
 
 
 def test_services_are_picked_by_weight_and_the_same_way_again():
-    route = a_route(weights=(("s", 1), ("t", 3)))
-    stage = Stage([route])
-    names = [pick_service(stage.agent.routing, route, f"a{i}").name for i in range(400)]
-    assert names == [pick_service(stage.agent.routing, route, f"a{i}").name for i in range(400)]
+    route = make_route(weights=(("s", 1), ("t", 3)))
+    harness = ProxyHarness([route])
+    names = [pick_service(harness.agent.routing, route, f"a{i}").name for i in range(400)]
+    assert names == [pick_service(harness.agent.routing, route, f"a{i}").name for i in range(400)]
     assert 240 < names.count("t") < 360
 
 
 def test_the_least_loaded_runner_is_picked_and_full_ones_are_not():
-    stage = Stage([a_route()], [a_runner("r1", slots=1), a_runner("r2", slots=4)])
-    agent, service = stage.agent, stage.agent.routing.services["s"]
+    harness = ProxyHarness([make_route()], [make_runner("r1", slots=1), make_runner("r2", slots=4)])
+    agent, service = harness.agent, harness.agent.routing.services["s"]
     count_sent(agent, agent.runners["r1"])
     assert pick_runner(agent, service).id == "r2"
     count_sent(agent, agent.runners["r1"])
@@ -47,8 +49,8 @@
 
 
 def test_failing_runners_rest_but_never_more_than_half():
-    stage = Stage([a_route()], [a_runner(f"r{i}") for i in range(4)] + [a_runner("d", draining=True)])
-    agent, service = stage.agent, stage.agent.routing.services["s"]
+    harness = ProxyHarness([make_route()], [make_runner(f"r{i}") for i in range(4)] + [make_runner("d", draining=True)])
+    agent, service = harness.agent, harness.agent.routing.services["s"]
     for i in range(3):
         count_sent(agent, agent.runners[f"r{i}"])
         count_ended(agent, agent.runners[f"r{i}"], Broken("x"), None)
--- a/tests/test_proxy_connection_failures.py
+++ b/tests/test_proxy_connection_failures.py
@@ -8,7 +8,7 @@
 
 import pytest
 from msgspec import Struct
-from proxy_harness import HEAD, Stage, a_route, a_runner, answer_bytes, chunk
+from proxy_harness import HEAD, ProxyHarness, answer_bytes, chunk, make_route, make_runner
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
@@ -19,11 +19,11 @@
 from frostpost.proxy.load_balancing import load_of
 
 ONE, TWO, THREE = (b"id: %d\ndata: %c\n\n" % (n, c) for n, c in ((1, b"a"), (2, b"b"), (3, b"c")))
-RUNNERS = [a_runner("r1"), a_runner("r2"), a_runner("r3")]
+RUNNERS = [make_runner("r1"), make_runner("r2"), make_runner("r3")]
 PLAIN = answer_bytes()
 STREAM = HEAD + chunk(ONE) + chunk(TWO) + chunk(THREE) + b"0\r\n\r\n"
-REFUSAL = answer_bytes(b"no", status=b"503 Full", more=b"Not-Run: 1\r\n")
-MISDIRECTED = answer_bytes(b"", status=b"421 Other", more=b"")
+REFUSAL = answer_bytes(b"no", status=b"503 Full", headers=b"Not-Run: 1\r\n")
+MISDIRECTED = answer_bytes(b"", status=b"421 Other", headers=b"")
 PROMISED = (failures.Overloaded, failures.Unavailable, failures.Leaving, failures.BudgetSpent, failures.UnknownTurn)
 DEADLINE_S = 4.0
 
@@ -61,42 +61,42 @@
     def __init__(self, kind, patch):
         self.kind, self.runs = kind, Counter()
         service = dict(kind.route.get("weights", (("s", 1),))).popitem()[0]
-        stage = self.stage = Stage([a_route(**kind.route)], [], patch)
-        stage.agent.runners = {r.id: a_runner(r.id, service=service) for r in RUNNERS}
-        stage.verdicts[ReassignAttempt] = AttemptBegun("r2", ())
+        harness = self.harness = ProxyHarness([make_route(**kind.route)], [], patch)
+        harness.agent.runners = {r.id: make_runner(r.id, service=service) for r in RUNNERS}
+        harness.results[ReassignAttempt] = AttemptBegun("r2", ())
         for name in ("r2", "r3"):
-            load_of(stage.agent, name).own_requests = 1
+            load_of(harness.agent, name).own_requests = 1
         self.clients = {}
 
     def ask(self, attempt):
         """Send a client's try; what its client gets is kept apart."""
-        self.stage.seen = self.clients[attempt] = []
-        self.stage.serve(attempt=attempt, key="k" + attempt)
+        self.harness.client_events = self.clients[attempt] = []
+        self.harness.serve(attempt=attempt, key="k" + attempt)
 
-    def wire(self):
-        return self.stage.connect()
+    def accept_connection(self):
+        return self.harness.accept_connection()
 
     def waits(self):
         """Whether a connection was asked for that has not come up."""
-        return len(self.stage.reactor.tcpClients) > len(self.stage.wires)
+        return len(self.harness.reactor.tcpClients) > len(self.harness.connections)
 
     def finish_elsewhere(self):
         """Let every further runner that it is sent to answer well."""
         while self.waits():
-            wire = self.wire()
-            if wire.transport.value():
-                self.serve_well(wire)
+            connection = self.accept_connection()
+            if connection.transport.value():
+                self.serve_well(connection)
 
-    def serve_well(self, wire):
+    def serve_well(self, connection):
         """Run the newest request on a connection and answer it, from the event after the one that it names."""
-        request = wire.transport.value().split(b"POST ")[-1]
+        request = connection.transport.value().split(b"POST ")[-1]
         attempt = request.split(b"Attempt: ")[1].split(b"\r\n")[0]
         self.runs[attempt.decode()] += 1
         answer = self.kind.answer.replace(b"Attempt: a1", b"Attempt: " + attempt)
         last = request.split(b"Last: ")[1].split(b"\r\n")[0]
         for event in (ONE, TWO, THREE)[: int(last or 0)]:
             answer = answer.replace(chunk(event), b"")
-        wire.dataReceived(answer)
+        connection.dataReceived(answer)
 
     def judge(self, attempt="a1"):
         """What the client of a try may have got, given how often it ran."""
@@ -116,26 +116,26 @@
         assert runs, seen
 
 
-def reset(played, wire):
-    wire.connectionLost(Failure(ConnectionLost()))
+def reset(played, connection):
+    connection.connectionLost(Failure(ConnectionLost()))
 
 
-def half_close(played, wire):
-    wire.connectionLost(Failure(ConnectionDone()))
+def half_close(played, connection):
+    connection.connectionLost(Failure(ConnectionDone()))
 
 
-def silence(played, wire):
-    played.stage.reactor.advance(DEADLINE_S + 0.1)
+def silence(played, connection):
+    played.harness.reactor.advance(DEADLINE_S + 0.1)
 
 
-def noise(played, wire):
-    wire.dataReceived(b"\x00what\r\n\r\n")
-    played.stage.reactor.advance(DEADLINE_S + 0.1)
+def noise(played, connection):
+    connection.dataReceived(b"\x00what\r\n\r\n")
+    played.harness.reactor.advance(DEADLINE_S + 0.1)
 
 
-def foreign_answer(played, wire):
-    wire.dataReceived(PLAIN.replace(b"a1", b"a0"))
-    played.stage.reactor.advance(DEADLINE_S + 0.1)
+def foreign_answer(played, connection):
+    connection.dataReceived(PLAIN.replace(b"a1", b"a0"))
+    played.harness.reactor.advance(DEADLINE_S + 0.1)
 
 
 STRIKES = [reset, half_close, silence, noise, foreign_answer]
@@ -149,13 +149,13 @@
     while at <= size:
         played = Played(kind, monkeypatch)
         played.ask("a1")
-        wire = played.wire()
-        size = len(wire.transport.value())
+        connection = played.accept_connection()
+        size = len(connection.transport.value())
         played.runs["a1"] += at == size
-        strike(played, wire)
+        strike(played, connection)
         played.finish_elsewhere()
         played.judge()
-        assert wire.unusable
+        assert connection.unusable
         at += 1
 
 
@@ -166,13 +166,13 @@
     for at in range(kind.answer.index(b"\r\n\r\n") if spoils else len(kind.answer)):
         played = Played(kind, monkeypatch)
         played.ask("a1")
-        wire = played.wire()
+        connection = played.accept_connection()
         played.runs["a1"] += 1
-        wire.dataReceived(kind.answer[:at])
-        strike(played, wire)
+        connection.dataReceived(kind.answer[:at])
+        strike(played, connection)
         played.finish_elsewhere()
         played.judge()
-        assert wire.unusable
+        assert connection.unusable
 
 
 @EACH_KIND
@@ -182,9 +182,9 @@
     for at in range(len(refusal) + 1):
         played = Played(kind, monkeypatch)
         played.ask("a1")
-        wire = played.wire()
-        wire.dataReceived(refusal[:at])
-        strike(played, wire)
+        connection = played.accept_connection()
+        connection.dataReceived(refusal[:at])
+        strike(played, connection)
         played.finish_elsewhere()
         played.judge()
 
@@ -196,15 +196,15 @@
         for apart in (False, True):
             played = Played(kind, monkeypatch)
             played.ask("a1")
-            wire = played.wire()
+            connection = played.accept_connection()
             played.runs["a1"] += 1
-            wire.dataReceived(kind.answer + (b"" if apart else extra[:at]))
+            connection.dataReceived(kind.answer + (b"" if apart else extra[:at]))
             if apart:
-                wire.dataReceived(extra[:at])
+                connection.dataReceived(extra[:at])
             played.judge()
-            assert played.clients["a1"][-1] == "end" and wire.unusable
+            assert played.clients["a1"][-1] == "end" and connection.unusable
             played.ask("b1")
-            assert wire.transport.value().count(b"POST") == 1
+            assert connection.transport.value().count(b"POST") == 1
             played.finish_elsewhere()
             played.judge("b1")
 
@@ -215,16 +215,16 @@
         for at in range(1, len(late) + 1):
             played = Played(kind, monkeypatch)
             played.ask("a1")
-            wire = played.wire()
-            wire.dataReceived(kind.answer)
+            connection = played.accept_connection()
+            connection.dataReceived(kind.answer)
             played.ask("b1")
-            assert wire.transport.value().count(b"POST") == 2
+            assert connection.transport.value().count(b"POST") == 2
             played.runs["b1"] = 1
-            wire.dataReceived(late[:at])
-            wire.dataReceived(late[at:] + kind.answer.replace(b"a1", b"b1"))
+            connection.dataReceived(late[:at])
+            connection.dataReceived(late[at:] + kind.answer.replace(b"a1", b"b1"))
             played.finish_elsewhere()
             played.judge("b1")
-            assert played.clients["a1"][-1] == "end" and wire.unusable
+            assert played.clients["a1"][-1] == "end" and connection.unusable
 
 
 @EACH_KIND
@@ -233,14 +233,14 @@
 def test_an_idle_connection_that_its_runner_drops(monkeypatch, kind, strike, written):
     played = Played(kind, monkeypatch)
     played.ask("a1")
-    wire = played.wire()
-    wire.dataReceived(kind.answer)
+    connection = played.accept_connection()
+    connection.dataReceived(kind.answer)
     if not written:
-        strike(played, wire)
+        strike(played, connection)
     played.ask("b1")
-    assert wire.transport.value().count(b"POST") == 1 + written
+    assert connection.transport.value().count(b"POST") == 1 + written
     if written:
-        strike(played, wire)
+        strike(played, connection)
     played.finish_elsewhere()
     played.judge("b1")
     assert written or played.clients["b1"][-1] == "end"
@@ -253,16 +253,16 @@
     for at in range(len(kind.answer)):
         played = Played(kind, monkeypatch)
         played.ask("a1")
-        wire = played.wire()
-        wire.dataReceived(kind.answer[:at])
+        connection = played.accept_connection()
+        connection.dataReceived(kind.answer[:at])
         before = list(played.clients["a1"])
-        played.stage.gone()
-        wire.dataReceived(kind.answer[at:])
+        played.harness.disconnect_client()
+        connection.dataReceived(kind.answer[at:])
         assert played.clients["a1"] == before or kind.route["kind"] == "idempotent"
         assert not played.waits()
         played.ask("b1")
-        if wire.transport.value().count(b"POST") == 2:
-            played.serve_well(wire)
+        if connection.transport.value().count(b"POST") == 2:
+            played.serve_well(connection)
         played.finish_elsewhere()
         played.judge("b1")
 
--- a/tests/test_proxy_response_properties.py
+++ b/tests/test_proxy_response_properties.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from proxy_harness import Stage, a_route, a_runner
+from proxy_harness import ProxyHarness, make_route, make_runner
 
 from frostpost.proxy import failures
 from frostpost.proxy.response_parser import InvalidResponseError, ResponseParser
@@ -133,15 +133,15 @@
     @given(SHAPES, PLACES)
     def holds(data, places):
         with pytest.MonkeyPatch.context() as patch:
-            stage = Stage([a_route(kind=kind)], [a_runner("r1")], patch)
-            stage.serve()
-            wire = stage.connect()
+            harness = ProxyHarness([make_route(kind=kind)], [make_runner("r1")], patch)
+            harness.serve()
+            connection = harness.accept_connection()
             for piece in cut(data, places):
-                if not wire.unusable and not wire.lost:
-                    wire.dataReceived(piece)
-            stage.reactor.advance(4.1)
+                if not connection.unusable and not connection.lost:
+                    connection.dataReceived(piece)
+            harness.reactor.advance(4.1)
         heads, body, rest, _ = parsed([data])
-        seen = stage.seen
+        seen = harness.client_events
         if isinstance(seen[0], tuple):
             assert seen[0][1] == heads[0][0] and is_own(heads[0])
             got = b"".join(item[1] for item in seen[1:] if isinstance(item, tuple))
--- a/tests/test_proxy_runner_discovery.py
+++ b/tests/test_proxy_runner_discovery.py
@@ -16,7 +16,7 @@
 from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
 
-def a_runner(name, **more):
+def make_runner(name, **more):
     return Runner(id=name, service="s", host="10.0.0.1", port=9, zone="z", slots=4, **more)
 
 
@@ -41,7 +41,7 @@
 
 
 def test_what_another_daemons_list_shows_as_leaving_gets_nothing_though_ones_own_list_lags():
-    agent, clock = a_leaf(lambda: succeed([a_runner("r1"), a_runner("r2")]))
+    agent, clock = a_leaf(lambda: succeed([make_runner("r1"), make_runner("r2")]))
     stop = runner_discovery.poll(agent)
     agent.runner_list.on_draining(("r1", "unknown"))
     assert agent.runners["r1"].draining and not agent.runners["r2"].draining
@@ -54,12 +54,12 @@
 
 
 def test_a_runner_seen_leaving_is_told_at_once_and_told_ones_are_not_told_on():
-    shown = [[a_runner("r1"), a_runner("r2")]]
+    shown = [[make_runner("r1"), make_runner("r2")]]
     agent, clock = a_leaf(lambda: succeed(shown[-1]))
     stop = runner_discovery.poll(agent)
     agent.runner_list.on_draining(("r2",))
     assert agent.extras.get("sent", []) == []
-    shown.append([a_runner("r1", draining=True), a_runner("r2")])
+    shown.append([make_runner("r1", draining=True), make_runner("r2")])
     agent.runner_list.on_turn()
     assert [m.draining for m in agent.extras["sent"]] == [("r1",)]
     stop()
@@ -113,11 +113,11 @@
 
 
 def test_a_newer_reading_that_shows_another_list_makes_an_agent_read_soon():
-    shown = [[a_runner("r1")]]
+    shown = [[make_runner("r1")]]
     agent, clock, stop = a_shared_leaf(shown)
     clock.advance(4)
     assert len(agent.extras["reads"]) == 1
-    shown.append([a_runner("r1"), a_runner("r2")])
+    shown.append([make_runner("r1"), make_runner("r2")])
     agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), 3900))
     clock.advance(0.5)
     assert len(agent.extras["reads"]) == 2 and set(agent.runners) == {"r1", "r2"}
@@ -128,7 +128,7 @@
 
 
 def test_an_older_reading_or_the_same_list_makes_nobody_read():
-    agent, clock, stop = a_shared_leaf([[a_runner("r1")]])
+    agent, clock, stop = a_shared_leaf([[make_runner("r1")]])
     clock.advance(4)
     agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), -100))
     agent.runner_list.on_newest(ListReading(digest_of(["r1"]), 3900))
@@ -139,7 +139,7 @@
 
 
 def test_a_list_that_changes_all_the_time_is_read_no_more_often_than_alone():
-    agent, clock, stop = a_shared_leaf([[a_runner("r1")]])
+    agent, clock, stop = a_shared_leaf([[make_runner("r1")]])
     for n in range(100):
         agent.runner_list.on_newest(ListReading(n, int(clock.seconds() * 1000)))
         clock.advance(0.1)
@@ -148,7 +148,7 @@
 
 
 def test_a_turn_makes_an_agent_read_at_once_and_it_asks_for_none_while_it_reads():
-    results = [succeed([a_runner("r1")])]
+    results = [succeed([make_runner("r1")])]
     agent, clock = a_leaf(lambda: results[-1], list_rate_per_s=440.0)
     stop = runner_discovery.poll(agent)
     assert agent.runner_list.turn_period_ms() == 300
@@ -158,7 +158,7 @@
     assert len(agent.extras["reads"]) == 2 and agent.runner_list.turn_period_ms() == 0
     agent.runner_list.on_turn()
     assert len(agent.extras["reads"]) == 2
-    results[-1].callback([a_runner("r1"), a_runner("r2")])
+    results[-1].callback([make_runner("r1"), make_runner("r2")])
     assert set(agent.runners) == {"r1", "r2"} and agent.runner_list.turn_period_ms() == 300
     stop()
 
@@ -170,14 +170,14 @@
     assert agent.runner_list.turn_period_ms() == 0
     agent.runner_list.on_turn()
     assert len(agent.extras["reads"]) == 1
-    results.append(succeed([a_runner("r1")]))
+    results.append(succeed([make_runner("r1")]))
     clock.advance(1.3)
     assert len(agent.extras["reads"]) == 2 and agent.runner_list.turn_period_ms() == 300
     stop()
 
 
 def test_newer_readings_of_the_same_list_put_off_an_agents_own():
-    agent, clock, stop = a_shared_leaf([[a_runner("r1")]])
+    agent, clock, stop = a_shared_leaf([[make_runner("r1")]])
     for _ in range(300):
         agent.runner_list.on_newest(ListReading(digest_of(["r1"]), int(clock.seconds() * 1000)))
         clock.advance(0.1)
--- a/tests/test_proxy_slot_overhead.py
+++ b/tests/test_proxy_slot_overhead.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from proxy_harness import HEAD, Stage, a_route, a_runner, chunk
+from proxy_harness import HEAD, ProxyHarness, chunk, make_route, make_runner
 
 from frostpost.program_ledger.messages import BeginAttempt, Candidate
 from frostpost.proxy.slot_overhead import SlotOverhead, countable_slots, observe_order, observe_run, overhead_of
@@ -34,16 +34,16 @@
 
 
 def test_a_stream_is_measured_and_the_ledger_offered_slots_by_it(monkeypatch):
-    s = Stage([a_route(kind="streaming")], [a_runner("r1", slots=8)], monkeypatch)
-    s.serve(program="g", budget=9, max_output_tokens=5)
-    wire = s.connect()
-    s.reactor.advance(0.1)
-    wire.dataReceived(HEAD + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
-    overhead = overhead_of(s.agent, "s")
+    harness = ProxyHarness([make_route(kind="streaming")], [make_runner("r1", slots=8)], monkeypatch)
+    harness.serve(program="g", budget=9, max_output_tokens=5)
+    connection = harness.accept_connection()
+    harness.reactor.advance(0.1)
+    connection.dataReceived(HEAD + chunk(b"id: 1\ndata: a\n\n") + b"0\r\n\r\n")
+    overhead = overhead_of(harness.agent, "s")
     assert overhead.run_ms == 100 and overhead.order_ms == 1
     overhead.order_ms = 50
-    s.serve(attempt="a2", program="g", budget=9, max_output_tokens=5)
-    assert [op.candidates for op in s.asked if isinstance(op, BeginAttempt)] == [
+    harness.serve(attempt="a2", program="g", budget=9, max_output_tokens=5)
+    assert [op.candidates for op in harness.operations if isinstance(op, BeginAttempt)] == [
         (Candidate("r1", 8),),
         (Candidate("r1", 14),),
     ]
