--- a/frostpost/proxy/exchange_state.py
+++ b/frostpost/proxy/exchange_state.py
@@ -1,6 +1,6 @@
 """Pure state machine of one request sent to one runner.
 
-    Queued --Wrote--> MaybeSent --HeadRead--> Answering --BodyEnded--> Ended(Whole)
+    Queued --Wrote--> MaybeSent --HeadRead--> ReceivingBody --BodyEnded--> Ended(Whole)
        |                  |  \\                   |
        |                  |   --refusal--> Ended(NotRun)
        --NotWritten--> Ended(NotSent)            --ConnectionFailed--> Ended(Broken)
--- a/frostpost/proxy/idempotency.py
+++ b/frostpost/proxy/idempotency.py
@@ -30,7 +30,7 @@
 
 
 def deserialize_answer(data):
-    """Deserialize a response stored by `pack`."""
+    """Deserialize a response stored by `serialize_answer`."""
     return Answer(*msgpack.decode(data, type=tuple[int, list[tuple[bytes, bytes]], bytes]))
 
 
--- a/frostpost/proxy/load_balancing.py
+++ b/frostpost/proxy/load_balancing.py
@@ -21,8 +21,8 @@
 class Load(Struct):
     """The load of a runner.
 
-    own: requests in flight from this daemon. others: requests of other daemons, reported at told_ms. failed:
-    consecutive failures. resting_until_ms: until when the runner is ejected.
+    own_requests: requests in flight from this daemon. other_requests: those of other daemons, reported at reported_ms.
+    ejected_until_ms: until when the runner gets no requests after consecutive failures.
     """
 
     own_requests: int = 0
--- a/frostpost/proxy/models.py
+++ b/frostpost/proxy/models.py
@@ -127,9 +127,9 @@
 class Sink(Struct):
     """The client's side of a request.
 
-    head(status, headers), data(bytes) and end() write a response; cut() aborts it. failed(failure) responds with a
-    failure. gone() returns whether the client has disconnected. on_gone(callback) is called at most once.
-    on_pause(callback) and on_resume(callback) register for backpressure.
+    head(status, headers), data(bytes) and end() write a response; abort() closes it incomplete. failed(failure)
+    responds with a failure. is_disconnected() returns whether the client has disconnected; on_disconnect(callback)
+    registers the one callback for that. on_pause(callback) and on_resume(callback) register for backpressure.
     """
 
     head: Callable
--- a/frostpost/proxy/response_parser.py
+++ b/frostpost/proxy/response_parser.py
@@ -17,7 +17,7 @@
 
 
 class ResponseParser(HTTPParser):
-    """Calls on_head(status, headers), on_data(bytes) and finally on_whole(surplus bytes)."""
+    """Calls on_head(status, headers), on_data(bytes) and finally on_complete(surplus bytes)."""
 
     def __init__(self, bodyless, on_head, on_data, on_complete):
         """bodyless: the response has no body whatever its head declares, as for HEAD."""
@@ -25,7 +25,7 @@
         self.fields, self.status, self.minor_version = [], 0, 1
 
     def read(self, data):
-        """Parse bytes; raises UnreadableError if they are not a valid response."""
+        """Parse bytes; raises InvalidResponseError if they are not a valid response."""
         try:
             self.dataReceived(data)
         except (ParseError, _MalformedChunkedDataError, ValueError) as error:
@@ -41,26 +41,26 @@
         """Parse the status line."""
         match = STATUS_LINE.fullmatch(status)
         if match is None:
-            raise ParseError("no status line", status)
+            raise ParseError("malformed status line", status)
         self.minor_version, self.status = int(match[1]), int(match[2])
 
     def headerReceived(self, name, value):
         """Validate and store one header."""
         if not HEADER_NAME.fullmatch(name) or b"\r" in value or b"\0" in value or len(self.fields) >= MAX_HEADERS:
-            raise ParseError("bad header", name)
+            raise ParseError("invalid header", name)
         self.fields.append((name, value))
 
     def allHeadersReceived(self):
         """Determine the body framing and report the head."""
         if self.status == 101 or self.status < 100:
-            raise ParseError("not an answer", b"%d" % self.status)
+            raise ParseError("unexpected status", b"%d" % self.status)
         if self.status < 200:
             self.fields = []
             return self.connectionMade()
         lengths = {v for n, v in self.fields if n.lower() == b"content-length"}
         codings = [v.lower() for n, v in self.fields if n.lower() == b"transfer-encoding"]
         if codings not in ([], [b"chunked"]) or len(lengths) > 1 or (codings and (lengths or not self.minor_version)):
-            raise ParseError("unclear length", b"")
+            raise ParseError("ambiguous body length", b"")
         length = _parse_length(lengths)
         self.on_head(self.status, self.fields)
         if self.bodyless or self.status in BODYLESS_STATUSES or length == 0 and not codings:
@@ -82,6 +82,6 @@
 def _parse_length(lengths):
     for value in lengths:
         if not value.isdigit() or len(value) > MAX_LENGTH_DIGITS:
-            raise ParseError("bad length", value)
+            raise ParseError("invalid Content-Length", value)
         return int(value)
     return None
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -70,7 +70,7 @@
 
 
 def is_unambiguous(call):
-    """Return whether the request is unambiguous: no control characters that could smuggle another request."""
+    """Return whether the request has an attempt id and an ASCII host, and can't be parsed as another request."""
     if any(byte <= 32 for byte in call.uri + call.method) or not call.attempt or not call.host.isascii():
         return False
     head = b"".join(name + value for name, value in call.headers) + call.host.encode()
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -20,9 +20,8 @@
 class StreamRelay:
     """A response being streamed to a client.
 
-    passed: number of events forwarded. maybe: whether a runner may have executed the request. joined: whether the
-    stream was resumed after events had been forwarded. spliced: whether a resumed stream did not continue the earlier
-    events.
+    event_count: number of events forwarded. may_have_run: whether a runner may have executed the request. resumed:
+    whether another runner continues the stream. diverged: whether its events did not continue the earlier ones.
     """
 
     __slots__ = (
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -16,8 +16,7 @@
     ReassignAttempt,
     TokensSpent,
 )
-from frostpost.turn_store.client import fetch, put
-from frostpost.turn_store.client import is_durable_at as is_durable_at
+from frostpost.turn_store.client import fetch, is_durable_at, put
 
 from . import load_balancing
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
--- a/frostpost/proxy/wait_policy.py
+++ b/frostpost/proxy/wait_policy.py
@@ -28,7 +28,7 @@
 def lease_wait_until_ms(now_ms, left_ms, lost_since_ms, lease_ms):
     """Return until when a request may wait for this daemon's lease, on the clock of `now_ms`.
 
-    gone_since_ms: when the last lease ended, or when the daemon started to request its first one. lease_ms: duration of
+    lost_since_ms: when the last lease ended, or when the daemon started to request its first one. lease_ms: duration of
     a full lease.
     """
     return min(now_ms + decision_wait_ms(left_ms), lost_since_ms + MAX_OUTAGE_LEASES * lease_ms)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A leaf without a network: a clock, connections held by hand, and a sink that keeps what it is told."""
+"""Test harness for the proxy: a simulated clock, in-memory connections and a sink that records what the client gets."""
 
 from types import SimpleNamespace
 
@@ -75,6 +75,13 @@
 
 
 class ProxyHarness:
+    """A proxy whose ledger, turn store and lease are controlled by the test.
+
+    client_events: calls to the sink, in order. operations: operations submitted to the ledger and awaited;
+    background_operations: those that are not awaited. results: what the ledger and the turn store return, by operation
+    type or "put".
+    """
+
     def __init__(self, routes, runners=(), patch=None):
         self.reactor = MemoryReactorClock()
         settings = SimpleNamespace(
@@ -164,7 +171,7 @@
         return serve.serve(self.agent, call, sink)
 
     def accept_connection(self):
-        """Let the newest asked connection come up."""
+        """Complete the oldest pending connection attempt."""
         factory = self.reactor.tcpClients[len(self.connections)][2]
         protocol = factory.buildProtocol(None)
         transport = StringTransport()
@@ -175,6 +182,7 @@
         return protocol._wrappedProtocol
 
     def fail_connection(self, reason):
+        """Fail the oldest pending connection attempt."""
         factory = self.reactor.tcpClients[len(self.connections)][2]
         self.connections.append(None)
         factory.clientConnectionFailed(None, reason)
--- a/tests/test_proxy_exchange_state.py
+++ b/tests/test_proxy_exchange_state.py
@@ -1,4 +1,4 @@
-"""The state machine of one send, exhaustively over short histories."""
+"""Exhaustive tests of the exchange state machine over short event histories."""
 
 from itertools import product
 
@@ -34,7 +34,7 @@
 REFUSAL = RunnerHead(503, [], attempt="a1", not_executed=True)
 MISDIRECTED = RunnerHead(421, [], attempt="a1")
 FOREIGN = RunnerHead(200, [], attempt="a0", sealed=True)
-HEARD = [
+EVENTS = [
     Wrote(True),
     Wrote(False),
     NotWritten("gone"),
@@ -46,61 +46,61 @@
 ]
 
 
-def played(history):
-    """(state, actions) after a history."""
+def run_history(history):
+    """Return the state and the actions after a sequence of events."""
     state, actions = Queued(), []
-    for heard in history:
-        state, more = step(CALL, state, heard)
-        actions += more
+    for event in history:
+        state, new_actions = step(CALL, state, event)
+        actions += new_actions
     return state, actions
 
 
-def histories(most=5):
-    for length in range(most + 1):
-        yield from product(HEARD, repeat=length)
+def event_histories(max_length=5):
+    for length in range(max_length + 1):
+        yield from product(EVENTS, repeat=length)
 
 
-def test_every_short_history_ends_at_most_once_and_in_order():
-    for history in histories(4):
-        state, actions = played(history)
-        kinds = [type(action) for action in actions]
-        assert kinds.count(Finish) <= 1 and kinds.count(ForwardHead) <= 1, history
-        if Finish in kinds:
-            assert kinds[-1] is Finish and isinstance(state, Ended), history
-        if ForwardData in kinds:
-            assert kinds.index(ForwardHead) < kinds.index(ForwardData), history
+def test_every_history_finishes_at_most_once_and_last():
+    for history in event_histories(4):
+        state, actions = run_history(history)
+        action_types = [type(action) for action in actions]
+        assert action_types.count(Finish) <= 1 and action_types.count(ForwardHead) <= 1, history
+        if Finish in action_types:
+            assert action_types[-1] is Finish and isinstance(state, Ended), history
+        if ForwardData in action_types:
+            assert action_types.index(ForwardHead) < action_types.index(ForwardData), history
         if isinstance(state, Ended) and state.outcome is None:
-            assert Finish not in kinds and Cancelled() in history, history
+            assert Finish not in action_types and Cancelled() in history, history
 
 
-def test_only_a_send_that_was_not_written_or_was_refused_surely_did_not_run():
-    for history in histories(4):
-        state, _ = played(history)
-        wrote = any(isinstance(heard, Wrote) for heard in history)
+def test_only_unsent_or_refused_exchanges_are_not_executed():
+    for history in event_histories(4):
+        state, _ = run_history(history)
+        written = any(isinstance(event, Wrote) for event in history)
         if isinstance(state, Ended) and isinstance(state.outcome, (NotSent, NotRun)):
             assert not may_have_run(state), history
         elif isinstance(state, Ended) and isinstance(state.outcome, (Broken, Whole)):
-            assert may_have_run(state) and wrote, history
+            assert may_have_run(state) and written, history
         if may_have_run(state):
-            assert wrote, history
+            assert written, history
 
 
-def test_an_end_is_final():
-    for history in histories(3):
-        state, _ = played(history)
+def test_ended_state_is_final():
+    for history in event_histories(3):
+        state, _ = run_history(history)
         if isinstance(state, Ended):
-            assert all(step(CALL, state, heard) == (state, ()) for heard in HEARD)
+            assert all(step(CALL, state, event) == (state, ()) for event in EVENTS)
 
 
-def test_a_head_is_handed_on_only_when_it_is_the_calls_own():
-    for history in histories(4):
-        _, actions = played(history)
-        passed = [action.head for action in actions if isinstance(action, ForwardHead)]
-        assert passed in ([], [OWN], [FAILURE]), history
+def test_only_the_head_of_the_own_request_is_forwarded():
+    for history in event_histories(4):
+        _, actions = run_history(history)
+        forwarded = [action.head for action in actions if isinstance(action, ForwardHead)]
+        assert forwarded in ([], [OWN], [FAILURE]), history
 
 
 @pytest.mark.parametrize(
-    "state, heard, after, actions",
+    "state, event, next_state, actions",
     [
         (Queued(), Wrote(True), MaybeSent(True), ()),
         (Queued(), NotWritten("late"), Ended(NotSent("late"), False), (Finish(NotSent("late")),)),
@@ -138,16 +138,16 @@
         (ReceivingBody(OWN), Cancelled(), Ended(None, True), (AbortConnection(),)),
     ],
 )
-def test_steps(state, heard, after, actions):
-    assert step(CALL, state, heard) == (after, actions)
+def test_transitions(state, event, next_state, actions):
+    assert step(CALL, state, event) == (next_state, actions)
 
 
-def head(status, **more):
-    return RunnerHead(status, more.pop("headers", []), **{"attempt": "a1", **more})
+def head(status, **overrides):
+    return RunnerHead(status, overrides.pop("headers", []), **{"attempt": "a1", **overrides})
 
 
 @pytest.mark.parametrize(
-    "answer, fresh, why",
+    "answer, fresh, reason",
     [
         (head(200, sealed=True), False, ""),
         (head(200), True, "unsealed"),
@@ -169,5 +169,5 @@
         (head(408), True, "promise"),
     ],
 )
-def test_which_heads_are_doubted(answer, fresh, why):
-    assert rejection_reason(answer, CALL, fresh) == why
+def test_rejected_heads(answer, fresh, reason):
+    assert rejection_reason(answer, CALL, fresh) == reason
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -1,4 +1,4 @@
-"""What a daemon may still do, and what it answers, once its lease, its time or its claim is gone."""
+"""Tests that nothing is sent or confirmed after the loss of a lease, a deadline or a claim."""
 
 import pytest
 from expression import Ok
@@ -30,7 +30,7 @@
     return [type(item) for item in items]
 
 
-def test_an_answer_under_a_key_that_is_another_attempts_is_not_handed_over(monkeypatch):
+def test_response_is_withheld_if_the_key_is_claimed_by_another_attempt(monkeypatch):
     harness = make_harness(monkeypatch, "idempotent")
     harness.results[ResolveOperationKey] = NoAttempt("a1")
     harness.serve(key="k")
@@ -38,7 +38,7 @@
     assert types_of(harness.client_events) == [failures.Unknown]
 
 
-def test_a_turn_that_the_ledger_does_not_know_any_more_is_not_ended_whole(monkeypatch):
+def test_stream_is_aborted_if_the_ledger_has_dropped_its_attempt(monkeypatch):
     harness = make_harness(monkeypatch, "streaming", retained=True, retention_ms=9000)
     harness.results[EndAttempt] = NoAttempt("a1")
     harness.serve()
@@ -46,7 +46,7 @@
     assert harness.client_events == [("head", 200), ("data", ONE), "cut"]
 
 
-def test_a_refused_key_is_answered_before_its_claim_is_withdrawn(monkeypatch):
+def test_refusal_is_sent_before_the_claim_is_released(monkeypatch):
     harness = make_harness(monkeypatch, "idempotent", attempts=1)
     harness.results[ReleaseOperationKey] = Deferred()
     harness.serve(key="k")
@@ -61,13 +61,14 @@
 
 
 @pytest.mark.parametrize("kind, operation", [("idempotent", ResolveOperationKey), ("streaming", EndAttempt)])
-def test_an_answer_that_is_not_made_to_last_is_given_up_soon_after_its_time(monkeypatch, kind, operation):
+def test_recording_a_response_times_out_soon_after_the_deadline(monkeypatch, kind, operation):
     harness = make_harness(monkeypatch, kind, retained=kind == "streaming", retention_ms=9000)
     harness.wait_times_ms = {}
-    kept = harness.call_replicas
+    original = harness.call_replicas
     for module in ("idempotency", "turn"):
         monkeypatch.setattr(
-            f"frostpost.proxy.{module}.call_replicas", lambda agent, op, ms: noted(harness, kept, agent, op, ms)
+            f"frostpost.proxy.{module}.call_replicas",
+            lambda agent, op, ms: record_wait_time(harness, original, agent, op, ms),
         )
     harness.serve(key="k", deadline_ms=1000)
     connection = harness.accept_connection()
@@ -76,24 +77,24 @@
     assert 10 <= harness.wait_times_ms[operation] < 250
 
 
-def noted(harness, kept, agent, op, ms):
+def record_wait_time(harness, original, agent, op, ms):
     harness.wait_times_ms[type(op)] = ms
-    return kept(agent, op, ms)
+    return original(agent, op, ms)
 
 
 @pytest.mark.parametrize(
-    "kind, operation, verdict",
+    "kind, operation, result",
     [
         ("idempotent", ClaimOperationKey, KeyClaimed()),
         ("streaming", BeginAttempt, AttemptBegun("r1", ())),
     ],
 )
 @pytest.mark.parametrize("change", ["lease", "time", "runner"])
-def test_nothing_is_sent_when_what_allowed_it_ended_while_the_ledger_was_asked(
-    monkeypatch, kind, operation, verdict, change
+def test_nothing_is_sent_if_a_precondition_is_lost_during_the_ledger_decision(
+    monkeypatch, kind, operation, result, change
 ):
     harness = make_harness(monkeypatch, kind, retained=kind == "streaming", retention_ms=9000)
-    harness.results[operation] = asked = Deferred()
+    harness.results[operation] = pending = Deferred()
     harness.serve(key="k", deadline_ms=1000)
     if change == "lease":
         harness.has_lease = False
@@ -101,7 +102,7 @@
         harness.reactor.advance(1.1)
     else:
         harness.agent.runners = {}
-    asked.callback(Ok(verdict))
+    pending.callback(Ok(result))
     for _ in range(30):
         harness.reactor.advance(0.02)
     assert harness.reactor.tcpClients == []
@@ -112,7 +113,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "idempotent", "streaming"])
-def test_nothing_is_written_on_a_connection_that_comes_up_after_the_lease(monkeypatch, kind):
+def test_nothing_is_written_to_a_connection_opened_after_lease_loss(monkeypatch, kind):
     harness = make_harness(monkeypatch, kind)
     harness.serve(key="k")
     harness.has_lease = False
@@ -122,7 +123,7 @@
     assert connection.transport.value() == b"" and types_of(harness.client_events) == [failures.Unavailable]
 
 
-def test_a_key_whose_answer_comes_after_the_lease_gets_no_success(monkeypatch):
+def test_keyed_response_after_lease_loss_is_not_a_success(monkeypatch):
     harness = make_harness(monkeypatch, "idempotent")
     harness.results[ResolveOperationKey] = failures.Unavailable(9)
     harness.serve(key="k")
--- a/tests/test_proxy_forwarding.py
+++ b/tests/test_proxy_forwarding.py
@@ -30,7 +30,7 @@
     connection.connectionLost(Failure(ConnectionRefusedError()))
 
 
-def test_an_answer_comes_back_whole_and_the_connection_is_used_again(monkeypatch):
+def test_complete_response_is_forwarded_and_the_connection_reused(monkeypatch):
     harness = make_harness(monkeypatch, runners=RUNNERS[:1])
     harness.serve(headers=[(b"X-Case", b"v")])
     connection = harness.accept_connection()
@@ -56,26 +56,26 @@
         answer_bytes(attempt=b"a0", status=b"503 Full", headers=b"Not-Run: 1\r\n"),
     ],
 )
-def test_what_is_not_the_runners_own_answer_is_dropped_and_unknown(monkeypatch, data):
+def test_invalid_response_is_discarded_and_reported_as_unknown(monkeypatch, data):
     harness = make_harness(monkeypatch)
     harness.serve()
     connection = harness.accept_connection()
     connection.dataReceived(data)
-    assert [type(x) for x in harness.client_events] == [failures.Unknown]
+    assert [type(item) for item in harness.client_events] == [failures.Unknown]
     assert connection.unusable and len(harness.reactor.tcpClients) == 1
 
 
-def test_a_cut_answer_of_an_unsafe_request_is_unknown_and_never_sent_again(monkeypatch):
+def test_truncated_unsafe_response_is_unknown_and_not_retried(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
     connection = harness.accept_connection()
     connection.dataReceived(answer_bytes(length=9))
     lose_connection(connection)
-    assert [type(x) for x in harness.client_events] == [failures.Unknown] and len(harness.reactor.tcpClients) == 1
+    assert [type(item) for item in harness.client_events] == [failures.Unknown] and len(harness.reactor.tcpClients) == 1
 
 
 @pytest.mark.parametrize("surplus_at_once", [True, False])
-def test_a_connection_with_surplus_bytes_is_never_used_again(monkeypatch, surplus_at_once):
+def test_connection_with_surplus_bytes_is_not_reused(monkeypatch, surplus_at_once):
     harness = make_harness(monkeypatch, runners=RUNNERS[:1])
     harness.serve()
     connection = harness.accept_connection()
@@ -87,7 +87,7 @@
     assert len(harness.reactor.tcpClients) == 2
 
 
-def test_a_safe_request_is_tried_again_after_a_broken_answer(monkeypatch):
+def test_safe_request_is_retried_after_a_lost_connection(monkeypatch):
     harness = make_harness(monkeypatch, kind="safe")
     harness.serve()
     lose_connection(harness.accept_connection())
@@ -96,17 +96,17 @@
 
 
 @pytest.mark.parametrize("refusal", [REFUSAL, answer_bytes(b"", status=b"421 Other", headers=b"")])
-def test_what_was_surely_not_run_goes_to_another_runner_then_is_a_promise(monkeypatch, refusal):
+def test_refused_request_is_retried_then_reported_as_not_executed(monkeypatch, refusal):
     harness = make_harness(monkeypatch)
     harness.serve()
     harness.accept_connection().dataReceived(refusal)
     assert harness.client_events == [] and len(harness.reactor.tcpClients) == 2
     harness.accept_connection().dataReceived(refusal)
-    assert [type(x) for x in harness.client_events] == [failures.Overloaded]
+    assert [type(item) for item in harness.client_events] == [failures.Overloaded]
     assert len({client[1] for client in harness.reactor.tcpClients}) == 2
 
 
-def test_a_failed_connection_is_no_send(monkeypatch):
+def test_failed_connection_attempt_does_not_count_as_a_send(monkeypatch):
     harness = make_harness(monkeypatch, attempts=1)
     harness.serve()
     harness.fail_connection(Failure(ConnectionRefusedError()))
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("change", ["lease", "gone", "draining"])
-def test_nothing_is_written_once_it_may_not_be(monkeypatch, change):
+def test_nothing_is_written_after_a_precondition_is_lost(monkeypatch, change):
     harness = make_harness(monkeypatch, runners=RUNNERS[:1])
     harness.serve()
     if change == "lease":
@@ -128,7 +128,7 @@
     assert type(harness.client_events[0]) is (failures.Unavailable if change == "lease" else failures.Overloaded)
 
 
-def test_silence_ends_at_the_deadline_without_a_promise(monkeypatch):
+def test_unanswered_request_times_out_at_its_deadline(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
     harness.accept_connection()
@@ -138,15 +138,15 @@
     assert harness.client_events == [failures.TimedOut()]
 
 
-def test_without_any_room_it_is_refused_within_a_quarter_of_its_aim(monkeypatch):
+def test_request_is_refused_within_the_slot_wait_if_no_runner_is_free(monkeypatch):
     harness = make_harness(monkeypatch, runners=[])
     harness.serve()
     for _ in range(7):
         harness.reactor.advance(0.02)
-    assert [type(x) for x in harness.client_events] == [failures.Overloaded]
+    assert [type(item) for item in harness.client_events] == [failures.Overloaded]
 
 
-def test_filters_refuse_in_order(monkeypatch):
+def test_admission_checks_refuse_in_order(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve(host="other")
     harness.serve(deadline_ms=0)
@@ -159,7 +159,7 @@
     harness.reactor.advance(2)
     harness.agent.extras["last_call"] = True
     harness.serve()
-    assert [type(x) for x in harness.client_events] == [
+    assert [type(item) for item in harness.client_events] == [
         failures.NoRoute,
         failures.Overloaded,
         failures.BadRequest,
@@ -169,7 +169,7 @@
     ]
 
 
-def test_a_keyed_answer_is_resolved_before_the_client_gets_it(monkeypatch):
+def test_keyed_response_is_recorded_before_it_is_sent(monkeypatch):
     harness = make_harness(monkeypatch, kind="idempotent")
     harness.results[ResolveOperationKey] = Deferred()
     harness.serve(key="k")
@@ -186,27 +186,31 @@
     assert harness.client_events == OK + OK and len(harness.reactor.tcpClients) == 1
 
 
-def test_a_keyed_answer_that_is_not_resolved_is_not_handed_over(monkeypatch):
+def test_unrecorded_keyed_response_is_withheld(monkeypatch):
     harness = make_harness(monkeypatch, kind="idempotent")
     harness.results[ResolveOperationKey] = failures.Unavailable(100)
     harness.serve(key="k")
     harness.accept_connection().dataReceived(answer_bytes())
-    assert [type(x) for x in harness.client_events] == [failures.Unknown]
+    assert [type(item) for item in harness.client_events] == [failures.Unknown]
     assert [type(op) for op in harness.background_operations] == [ResolveOperationKey]
 
 
-def test_keys_at_work_without_order_or_missing(monkeypatch):
+def test_keyed_request_fails_if_key_is_missing_in_progress_or_undecided(monkeypatch):
     harness = make_harness(monkeypatch, kind="idempotent")
     harness.serve()
     harness.results[ClaimOperationKey] = KeyInProgress()
     harness.serve(key="k")
     harness.results[ClaimOperationKey] = failures.Unavailable(100)
     harness.serve(key="k")
-    assert [type(x) for x in harness.client_events] == [failures.BadRequest, failures.AtWork, failures.Unavailable]
+    assert [type(item) for item in harness.client_events] == [
+        failures.BadRequest,
+        failures.AtWork,
+        failures.Unavailable,
+    ]
     assert harness.background_operations == [ReleaseOperationKey("h|k", "a1")] and harness.reactor.tcpClients == []
 
 
-def test_a_key_is_disclaimed_only_when_nothing_ran(monkeypatch):
+def test_claim_is_released_only_if_nothing_was_executed(monkeypatch):
     harness = make_harness(monkeypatch, kind="idempotent", attempts=1)
     harness.serve(key="k")
     lose_connection(harness.accept_connection())
@@ -214,9 +218,9 @@
     harness.serve(key="k", attempt="a2")
     harness.accept_connection().dataReceived(REFUSAL.replace(b"a1", b"a2"))
     assert harness.operations[-1] == ReleaseOperationKey("h|k", "a2")
-    assert [type(x) for x in harness.client_events] == [failures.Unknown, failures.Overloaded]
+    assert [type(item) for item in harness.client_events] == [failures.Unknown, failures.Overloaded]
 
 
-def test_packed_answers_come_back_byte_for_byte():
-    whole = Answer(201, [(b"A", b"\xff")], b"\x00b")
-    assert deserialize_answer(serialize_answer(whole)) == whole
+def test_serialized_answer_round_trips():
+    answer = Answer(201, [(b"A", b"\xff")], b"\x00b")
+    assert deserialize_answer(serialize_answer(answer)) == answer
--- a/tests/test_proxy_response_properties.py
+++ b/tests/test_proxy_response_properties.py
@@ -1,4 +1,4 @@
-"""Properties of how answers of runners are read: only a whole answer of the call's own run is handed on as whole."""
+"""Property tests of response parsing: only complete responses to the own request are forwarded as complete."""
 
 from itertools import pairwise
 
@@ -10,10 +10,10 @@
 from frostpost.proxy import failures
 from frostpost.proxy.response_parser import InvalidResponseError, ResponseParser
 
-QUICK = settings(max_examples=400, deadline=None, derandomize=True)
+PROPERTY_SETTINGS = settings(max_examples=400, deadline=None, derandomize=True)
 NAMES = st.text("abcXYZ09-_", min_size=1, max_size=6).map(lambda text: b"x-" + text.encode())
 VALUES = st.text('ab ,;=:"\x80', max_size=10).map(lambda text: text.strip().encode("latin-1"))
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         b"HTTP/1.1 200 OK\r\n",
         b"HTTP/1.0 200 OK\r\n",
@@ -56,39 +56,39 @@
         b"3\r\noutout\r\n",
     ]
 )
-GARBLED = st.lists(PIECES, max_size=12).map(b"".join)
-FRAMED = st.tuples(st.lists(PIECES, max_size=4), st.lists(PIECES, max_size=4)).map(
+FRAGMENT_SEQUENCES = st.lists(FRAGMENTS, max_size=12).map(b"".join)
+FRAMED_RESPONSES = st.tuples(st.lists(FRAGMENTS, max_size=4), st.lists(FRAGMENTS, max_size=4)).map(
     lambda parts: b"HTTP/1.1 200 OK\r\nAttempt: a1\r\nSeal: x\r\n%s\r\n%s" % tuple(map(b"".join, parts))
 )
-SHAPES = st.one_of(GARBLED, FRAMED, FRAMED, st.binary(max_size=200))
-PLACES = st.lists(st.integers(0, 300), max_size=6)
+RESPONSE_BYTES = st.one_of(FRAGMENT_SEQUENCES, FRAMED_RESPONSES, FRAMED_RESPONSES, st.binary(max_size=200))
+OFFSETS = st.lists(st.integers(0, 300), max_size=6)
 
 
-def cut(data, places):
-    """data in pieces, cut at the places that fall inside it."""
-    edges = [0, *sorted({place for place in places if 0 < place < len(data)}), len(data)]
-    return [data[at:end] for at, end in pairwise(edges)]
+def split_at(data, offsets):
+    """Split data at the offsets that fall inside it."""
+    boundaries = [0, *sorted({offset for offset in offsets if 0 < offset < len(data)}), len(data)]
+    return [data[start:end] for start, end in pairwise(boundaries)]
 
 
-def parsed(pieces):
-    """(head, body, surplus or None while it is not whole, whether it was refused)."""
-    heads, body, rest = [], [], []
-    parser = ResponseParser(False, lambda *head: heads.append(head), body.append, rest.append)
+def parse_response(pieces):
+    """Return the heads, the body, the surplus bytes (None while incomplete) and whether the input was rejected."""
+    heads, body, after_end = [], [], []
+    parser = ResponseParser(False, lambda *head: heads.append(head), body.append, after_end.append)
     parser.makeConnection(None)
     for piece in pieces:
-        if rest:
-            rest.append(piece)
+        if after_end:
+            after_end.append(piece)
             continue
         try:
             parser.read(piece)
         except InvalidResponseError:
-            return heads, b"".join(body), b"".join(rest) if rest else None, True
-    return heads, b"".join(body), b"".join(rest) if rest else None, False
+            return heads, b"".join(body), b"".join(after_end) if after_end else None, True
+    return heads, b"".join(body), b"".join(after_end) if after_end else None, False
 
 
 @st.composite
-def answers(draw):
-    """(bytes, fields, body) of a proper answer, with a length or in chunks."""
+def valid_responses(draw):
+    """Generate the bytes, headers and body of a valid response with either body framing."""
     fields = [(b"Attempt", b"a1"), (b"Seal", b"x"), *draw(st.lists(st.tuples(NAMES, VALUES), max_size=3))]
     body = draw(st.binary(max_size=60))
     if draw(st.booleans()):
@@ -97,64 +97,67 @@
     else:
         fields.append((b"Transfer-Encoding", b"chunked"))
         extension, trailer = draw(st.sampled_from([b"", b";a=b"])), draw(st.sampled_from([b"", b"T: 1\r\n"]))
-        pieces = [piece for piece in cut(body, draw(PLACES)) if piece]
+        pieces = [piece for piece in split_at(body, draw(OFFSETS)) if piece]
         framed = b"".join(b"%x%s\r\n%s\r\n" % (len(piece), extension, piece) for piece in pieces)
         framed += b"0\r\n" + trailer + b"\r\n"
     head = b"\r\n".join([b"HTTP/1.1 200 OK", *(b"%s: %s" % field for field in fields)])
     return head + b"\r\n\r\n" + framed, fields, body
 
 
-@QUICK
-@given(answers(), PLACES, st.binary(max_size=20))
-def test_a_proper_answer_is_read_whole_however_it_is_cut(answer, places, surplus):
+@PROPERTY_SETTINGS
+@given(valid_responses(), OFFSETS, st.binary(max_size=20))
+def test_valid_response_is_parsed_across_any_boundaries(answer, offsets, surplus):
     data, fields, body = answer
-    heads, read, rest, refused = parsed(cut(data + surplus, places))
-    assert heads == [(200, fields)] and read == body and rest == surplus and not refused
+    heads, read, after_end, rejected = parse_response(split_at(data + surplus, offsets))
+    assert heads == [(200, fields)] and read == body and after_end == surplus and not rejected
 
 
-@QUICK
-@given(answers(), st.integers(1, 500), PLACES)
-def test_a_part_of_an_answer_is_never_whole(answer, less, places):
-    data = answer[0][:-less]
-    assert parsed(cut(data, places))[2] is None
+@PROPERTY_SETTINGS
+@given(valid_responses(), st.integers(1, 500), OFFSETS)
+def test_truncated_response_is_never_complete(answer, removed, offsets):
+    data = answer[0][:-removed]
+    assert parse_response(split_at(data, offsets))[2] is None
 
 
-@QUICK
-@given(SHAPES, PLACES)
-def test_any_bytes_are_read_alike_however_they_are_cut(data, places):
-    whole, parts = parsed([data]), parsed(cut(data, places))
-    assert whole[0] == parts[0] and whole[2:] == parts[2:]
-    assert whole[1] == parts[1] or whole[3]
+@PROPERTY_SETTINGS
+@given(RESPONSE_BYTES, OFFSETS)
+def test_parse_result_is_independent_of_boundaries(data, offsets):
+    at_once, in_pieces = parse_response([data]), parse_response(split_at(data, offsets))
+    assert at_once[0] == in_pieces[0] and at_once[2:] == in_pieces[2:]
+    assert at_once[1] == in_pieces[1] or at_once[3]
 
 
 @pytest.mark.parametrize("kind", ["unsafe", "streaming"])
-def test_whatever_a_runner_sends_its_client_gets_an_answer_of_its_run_or_a_failure(monkeypatch, kind):
-    @QUICK
-    @given(SHAPES, PLACES)
-    def holds(data, places):
+def test_client_gets_only_a_response_of_its_own_request_or_a_failure(monkeypatch, kind):
+    @PROPERTY_SETTINGS
+    @given(RESPONSE_BYTES, OFFSETS)
+    def check(data, offsets):
         with pytest.MonkeyPatch.context() as patch:
             harness = ProxyHarness([make_route(kind=kind)], [make_runner("r1")], patch)
             harness.serve()
             connection = harness.accept_connection()
-            for piece in cut(data, places):
+            for piece in split_at(data, offsets):
                 if not connection.unusable and not connection.lost:
                     connection.dataReceived(piece)
             harness.reactor.advance(4.1)
-        heads, body, rest, _ = parsed([data])
-        seen = harness.client_events
-        if isinstance(seen[0], tuple):
-            assert seen[0][1] == heads[0][0] and is_own(heads[0])
-            got = b"".join(item[1] for item in seen[1:] if isinstance(item, tuple))
-            assert body.startswith(got)
-            assert seen[-1] == "cut" or seen[-1] == "end" and got == body and rest is not None
+        heads, body, surplus, _ = parse_response([data])
+        client_events = harness.client_events
+        if isinstance(client_events[0], tuple):
+            assert client_events[0][1] == heads[0][0] and is_response_of_attempt(heads[0])
+            received = b"".join(item[1] for item in client_events[1:] if isinstance(item, tuple))
+            assert body.startswith(received)
+            assert client_events[-1] == "cut" or client_events[-1] == "end" and received == body and surplus is not None
         else:
-            assert type(seen[0]) in (failures.Unknown, failures.TimedOut, failures.Overloaded) and len(seen) == 1
-            assert not isinstance(seen[0], failures.Overloaded) or is_refusal(heads[0])
+            assert (
+                type(client_events[0]) in (failures.Unknown, failures.TimedOut, failures.Overloaded)
+                and len(client_events) == 1
+            )
+            assert not isinstance(client_events[0], failures.Overloaded) or is_refusal(heads[0])
 
-    holds()
+    check()
 
 
-def is_own(head):
+def is_response_of_attempt(head):
     status, fields = head
     values = {name.lower(): value for name, value in fields}
     sealed = not 200 <= status < 300 or b"seal" in values
--- a/tests/test_proxy_runner_discovery.py
+++ b/tests/test_proxy_runner_discovery.py
@@ -1,4 +1,4 @@
-"""The list of runners: how often it is read, and what is known of runners that leave."""
+"""Tests of runner list polling and of drains reported by other daemons."""
 
 from itertools import pairwise
 from types import SimpleNamespace
@@ -16,17 +16,17 @@
 from frostpost.virtual_synchrony.endpoints import Endpoint, Member
 
 
-def make_runner(name, **more):
-    return Runner(id=name, service="s", host="10.0.0.1", port=9, zone="z", slots=4, **more)
+def make_runner(name, **fields):
+    return Runner(id=name, service="s", host="10.0.0.1", port=9, zone="z", slots=4, **fields)
 
 
-def a_leaf(lists, **more):
+def make_agent(list_runners, **overrides):
     clock = Clock()
     settings = SimpleNamespace(
-        **dict(dict(list_ms=1200, drain_ms=3000, list_rate_per_s=44.0, lease_ms=1200, idle_ms=1000), **more)
+        **dict(dict(list_ms=1200, drain_ms=3000, list_rate_per_s=44.0, lease_ms=1200, idle_ms=1000), **overrides)
     )
-    place = Endpoint(Member("e1", 1), "edge", "z", "h", 1, 0)
-    agent = AgentContext(settings, clock, place, Machine(seconds=clock.seconds, token=lambda _: "ffff"))
+    endpoint = Endpoint(Member("e1", 1), "edge", "z", "h", 1, 0)
+    agent = AgentContext(settings, clock, endpoint, Machine(seconds=clock.seconds, token=lambda _: "ffff"))
     agent.links["send"] = lambda to, body: agent.extras.setdefault("sent", []).append(body)
     agent.directory, agent.extras["reads"] = {}, []
     session_of(agent).sequencer = "s1"
@@ -34,14 +34,14 @@
 
     def fetch():
         agent.extras["reads"].append(clock.seconds())
-        return lists()
+        return list_runners()
 
     agent.extras["fetch_list"] = fetch
     return agent, clock
 
 
-def test_what_another_daemons_list_shows_as_leaving_gets_nothing_though_ones_own_list_lags():
-    agent, clock = a_leaf(lambda: succeed([make_runner("r1"), make_runner("r2")]))
+def test_drain_reported_by_another_daemon_overrides_an_outdated_list():
+    agent, clock = make_agent(lambda: succeed([make_runner("r1"), make_runner("r2")]))
     stop = runner_discovery.poll(agent)
     agent.runner_list.on_draining(("r1", "unknown"))
     assert agent.runners["r1"].draining and not agent.runners["r2"].draining
@@ -53,39 +53,39 @@
     stop()
 
 
-def test_a_runner_seen_leaving_is_told_at_once_and_told_ones_are_not_told_on():
-    shown = [[make_runner("r1"), make_runner("r2")]]
-    agent, clock = a_leaf(lambda: succeed(shown[-1]))
+def test_only_drains_seen_in_the_own_list_are_reported():
+    listings = [[make_runner("r1"), make_runner("r2")]]
+    agent, clock = make_agent(lambda: succeed(listings[-1]))
     stop = runner_discovery.poll(agent)
     agent.runner_list.on_draining(("r2",))
     assert agent.extras.get("sent", []) == []
-    shown.append([make_runner("r1", draining=True), make_runner("r2")])
+    listings.append([make_runner("r1", draining=True), make_runner("r2")])
     agent.runner_list.on_turn()
     assert [m.draining for m in agent.extras["sent"]] == [("r1",)]
     stop()
 
 
 @pytest.mark.parametrize(
-    "leaves, pages, rate, wanted_ms",
+    "agents, pages, rate, expected_ms",
     [(1, 1, 44.0, 1200), (3, 1, 44.0, 1200), (8, 1, 44.0, 2400), (66, 2, 44.0, 6000), (66, 2, 440.0, 2400)],
 )
-def test_all_daemons_together_read_no_more_than_half_of_the_lists_rate(leaves, pages, rate, wanted_ms):
-    agent, _ = a_leaf(lambda: succeed([]), list_rate_per_s=rate)
-    session_of(agent).agent_count, agent.runner_list.pages = leaves, pages
-    assert runner_discovery.min_interval_ms(agent) == wanted_ms
-    assert leaves * pages * 1000 / wanted_ms <= max(rate / 2, leaves * pages / 1.2)
+def test_reads_after_changes_use_at_most_half_of_the_list_rate(agents, pages, rate, expected_ms):
+    agent, _ = make_agent(lambda: succeed([]), list_rate_per_s=rate)
+    session_of(agent).agent_count, agent.runner_list.pages = agents, pages
+    assert runner_discovery.min_interval_ms(agent) == expected_ms
+    assert agents * pages * 1000 / expected_ms <= max(rate / 2, agents * pages / 1.2)
 
 
-@pytest.mark.parametrize("pages, rate, wanted_ms", [(1, 440.0, 300), (2, 44.0, 300), (10, 44.0, 454), (1, 4.0, 500)])
-def test_all_turns_together_take_no_more_than_half_of_the_lists_rate(pages, rate, wanted_ms):
-    agent, _ = a_leaf(lambda: succeed([]), list_rate_per_s=rate)
+@pytest.mark.parametrize("pages, rate, expected_ms", [(1, 440.0, 300), (2, 44.0, 300), (10, 44.0, 454), (1, 4.0, 500)])
+def test_turns_use_at_most_half_of_the_list_rate(pages, rate, expected_ms):
+    agent, _ = make_agent(lambda: succeed([]), list_rate_per_s=rate)
     agent.runner_list.pages = pages
-    assert runner_discovery.turn_period_ms(agent) == wanted_ms
-    assert pages * 1000 / wanted_ms <= rate / 2 * 1.01
+    assert runner_discovery.turn_period_ms(agent) == expected_ms
+    assert pages * 1000 / expected_ms <= rate / 2 * 1.01
 
 
-def test_a_list_that_is_down_is_tried_again_within_half_of_the_drain_bound():
-    agent, clock = a_leaf(lambda: fail(OSError()))
+def test_unavailable_list_is_retried_within_half_of_the_drain_interval():
+    agent, clock = make_agent(lambda: fail(OSError()))
     stop = runner_discovery.poll(agent)
     for _ in range(200):
         clock.advance(0.05)
@@ -95,29 +95,29 @@
 
 
 @pytest.mark.parametrize("agents", [1, 11, 60, 370])
-def test_without_a_leader_all_agents_together_read_at_about_the_rate_of_the_turns(agents):
-    agent, _ = a_leaf(lambda: succeed([]), list_rate_per_s=440.0)
+def test_leaderless_reads_are_spread_over_the_turn_period(agents):
+    agent, _ = make_agent(lambda: succeed([]), list_rate_per_s=440.0)
     session_of(agent).agent_count = agents
     waits_ms = [runner_discovery.leaderless_wait_ms(agent, step / 100) for step in range(101)]
     assert waits_ms == sorted(waits_ms) and waits_ms[0] == 1500
     assert (waits_ms[-1] - waits_ms[0]) / agents >= 300
 
 
-def a_shared_leaf(shown):
-    """An agent among sixty that has read its list once."""
-    agent, clock = a_leaf(lambda: succeed(shown[-1]), list_rate_per_s=440.0)
+def make_agent_in_fleet(listings):
+    """Return an agent in a fleet of sixty that has read its list once."""
+    agent, clock = make_agent(lambda: succeed(listings[-1]), list_rate_per_s=440.0)
     session_of(agent).agent_count = 60
     stop = runner_discovery.poll(agent)
     assert len(agent.extras["reads"]) == 1
     return agent, clock, stop
 
 
-def test_a_newer_reading_that_shows_another_list_makes_an_agent_read_soon():
-    shown = [[make_runner("r1")]]
-    agent, clock, stop = a_shared_leaf(shown)
+def test_newer_reading_with_another_digest_triggers_a_read():
+    listings = [[make_runner("r1")]]
+    agent, clock, stop = make_agent_in_fleet(listings)
     clock.advance(4)
     assert len(agent.extras["reads"]) == 1
-    shown.append([make_runner("r1"), make_runner("r2")])
+    listings.append([make_runner("r1"), make_runner("r2")])
     agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), 3900))
     clock.advance(0.5)
     assert len(agent.extras["reads"]) == 2 and set(agent.runners) == {"r1", "r2"}
@@ -127,8 +127,8 @@
     stop()
 
 
-def test_an_older_reading_or_the_same_list_makes_nobody_read():
-    agent, clock, stop = a_shared_leaf([[make_runner("r1")]])
+def test_older_or_equal_reading_triggers_no_read():
+    agent, clock, stop = make_agent_in_fleet([[make_runner("r1")]])
     clock.advance(4)
     agent.runner_list.on_newest(ListReading(digest_of(["r1", "r2"]), -100))
     agent.runner_list.on_newest(ListReading(digest_of(["r1"]), 3900))
@@ -138,18 +138,18 @@
     stop()
 
 
-def test_a_list_that_changes_all_the_time_is_read_no_more_often_than_alone():
-    agent, clock, stop = a_shared_leaf([[make_runner("r1")]])
-    for n in range(100):
-        agent.runner_list.on_newest(ListReading(n, int(clock.seconds() * 1000)))
+def test_constantly_changing_list_respects_the_minimum_interval():
+    agent, clock, stop = make_agent_in_fleet([[make_runner("r1")]])
+    for digest in range(100):
+        agent.runner_list.on_newest(ListReading(digest, int(clock.seconds() * 1000)))
         clock.advance(0.1)
     assert min(b - a for a, b in pairwise(agent.extras["reads"])) >= 2.4
     stop()
 
 
-def test_a_turn_makes_an_agent_read_at_once_and_it_asks_for_none_while_it_reads():
+def test_turn_triggers_a_read_and_none_is_requested_while_reading():
     results = [succeed([make_runner("r1")])]
-    agent, clock = a_leaf(lambda: results[-1], list_rate_per_s=440.0)
+    agent, clock = make_agent(lambda: results[-1], list_rate_per_s=440.0)
     stop = runner_discovery.poll(agent)
     assert agent.runner_list.turn_period_ms() == 300
     results.append(Deferred())
@@ -163,9 +163,9 @@
     stop()
 
 
-def test_an_agent_whose_readings_fail_takes_no_turn_until_one_succeeds():
+def test_agent_takes_no_turn_while_its_reads_fail():
     results = [fail(OSError())]
-    agent, clock = a_leaf(lambda: results[-1])
+    agent, clock = make_agent(lambda: results[-1])
     stop = runner_discovery.poll(agent)
     assert agent.runner_list.turn_period_ms() == 0
     agent.runner_list.on_turn()
@@ -176,8 +176,8 @@
     stop()
 
 
-def test_newer_readings_of_the_same_list_put_off_an_agents_own():
-    agent, clock, stop = a_shared_leaf([[make_runner("r1")]])
+def test_equal_newer_readings_postpone_the_own_read():
+    agent, clock, stop = make_agent_in_fleet([[make_runner("r1")]])
     for _ in range(300):
         agent.runner_list.on_newest(ListReading(digest_of(["r1"]), int(clock.seconds() * 1000)))
         clock.advance(0.1)
--- a/tests/test_proxy_slot_overhead.py
+++ b/tests/test_proxy_slot_overhead.py
@@ -1,4 +1,4 @@
-"""How many attempts the ledger may count at a runner, by what was measured."""
+"""Tests of the number of attempts offered to the ledger for a runner."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,21 +10,21 @@
 TIMES = st.floats(0, 1e5)
 
 
-def test_nothing_is_added_before_anything_was_measured():
+def test_no_extra_slots_before_the_first_measurement():
     assert countable_slots(SlotOverhead(order_ms=50), 8) == 8
 
 
-def test_slots_that_wait_for_the_order_are_made_up_for():
+def test_extra_slots_compensate_for_decision_time():
     assert countable_slots(SlotOverhead(order_ms=20, run_ms=120), 8) == 8 + 2
 
 
 @given(TIMES, TIMES, st.integers(1, 100))
-def test_never_less_than_the_slots_nor_more_than_twice_as_many(order_ms, run_ms, slots):
+def test_countable_slots_are_bounded(order_ms, run_ms, slots):
     assert slots <= countable_slots(SlotOverhead(order_ms, run_ms), slots) <= 2 * slots
 
 
 @given(st.lists(st.floats(0, 1000), min_size=1))
-def test_averages_stay_within_what_was_measured(values):
+def test_averages_stay_within_the_range_of_samples(values):
     overhead = SlotOverhead()
     for value in values:
         observe_run(overhead, value)
@@ -33,7 +33,7 @@
     assert low - 1e-6 <= overhead.run_ms <= high + 1e-6 and overhead.run_ms == overhead.order_ms
 
 
-def test_a_stream_is_measured_and_the_ledger_offered_slots_by_it(monkeypatch):
+def test_streams_are_measured_and_extra_slots_offered(monkeypatch):
     harness = ProxyHarness([make_route(kind="streaming")], [make_runner("r1", slots=8)], monkeypatch)
     harness.serve(program="g", budget=9, max_output_tokens=5)
     connection = harness.accept_connection()
--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -39,7 +39,7 @@
     return [type(item) for item in items]
 
 
-def test_a_turn_ends_for_the_client_only_when_it_lasts(monkeypatch):
+def test_response_ends_only_when_the_turn_is_durable(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.bodies = {"p": b"old"}
     harness.results.update({BeginAttempt: AttemptBegun("r1", ("p",)), EndAttempt: Deferred(), "put": Deferred()})
@@ -60,46 +60,46 @@
     assert harness.client_events[-1] == "end" and harness.background_operations == []
 
 
-def test_a_turn_whose_holders_are_no_majority_any_more_is_put_again_before_it_ends(monkeypatch):
+def test_body_is_stored_again_if_its_holders_lost_the_majority(monkeypatch):
     harness = make_harness(monkeypatch)
-    end, again = Deferred(), Deferred()
-    harness.results.update({EndAttempt: end, "put": [Ok(Synced(HOLDERS)), again]})
+    end_result, second_put = Deferred(), Deferred()
+    harness.results.update({EndAttempt: end_result, "put": [Ok(Synced(HOLDERS)), second_put]})
     harness.serve(program="g", budget=9, max_output_tokens=5)
     harness.accept_connection().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
     harness.voters = frozenset({"others"})
-    end.callback(Ok(AttemptEnded()))
+    end_result.callback(Ok(AttemptEnded()))
     assert len(harness.stored_bodies) == 2 and harness.client_events[-1] != "end"
-    again.callback(Ok(Synced(harness.voters)))
+    second_put.callback(Ok(Synced(harness.voters)))
     assert harness.client_events[-1] == "end" and harness.background_operations == []
 
 
-def test_a_turn_that_is_not_put_again_in_time_is_cut(monkeypatch):
+def test_stream_is_aborted_if_the_body_cannot_be_stored_again(monkeypatch):
     harness = make_harness(monkeypatch)
-    end = Deferred()
-    harness.results.update({EndAttempt: end, "put": [Ok(Synced(HOLDERS)), Error(failures.Unavailable(9))]})
+    end_result = Deferred()
+    harness.results.update({EndAttempt: end_result, "put": [Ok(Synced(HOLDERS)), Error(failures.Unavailable(9))]})
     harness.serve(program="g", budget=9, max_output_tokens=5)
     harness.accept_connection().dataReceived(HEAD + chunk(ONE + TWO) + b"0\r\n\r\n")
     harness.voters = frozenset({"others"})
-    end.callback(Ok(AttemptEnded()))
+    end_result.callback(Ok(AttemptEnded()))
     assert harness.client_events[-1] == "cut"
 
 
 @pytest.mark.parametrize(
-    "verdicts",
+    "results",
     [
         {EndAttempt: failures.Unavailable(9)},
         {"put": Error(failures.Unavailable(9))},
     ],
 )
-def test_a_turn_that_may_not_last_is_cut(monkeypatch, verdicts):
+def test_stream_is_aborted_if_the_turn_may_not_be_durable(monkeypatch, results):
     harness = make_harness(monkeypatch)
-    harness.results.update(verdicts)
+    harness.results.update(results)
     harness.serve()
     harness.accept_connection().dataReceived(HEAD + chunk(ONE) + b"0\r\n\r\n")
     assert harness.client_events[-1] == "cut" and "end" not in harness.client_events
 
 
-def test_a_stream_that_breaks_off_is_cut_and_counted(monkeypatch):
+def test_interrupted_stream_is_aborted_and_its_tokens_counted(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
     connection = harness.accept_connection()
@@ -109,7 +109,7 @@
     assert harness.background_operations == [EndAttempt("a1", 2)] and len(harness.reactor.tcpClients) == 1
 
 
-def test_before_its_head_a_broken_stream_is_unknown_and_not_sent_again(monkeypatch):
+def test_failure_before_the_head_is_unknown_and_not_retried(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
     lose_connection(harness.accept_connection())
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    "verdict, failure, told",
+    "result, failure, background_operations",
     [
         (TokensSpent(1, 1), failures.BudgetSpent, []),
         (NoTurn("p"), failures.UnknownTurn, []),
@@ -129,20 +129,20 @@
         (AttemptBegun("r1", ("lost",)), failures.Unavailable, [AbortAttempt("a1")]),
     ],
 )
-def test_refusals_come_before_anything_is_sent(monkeypatch, verdict, failure, told):
+def test_ledger_refusal_prevents_the_send(monkeypatch, result, failure, background_operations):
     harness = make_harness(monkeypatch)
-    harness.results[BeginAttempt] = verdict
+    harness.results[BeginAttempt] = result
     harness.serve(program="g")
     for _ in range(6):
         harness.reactor.advance(0.02)
     assert (
         types_of(harness.client_events) == [failure]
-        and harness.background_operations == told
+        and harness.background_operations == background_operations
         and harness.reactor.tcpClients == []
     )
 
 
-def test_a_refused_turn_is_moved_then_aborted(monkeypatch):
+def test_refused_turn_is_reassigned_then_aborted(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.results[ReassignAttempt] = AttemptBegun("r2", ())
     harness.serve()
@@ -154,7 +154,7 @@
     ]
 
 
-def test_when_the_client_leaves_the_run_is_stopped_and_counted(monkeypatch):
+def test_client_disconnect_stops_the_execution_and_counts_its_tokens(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
     connection = harness.accept_connection()
@@ -167,7 +167,7 @@
     )
 
 
-def test_a_resumable_stream_goes_on_inside_the_same_answer(monkeypatch):
+def test_resumable_stream_continues_in_the_same_response(monkeypatch):
     harness = make_harness(monkeypatch, retained=False, resumable=True)
     harness.serve()
     connection = harness.accept_connection()
@@ -179,7 +179,7 @@
     assert harness.client_events == [("head", 200), ("data", ONE), ("data", TWO), "end"] and harness.operations == []
 
 
-def test_a_stream_taken_up_that_begins_again_is_cut(monkeypatch):
+def test_resumed_stream_that_restarts_is_aborted(monkeypatch):
     harness = make_harness(monkeypatch, retained=False, resumable=True)
     harness.serve()
     connection = harness.accept_connection()
@@ -189,7 +189,7 @@
     assert harness.client_events == [("head", 200), ("data", ONE), "cut"]
 
 
-def test_a_runners_own_failure_is_passed_on_and_counts_nothing(monkeypatch):
+def test_runner_error_is_forwarded_without_charging_tokens(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
     harness.accept_connection().dataReceived(answer_bytes(b"bad", status=b"500 Bad", headers=b""))
@@ -198,7 +198,7 @@
     ]
 
 
-def test_a_close_delimited_stream_is_never_whole(monkeypatch):
+def test_close_delimited_stream_is_never_complete(monkeypatch):
     harness = make_harness(monkeypatch, retained=False)
     harness.serve()
     connection = harness.accept_connection()
--- a/tests/test_proxy_wait_policy.py
+++ b/tests/test_proxy_wait_policy.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a lease, for the order or for nothing, and what is told of those that aren't served."""
+"""Tests of bounded waits for a lease, a ledger decision or a slot, and of the log of unserved requests."""
 
 import pytest
 from expression import Error, Ok
@@ -32,24 +32,24 @@
     return [type(item) for item in items]
 
 
-def lease_returns(harness):
+def restore_lease(harness):
     harness.has_lease = True
     lease_waiters.wake_lease_waiters(harness.agent)
 
 
-def test_a_request_waits_for_the_lease_and_is_served_when_it_returns(monkeypatch):
+def test_request_waits_for_the_lease_and_is_then_served(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     harness.serve()
     harness.reactor.advance(0.5)
     assert harness.client_events == [] and harness.reactor.tcpClients == [] and harness.agent.flights == 1
-    lease_returns(harness)
+    restore_lease(harness)
     harness.accept_connection().dataReceived(answer_bytes())
     assert harness.client_events == [("head", 200), ("data", b"out"), "end"] and harness.agent.flights == 0
     assert harness.reactor.getDelayedCalls() == []
 
 
-def test_a_request_is_refused_at_once_when_it_has_waited_its_share(monkeypatch):
+def test_request_is_refused_when_its_wait_bound_has_passed(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     harness.serve(deadline_ms=1000)
@@ -57,11 +57,11 @@
     assert harness.client_events == []
     harness.reactor.advance(0.02)
     assert harness.client_events == [failures.Unavailable(700, "lease")] and harness.agent.flights == 0
-    lease_returns(harness)
+    restore_lease(harness)
     assert len(harness.client_events) == 1 and harness.reactor.tcpClients == []
 
 
-def test_a_daemon_without_a_lease_for_long_holds_nothing(monkeypatch):
+def test_requests_do_not_wait_after_a_long_lease_outage(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     lease_client.session_of(harness.agent)
@@ -70,7 +70,7 @@
     assert harness.client_events == [failures.Unavailable(700, "lease")]
 
 
-def test_a_daemon_that_is_leaving_for_good_holds_nothing(monkeypatch):
+def test_requests_do_not_wait_during_shutdown(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease, harness.agent.leaving = False, True
     harness.agent.extras["last_call"] = True
@@ -78,16 +78,16 @@
     assert harness.client_events == [failures.Leaving()]
 
 
-def test_a_client_that_left_while_its_request_waited_is_not_served(monkeypatch):
+def test_request_is_dropped_if_its_client_disconnects_while_it_waits(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     harness.serve()
     harness.disconnect_client()
-    lease_returns(harness)
+    restore_lease(harness)
     assert harness.client_events == [] and harness.reactor.tcpClients == [] and harness.agent.flights == 0
 
 
-def test_no_more_requests_wait_for_a_lease_than_are_allowed(monkeypatch):
+def test_number_of_requests_waiting_for_a_lease_is_bounded(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     monkeypatch.setattr(lease_waiters, "MOST_LEASE_WAITERS", 2)
@@ -96,17 +96,19 @@
     assert harness.client_events == [failures.Unavailable(700, "lease")] and harness.agent.flights == 2
 
 
-def test_those_who_wait_for_a_lease_go_on_in_the_order_in_which_they_came(monkeypatch):
+def test_lease_waiters_resume_in_order_of_arrival(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     order = []
-    for n in range(3):
-        lease_waiters.wait_for_lease(harness.agent, 1000).addCallback(lambda held, n=n: order.append((n, held)))
-    lease_returns(harness)
+    for number in range(3):
+        lease_waiters.wait_for_lease(harness.agent, 1000).addCallback(
+            lambda has_lease, number=number: order.append((number, has_lease))
+        )
+    restore_lease(harness)
     assert order == [(0, True), (1, True), (2, True)]
 
 
-def test_an_answer_whose_turn_nobody_may_follow_ends_without_waiting_for_the_order(monkeypatch):
+def test_response_of_unretained_turn_does_not_wait_for_the_ledger(monkeypatch):
     harness = make_harness(monkeypatch, kind="streaming")
     harness.results[EndAttempt] = Deferred()
     harness.serve(program="g", budget=9, max_output_tokens=5)
@@ -115,72 +117,72 @@
     assert harness.background_operations == [EndAttempt("a1", 2)] and harness.stored_bodies == []
 
 
-def calls(monkeypatch, *results):
-    waiting = list(results)
-    asked = []
+def patch_call_replicas(monkeypatch, *results):
+    pending = list(results)
+    wait_times_ms = []
 
     def call_replicas(agent, operation, wait_ms):
-        asked.append(wait_ms)
-        result = waiting.pop(0)
+        wait_times_ms.append(wait_ms)
+        result = pending.pop(0)
         return result if isinstance(result, Deferred) else succeed(result)
 
     monkeypatch.setattr(operation_retry, "call_replicas", call_replicas)
-    return asked
+    return wait_times_ms
 
 
-def test_an_operation_is_asked_for_again_when_the_lease_returns(monkeypatch):
+def test_operation_is_resubmitted_when_the_lease_returns(monkeypatch):
     harness = make_harness(monkeypatch)
-    asked = calls(monkeypatch, Error(failures.Unavailable(1, "lease")), Ok(KeyClaimed()))
-    harness.has_lease, delays, found = False, Delays(), []
+    wait_times_ms = patch_call_replicas(monkeypatch, Error(failures.Unavailable(1, "lease")), Ok(KeyClaimed()))
+    harness.has_lease, delays, results = False, Delays(), []
     operation_retry.call_until_decided(harness.agent, ClaimOperationKey("k", "a", 9), 1000, delays).addCallback(
-        found.append
+        results.append
     )
     harness.reactor.advance(0.3)
-    assert found == []
-    lease_returns(harness)
-    assert found == [KeyClaimed()] and asked == [400, 100]
+    assert results == []
+    restore_lease(harness)
+    assert results == [KeyClaimed()] and wait_times_ms == [400, 100]
     assert (delays.lease_ms, delays.order_ms) == (300, 0)
 
 
-def test_an_operation_that_is_not_decided_in_the_requests_share_is_given_up(monkeypatch):
+def test_undecided_operation_fails_after_the_wait_bound(monkeypatch):
     harness = make_harness(monkeypatch)
     undecided = Deferred()
-    asked = calls(monkeypatch, undecided)
-    delays, found = Delays(), []
+    wait_times_ms = patch_call_replicas(monkeypatch, undecided)
+    delays, results = Delays(), []
     operation_retry.call_until_decided(harness.agent, ClaimOperationKey("k", "a", 9), 3000, delays).addCallback(
-        found.append
+        results.append
     )
     harness.reactor.advance(1.2)
     undecided.callback(Error(failures.Unavailable(1, "undecided")))
-    assert found == [failures.Unavailable(1, "undecided")] and asked == [1200] and delays.order_ms == 1200
+    assert results == [failures.Unavailable(1, "undecided")] and wait_times_ms == [1200] and delays.order_ms == 1200
 
 
-def test_a_turn_that_waited_at_the_leader_in_vain_is_refused_and_not_asked_for_again(monkeypatch):
+def test_turn_refused_by_the_leader_queue_is_not_resubmitted(monkeypatch):
     harness = make_harness(monkeypatch, kind="streaming", rank=2)
     harness.results[BeginAttempt] = NoCapacity(20)
     harness.serve(program="g", budget=9, max_output_tokens=5, program_remaining_ms=2500)
     assert types_of(harness.client_events) == [failures.Overloaded] and harness.background_operations == [
         AbortAttempt("a1")
     ]
-    (begin,) = harness.operations
-    assert (begin.pool, begin.rank, begin.max_queue_ms, begin.deadline_in_ms) == ("s", 2, 1280, 2500)
+    (operation,) = harness.operations
+    assert (operation.pool, operation.rank, operation.max_queue_ms, operation.deadline_in_ms) == ("s", 2, 1280, 2500)
 
 
-def test_the_wait_for_another_slot_begins_when_the_order_has_said_that_there_is_none(monkeypatch):
+def test_slot_wait_starts_at_the_first_no_capacity(monkeypatch):
     harness = make_harness(monkeypatch, kind="streaming", attempts=2)
-    first = Deferred()
-    harness.results[ReassignAttempt] = [first, AttemptBegun("r2", ())]
+    decision = Deferred()
+    harness.results[ReassignAttempt] = [decision, AttemptBegun("r2", ())]
     harness.serve(program="g", budget=9, max_output_tokens=5)
     harness.accept_connection().dataReceived(answer_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n"))
     harness.reactor.advance(1)
-    first.callback(Ok(NoCapacity(20)))
+    decision.callback(Ok(NoCapacity(20)))
     harness.reactor.advance(0.02)
     assert len(harness.reactor.tcpClients) == 2
 
 
-def test_what_is_not_served_is_recorded_with_what_it_waited_for(monkeypatch):
-    told = []
-    monkeypatch.setattr(decision_record, "log_event", lambda kind, **facts: told.append((kind, facts)))
+def test_unserved_requests_are_logged_with_their_delays(monkeypatch):
+    logged = []
+    monkeypatch.setattr(decision_record, "log_event", lambda event, **fields: logged.append((event, fields)))
     harness = make_harness(monkeypatch)
     harness.has_lease = False
     harness.serve(deadline_ms=1000, program="g")
@@ -189,8 +191,8 @@
     harness.serve(host="other")
     harness.serve()
     harness.accept_connection().dataReceived(answer_bytes())
-    assert [kind for kind, _ in told] == ["request_not_served"]
-    assert told[0][1] == dict(
+    assert [event for event, _ in logged] == ["request_not_served"]
+    assert logged[0][1] == dict(
         attempt="a1",
         program="g",
         route="",
@@ -205,21 +207,21 @@
 
 
 @given(TIMES, TIMES, TIMES, st.integers(1, 5000))
-def test_no_hold_takes_half_of_the_time_left_or_outlasts_the_end_of_the_lease(now, left, gone, lease):
-    until_ms = wait_policy.lease_wait_until_ms(now, left, gone, lease)
-    assert until_ms <= now + left / 2 and until_ms <= gone + wait_policy.MAX_OUTAGE_LEASES * lease
+def test_lease_wait_is_bounded_by_remaining_time_and_outage_length(now_ms, left_ms, lost_since_ms, lease_ms):
+    until_ms = wait_policy.lease_wait_until_ms(now_ms, left_ms, lost_since_ms, lease_ms)
+    assert until_ms <= now_ms + left_ms / 2 and until_ms <= lost_since_ms + wait_policy.MAX_OUTAGE_LEASES * lease_ms
 
 
-@pytest.mark.parametrize("left", [-5, 0])
-def test_what_has_no_time_left_is_not_held(left):
-    assert wait_policy.decision_wait_ms(left) == 0
+@pytest.mark.parametrize("left_ms", [-5, 0])
+def test_expired_request_does_not_wait(left_ms):
+    assert wait_policy.decision_wait_ms(left_ms) == 0
 
 
-def test_a_lease_that_is_there_and_refused_all_the_same_is_not_asked_about_for_ever(monkeypatch):
+def test_refusal_despite_a_valid_lease_is_not_retried(monkeypatch):
     harness = make_harness(monkeypatch)
-    asked = calls(monkeypatch, *[Error(failures.Unavailable(1, "lease"))] * 2)
-    found = []
+    wait_times_ms = patch_call_replicas(monkeypatch, *[Error(failures.Unavailable(1, "lease"))] * 2)
+    results = []
     operation_retry.call_until_decided(harness.agent, ClaimOperationKey("k", "a", 9), 1000, Delays()).addCallback(
-        found.append
+        results.append
     )
-    assert found == [failures.Unavailable(1, "lease")] and len(asked) == 1
+    assert results == [failures.Unavailable(1, "lease")] and len(wait_times_ms) == 1
