--- a/frostpost/proxy/decision_record.py
+++ b/frostpost/proxy/decision_record.py
@@ -43,14 +43,14 @@
 
     def observed_sink(self):
         """Return a copy of the sink whose failure and abort callbacks are recorded."""
-        return structs.replace(self.sink, failed=self.failed, abort=self.aborted)
+        return structs.replace(self.sink, fail=self.fail, abort=self.abort)
 
-    def failed(self, failure):
+    def fail(self, failure):
         """Record a failure and pass it to the sink."""
         self._record(type(failure).__name__, getattr(failure, "why", ""), isinstance(failure, CLIENT_REFUSALS))
-        self.sink.failed(failure)
+        self.sink.fail(failure)
 
-    def aborted(self):
+    def abort(self):
         """Record an aborted response and abort it at the sink."""
         self._record("Aborted", "")
         self.sink.abort()
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -16,7 +16,7 @@
     HeadRead,
     NotWritten,
     Queued,
-    Wrote,
+    Written,
     may_have_run,
     step,
 )
@@ -78,10 +78,10 @@
 
     def write_to(self, connection):
         """Write the request to a connection."""
-        left_ms = self.until_ms - now_ms(self.agent)
-        data = request_bytes(self.agent.wire, self.runner, self.call, self.body, left_ms)
+        remaining_ms = self.until_ms - now_ms(self.agent)
+        data = request_bytes(self.agent.wire, self.runner, self.call, self.body, remaining_ms)
         self.connection = connection
-        self.handle_event(Wrote(connection.exchange_count == 0))
+        self.handle_event(Written(connection.exchange_count == 0))
         connection.start(self, data, self.call.method == b"HEAD")
 
     def fail_unsent(self, reason):
@@ -123,10 +123,10 @@
                     self.listener.done(outcome)
 
 
-def request_bytes(wire, runner, call, body, left_ms):
+def request_bytes(wire, runner, call, body, remaining_ms):
     """Serialize a request to a runner."""
     lines = [call.method + b" " + call.uri + b" HTTP/1.1", b"Host: " + call.host.encode("latin-1")]
-    for name, value in wire.request_headers(call, runner, left_ms):
+    for name, value in wire.request_headers(call, runner, remaining_ms):
         if name.lower() not in HOP_BY_HOP_HEADERS:
             lines.append(name + b": " + value)
     if body or call.method in METHODS_WITH_BODY:
--- a/frostpost/proxy/exchange_state.py
+++ b/frostpost/proxy/exchange_state.py
@@ -1,6 +1,6 @@
 """Pure state machine of one request sent to one runner.
 
-    Queued --Wrote--> MaybeSent --HeadRead--> ReceivingBody --BodyEnded--> Ended(Whole)
+    Queued --Written--> MaybeSent --HeadRead--> ReceivingBody --BodyEnded--> Ended(Whole)
        |                  |  \\                   |
        |                  |   --refusal--> Ended(NotRun)
        --NotWritten--> Ended(NotSent)            --ConnectionFailed--> Ended(Broken)
@@ -44,10 +44,10 @@
 class NotWritten(Struct, frozen=True, tag=True):
     """The request may not be sent, or the connection attempt failed."""
 
-    why: str
+    reason: str
 
 
-class Wrote(Struct, frozen=True, tag=True):
+class Written(Struct, frozen=True, tag=True):
     """The whole request was handed to a connection."""
 
     fresh: bool
@@ -72,7 +72,7 @@
 class ConnectionFailed(Struct, frozen=True, tag=True):
     """The connection was reset, closed or timed out, or the response is malformed."""
 
-    why: str
+    reason: str
 
 
 class Cancelled(Struct, frozen=True, tag=True):
@@ -140,10 +140,10 @@
     match state, event:
         case Ended(), _:
             return state, ()
-        case Queued(), Wrote(fresh):
+        case Queued(), Written(fresh):
             return MaybeSent(fresh), ()
-        case Queued(), NotWritten(why):
-            return end_with(NotSent(why), False)
+        case Queued(), NotWritten(reason):
+            return end_with(NotSent(reason), False)
         case Queued(), Cancelled():
             return Ended(None, False), ()
         case _, Cancelled():
@@ -154,8 +154,8 @@
             return state, (ForwardData(data),)
         case ReceivingBody(), BodyEnded():
             return end_with(Whole(), True)
-        case ((MaybeSent() | ReceivingBody()), ConnectionFailed(why)):
-            return end_with(Broken(why), True)
+        case ((MaybeSent() | ReceivingBody()), ConnectionFailed(reason)):
+            return end_with(Broken(reason), True)
         case ((MaybeSent() | ReceivingBody()), _):
             return end_with(Broken("order"), True, ABORT_CONNECTION)
     return state, ()
--- a/frostpost/proxy/forwarding.py
+++ b/frostpost/proxy/forwarding.py
@@ -40,10 +40,10 @@
     runner executed the request.
     """
     attempts = attempts_for(route, repeatable)
-    slot_until_ms, min_left_ms = slot_deadline_ms(agent, route, until_ms), route.target_latency_ms // 10
+    slot_until_ms, min_remaining_ms = slot_deadline_ms(agent, route, until_ms), route.target_latency_ms // 10
     uncertain, error_answer, reason = None, None, ""
     while may_offer(attempts):
-        if until_ms - now_ms(agent) < max(1, min_left_ms):
+        if until_ms - now_ms(agent) < max(1, min_remaining_ms):
             break
         runner = yield load_balancing.wait_for_runner(
             agent, route, service, attempts.picked, call.attempt, slot_until_ms
@@ -99,7 +99,7 @@
     if isinstance(outcome, Answer):
         return write_answer(sink, outcome)
     count(agent, type(outcome).__name__)
-    sink.failed(outcome)
+    sink.fail(outcome)
 
 
 def write_answer(sink, response):
--- a/frostpost/proxy/idempotency.py
+++ b/frostpost/proxy/idempotency.py
@@ -17,7 +17,7 @@
 
 from .failures import AtWork, BadRequest, Unavailable, Unknown
 from .forwarding import deliver, forward, record_wait_ms
-from .operation_retry import ORDER_RETRY_MS, call_until_decided
+from .operation_retry import DECISION_RETRY_MS, call_until_decided
 from .outcomes import Answer
 
 RELEASE_TIMEOUT_MS = 300
@@ -49,7 +49,7 @@
         return deliver(agent, deserialize_answer(claim_result.answer), sink)
     if not isinstance(claim_result, KeyClaimed):
         submit_until_decided(agent, ReleaseOperationKey(key, call.attempt))
-        return deliver(agent, Unavailable(ORDER_RETRY_MS, "claim"), sink)
+        return deliver(agent, Unavailable(DECISION_RETRY_MS, "claim"), sink)
     outcome = yield forward(agent, route, service, call, until_ms, service.dedupes, None)
     if isinstance(outcome, Answer):
         outcome = yield record_answer(agent, key, call, outcome, until_ms)
--- a/frostpost/proxy/models.py
+++ b/frostpost/proxy/models.py
@@ -116,7 +116,7 @@
 class Wire(Struct, frozen=True):
     """A front end's protocol for requests to runners.
 
-    request_headers(call, runner, left_ms) returns (name, value) pairs, without Host, length and connection headers.
+    request_headers(call, runner, remaining_ms) returns (name, value) pairs without Host, length and connection headers.
     read_head(status, headers) returns a RunnerHead.
     """
 
@@ -127,7 +127,7 @@
 class Sink(Struct):
     """The client's side of a request.
 
-    head(status, headers), data(bytes) and end() write a response; abort() closes it incomplete. failed(failure)
+    head(status, headers), data(bytes) and end() write a response; abort() closes it incomplete. fail(failure)
     responds with a failure. is_disconnected() returns whether the client has disconnected; on_disconnect(callback)
     registers the one callback for that. on_pause(callback) and on_resume(callback) register for backpressure.
     """
@@ -136,7 +136,7 @@
     data: Callable
     end: Callable
     abort: Callable
-    failed: Callable
+    fail: Callable
     is_disconnected: Callable
     on_disconnect: Callable
     on_pause: Callable
--- a/frostpost/proxy/operation_retry.py
+++ b/frostpost/proxy/operation_retry.py
@@ -10,18 +10,18 @@
 
 MIN_WAIT_MS = 200
 # Retry delay suggested to the client when the replicas did not decide in time.
-ORDER_RETRY_MS = 400
+DECISION_RETRY_MS = 400
 
 
 @inlineCallbacks
-def call_until_decided(agent, operation, left_ms, delays):
+def call_until_decided(agent, operation, remaining_ms, delays):
     """Submit an operation until it is decided or the request's wait bound has passed.
 
     The operation must be idempotent. While the daemon has no lease, waits for one. Adds the time spent waiting to
-    `delays`. left_ms: time until the request's deadline. Returns a Deferred of the result, or of an Unavailable.
+    `delays`. remaining_ms: time until the request's deadline. Returns a Deferred of the result, or of an Unavailable.
     """
     start_ms = now_ms(agent)
-    until_ms = start_ms + max(1, min(left_ms, max(MIN_WAIT_MS, decision_wait_ms(left_ms))))
+    until_ms = start_ms + max(1, min(remaining_ms, max(MIN_WAIT_MS, decision_wait_ms(remaining_ms))))
     while True:
         result = yield call_replicas(agent, operation, max(1, until_ms - start_ms))
         decided_ms = now_ms(agent)
--- a/frostpost/proxy/pool.py
+++ b/frostpost/proxy/pool.py
@@ -141,9 +141,9 @@
     exchange.write_to(connection)
 
 
-def send(agent, runner, call, body, left_ms, listener):
+def send(agent, runner, call, body, remaining_ms, listener):
     """Send a request to a runner over a pooled connection; returns its Exchange."""
-    exchange = Exchange(agent, runner, call, body, now_ms(agent) + left_ms, listener)
+    exchange = Exchange(agent, runner, call, body, now_ms(agent) + remaining_ms, listener)
     pool = agent.pools.get(runner.id)
     if pool is None:
         pool = agent.pools[runner.id] = Pool(agent, runner)
--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -22,16 +22,16 @@
 LEADERLESS_SPREAD_RATIO = 0.5
 # Share of the minimum interval over which agents spread their reads after a change.
 SPREAD_RATIO = 0.15
-REPORTED_DRAINING_MS = 15000
+DRAIN_REPORT_RETENTION_MS = 15000
 
 
 def apply_list(agent, runners):
     """Apply a newly fetched list of runners."""
-    listed = agent.runner_list
+    list_state = agent.runner_list
     draining = tuple(sorted(runner.id for runner in runners if runner.draining))
-    newly_draining = set(draining) - set(listed.draining)
-    listed.draining = draining
-    listed.last = ListReading(digest_of(runner.id for runner in runners), now_ms(agent))
+    newly_draining = set(draining) - set(list_state.draining)
+    list_state.draining = draining
+    list_state.last = ListReading(digest_of(runner.id for runner in runners), now_ms(agent))
     set_runners(agent, runners)
     for runner_id in [i for i, load in agent.loads.items() if i not in agent.runners and load.own_requests <= 0]:
         del agent.loads[runner_id]
@@ -51,7 +51,7 @@
 
 def on_draining(agent, runner_ids):
     """Mark runners as draining that another daemon's list shows as draining."""
-    reported, until_ms = agent.runner_list.reported_draining, now_ms(agent) + REPORTED_DRAINING_MS
+    reported, until_ms = agent.runner_list.reported_draining, now_ms(agent) + DRAIN_REPORT_RETENTION_MS
     reported.update((runner_id, until_ms) for runner_id in runner_ids)
     if any(runner_id in agent.runners and not agent.runners[runner_id].draining for runner_id in runner_ids):
         set_runners(agent, agent.runners.values())
@@ -188,8 +188,12 @@
 
 def poll(agent):
     """Start polling the list; returns a function that stops it."""
-    poller, listed = ListPoller(agent), agent.runner_list
-    listed.on_draining = lambda runner_ids: on_draining(agent, runner_ids)
-    listed.on_newest, listed.on_turn, listed.turn_period_ms = poller.on_newest, poller.on_turn, poller.turn_period_ms
+    poller, list_state = ListPoller(agent), agent.runner_list
+    list_state.on_draining = lambda runner_ids: on_draining(agent, runner_ids)
+    list_state.on_newest, list_state.on_turn, list_state.turn_period_ms = (
+        poller.on_newest,
+        poller.on_turn,
+        poller.turn_period_ms,
+    )
     poller.fetch()
     return poller.stop
--- a/frostpost/proxy/runner_request.py
+++ b/frostpost/proxy/runner_request.py
@@ -26,7 +26,7 @@
         """Handle the client's disconnect."""
         self.disconnected = True
         if self.request is not None:
-            self.request.client_left()
+            self.request.on_disconnect()
 
     def pause(self, *_):
         """Handle backpressure from the client."""
@@ -66,12 +66,12 @@
 
     def start(self, call, body, until_ms):
         """Send the request; returns a Deferred of its outcome."""
-        left_ms = until_ms - now_ms(self.agent)
+        remaining_ms = until_ms - now_ms(self.agent)
         load_balancing.count_sent(self.agent, self.runner)
         if self.watcher is not None:
             self.watcher.request = self
-        self.timer = self.agent.reactor.callLater(max(0, left_ms) / 1000, self.stop, Late(), "late")
-        self.exchange = pool.send(self.agent, self.runner, call, body, left_ms, self)
+        self.timer = self.agent.reactor.callLater(max(0, remaining_ms) / 1000, self.stop, Late(), "late")
+        self.exchange = pool.send(self.agent, self.runner, call, body, remaining_ms, self)
         return self.finished
 
     def head(self, head):
@@ -104,7 +104,7 @@
         if not self.finished.called:
             self._end(outcome if self.exchange is not None and self.exchange.stop() else NotSent(reason))
 
-    def client_left(self):
+    def on_disconnect(self):
         """Stop the send because its client disconnected."""
         self.stop(ClientLeft(), "left")
 
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -17,7 +17,7 @@
 from .stream import serve_stream
 from .wait_policy import lease_wait_until_ms
 
-RETRY_MS = 700
+UNAVAILABLE_RETRY_MS = 700
 HANDLERS = {
     "safe": serve_unordered,
     "unsafe": serve_unordered,
@@ -54,7 +54,7 @@
     if is_shutting_down(agent):
         return Leaving()
     if not may_serve(agent):
-        return Unavailable(RETRY_MS, "lease")
+        return Unavailable(UNAVAILABLE_RETRY_MS, "lease")
     if not is_unambiguous(call):
         return BadRequest("header")
     route = route_of(agent, call)
@@ -62,7 +62,7 @@
         return NoRoute()
     service = pick_service(agent.routing, route, call.attempt)
     if service is None or route.kind not in HANDLERS:
-        return Unavailable(RETRY_MS, "service")
+        return Unavailable(UNAVAILABLE_RETRY_MS, "service")
     until_ms = deadline_of(call, route)
     if until_ms <= now_ms(agent):
         return Overloaded(retry_ms(route))
@@ -81,8 +81,8 @@
 def delay_for_lease(agent, call):
     """Wait until this daemon has a lease, as long as the request may be delayed for it."""
     now = now_ms(agent)
-    left_ms = deadline_of(call, route_of(agent, call)) - now
-    until_ms = lease_wait_until_ms(now, left_ms, lease_gone_since_ms(agent), agent.settings.lease_ms)
+    remaining_ms = deadline_of(call, route_of(agent, call)) - now
+    until_ms = lease_wait_until_ms(now, remaining_ms, lease_gone_since_ms(agent), agent.settings.lease_ms)
     yield wait_for_lease(agent, until_ms)
     call.delays.lease_ms = now_ms(agent) - now
 
--- a/frostpost/proxy/slot_overhead.py
+++ b/frostpost/proxy/slot_overhead.py
@@ -16,9 +16,9 @@
 
 
 class SlotOverhead(Struct):
-    """Moving averages for one service. order_ms: from the end of an attempt to its decision. run_ms: execution time."""
+    """Moving averages for a service. decision_ms: from the end of an attempt to its decision. run_ms: execution."""
 
-    order_ms: float = 0.0
+    decision_ms: float = 0.0
     run_ms: float = 0.0
 
 
@@ -40,14 +40,14 @@
     overhead.run_ms = update_average(overhead.run_ms, max(1, run_ms))
 
 
-def observe_order(overhead, order_ms):
+def observe_decision(overhead, decision_ms):
     """Record how long the end of an attempt took to be decided, in milliseconds."""
-    overhead.order_ms = update_average(overhead.order_ms, max(1, order_ms))
+    overhead.decision_ms = update_average(overhead.decision_ms, max(1, decision_ms))
 
 
 def countable_slots(overhead, slots):
     """Return how many attempts the ledger may assign to a runner with `slots` slots."""
     if overhead.run_ms <= 0:
         return slots
-    extra_ratio = min(MAX_EXTRA_RATIO, IDLE_ROUNDS * overhead.order_ms / overhead.run_ms)
+    extra_ratio = min(MAX_EXTRA_RATIO, IDLE_ROUNDS * overhead.decision_ms / overhead.run_ms)
     return slots + int(slots * extra_ratio)
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -93,110 +93,110 @@
 def serve_stream(agent, route, service, call, sink, until_ms, watcher):
     """Serve a request of a streaming route."""
     if until_ms - now_ms(agent) < max(1, route.target_latency_ms // 10):
-        return sink.failed(Overloaded(retry_ms(route)))
+        return sink.fail(Overloaded(retry_ms(route)))
     ordered, runner, body = turn.needs_ledger(route, call), None, call.body
     if ordered:
         placed = yield turn.begin_attempt(agent, route, service, call, until_ms)
         if not isinstance(placed, turn.Placed):
             count(agent, type(placed).__name__)
-            return None if watcher.disconnected else sink.failed(placed)
+            return None if watcher.disconnected else sink.fail(placed)
         runner, body = placed.runner, placed.body
-    state = StreamRelay(call, sink, watcher, route.retained)
-    outcome = yield send_with_failover(agent, route, service, state, ordered, runner, body, until_ms)
-    yield finish_stream(agent, route, service, state, ordered, outcome, until_ms)
+    relay = StreamRelay(call, sink, watcher, route.retained)
+    outcome = yield send_with_failover(agent, route, service, relay, ordered, runner, body, until_ms)
+    yield finish_stream(agent, route, service, relay, ordered, outcome, until_ms)
 
 
 @inlineCallbacks
-def send_with_failover(agent, route, service, state, ordered, runner, body, until_ms):
+def send_with_failover(agent, route, service, relay, ordered, runner, body, until_ms):
     """Send the request to runners in turn while that is allowed.
 
     Returns a Deferred of the last outcome, or of a failure if no runner executed the request.
     """
-    attempts, call = attempts_for(route, route.resumable), state.call
+    attempts, call = attempts_for(route, route.resumable), relay.call
     tried = attempts.picked
     slot_until_ms, outcome = slot_deadline_ms(agent, route, until_ms), None
     if ordered and runner is None:
-        runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
+        runner = yield next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms)
     while True:
         if runner is None and not ordered:
-            runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
+            runner = yield next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms)
         if not hasattr(runner, "id"):
-            return outcome if state.may_have_run else runner
-        if state.watcher.disconnected:
+            return outcome if relay.may_have_run else runner
+        if relay.watcher.disconnected:
             return ClientLeft()
         tried.append(runner.id)
         sent_ms = now_ms(agent)
-        outcome = yield send_once(agent, runner, call, body, until_ms, state.watcher, state.head, state.on_data)
+        outcome = yield send_once(agent, runner, call, body, until_ms, relay.watcher, relay.head, relay.on_data)
         if isinstance(outcome, Whole):
             observe_run(overhead_of(agent, service.name), now_ms(agent) - sent_ms)
         record_outcome(attempts, outcome)
         if isinstance(outcome, NotSent):
             if outcome.why in ("left", "late"):
-                return ClientLeft() if outcome.why == "left" else Late() if state.may_have_run else outcome
-            if outcome.why == "lease" and not state.may_have_run:
+                return ClientLeft() if outcome.why == "left" else Late() if relay.may_have_run else outcome
+            if outcome.why == "lease" and not relay.may_have_run:
                 return Unavailable(retry_ms(route), "lease")
         elif not isinstance(outcome, NotRun):
-            state.may_have_run = True
-            if not may_resume(route, state, outcome):
+            relay.may_have_run = True
+            if not may_resume(route, relay, outcome):
                 return outcome
-            state.resumed = state.event_count > 0
-            call = structs.replace(state.call, last_event_id=state.last_event_id)
+            relay.resumed = relay.event_count > 0
+            call = structs.replace(relay.call, last_event_id=relay.last_event_id)
         if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.target_latency_ms // 10):
             return outcome
-        runner = yield next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms)
+        runner = yield next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms)
 
 
-def may_resume(route, state, outcome):
+def may_resume(route, relay, outcome):
     """Return whether an interrupted stream may be resumed at another runner."""
-    if not route.resumable or state.diverged or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
+    if not route.resumable or relay.diverged or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
         return False
-    return state.event_count == 0 or state.last_event_id not in ("", state.call.last_event_id)
+    return relay.event_count == 0 or relay.last_event_id not in ("", relay.call.last_event_id)
 
 
 @inlineCallbacks
-def next_runner(agent, route, service, state, ordered, tried, slot_until_ms, until_ms):
+def next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms):
     """Return a Deferred of the next runner, or of a failure if there is none.
 
     The ledger reassigns an attempt only while no runner may have executed it.
     """
-    if ordered and not state.may_have_run:
-        runner_id = yield turn.reassign_attempt(agent, route, service, state.call, tried, until_ms)
+    if ordered and not relay.may_have_run:
+        runner_id = yield turn.reassign_attempt(agent, route, service, relay.call, tried, until_ms)
         if not isinstance(runner_id, str):
             return runner_id
         return agent.runners.get(runner_id) or Overloaded(retry_ms(route))
-    if state.may_have_run:
+    if relay.may_have_run:
         slot_until_ms = slot_deadline_ms(agent, route, until_ms)
-    runner = yield load_balancing.wait_for_runner(agent, route, service, tried, state.call.attempt, slot_until_ms)
+    runner = yield load_balancing.wait_for_runner(agent, route, service, tried, relay.call.attempt, slot_until_ms)
     return runner or Overloaded(retry_ms(route))
 
 
 @inlineCallbacks
-def finish_stream(agent, route, service, state, ordered, outcome, until_ms):
+def finish_stream(agent, route, service, relay, ordered, outcome, until_ms):
     """End the attempt in the ledger and then the response at the client; a complete response waits for the ledger."""
-    sink, call, tokens = state.sink, state.call, state.event_count * service.event_tokens
-    if isinstance(outcome, Whole) and not state.diverged:
-        state.forward_rest()
-        tokens = state.event_count * service.event_tokens
+    sink, call, tokens = relay.sink, relay.call, relay.event_count * service.event_tokens
+    if isinstance(outcome, Whole) and not relay.diverged:
+        relay.forward_rest()
+        tokens = relay.event_count * service.event_tokens
         durable = True
         if ordered:
-            data = b"".join([call.body, *(payload + b"\n" for payload in state.data)]) if state.retains else b""
+            data = b"".join([call.body, *(payload + b"\n" for payload in relay.data)]) if relay.retains else b""
             durable = yield turn.end_attempt(agent, route, service, call, tokens, data, until_ms)
         count(agent, "streams" if durable else "streams_unkept")
         return sink.end() if durable else sink.abort()
-    if ordered and state.may_have_run:
+    if ordered and relay.may_have_run:
         turn.end_interrupted(agent, call, tokens)
     elif ordered:
         turn.abort_attempt(agent, call)
-    if state.watcher.disconnected or isinstance(outcome, ClientLeft):
+    if relay.watcher.disconnected or isinstance(outcome, ClientLeft):
         return count(agent, "client_left")
-    if state.head_sent:
+    if relay.head_sent:
         count(agent, "streams_cut")
         return sink.abort()
     count(agent, type(outcome).__name__)
     if isinstance(outcome, Answer) and not (ordered and outcome.status in RESERVED_STATUSES):
         return write_answer(sink, outcome)
-    if state.may_have_run:
-        return sink.failed(TimedOut() if isinstance(outcome, Late) else Unknown(getattr(outcome, "why", "")))
+    if relay.may_have_run:
+        return sink.fail(TimedOut() if isinstance(outcome, Late) else Unknown(getattr(outcome, "why", "")))
     if isinstance(outcome, (NotSent, NotRun)):
         outcome = Overloaded(retry_ms(route))
-    return sink.failed(outcome)
+    return sink.fail(outcome)
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -21,8 +21,8 @@
 from . import load_balancing
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
 from .forwarding import record_wait_ms, retry_ms, slot_deadline_ms
-from .operation_retry import ORDER_RETRY_MS, call_until_decided
-from .slot_overhead import observe_order, overhead_of
+from .operation_retry import DECISION_RETRY_MS, call_until_decided
+from .slot_overhead import observe_decision, overhead_of
 from .wait_policy import leader_wait_ms
 
 RETRY_INTERVAL_MS = 20
@@ -57,15 +57,15 @@
     """
     slot_until_ms = None
     while True:
-        left_ms = until_ms - now_ms(agent)
+        remaining_ms = until_ms - now_ms(agent)
         offered = load_balancing.candidates(agent, service, tried)
         result = NoCapacity(RETRY_INTERVAL_MS)
-        if left_ms <= 0:
+        if remaining_ms <= 0:
             return result
         if offered:
-            result = yield call_until_decided(agent, operation(offered, left_ms), left_ms, call.delays)
+            result = yield call_until_decided(agent, operation(offered, remaining_ms), remaining_ms, call.delays)
         if isinstance(result, Unavailable):
-            return Unavailable(ORDER_RETRY_MS, "order")
+            return Unavailable(DECISION_RETRY_MS, "order")
         if not isinstance(result, NoCapacity) or offered and waits_at_leader:
             return result
         # The slot wait starts at the first NoCapacity; waiting for the ledger's decision doesn't count.
@@ -77,7 +77,7 @@
         call.delays.slot_ms = call.delays.slot_ms + wait_ms
 
 
-def due_in_ms(agent, call):
+def deadline_in_ms(agent, call):
     """Return the time left to the deadline of the request's program, or of the request if it belongs to none."""
     total_ms = call.program_remaining_ms or call.deadline_ms - call.started_ms
     return total_ms - (now_ms(agent) - call.started_ms)
@@ -90,14 +90,14 @@
     Returns a Deferred of Placed or of a failure, after which the ledger holds no state of the attempt.
     """
 
-    def operation(offered, left_ms):
+    def operation(offered, remaining_ms):
         return BeginAttempt(
             attempt=call.attempt,
             program=call.program or call.attempt,
             budget=call.budget,
             amount=call.max_output_tokens,
             previous=call.previous_turn,
-            remaining_ms=left_ms,
+            remaining_ms=remaining_ms,
             candidates=offered,
             parts=call.prompt_parts,
             line=call.session_id,
@@ -105,8 +105,8 @@
             cache_tokens=service.cache_tokens,
             pool=service.name,
             rank=route.rank,
-            max_queue_ms=leader_wait_ms(left_ms),
-            deadline_in_ms=due_in_ms(agent, call),
+            max_queue_ms=leader_wait_ms(remaining_ms),
+            deadline_in_ms=deadline_in_ms(agent, call),
         )
 
     result = yield request_slot(agent, route, service, call, (), operation, until_ms, waits_at_leader=True)
@@ -137,7 +137,7 @@
     Returns a Deferred of the runner's id or of a failure, on which the caller aborts the attempt.
     """
 
-    def operation(offered, _left_ms):
+    def operation(offered, _remaining_ms):
         return ReassignAttempt(call.attempt, offered, len(tried))
 
     result = yield request_slot(agent, route, service, call, tried, operation, until_ms)
@@ -162,7 +162,7 @@
 
     def decided(result):
         if result.is_ok():
-            observe_order(overhead_of(agent, service.name), now_ms(agent) - start_ms)
+            observe_decision(overhead_of(agent, service.name), now_ms(agent) - start_ms)
         return result
 
     return answer.addCallback(decided)
--- a/frostpost/proxy/wait_policy.py
+++ b/frostpost/proxy/wait_policy.py
@@ -15,23 +15,23 @@
 SLOT_WAIT_RATIO = 0.25
 
 
-def decision_wait_ms(left_ms):
+def decision_wait_ms(remaining_ms):
     """Return how long a request may wait for a lease or a ledger decision, given the time left to its deadline."""
-    return max(0, int(left_ms * WAIT_RATIO))
+    return max(0, int(remaining_ms * WAIT_RATIO))
 
 
-def leader_wait_ms(left_ms):
+def leader_wait_ms(remaining_ms):
     """Return how long the leader may queue a turn for a slot, so that its reply arrives before the agent gives up."""
-    return int(decision_wait_ms(left_ms) * LEADER_WAIT_RATIO)
+    return int(decision_wait_ms(remaining_ms) * LEADER_WAIT_RATIO)
 
 
-def lease_wait_until_ms(now_ms, left_ms, lost_since_ms, lease_ms):
+def lease_wait_until_ms(now_ms, remaining_ms, lost_since_ms, lease_ms):
     """Return until when a request may wait for this daemon's lease, on the clock of `now_ms`.
 
     lost_since_ms: when the last lease ended, or when the daemon started to request its first one. lease_ms: duration of
     a full lease.
     """
-    return min(now_ms + decision_wait_ms(left_ms), lost_since_ms + MAX_OUTAGE_LEASES * lease_ms)
+    return min(now_ms + decision_wait_ms(remaining_ms), lost_since_ms + MAX_OUTAGE_LEASES * lease_ms)
 
 
 def slot_wait_until_ms(now_ms, until_ms, latency_target_ms):
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -53,11 +53,11 @@
     )
 
 
-def request_headers(call, runner, left_ms):
+def request_headers(call, runner, remaining_ms):
     return [
         *call.headers,
         (b"Attempt", call.attempt.encode()),
-        (b"Left", b"%d" % left_ms),
+        (b"Left", b"%d" % remaining_ms),
         (b"Last", call.last_event_id.encode()),
     ]
 
@@ -162,7 +162,7 @@
             data=lambda d: record(("data", d)),
             end=lambda: record("end"),
             abort=lambda: record("cut"),
-            failed=record,
+            fail=record,
             is_disconnected=lambda: False,
             on_disconnect=lambda f: setattr(self, "disconnect_client", f),
             on_pause=lambda f: None,
@@ -189,7 +189,7 @@
         self.reactor.advance(0)
 
 
-def answer_bytes(body=b"out", attempt=b"a1", status=b"200 OK", headers=b"Seal: x\r\n", length=None):
+def response_bytes(body=b"out", attempt=b"a1", status=b"200 OK", headers=b"Seal: x\r\n", length=None):
     return (
         b"HTTP/1.1 "
         + status
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -160,7 +160,7 @@
 def test_failures_become_statuses(failure, status, retry):
     fleet = Fleet()
     _, sink = fleet.ask()
-    sink.failed(failure)
+    sink.fail(failure)
     said = fleet.said()
     assert said.startswith(b"HTTP/1.1 %d " % status) and type(failure).__name__.encode() in said
     assert (b"Retry-After: %s\r\n" % retry in said) if retry else b"Retry-After" not in said
@@ -171,7 +171,7 @@
     fleet = Fleet()
     _, sink = fleet.ask()
     sink.head(200, [(b"Content-Type", b"text/event-stream")])
-    sink.failed(failures.Unknown())
+    sink.fail(failures.Unknown())
     assert fleet.transport.disconnecting and not fleet.said().endswith(b"0\r\n\r\n")
     other = Fleet()
     other.server.handle = front.handler(other.agent, lambda *_: 1 / 0)
@@ -201,7 +201,7 @@
     sink.head(200, [])
     sink.data(b"x")
     sink.end()
-    sink.failed(failures.Unknown())
+    sink.fail(failures.Unknown())
 
 
 @pytest.mark.parametrize(
@@ -245,10 +245,10 @@
     fleet = Fleet()
     fleet.ask((GET + b"\r\n") * 2)
     assert len(fleet.calls) == 1
-    fleet.calls[0][1].failed(failures.NoRoute())
+    fleet.calls[0][1].fail(failures.NoRoute())
     assert len(fleet.calls) == 2
     fleet.server.close_idle()
     assert not fleet.transport.disconnecting
-    fleet.calls[1][1].failed(failures.NoRoute())
+    fleet.calls[1][1].fail(failures.NoRoute())
     fleet.server.close_idle()
     assert fleet.transport.disconnecting
--- a/tests/test_platform_front_properties.py
+++ b/tests/test_platform_front_properties.py
@@ -119,7 +119,7 @@
         before = len(fleet.calls)
         serve(request)
         for _, sink in fleet.calls[before:]:
-            fleet.clock.callLater(0, sink.failed, failures.NoRoute())
+            fleet.clock.callLater(0, sink.fail, failures.NoRoute())
 
     fleet.server.handle = handle
     for piece in pieces:
--- a/tests/test_proxy_attempts.py
+++ b/tests/test_proxy_attempts.py
@@ -1,7 +1,7 @@
 """Tests that a request is executed by at most `attempts` runners, and that refusals may be retried elsewhere."""
 
 import pytest
-from proxy_harness import HEAD, ProxyHarness, answer_bytes, chunk, make_route, make_runner
+from proxy_harness import HEAD, ProxyHarness, chunk, make_route, make_runner, response_bytes
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
@@ -11,7 +11,7 @@
 from frostpost.proxy.outcomes import Broken, ClientLeft, Late, NotRun, NotSent
 
 RUNNERS = [make_runner("r1"), make_runner("r2"), make_runner("r3")]
-REFUSAL = answer_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
+REFUSAL = response_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
 ONE = b"id: 1\ndata: a\n\n"
 
 
--- a/tests/test_proxy_connection_failures.py
+++ b/tests/test_proxy_connection_failures.py
@@ -8,7 +8,7 @@
 
 import pytest
 from msgspec import Struct
-from proxy_harness import HEAD, ProxyHarness, answer_bytes, chunk, make_route, make_runner
+from proxy_harness import HEAD, ProxyHarness, chunk, make_route, make_runner, response_bytes
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
@@ -20,10 +20,10 @@
 
 ONE, TWO, THREE = (b"id: %d\ndata: %c\n\n" % (n, c) for n, c in ((1, b"a"), (2, b"b"), (3, b"c")))
 RUNNERS = [make_runner("r1"), make_runner("r2"), make_runner("r3")]
-PLAIN_RESPONSE = answer_bytes()
+PLAIN_RESPONSE = response_bytes()
 STREAM_RESPONSE = HEAD + chunk(ONE) + chunk(TWO) + chunk(THREE) + b"0\r\n\r\n"
-REFUSAL = answer_bytes(b"no", status=b"503 Full", headers=b"Not-Run: 1\r\n")
-MISDIRECTED = answer_bytes(b"", status=b"421 Other", headers=b"")
+REFUSAL = response_bytes(b"no", status=b"503 Full", headers=b"Not-Run: 1\r\n")
+MISDIRECTED = response_bytes(b"", status=b"421 Other", headers=b"")
 NOT_EXECUTED = (failures.Overloaded, failures.Unavailable, failures.Leaving, failures.BudgetSpent, failures.UnknownTurn)
 DEADLINE_S = 4.0
 
@@ -37,7 +37,7 @@
     streams: bool = False
 
     @property
-    def answer(self):
+    def response(self):
         return STREAM_RESPONSE if self.streams else PLAIN_RESPONSE
 
 
@@ -92,11 +92,11 @@
         request = connection.transport.value().split(b"POST ")[-1]
         attempt = request.split(b"Attempt: ")[1].split(b"\r\n")[0]
         self.runs[attempt.decode()] += 1
-        answer = self.kind.answer.replace(b"Attempt: a1", b"Attempt: " + attempt)
+        response = self.kind.response.replace(b"Attempt: a1", b"Attempt: " + attempt)
         last_event_id = request.split(b"Last: ")[1].split(b"\r\n")[0]
         for event in (ONE, TWO, THREE)[: int(last_event_id or 0)]:
-            answer = answer.replace(chunk(event), b"")
-        connection.dataReceived(answer)
+            response = response.replace(chunk(event), b"")
+        connection.dataReceived(response)
 
     def check(self, attempt="a1"):
         """Check the events of a client against the number of executions."""
@@ -164,12 +164,12 @@
 def test_disruption_at_each_byte_of_the_response(monkeypatch, kind, disruption):
     # Inside a body, such bytes can't be told from the body's own.
     before_body = disruption in (malformed_response, response_of_another_request)
-    for offset in range(kind.answer.index(b"\r\n\r\n") if before_body else len(kind.answer)):
+    for offset in range(kind.response.index(b"\r\n\r\n") if before_body else len(kind.response)):
         scenario = Scenario(kind, monkeypatch)
         scenario.send("a1")
         connection = scenario.accept_connection()
         scenario.runs["a1"] += 1
-        connection.dataReceived(kind.answer[:offset])
+        connection.dataReceived(kind.response[:offset])
         disruption(scenario, connection)
         scenario.respond_on_other_runners()
         scenario.check()
@@ -192,14 +192,14 @@
 
 @EACH_KIND
 def test_surplus_bytes_do_not_affect_a_complete_response(monkeypatch, kind):
-    surplus = kind.answer
+    surplus = kind.response
     for offset in range(1, len(surplus) + 1):
         for separately in (False, True):
             scenario = Scenario(kind, monkeypatch)
             scenario.send("a1")
             connection = scenario.accept_connection()
             scenario.runs["a1"] += 1
-            connection.dataReceived(kind.answer + (b"" if separately else surplus[:offset]))
+            connection.dataReceived(kind.response + (b"" if separately else surplus[:offset]))
             if separately:
                 connection.dataReceived(surplus[:offset])
             scenario.check()
@@ -213,7 +213,7 @@
 @EACH_KIND
 def test_late_response_on_a_reused_connection_is_discarded(monkeypatch, kind):
     for late_response in (
-        kind.answer,
+        kind.response,
         PLAIN_RESPONSE,
         REFUSAL,
         MISDIRECTED,
@@ -224,12 +224,12 @@
             scenario = Scenario(kind, monkeypatch)
             scenario.send("a1")
             connection = scenario.accept_connection()
-            connection.dataReceived(kind.answer)
+            connection.dataReceived(kind.response)
             scenario.send("b1")
             assert connection.transport.value().count(b"POST") == 2
             scenario.runs["b1"] = 1
             connection.dataReceived(late_response[:offset])
-            connection.dataReceived(late_response[offset:] + kind.answer.replace(b"a1", b"b1"))
+            connection.dataReceived(late_response[offset:] + kind.response.replace(b"a1", b"b1"))
             scenario.respond_on_other_runners()
             scenario.check("b1")
             assert scenario.clients["a1"][-1] == "end" and connection.unusable
@@ -242,7 +242,7 @@
     scenario = Scenario(kind, monkeypatch)
     scenario.send("a1")
     connection = scenario.accept_connection()
-    connection.dataReceived(kind.answer)
+    connection.dataReceived(kind.response)
     if not written:
         disruption(scenario, connection)
     scenario.send("b1")
@@ -258,14 +258,14 @@
 
 @EACH_KIND
 def test_client_disconnect_at_each_byte_of_the_response(monkeypatch, kind):
-    for offset in range(len(kind.answer)):
+    for offset in range(len(kind.response)):
         scenario = Scenario(kind, monkeypatch)
         scenario.send("a1")
         connection = scenario.accept_connection()
-        connection.dataReceived(kind.answer[:offset])
+        connection.dataReceived(kind.response[:offset])
         events_before = list(scenario.clients["a1"])
         scenario.harness.disconnect_client()
-        connection.dataReceived(kind.answer[offset:])
+        connection.dataReceived(kind.response[offset:])
         assert scenario.clients["a1"] == events_before or kind.route["kind"] == "idempotent"
         assert not scenario.has_pending_connection()
         scenario.send("b1")
--- a/tests/test_proxy_exchange_state.py
+++ b/tests/test_proxy_exchange_state.py
@@ -20,7 +20,7 @@
     NotWritten,
     Queued,
     ReceivingBody,
-    Wrote,
+    Written,
     may_have_run,
     rejection_reason,
     step,
@@ -35,8 +35,8 @@
 MISDIRECTED = RunnerHead(421, [], attempt="a1")
 FOREIGN = RunnerHead(200, [], attempt="a0", sealed=True)
 EVENTS = [
-    Wrote(True),
-    Wrote(False),
+    Written(True),
+    Written(False),
     NotWritten("gone"),
     *map(HeadRead, (OWN, FAILURE, REFUSAL, MISDIRECTED, FOREIGN)),
     DataRead(b"x"),
@@ -76,7 +76,7 @@
 def test_only_unsent_or_refused_exchanges_are_not_executed():
     for history in event_histories(4):
         state, _ = run_history(history)
-        written = any(isinstance(event, Wrote) for event in history)
+        written = any(isinstance(event, Written) for event in history)
         if isinstance(state, Ended) and isinstance(state.outcome, (NotSent, NotRun)):
             assert not may_have_run(state), history
         elif isinstance(state, Ended) and isinstance(state.outcome, (Broken, Whole)):
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(
     "state, event, next_state, actions",
     [
-        (Queued(), Wrote(True), MaybeSent(True), ()),
+        (Queued(), Written(True), MaybeSent(True), ()),
         (Queued(), NotWritten("late"), Ended(NotSent("late"), False), (Finish(NotSent("late")),)),
         (Queued(), Cancelled(), Ended(None, False), ()),
         (MaybeSent(False), Cancelled(), Ended(None, True), (AbortConnection(),)),
--- a/tests/test_proxy_fencing.py
+++ b/tests/test_proxy_fencing.py
@@ -2,7 +2,7 @@
 
 import pytest
 from expression import Ok
-from proxy_harness import HEAD, ProxyHarness, answer_bytes, chunk, make_route, make_runner
+from proxy_harness import HEAD, ProxyHarness, chunk, make_route, make_runner, response_bytes
 from twisted.internet.defer import Deferred
 
 from frostpost.program_ledger.messages import (
@@ -18,7 +18,7 @@
 )
 from frostpost.proxy import failures
 
-REFUSAL = answer_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
+REFUSAL = response_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
 ONE = b"id: 1\ndata: a\n\n"
 
 
@@ -34,7 +34,7 @@
     harness = make_harness(monkeypatch, "idempotent")
     harness.results[ResolveOperationKey] = NoAttempt("a1")
     harness.serve(key="k")
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert types_of(harness.client_events) == [failures.Unknown]
 
 
@@ -73,7 +73,7 @@
     harness.serve(key="k", deadline_ms=1000)
     connection = harness.accept_connection()
     harness.reactor.advance(0.99)
-    connection.dataReceived(answer_bytes() if kind == "idempotent" else HEAD + chunk(ONE) + b"0\r\n\r\n")
+    connection.dataReceived(response_bytes() if kind == "idempotent" else HEAD + chunk(ONE) + b"0\r\n\r\n")
     assert 10 <= harness.wait_times_ms[operation] < 250
 
 
@@ -129,7 +129,7 @@
     harness.serve(key="k")
     connection = harness.accept_connection()
     harness.has_lease = False
-    connection.dataReceived(answer_bytes())
+    connection.dataReceived(response_bytes())
     assert types_of(harness.client_events) == [failures.Unknown] and types_of(harness.background_operations) == [
         ResolveOperationKey
     ]
--- a/tests/test_proxy_forwarding.py
+++ b/tests/test_proxy_forwarding.py
@@ -1,6 +1,6 @@
 import pytest
 from expression import Ok
-from proxy_harness import ProxyHarness, answer_bytes, make_route, make_runner
+from proxy_harness import ProxyHarness, make_route, make_runner, response_bytes
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -19,7 +19,7 @@
 
 OK = [("head", 200), ("data", b"out"), "end"]
 RUNNERS = [make_runner("r1"), make_runner("r2")]
-REFUSAL = answer_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
+REFUSAL = response_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
 
 
 def make_harness(monkeypatch, kind="unsafe", runners=RUNNERS, **route):
@@ -37,9 +37,9 @@
     request = connection.transport.value()
     assert request.startswith(b"POST /a/x?y HTTP/1.1\r\nHost: h\r\nX-Case: v\r\n")
     assert request.endswith(b"Content-Length: 2\r\n\r\nin")
-    connection.dataReceived(answer_bytes()[:-1])
+    connection.dataReceived(response_bytes()[:-1])
     assert harness.client_events == []
-    connection.dataReceived(answer_bytes()[-1:])
+    connection.dataReceived(response_bytes()[-1:])
     assert harness.client_events == OK
     harness.serve()
     assert len(harness.reactor.tcpClients) == 1 and connection.transport.value().count(b"POST") == 2
@@ -48,12 +48,12 @@
 @pytest.mark.parametrize(
     "data",
     [
-        answer_bytes(attempt=b"a0"),
-        answer_bytes(headers=b""),
-        answer_bytes(headers=b"Seal: x\r\nContent-Encoding: gzip\r\n"),
-        answer_bytes(status=b"503 Full", headers=b""),
+        response_bytes(attempt=b"a0"),
+        response_bytes(headers=b""),
+        response_bytes(headers=b"Seal: x\r\nContent-Encoding: gzip\r\n"),
+        response_bytes(status=b"503 Full", headers=b""),
         b"nonsense\r\n\r\n",
-        answer_bytes(attempt=b"a0", status=b"503 Full", headers=b"Not-Run: 1\r\n"),
+        response_bytes(attempt=b"a0", status=b"503 Full", headers=b"Not-Run: 1\r\n"),
     ],
 )
 def test_invalid_response_is_discarded_and_reported_as_unknown(monkeypatch, data):
@@ -69,7 +69,7 @@
     harness = make_harness(monkeypatch)
     harness.serve()
     connection = harness.accept_connection()
-    connection.dataReceived(answer_bytes(length=9))
+    connection.dataReceived(response_bytes(length=9))
     lose_connection(connection)
     assert [type(item) for item in harness.client_events] == [failures.Unknown] and len(harness.reactor.tcpClients) == 1
 
@@ -79,9 +79,9 @@
     harness = make_harness(monkeypatch, runners=RUNNERS[:1])
     harness.serve()
     connection = harness.accept_connection()
-    connection.dataReceived(answer_bytes() + (b"more" if surplus_at_once else b""))
+    connection.dataReceived(response_bytes() + (b"more" if surplus_at_once else b""))
     if not surplus_at_once:
-        connection.dataReceived(answer_bytes())
+        connection.dataReceived(response_bytes())
     assert harness.client_events == OK and connection.unusable
     harness.serve()
     assert len(harness.reactor.tcpClients) == 2
@@ -91,11 +91,11 @@
     harness = make_harness(monkeypatch, kind="safe")
     harness.serve()
     lose_connection(harness.accept_connection())
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert harness.client_events == OK
 
 
-@pytest.mark.parametrize("refusal", [REFUSAL, answer_bytes(b"", status=b"421 Other", headers=b"")])
+@pytest.mark.parametrize("refusal", [REFUSAL, response_bytes(b"", status=b"421 Other", headers=b"")])
 def test_refused_request_is_retried_then_reported_as_not_executed(monkeypatch, refusal):
     harness = make_harness(monkeypatch)
     harness.serve()
@@ -110,7 +110,7 @@
     harness = make_harness(monkeypatch, attempts=1)
     harness.serve()
     harness.fail_connection(Failure(ConnectionRefusedError()))
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert harness.client_events == OK
 
 
@@ -173,7 +173,7 @@
     harness = make_harness(monkeypatch, kind="idempotent")
     harness.results[ResolveOperationKey] = Deferred()
     harness.serve(key="k")
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert (
         harness.operations[0] == ClaimOperationKey("h|k", "a1", 1000 + 6 * 500)
         and isinstance(harness.operations[1], ResolveOperationKey)
@@ -190,7 +190,7 @@
     harness = make_harness(monkeypatch, kind="idempotent")
     harness.results[ResolveOperationKey] = failures.Unavailable(100)
     harness.serve(key="k")
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert [type(item) for item in harness.client_events] == [failures.Unknown]
     assert [type(op) for op in harness.background_operations] == [ResolveOperationKey]
 
--- a/tests/test_proxy_response_properties.py
+++ b/tests/test_proxy_response_properties.py
@@ -106,16 +106,16 @@
 
 @PROPERTY_SETTINGS
 @given(valid_responses(), OFFSETS, st.binary(max_size=20))
-def test_valid_response_is_parsed_across_any_boundaries(answer, offsets, surplus):
-    data, fields, body = answer
-    heads, read, after_end, rejected = parse_response(split_at(data + surplus, offsets))
-    assert heads == [(200, fields)] and read == body and after_end == surplus and not rejected
+def test_valid_response_is_parsed_across_any_boundaries(response, offsets, surplus):
+    data, fields, body = response
+    heads, parsed_body, after_end, rejected = parse_response(split_at(data + surplus, offsets))
+    assert heads == [(200, fields)] and parsed_body == body and after_end == surplus and not rejected
 
 
 @PROPERTY_SETTINGS
 @given(valid_responses(), st.integers(1, 500), OFFSETS)
-def test_truncated_response_is_never_complete(answer, removed, offsets):
-    data = answer[0][:-removed]
+def test_truncated_response_is_never_complete(response, removed, offsets):
+    data = response[0][:-removed]
     assert parse_response(split_at(data, offsets))[2] is None
 
 
--- a/tests/test_proxy_stream.py
+++ b/tests/test_proxy_stream.py
@@ -1,6 +1,6 @@
 import pytest
 from expression import Error, Ok
-from proxy_harness import HEAD, HOLDERS, ProxyHarness, answer_bytes, chunk, make_route, make_runner
+from proxy_harness import HEAD, HOLDERS, ProxyHarness, chunk, make_route, make_runner, response_bytes
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
@@ -22,7 +22,7 @@
 
 ONE, TWO = b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n"
 RUNNERS = [make_runner("r1"), make_runner("r2")]
-REFUSAL = answer_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
+REFUSAL = response_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n")
 
 
 def make_harness(monkeypatch, **route):
@@ -192,7 +192,7 @@
 def test_runner_error_is_forwarded_without_charging_tokens(monkeypatch):
     harness = make_harness(monkeypatch)
     harness.serve()
-    harness.accept_connection().dataReceived(answer_bytes(b"bad", status=b"500 Bad", headers=b""))
+    harness.accept_connection().dataReceived(response_bytes(b"bad", status=b"500 Bad", headers=b""))
     assert harness.client_events == [("head", 500), ("data", b"bad"), "end"] and harness.background_operations == [
         EndAttempt("a1", 0)
     ]
--- a/tests/test_proxy_wait_policy.py
+++ b/tests/test_proxy_wait_policy.py
@@ -4,7 +4,7 @@
 from expression import Error, Ok
 from hypothesis import given
 from hypothesis import strategies as st
-from proxy_harness import HEAD, ProxyHarness, answer_bytes, chunk, make_route, make_runner
+from proxy_harness import HEAD, ProxyHarness, chunk, make_route, make_runner, response_bytes
 from twisted.internet.defer import Deferred, succeed
 
 from frostpost.cluster import lease_client, lease_waiters
@@ -44,7 +44,7 @@
     harness.reactor.advance(0.5)
     assert harness.client_events == [] and harness.reactor.tcpClients == [] and harness.agent.flights == 1
     restore_lease(harness)
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert harness.client_events == [("head", 200), ("data", b"out"), "end"] and harness.agent.flights == 0
     assert harness.reactor.getDelayedCalls() == []
 
@@ -173,7 +173,7 @@
     decision = Deferred()
     harness.results[ReassignAttempt] = [decision, AttemptBegun("r2", ())]
     harness.serve(program="g", budget=9, max_output_tokens=5)
-    harness.accept_connection().dataReceived(answer_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n"))
+    harness.accept_connection().dataReceived(response_bytes(b"", status=b"503 Full", headers=b"Not-Run: 1\r\n"))
     harness.reactor.advance(1)
     decision.callback(Ok(NoCapacity(20)))
     harness.reactor.advance(0.02)
@@ -190,7 +190,7 @@
     harness.has_lease = True
     harness.serve(host="other")
     harness.serve()
-    harness.accept_connection().dataReceived(answer_bytes())
+    harness.accept_connection().dataReceived(response_bytes())
     assert [event for event, _ in logged] == ["request_not_served"]
     assert logged[0][1] == dict(
         attempt="a1",
@@ -207,14 +207,16 @@
 
 
 @given(TIMES, TIMES, TIMES, st.integers(1, 5000))
-def test_lease_wait_is_bounded_by_remaining_time_and_outage_length(now_ms, left_ms, lost_since_ms, lease_ms):
-    until_ms = wait_policy.lease_wait_until_ms(now_ms, left_ms, lost_since_ms, lease_ms)
-    assert until_ms <= now_ms + left_ms / 2 and until_ms <= lost_since_ms + wait_policy.MAX_OUTAGE_LEASES * lease_ms
+def test_lease_wait_is_bounded_by_remaining_time_and_outage_length(now_ms, remaining_ms, lost_since_ms, lease_ms):
+    until_ms = wait_policy.lease_wait_until_ms(now_ms, remaining_ms, lost_since_ms, lease_ms)
+    assert (
+        until_ms <= now_ms + remaining_ms / 2 and until_ms <= lost_since_ms + wait_policy.MAX_OUTAGE_LEASES * lease_ms
+    )
 
 
-@pytest.mark.parametrize("left_ms", [-5, 0])
-def test_expired_request_does_not_wait(left_ms):
-    assert wait_policy.decision_wait_ms(left_ms) == 0
+@pytest.mark.parametrize("remaining_ms", [-5, 0])
+def test_expired_request_does_not_wait(remaining_ms):
+    assert wait_policy.decision_wait_ms(remaining_ms) == 0
 
 
 def test_refusal_despite_a_valid_lease_is_not_retried(monkeypatch):
