--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -79,7 +79,7 @@
     """Facts of an agent, as JSON values."""
     session, now, runners = session_of(agent), now_ms(agent), agent.runners
     resting_runners = [
-        runner_id for runner_id, load in agent.loads.items() if runner_id in runners and load.resting_until_ms > now
+        runner_id for runner_id, load in agent.loads.items() if runner_id in runners and load.ejected_until_ms > now
     ]
     return common_facts(agent.endpoint, now - agent.attachments.get("started_ms", now), agent.counts) | {
         "sequencer": session.sequencer,
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/wire.py
@@ -1,6 +1,6 @@
 """How runners are spoken to: headers of a request sent to one, and the head of its answer."""
 
-from frostpost.proxy.words import RunnerHead, Wire
+from frostpost.proxy.models import RunnerHead, Wire
 
 from .names import ATTEMPT, HOP_BY_HOP, INSTANCE, LAST_EVENT, LEFT, LOAD, NOT_RUN, SEAL, TARGET, connection_names
 
@@ -9,7 +9,7 @@
 
 def request_headers(call, runner, left_ms):
     """The call's headers with the time left, the runner's id and the last event put in."""
-    resumed = bool(call.last_event)
+    resumed = bool(call.last_event_id)
     headers = [
         (name, value)
         for name, value in call.headers
@@ -18,7 +18,7 @@
     headers.append((b"X-Time-Remaining", b"%d" % max(0, int(left_ms))))
     headers.append((b"X-Target-Instance", runner.id.encode("latin-1")))
     if resumed:
-        headers.append((b"Last-Event-Id", call.last_event.encode("latin-1")))
+        headers.append((b"Last-Event-Id", call.last_event_id.encode("latin-1")))
     return headers
 
 
@@ -59,12 +59,12 @@
         status=status,
         headers=[(name, value) for name, value in headers if name.lower() not in gone],
         attempt=found.get(ATTEMPT, b"").decode("latin-1"),
-        not_run=status == 421 or NOT_RUN in found,
+        not_executed=status == 421 or NOT_RUN in found,
         sealed=sum(name.lower() == SEAL for name, _ in headers) == 1 and bool(found[SEAL]),
         instance=found.get(INSTANCE, b"").decode("latin-1"),
         load=load_of(found[LOAD]) if LOAD in found else None,
         close=any(token.strip().lower() == b"close" for value in connection for token in value.split(b",")),
-        keep_ms=keep_ms_of(found.get(b"keep-alive", b"")),
+        keep_alive_ms=keep_ms_of(found.get(b"keep-alive", b"")),
     )
 
 
--- a/frostpost/proxy/exchange.py
+++ b/frostpost/proxy/exchange.py
@@ -1,27 +1,27 @@
-"""One request to one runner and what was heard of its answer."""
+"""One HTTP request to one runner: feeds connection events to the state machine in `exchange_state`."""
 
 from frostpost.cluster.agent_context import now_ms
 
-from .sending import (
+from .exchange_state import (
+    AbortConnection,
     BodyEnded,
+    Cancelled,
     ConnectionFailed,
     DataRead,
     DrainConnection,
-    DropConnection,
     Ended,
     Finish,
-    GivenUp,
+    ForwardData,
+    ForwardHead,
     HeadRead,
     NotWritten,
-    PassData,
-    PassHead,
     Queued,
-    Wrote,
+    Written,
     may_have_run,
     step,
 )
 
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -35,97 +35,100 @@
         b"expect",
     )
 )
-QUEUED, GIVEN_UP, BODY_ENDED = Queued(), GivenUp(), BodyEnded()
-WITH_BODY = (b"POST", b"PUT", b"PATCH")
+QUEUED, CANCELLED, BODY_ENDED = Queued(), Cancelled(), BodyEnded()
+METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")
 
 
 class Exchange:
-    """The shell of `sending`: one request, its connection, and the listener that is told.
+    """Drives the state machine of one request and executes its actions on the connection and the listener.
 
-    listener: head(RunnerHead), data(bytes), done(outcome); done comes once and last, unless the request is given up.
+    listener: head(RunnerHead), data(bytes), done(outcome). done() is called exactly once and last, unless the exchange
+    is stopped.
     """
 
     __slots__ = ("body", "call", "connection", "head", "agent", "listener", "runner", "state", "until_ms")
 
     def __init__(self, agent, runner, call, body, until_ms, listener):
-        """Wait for a connection to the runner, until until_ms."""
         self.agent, self.runner, self.call, self.body = agent, runner, call, body
         self.until_ms, self.listener = until_ms, listener
         self.connection, self.head, self.state = None, None, QUEUED
 
     @property
-    def over(self):
-        """Whether it has ended, in whatever way."""
+    def has_ended(self):
+        """Whether the exchange has ended."""
         return isinstance(self.state, Ended)
 
     def stop(self):
-        """Give it up without a word to the listener; True if the runner may have begun to run it."""
-        self.feed(GIVEN_UP)
+        """Cancel the exchange without notifying the listener.
+
+        Returns True if the runner may have started to execute the request.
+        """
+        self.handle_event(CANCELLED)
         return may_have_run(self.state)
 
     def pause(self):
-        """Read no more of the answer for now."""
-        if not self.over and self.connection is not None:
+        """Stop reading the response."""
+        if not self.has_ended and self.connection is not None:
             self.connection.pause()
 
     def resume(self):
-        """Read on."""
-        if not self.over and self.connection is not None:
+        """Resume reading the response."""
+        if not self.has_ended and self.connection is not None:
             self.connection.resume()
 
     def write_to(self, connection):
-        """Write the request."""
-        left_ms = self.until_ms - now_ms(self.agent)
-        data = request_bytes(self.agent.wire, self.runner, self.call, self.body, left_ms)
+        """Write the request to a connection."""
+        remaining_ms = self.until_ms - now_ms(self.agent)
+        data = request_bytes(self.agent.wire, self.runner, self.call, self.body, remaining_ms)
         self.connection = connection
-        self.feed(Wrote(connection.exchanges == 0))
+        self.handle_event(Written(connection.exchange_count == 0))
         connection.start(self, data, self.call.method == b"HEAD")
 
-    def not_sent(self, why):
-        """Nothing of it was or will be written."""
-        self.feed(NotWritten(why))
+    def fail_unsent(self, reason):
+        """End the exchange without having written the request."""
+        self.handle_event(NotWritten(reason))
 
-    def heard_head(self, status, fields):
-        """The head of an answer came on its connection."""
+    def on_head(self, status, fields):
+        """Handle a response head."""
         head = self.head = self.agent.wire.read_head(status, fields)
-        self.connection.learn(head)
-        self.feed(HeadRead(head))
+        self.connection.apply_head(head)
+        self.handle_event(HeadRead(head))
 
-    def heard_data(self, data):
-        """A piece of the answer's body came."""
-        self.feed(DataRead(data))
+    def on_data(self, data):
+        """Handle a piece of the response body."""
+        self.handle_event(DataRead(data))
 
-    def heard_whole(self):
-        """The answer's body ended as its head promised."""
-        self.feed(BODY_ENDED)
+    def on_body_end(self):
+        """Handle the end of the response body."""
+        self.handle_event(BODY_ENDED)
 
-    def heard_broken(self, why):
-        """The connection ended, or what came on it is no answer."""
-        self.feed(ConnectionFailed(why))
+    def on_failure(self, reason):
+        """Handle the loss of the connection or a malformed response."""
+        self.handle_event(ConnectionFailed(reason))
 
-    def feed(self, heard):
-        """Take one step and do what it asks for."""
-        self.state, actions = step(self.call, self.state, heard)
+    def handle_event(self, event):
+        """Advance the state machine by one event and execute its actions."""
+        self.state, actions = step(self.call, self.state, event)
         for action in actions:
             match action:
-                case PassHead(head):
+                case ForwardHead(head):
                     self.listener.head(head)
-                case PassData(data):
+                case ForwardData(data):
                     self.listener.data(data)
-                case DropConnection():
-                    self.connection.drop()
+                case AbortConnection():
+                    self.connection.abort()
                 case DrainConnection():
-                    self.connection.detach()
+                    self.connection.drain()
                 case Finish(outcome):
                     self.listener.done(outcome)
 
 
-def request_bytes(wire, runner, call, body, left_ms):
-    """The whole request as it goes to a runner."""
+def request_bytes(wire, runner, call, body, remaining_ms):
+    """Serialize a request to a runner."""
     lines = [call.method + b" " + call.uri + b" HTTP/1.1", b"Host: " + call.host.encode("latin-1")]
-    for name, value in wire.request_headers(call, runner, left_ms):
-        if name.lower() not in HOP:
+    for name, value in wire.request_headers(call, runner, remaining_ms):
+        if name.lower() not in HOP_BY_HOP_HEADERS:
             lines.append(name + b": " + value)
-    if body or call.method in WITH_BODY:
+    if body or call.method in METHODS_WITH_BODY:
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/frostpost/proxy/serve.py
+++ b/frostpost/proxy/serve.py
@@ -1,4 +1,4 @@
-"""The way of one request: filters in order, then the way of its route's kind."""
+"""Entry point for client requests: admission checks, then dispatch by route kind."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -8,64 +8,69 @@
 
 from .decision_record import RequestObserver
 from .failures import BadRequest, Leaving, NoRoute, Overloaded, Unavailable
-from .hold_policy import lease_hold_until_ms
-from .keyed import keyed
-from .lookup import hand_over, lookup, retry_ms
+from .forwarding import deliver, retry_ms, serve_unordered
+from .idempotency import serve_idempotent
+from .models import Route, Service
 from .outcomes import ClientLeft
 from .routing import find_route, pick_service
-from .run import Watch
-from .stream import stream
-from .words import Route, Service
+from .runner_request import ClientWatcher
+from .stream import serve_stream
+from .wait_policy import lease_wait_until_ms
 
-RETRY_MS = 700
-WAYS = {"safe": lookup, "unsafe": lookup, "idempotent": keyed, "streaming": stream}
+UNAVAILABLE_RETRY_MS = 700
+HANDLERS = {
+    "safe": serve_unordered,
+    "unsafe": serve_unordered,
+    "idempotent": serve_idempotent,
+    "streaming": serve_stream,
+}
 
 
 class Admitted(Struct, frozen=True):
-    """A request that is taken. until_ms: when its answer has to be whole, on this daemon's clock."""
+    """An admitted request. until_ms: deadline for the complete response, on this daemon's clock."""
 
     route: Route
     service: Service
     until_ms: int
 
 
-def takes_no_more(agent):
-    """Whether this daemon is leaving and has stopped taking requests."""
+def is_shutting_down(agent):
+    """Return whether this daemon is shutting down and has stopped accepting requests."""
     return agent.draining and bool(agent.attachments.get("last_call"))
 
 
 def route_of(agent, call):
-    """The route of a call in the routing that this daemon has, or None."""
+    """Return the route of a request in the current routing, or None."""
     return find_route(agent, call.host, call.uri.partition(b"?")[0].decode("latin-1"))
 
 
 def deadline_of(call, route):
-    """When the answer to a call has to be whole."""
+    """Return the deadline for the complete response."""
     return call.deadline_ms if route is None else min(call.deadline_ms, call.started_ms + route.timeout_ms)
 
 
 def admit(agent, call):
-    """-> Admitted, or the failure that says why the call isn't taken."""
-    if takes_no_more(agent):
+    """Check whether a request can be served; returns Admitted or a failure."""
+    if is_shutting_down(agent):
         return Leaving()
     if not may_serve(agent):
-        return Unavailable(RETRY_MS, "lease")
-    if not clean(call):
+        return Unavailable(UNAVAILABLE_RETRY_MS, "lease")
+    if not is_unambiguous(call):
         return BadRequest("header")
     route = route_of(agent, call)
     if route is None:
         return NoRoute()
     service = pick_service(agent.routing, route, call.attempt)
-    if service is None or route.kind not in WAYS:
-        return Unavailable(RETRY_MS, "service")
+    if service is None or route.kind not in HANDLERS:
+        return Unavailable(UNAVAILABLE_RETRY_MS, "service")
     until_ms = deadline_of(call, route)
     if until_ms <= now_ms(agent):
         return Overloaded(retry_ms(route))
     return Admitted(route, service, until_ms)
 
 
-def clean(call):
-    """Nothing in it could be read as another request."""
+def is_unambiguous(call):
+    """Return whether the request has an attempt id and an ASCII host, and can't be parsed as another request."""
     if any(byte <= 32 for byte in call.uri + call.method) or not call.attempt or not call.host.isascii():
         return False
     head = b"".join(name + value for name, value in call.headers) + call.host.encode()
@@ -73,31 +78,31 @@
 
 
 @inlineCallbacks
-def hold_for_lease(agent, call):
-    """Wait until this daemon may serve, as long as the call may be held for that."""
+def delay_for_lease(agent, call):
+    """Wait until this daemon has a lease, as long as the request may be delayed for it."""
     now = now_ms(agent)
-    left_ms = deadline_of(call, route_of(agent, call)) - now
-    until_ms = lease_hold_until_ms(now, left_ms, lease_lost_at_ms(agent), agent.settings.lease_ms)
+    remaining_ms = deadline_of(call, route_of(agent, call)) - now
+    until_ms = lease_wait_until_ms(now, remaining_ms, lease_lost_at_ms(agent), agent.settings.lease_ms)
     yield wait_for_lease(agent, until_ms)
     call.delays.lease_ms = now_ms(agent) - now
 
 
 @inlineCallbacks
 def serve(agent, call, sink):
-    """Serve a call; the Deferred fires once the sink has been told all."""
+    """Serve a request; the returned Deferred fires when the sink is finished."""
     count(agent, "requests")
     observer = RequestObserver(agent, call, sink)
     sink = observer.observed_sink()
     agent.requests_in_flight += 1
     try:
-        watch = Watch(sink)
-        if not may_serve(agent) and not takes_no_more(agent):
-            yield hold_for_lease(agent, call)
-        admitted = ClientLeft() if watch.left else admit(agent, call)
+        watcher = ClientWatcher(sink)
+        if not may_serve(agent) and not is_shutting_down(agent):
+            yield delay_for_lease(agent, call)
+        admitted = ClientLeft() if watcher.disconnected else admit(agent, call)
         if not isinstance(admitted, Admitted):
-            return hand_over(agent, admitted, sink)
+            return deliver(agent, admitted, sink)
         route = admitted.route
         observer.route = route.name
-        yield WAYS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watch)
+        yield HANDLERS[route.kind](agent, route, admitted.service, call, sink, admitted.until_ms, watcher)
     finally:
         agent.requests_in_flight -= 1
--- a/frostpost/proxy/stream.py
+++ b/frostpost/proxy/stream.py
@@ -1,193 +1,202 @@
-"""Streams: passed on event by event, never joined from two runs, never ended before they are whole."""
+"""Streaming requests: responses are forwarded event by event and never mix the output of two executions."""
 
 from msgspec import structs
 from twisted.internet.defer import inlineCallbacks
 
 from frostpost.cluster.agent_context import count, now_ms
 
-from . import picking, turn
-from .attempts import attempts_for, may_offer, record
-from .events import EventParser
+from . import load_balancing, turn
+from .attempts import attempts_for, may_offer, record_outcome
+from .event_stream import EventParser
 from .failures import Overloaded, TimedOut, Unavailable, Unknown
-from .lookup import answer, hold_until_ms, retry_ms
+from .forwarding import retry_ms, slot_deadline_ms, write_answer
 from .outcomes import Answer, ClientLeft, Late, NotRun, NotSent, Whole
-from .run import run_once
+from .runner_request import send_once
 from .slot_overhead import observe_run, overhead_of
 
-PROMISES = (402, 404)
+RESERVED_STATUSES = (402, 404)
 
 
-class Stream:
-    """One answer under way. passed: events handed to the client. maybe: it may have run somewhere."""
+class StreamRelay:
+    """A response being streamed to a client.
+
+    event_count: number of events forwarded. may_have_run: whether a runner may have executed the request. resumed:
+    whether another runner continues the stream. diverged: whether its events did not continue the earlier ones.
+    """
 
     __slots__ = (
         "call",
         "sink",
-        "watch",
+        "watcher",
         "parser",
-        "headed",
-        "passed",
-        "last_id",
+        "head_sent",
+        "event_count",
+        "last_event_id",
         "data",
-        "keeps",
-        "maybe",
-        "joined",
-        "spliced",
+        "retains",
+        "may_have_run",
+        "resumed",
+        "diverged",
     )
 
-    def __init__(self, call, sink, watch, keeps):
-        """Hand nothing on yet."""
-        self.call, self.sink, self.watch, self.keeps = call, sink, watch, keeps
-        self.parser, self.headed, self.passed, self.last_id = EventParser(), False, 0, call.last_event
-        self.data, self.maybe, self.joined, self.spliced = [], False, False, False
+    def __init__(self, call, sink, watcher, retains):
+        self.call, self.sink, self.watcher, self.retains = call, sink, watcher, retains
+        self.parser, self.head_sent, self.event_count, self.last_event_id = EventParser(), False, 0, call.last_event_id
+        self.data, self.may_have_run, self.resumed, self.diverged = [], False, False, False
 
     def head(self, head):
-        """The head of a run's answer; only the first one reaches the client."""
-        self.parser, self.maybe = EventParser(), True
-        if not self.headed:
-            self.headed = True
+        """Handle a response head; only the first one is forwarded to the client."""
+        self.parser, self.may_have_run = EventParser(), True
+        if not self.head_sent:
+            self.head_sent = True
             self.sink.head(head.status, head.headers)
 
-    def heard(self, data):
-        """Hand whole events on, as long as they follow on those before."""
+    def on_data(self, data):
+        """Forward complete events as long as they continue the previous ones."""
         events = self.parser.feed(data)
-        if not events or self.spliced:
+        if not events or self.diverged:
             return
-        passed = []
+        forwarded = []
         for event in events:
             if event.id is not None:
-                if self.joined and not rises(self.last_id, event.id):
-                    self.spliced = True
+                if self.resumed and not follows(self.last_event_id, event.id):
+                    self.diverged = True
                     break
-                self.last_id = event.id
-            elif self.joined and event.data is not None:
-                self.spliced = True
+                self.last_event_id = event.id
+            elif self.resumed and event.data is not None:
+                self.diverged = True
                 break
-            passed.append(event.raw)
+            forwarded.append(event.raw)
             if event.data is not None:
-                self.passed += 1
-                if self.keeps:
+                self.event_count += 1
+                if self.retains:
                     self.data.append(event.data)
-        if passed:
-            self.sink.data(b"".join(passed))
+        if forwarded:
+            self.sink.data(b"".join(forwarded))
 
-    def rest(self):
-        """The bytes after the last whole event of a body that is whole."""
-        rest = self.parser.rest()
+    def forward_rest(self):
+        """Forward the bytes after the last complete event once the body has ended."""
+        rest = self.parser.pending_bytes()
         if rest:
-            self.passed += 1
+            self.event_count += 1
             self.sink.data(rest)
 
 
-def rises(last, name):
-    """Whether an event's id follows the last one passed on."""
-    if last.isdigit() and name.isdigit():
-        return int(name) > int(last)
-    return last != name
+def follows(last_id, event_id):
+    """Return whether an event id follows the last one forwarded."""
+    if last_id.isdigit() and event_id.isdigit():
+        return int(event_id) > int(last_id)
+    return last_id != event_id
 
 
 @inlineCallbacks
-def stream(agent, route, service, call, sink, until_ms, watch):
+def serve_stream(agent, route, service, call, sink, until_ms, watcher):
     """Serve a request of a streaming route."""
-    if until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
-        return sink.failed(Overloaded(retry_ms(route)))
-    ordered, runner, body = turn.ordered(route, call), None, call.body
+    if until_ms - now_ms(agent) < max(1, route.target_latency_ms // 10):
+        return sink.fail(Overloaded(retry_ms(route)))
+    ordered, runner, body = turn.needs_ledger(route, call), None, call.body
     if ordered:
-        placed = yield turn.begin(agent, route, service, call, until_ms)
+        placed = yield turn.begin_attempt(agent, route, service, call, until_ms)
         if not isinstance(placed, turn.Placed):
             count(agent, type(placed).__name__)
-            return None if watch.left else sink.failed(placed)
+            return None if watcher.disconnected else sink.fail(placed)
         runner, body = placed.runner, placed.body
-    state = Stream(call, sink, watch, route.retained)
-    outcome = yield send_on(agent, route, service, state, ordered, runner, body, until_ms)
-    yield finish(agent, route, service, state, ordered, outcome, until_ms)
+    relay = StreamRelay(call, sink, watcher, route.retained)
+    outcome = yield send_with_failover(agent, route, service, relay, ordered, runner, body, until_ms)
+    yield finish_stream(agent, route, service, relay, ordered, outcome, until_ms)
 
 
 @inlineCallbacks
-def send_on(agent, route, service, state, ordered, runner, body, until_ms):
-    """Send to one runner after another while that is allowed; the last outcome, or a failure with a promise."""
-    attempts, call = attempts_for(route, route.resumable), state.call
+def send_with_failover(agent, route, service, relay, ordered, runner, body, until_ms):
+    """Send the request to runners in turn while that is allowed.
+
+    Returns a Deferred of the last outcome, or of a failure if no runner executed the request.
+    """
+    attempts, call = attempts_for(route, route.resumable), relay.call
     tried = attempts.picked
-    hold_ms, outcome = hold_until_ms(agent, route, until_ms), None
+    slot_until_ms, outcome = slot_deadline_ms(agent, route, until_ms), None
     if ordered and runner is None:
-        runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
+        runner = yield next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms)
     while True:
         if runner is None and not ordered:
-            runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
+            runner = yield next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms)
         if not hasattr(runner, "id"):
-            return outcome if state.maybe else runner
-        if state.watch.left:
+            return outcome if relay.may_have_run else runner
+        if relay.watcher.disconnected:
             return ClientLeft()
         tried.append(runner.id)
         sent_ms = now_ms(agent)
-        outcome = yield run_once(agent, runner, call, body, until_ms, state.watch, state.head, state.heard)
+        outcome = yield send_once(agent, runner, call, body, until_ms, relay.watcher, relay.head, relay.on_data)
         if isinstance(outcome, Whole):
             observe_run(overhead_of(agent, service.name), now_ms(agent) - sent_ms)
-        record(attempts, outcome)
+        record_outcome(attempts, outcome)
         if isinstance(outcome, NotSent):
             if outcome.why in ("left", "late"):
-                return ClientLeft() if outcome.why == "left" else Late() if state.maybe else outcome
-            if outcome.why == "lease" and not state.maybe:
+                return ClientLeft() if outcome.why == "left" else Late() if relay.may_have_run else outcome
+            if outcome.why == "lease" and not relay.may_have_run:
                 return Unavailable(retry_ms(route), "lease")
         elif not isinstance(outcome, NotRun):
-            state.maybe = True
-            if not may_resume(route, state, outcome):
+            relay.may_have_run = True
+            if not may_resume(route, relay, outcome):
                 return outcome
-            state.joined = state.passed > 0
-            call = structs.replace(state.call, last_event=state.last_id)
-        if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.aim_ms // 10):
+            relay.resumed = relay.event_count > 0
+            call = structs.replace(relay.call, last_event_id=relay.last_event_id)
+        if not may_offer(attempts) or until_ms - now_ms(agent) < max(1, route.target_latency_ms // 10):
             return outcome
-        runner = yield next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms)
+        runner = yield next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms)
 
 
-def may_resume(route, state, outcome):
-    """Whether a stream that broke off may be taken up at another runner."""
-    if not route.resumable or state.spliced or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
+def may_resume(route, relay, outcome):
+    """Return whether an interrupted stream may be resumed at another runner."""
+    if not route.resumable or relay.diverged or isinstance(outcome, (Answer, Whole, Late, ClientLeft)):
         return False
-    return state.passed == 0 or state.last_id not in ("", state.call.last_event)
+    return relay.event_count == 0 or relay.last_event_id not in ("", relay.call.last_event_id)
 
 
 @inlineCallbacks
-def next_runner(agent, route, service, state, ordered, tried, hold_ms, until_ms):
-    """A runner, or the failure when there is none; the ledger moves only what no runner may have run."""
-    if ordered and not state.maybe:
-        name = yield turn.move(agent, route, service, state.call, tried, until_ms)
-        if not isinstance(name, str):
-            return name
-        return agent.runners.get(name) or Overloaded(retry_ms(route))
-    if state.maybe:
-        hold_ms = hold_until_ms(agent, route, until_ms)
-    runner = yield picking.place(agent, route, service, tried, state.call.attempt, hold_ms)
+def next_runner(agent, route, service, relay, ordered, tried, slot_until_ms, until_ms):
+    """Return a Deferred of the next runner, or of a failure if there is none.
+
+    The ledger reassigns an attempt only while no runner may have executed it.
+    """
+    if ordered and not relay.may_have_run:
+        runner_id = yield turn.reassign_attempt(agent, route, service, relay.call, tried, until_ms)
+        if not isinstance(runner_id, str):
+            return runner_id
+        return agent.runners.get(runner_id) or Overloaded(retry_ms(route))
+    if relay.may_have_run:
+        slot_until_ms = slot_deadline_ms(agent, route, until_ms)
+    runner = yield load_balancing.wait_for_runner(agent, route, service, tried, relay.call.attempt, slot_until_ms)
     return runner or Overloaded(retry_ms(route))
 
 
 @inlineCallbacks
-def finish(agent, route, service, state, ordered, outcome, until_ms):
-    """Close the attempt in the ledger and the answer at the client, in that order where it is whole."""
-    sink, call, tokens = state.sink, state.call, state.passed * service.event_tokens
-    if isinstance(outcome, Whole) and not state.spliced:
-        state.rest()
-        tokens = state.passed * service.event_tokens
-        lasts = True
+def finish_stream(agent, route, service, relay, ordered, outcome, until_ms):
+    """End the attempt in the ledger and then the response at the client; a complete response waits for the ledger."""
+    sink, call, tokens = relay.sink, relay.call, relay.event_count * service.event_tokens
+    if isinstance(outcome, Whole) and not relay.diverged:
+        relay.forward_rest()
+        tokens = relay.event_count * service.event_tokens
+        durable = True
         if ordered:
-            data = b"".join([call.body, *(part + b"\n" for part in state.data)]) if state.keeps else b""
-            lasts = yield turn.close(agent, route, service, call, tokens, data, until_ms)
-        count(agent, "streams" if lasts else "streams_unkept")
-        return sink.end() if lasts else sink.cut()
-    if ordered and state.maybe:
-        turn.broke_off(agent, call, tokens)
+            data = b"".join([call.body, *(payload + b"\n" for payload in relay.data)]) if relay.retains else b""
+            durable = yield turn.end_attempt(agent, route, service, call, tokens, data, until_ms)
+        count(agent, "streams" if durable else "streams_unkept")
+        return sink.end() if durable else sink.abort()
+    if ordered and relay.may_have_run:
+        turn.end_interrupted(agent, call, tokens)
     elif ordered:
-        turn.abort(agent, call)
-    if state.watch.left or isinstance(outcome, ClientLeft):
+        turn.abort_attempt(agent, call)
+    if relay.watcher.disconnected or isinstance(outcome, ClientLeft):
         return count(agent, "client_left")
-    if state.headed:
+    if relay.head_sent:
         count(agent, "streams_cut")
-        return sink.cut()
+        return sink.abort()
     count(agent, type(outcome).__name__)
-    if isinstance(outcome, Answer) and not (ordered and outcome.status in PROMISES):
-        return answer(sink, outcome)
-    if state.maybe:
-        return sink.failed(TimedOut() if isinstance(outcome, Late) else Unknown(getattr(outcome, "why", "")))
+    if isinstance(outcome, Answer) and not (ordered and outcome.status in RESERVED_STATUSES):
+        return write_answer(sink, outcome)
+    if relay.may_have_run:
+        return sink.fail(TimedOut() if isinstance(outcome, Late) else Unknown(getattr(outcome, "why", "")))
     if isinstance(outcome, (NotSent, NotRun)):
         outcome = Overloaded(retry_ms(route))
-    return sink.failed(outcome)
+    return sink.fail(outcome)
--- a/frostpost/proxy/turn.py
+++ b/frostpost/proxy/turn.py
@@ -1,4 +1,4 @@
-"""What the ledger is asked and told about one attempt at a stream, and the bodies that belong to it."""
+"""Ledger operations and body storage for one attempt at a streamed turn."""
 
 from msgspec import Struct
 from twisted.internet.defer import Deferred, gatherResults, inlineCallbacks
@@ -16,182 +16,193 @@
     ReassignAttempt,
     TokensSpent,
 )
-from frostpost.turn_store.client import fetch, put
-from frostpost.turn_store.client import is_durable_at as bodies_last
+from frostpost.turn_store.client import fetch, is_durable_at, put
 
-from . import picking
+from . import load_balancing
 from .failures import BudgetSpent, Overloaded, Unavailable, UnknownTurn
-from .hold_policy import begin_hold_ms
-from .lookup import hold_until_ms, lasting_ms, retry_ms
-from .order_calls import ORDER_RETRY_MS, call_until_decided
-from .slot_overhead import observe_order, overhead_of
+from .forwarding import record_wait_ms, retry_ms, slot_deadline_ms
+from .operation_retry import DECISION_RETRY_MS, call_until_decided
+from .slot_overhead import observe_decision, overhead_of
+from .wait_policy import leader_wait_ms
 
-PAUSE_MS = 20
-KEEP_TICKS = 10
+RETRY_INTERVAL_MS = 20
+RETENTION_MARGIN_TICKS = 10
 
 
 class Placed(Struct, frozen=True):
-    """A runner, and the whole body that it is to get."""
+    """A runner and the complete body to send to it."""
 
     runner: object
     body: bytes
 
 
-def ordered(route, call):
-    """Whether the ledger has to know of the attempt."""
+def needs_ledger(route, call):
+    """Return whether the attempt has to be recorded in the ledger."""
     return bool(call.program) or call.budget > 0 or route.retained
 
 
-def pause(agent, wait_ms):
-    """A Deferred that fires after a time."""
-    woken = Deferred()
-    agent.reactor.callLater(wait_ms / 1000, woken.callback, None)
-    return woken
+def delay(agent, wait_ms):
+    """Return a Deferred that fires after wait_ms."""
+    fired = Deferred()
+    agent.reactor.callLater(wait_ms / 1000, fired.callback, None)
+    return fired
 
 
 @inlineCallbacks
-def decide(agent, route, service, call, tried, operation, until_ms, waits_at_leader=False):
-    """The verdict, asked for again while no candidate has room; an Unavailable when there is none.
+def request_slot(agent, route, service, call, tried, operation, until_ms, waits_at_leader=False):
+    """Submit an operation that needs a runner slot, again while no candidate has one.
 
-    waits_at_leader: what lacks a slot has waited there before its NoCapacity, so it isn't asked for again.
+    waits_at_leader: the leader queues the operation until a slot is free, so a NoCapacity is final. Returns a Deferred
+    of the ledger's result, or of an Unavailable.
     """
-    hold_ms = None
+    slot_until_ms = None
     while True:
-        left_ms = until_ms - now_ms(agent)
-        offered = picking.candidates(agent, service, tried)
-        verdict = NoCapacity(PAUSE_MS)
-        if left_ms <= 0:
-            return verdict
+        remaining_ms = until_ms - now_ms(agent)
+        offered = load_balancing.candidates(agent, service, tried)
+        result = NoCapacity(RETRY_INTERVAL_MS)
+        if remaining_ms <= 0:
+            return result
         if offered:
-            verdict = yield call_until_decided(agent, operation(offered, left_ms), left_ms, call.delays)
-        if isinstance(verdict, Unavailable):
-            return Unavailable(ORDER_RETRY_MS, "order")
-        if not isinstance(verdict, NoCapacity) or offered and waits_at_leader:
-            return verdict
-        # The wait for a slot begins with the first refusal, not with the wait for the order before it.
-        hold_ms = hold_until_ms(agent, route, until_ms) if hold_ms is None else hold_ms
-        wait_ms = max(1, min(verdict.wait_ms, PAUSE_MS))
-        if now_ms(agent) + wait_ms >= hold_ms:
-            return verdict
-        yield pause(agent, wait_ms)
+            result = yield call_until_decided(agent, operation(offered, remaining_ms), remaining_ms, call.delays)
+        if isinstance(result, Unavailable):
+            return Unavailable(DECISION_RETRY_MS, "order")
+        if not isinstance(result, NoCapacity) or offered and waits_at_leader:
+            return result
+        # The slot wait starts at the first NoCapacity; waiting for the ledger's decision doesn't count.
+        slot_until_ms = slot_deadline_ms(agent, route, until_ms) if slot_until_ms is None else slot_until_ms
+        wait_ms = max(1, min(result.wait_ms, RETRY_INTERVAL_MS))
+        if now_ms(agent) + wait_ms >= slot_until_ms:
+            return result
+        yield delay(agent, wait_ms)
         call.delays.slot_ms = call.delays.slot_ms + wait_ms
 
 
-def due_in_ms(agent, call):
-    """How long it is until a call's program should be over, or the call where it belongs to none."""
-    total_ms = call.program_left_ms or call.deadline_ms - call.started_ms
+def deadline_in_ms(agent, call):
+    """Return the time left to the deadline of the request's program, or of the request if it belongs to none."""
+    total_ms = call.program_remaining_ms or call.deadline_ms - call.started_ms
     return total_ms - (now_ms(agent) - call.started_ms)
 
 
 @inlineCallbacks
-def begin(agent, route, service, call, until_ms):
-    """Placed, or a failure; after a failure the ledger holds nothing of the attempt."""
+def begin_attempt(agent, route, service, call, until_ms):
+    """Begin an attempt in the ledger and fetch the bodies of its preceding turns.
 
-    def operation(offered, left_ms):
+    Returns a Deferred of Placed or of a failure, after which the ledger holds no state of the attempt.
+    """
+
+    def operation(offered, remaining_ms):
         return BeginAttempt(
             attempt=call.attempt,
             program=call.program or call.attempt,
             budget=call.budget,
-            amount=call.most_tokens,
-            previous=call.previous,
-            remaining_ms=left_ms,
+            amount=call.max_output_tokens,
+            previous=call.previous_turn,
+            remaining_ms=remaining_ms,
             candidates=offered,
-            parts=call.parts,
-            line=call.line,
+            parts=call.prompt_parts,
+            line=call.session_id,
             prompt_tokens=call.prompt_tokens,
             cache_tokens=service.cache_tokens,
             pool=service.name,
             rank=route.rank,
-            max_queue_ms=begin_hold_ms(left_ms),
-            deadline_in_ms=due_in_ms(agent, call),
+            max_queue_ms=leader_wait_ms(remaining_ms),
+            deadline_in_ms=deadline_in_ms(agent, call),
         )
 
-    verdict = yield decide(agent, route, service, call, (), operation, until_ms, waits_at_leader=True)
-    if isinstance(verdict, TokensSpent):
+    result = yield request_slot(agent, route, service, call, (), operation, until_ms, waits_at_leader=True)
+    if isinstance(result, TokensSpent):
         return BudgetSpent()
-    if isinstance(verdict, NoTurn):
+    if isinstance(result, NoTurn):
         return UnknownTurn()
-    if isinstance(verdict, NoCapacity):
-        abort(agent, call)
+    if isinstance(result, NoCapacity):
+        abort_attempt(agent, call)
         return Overloaded(retry_ms(route))
-    if not isinstance(verdict, AttemptBegun):
-        abort(agent, call)
-        return verdict if isinstance(verdict, Unavailable) else Unavailable(retry_ms(route), "verdict")
+    if not isinstance(result, AttemptBegun):
+        abort_attempt(agent, call)
+        return result if isinstance(result, Unavailable) else Unavailable(retry_ms(route), "verdict")
     body = call.body
-    if verdict.chain:
-        fetched = yield fetch(agent, tuple(verdict.chain), max(1, until_ms - now_ms(agent)))
-        if not fetched.is_ok() or len(fetched.ok) != len(verdict.chain):
-            abort(agent, call)
+    if result.chain:
+        fetched = yield fetch(agent, tuple(result.chain), max(1, until_ms - now_ms(agent)))
+        if not fetched.is_ok() or len(fetched.ok) != len(result.chain):
+            abort_attempt(agent, call)
             return Unavailable(retry_ms(route), "bodies")
         body = b"".join(fetched.ok) + call.body
-    return Placed(agent.runners.get(verdict.runner), body)
+    return Placed(agent.runners.get(result.runner), body)
 
 
 @inlineCallbacks
-def move(agent, route, service, call, tried, until_ms):
-    """The id of another runner for an attempt that surely wasn't run, or a failure; the caller aborts it then."""
+def reassign_attempt(agent, route, service, call, tried, until_ms):
+    """Reassign an attempt that was not executed to another runner.
+
+    Returns a Deferred of the runner's id or of a failure, on which the caller aborts the attempt.
+    """
 
-    def operation(offered, _left_ms):
+    def operation(offered, _remaining_ms):
         return ReassignAttempt(call.attempt, offered, len(tried))
 
-    verdict = yield decide(agent, route, service, call, tried, operation, until_ms)
-    if isinstance(verdict, AttemptBegun) and verdict.runner not in tried:
-        return verdict.runner
-    return verdict if isinstance(verdict, Unavailable) else Overloaded(retry_ms(route))
+    result = yield request_slot(agent, route, service, call, tried, operation, until_ms)
+    if isinstance(result, AttemptBegun) and result.runner not in tried:
+        return result.runner
+    return result if isinstance(result, Unavailable) else Overloaded(retry_ms(route))
 
 
-def abort(agent, call):
-    """Tell the ledger that no runner ran the attempt."""
+def abort_attempt(agent, call):
+    """Abort an attempt that no runner executed."""
     submit_until_decided(agent, AbortAttempt(call.attempt))
 
 
-def broke_off(agent, call, tokens):
-    """It ended without a whole answer, having put out these tokens."""
+def end_interrupted(agent, call, tokens):
+    """End an attempt without a complete response, after `tokens` output tokens."""
     submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=0))
 
 
-def time_order(agent, service, answer):
-    """Measure how long the end of an attempt takes to be decided. -> the same Deferred"""
-    from_ms = now_ms(agent)
+def measure_decision_time(agent, service, answer):
+    """Measure how long the end of an attempt takes to be decided. Returns the same Deferred."""
+    start_ms = now_ms(agent)
 
     def decided(result):
         if result.is_ok():
-            observe_order(overhead_of(agent, service.name), now_ms(agent) - from_ms)
+            observe_decision(overhead_of(agent, service.name), now_ms(agent) - start_ms)
         return result
 
     return answer.addCallback(decided)
 
 
-def close(agent, route, service, call, tokens, data, until_ms):
-    """-> True, or a Deferred of whether the turn lasts; the client's answer may end once that is true.
+def end_attempt(agent, route, service, call, tokens, data, until_ms):
+    """End an attempt with a complete response.
 
-    Nothing may follow a turn that isn't retained, so its answer need not wait for the ledger: until its end is decided
-    the attempt stays counted at its most, which is at least what was put out.
+    Returns True, or a Deferred of whether the turn is durable; only then may the client's response end. No turn can
+    follow one that isn't retained, so its response doesn't wait for the ledger: until its end is decided, the attempt
+    is charged with its maximum number of tokens.
     """
     if not route.retained:
-        time_order(agent, service, submit_until_decided(agent, EndAttempt(call.attempt, tokens)))
+        measure_decision_time(agent, service, submit_until_decided(agent, EndAttempt(call.attempt, tokens)))
         return True
-    return close_retained(agent, route, service, call, tokens, data, until_ms)
+    return end_retained_attempt(agent, route, service, call, tokens, data, until_ms)
 
 
 @inlineCallbacks
-def close_retained(agent, route, service, call, tokens, data, until_ms):
-    """True once the turn lasts: its end decided, and its body on disks of a majority of the voters of a running lease.
+def end_retained_attempt(agent, route, service, call, tokens, data, until_ms):
+    """End a retained turn.
 
-    The voters are looked at last: a body that was put while the end was being decided may have been put on voters that
-    others took the place of meanwhile.
+    Returns a Deferred of whether it is durable: its end is decided, and its body is stored by a majority of the voters
+    of a running lease. The voters are checked last, since they may have been replaced while the end was being decided;
+    the body is then stored again.
     """
-    wait_ms = lasting_ms(agent, until_ms)
-    keep_ms = route.keep_ms + KEEP_TICKS * agent.settings.tick_ms
-    end = EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data))
+    wait_ms = record_wait_ms(agent, until_ms)
+    retention_ms = route.retention_ms + RETENTION_MARGIN_TICKS * agent.settings.tick_ms
+    end_operation = EndAttempt(call.attempt, tokens, retention_ms=retention_ms, size=len(data))
     ended, stored = yield gatherResults(
-        [time_order(agent, service, call_replicas(agent, end, wait_ms)), put(agent, call.attempt, data, wait_ms)]
+        [
+            measure_decision_time(agent, service, call_replicas(agent, end_operation, wait_ms)),
+            put(agent, call.attempt, data, wait_ms),
+        ]
     )
-    lasts = ended.is_ok() and stored.is_ok()
+    durable = ended.is_ok() and stored.is_ok()
     if not (ended.is_ok() and isinstance(ended.ok, AttemptEnded)):
-        lasts = False
-        submit_until_decided(agent, end if stored.is_ok() else EndAttempt(call.attempt, tokens))
-    if lasts and not bodies_last(agent, stored.ok.holders):
-        again = yield put(agent, call.attempt, data, lasting_ms(agent, until_ms))
-        lasts = again.is_ok()
-    return lasts
+        durable = False
+        submit_until_decided(agent, end_operation if stored.is_ok() else EndAttempt(call.attempt, tokens))
+    if durable and not is_durable_at(agent, stored.ok.holders):
+        stored_again = yield put(agent, call.attempt, data, record_wait_ms(agent, until_ms))
+        durable = stored_again.is_ok()
+    return durable
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -16,7 +16,7 @@
     RoutingSet,
     SetRouting,
 )
-from frostpost.proxy import lookup, pool, sending, stream, turn
+from frostpost.proxy import exchange_state, forwarding, pool, stream, turn
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
@@ -27,14 +27,14 @@
 
 
 def end_unawaited():
-    def close(agent, route, service, call, tokens, data, until_ms):
-        keep_ms = route.keep_ms if route.retained else 0
+    def end_attempt(agent, route, service, call, tokens, data, until_ms):
+        keep_ms = route.retention_ms if route.retained else 0
         turn.submit_until_decided(agent, EndAttempt(call.attempt, tokens, retention_ms=keep_ms, size=len(data)))
         if keep_ms:
             turn.put(agent, call.attempt, data, 5000)
         return succeed(True)
 
-    return [(turn, "close", close)]
+    return [(turn, "end_attempt", end_attempt)]
 
 
 def claim_skipped():
@@ -81,7 +81,7 @@
 
 
 def echo_unread():
-    return [(sending, "doubt", lambda head, call, fresh: "")]
+    return [(exchange_state, "rejection_reason", lambda head, call, fresh: "")]
 
 
 def cut_ended():
@@ -92,7 +92,7 @@
     kept = stream.attempts_for
 
     def may_resume(route, state, outcome):
-        return isinstance(outcome, Broken) and not state.spliced
+        return isinstance(outcome, Broken) and not state.diverged
 
     def attempts_for(route, repeatable):
         return kept(route, True)
@@ -104,7 +104,7 @@
     def attempts_for(route, repeatable):
         return Attempts(9 if repeatable else 1, 9)
 
-    return [(lookup, "attempts_for", attempts_for), (stream, "attempts_for", attempts_for)]
+    return [(forwarding, "attempts_for", attempts_for), (stream, "attempts_for", attempts_for)]
 
 
 def tokens_forgotten():
