--- a/frostpost/cluster/agent.py
+++ b/frostpost/cluster/agent.py
@@ -64,7 +64,7 @@
             if lease_client.on_lease_reply(agent, endpoint, body):
                 operation_client.resend_all(agent)
             lease_waiters.wake_lease_waiters(agent)
-            turn_store_client.recount_holders(agent)
+            turn_store_client.recheck_puts(agent)
             if agent.ticker is not None:
                 agent.ticker.wake(lease_client.due_ms(agent) - now_ms(agent))
         case OperationReply():
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -11,7 +11,7 @@
 from frostpost.daemon.structured_log import log_event
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
-from frostpost.turn_store.repair import repair as repair_bodies
+from frostpost.turn_store.repair import run_round as repair_bodies
 from frostpost.virtual_synchrony.agent_messages import (
     DirectoryReply,
     DirectoryRequest,
@@ -55,8 +55,8 @@
     replica.turn_store = store.open_store(
         settings.data,
         machine,
-        tell=lambda lost: on_store_failure(replica, lost),
-        disk_bytes=settings.disk_mb * 600000 or 1 << 30,
+        on_error=lambda lost: on_store_failure(replica, lost),
+        max_disk_bytes=settings.disk_mb * 600000 or 1 << 30,
     )
     ctx.links = {
         "applied": lambda: on_applied(replica),
--- a/frostpost/cluster/status.py
+++ b/frostpost/cluster/status.py
@@ -114,9 +114,9 @@
         "disk_unwell": bool(ctx.disk.unhealthy),
         "turn_store": {
             "bodies": len(replica.turn_store.index),
-            "missing": replica.turn_store.missing,
+            "missing": replica.turn_store.missing_count,
             "bytes": used_bytes(replica.turn_store),
-            "lost": replica.turn_store.lost,
+            "lost": replica.turn_store.is_stopped,
         },
     }
     return facts if ctx.core is None else facts | core_facts(ctx, replica.sessions)
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -38,7 +38,11 @@
 
 def status_report(turn_store, leaving):
     """What a replica tells the others of its copies, with each heartbeat."""
-    return {MISSING: turn_store.missing, COUNTED: turn_store.counted, **({LEAVING: 1} if leaving else {})}
+    return {
+        MISSING: turn_store.missing_count,
+        COUNTED: turn_store.missing_as_of_index,
+        **({LEAVING: 1} if leaving else {}),
+    }
 
 
 def reported_status(ctx, name):
--- a/frostpost/turn_store/__init__.py
+++ b/frostpost/turn_store/__init__.py
@@ -1,1 +1,1 @@
-"""Bodies of turns on the storage daemons' disks: put, fetch and repair."""
+"""Storage of turn bodies on the replicas' disks: put, get and repair."""
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -1,7 +1,8 @@
-"""Repair: a replica fetches the bodies of live turns that it lacks from its peers, as fast as they come.
+"""Anti-entropy repair: a replica fetches the bodies of live turns that it lacks from its peers.
 
-What is lacking is counted in rounds. Between rounds the next batch is asked of a peer when its last one has come, so
-that the rate follows the link and the disk; the bytes that are asked for or not yet synced are bounded.
+Each round recomputes which bodies are missing. Within a round, the next batch is requested from a peer as soon as it
+has replied to the previous one, so that the rate follows the link and the disk. The bytes that are requested or not
+yet synced are bounded.
 """
 
 from collections import deque
@@ -13,209 +14,227 @@
 
 from . import store
 
-MESSAGE_BYTES = 1_500_000
+# A reply is full once its bodies reach this size; the last one may exceed it.
+REPLY_BYTES = 1_500_000
 BATCH_TURNS = 64
-IN_FLIGHT_SHARE = 4
-SILENT_MS = 400
-CYCLE_MS = 2000
+# Repair may use this fraction (1/n) of the store's write queue.
+IN_FLIGHT_DIVISOR = 4
+REPLY_TIMEOUT_MS = 400
+# A turn is requested from a peer that has been asked already only after this time.
+RETRY_CYCLE_MS = 2000
 
 
 class OpenRequest(Struct):
-    """One open request to a peer. index: the ledger index that was applied when it was sent."""
+    """A request that a peer has not answered. index: the ledger index that was applied when it was sent."""
 
     number: int
     turns: tuple[str, ...]
-    until_ms: int
+    deadline_ms: int
     index: int
 
 
 class TurnAttempts(Struct):
-    """asked: the peers asked for a turn in this cycle. again_ms: when a new cycle may begin. denied: the peers that
-    lacked it, with the ledger index that was applied when they were asked."""
+    """The attempts to fetch a turn's body.
 
-    asked: list[str] = []
-    again_ms: int = 0
-    denied: dict[str, int] = {}
+    asked_peers: the peers asked in this cycle. next_cycle_ms: when a new cycle may begin. absent_at: by peer that
+    replied without the body, the ledger index that was applied when it was asked.
+    """
+
+    asked_peers: list[str] = []
+    next_cycle_ms: int = 0
+    absent_at: dict[str, int] = {}
 
 
-class Repair(Struct):
-    """queues: by peer, the turns to ask of it next. lacked: what the last round found lacking, at ledger index."""
+class RepairState(Struct):
+    """State of repair on a replica.
+
+    requests: the open request to each peer. queues: by peer, the turns to request from it next. missing: the turns
+    that the last round found missing, None before the first round. index: the ledger index of the last round.
+    """
 
     incarnation: int
-    number: int = 0
-    asks: dict[str, OpenRequest] = {}
-    tried: dict[str, TurnAttempts] = {}
+    last_number: int = 0
+    requests: dict[str, OpenRequest] = {}
+    attempts: dict[str, TurnAttempts] = {}
     queues: dict[str, deque[str]] = {}
     peers: tuple[str, ...] = ()
-    lacked: list[str] | None = None
+    missing: list[str] | None = None
     index: int = 0
-    waking: bool = False
+    is_resume_scheduled: bool = False
 
 
 def is_truncated(items):
-    """Whether more may be had by asking the same daemon for the rest."""
-    return sum(len(data) for _, data in items) >= MESSAGE_BYTES
+    """Return whether a reply was full, so that the same replica may have more of the requested bodies."""
+    return sum(len(data) for _, data in items) >= REPLY_BYTES
 
 
 def missing_turns(turn_store, turns):
-    """The turns among these whose bodies are not held, in their order."""
+    """Return the turns whose bodies are not stored, in the order of `turns`."""
     if turns.keys() <= turn_store.index.keys():
         return []
     return [turn for turn in turns if turn not in turn_store.index]
 
 
-def repair(replica, live_turns, peers, index=0):
-    """One round: count what is lacking and ask peers ("@host:port") for it; call it every 200 ms or so.
+def run_round(replica, live_turns, peers, index=0):
+    """Recompute which bodies are missing and request them from the peers ("@host:port").
 
-    index: the ledger index that `live_turns` stands for.
+    Call it periodically, every 200 ms or so. index: the ledger index at which `live_turns` are the live turns.
     """
-    turn_store, state = replica.turn_store, repairing(replica)
-    lacked = missing_turns(turn_store, live_turns)
+    turn_store, state = replica.turn_store, repair_state_of(replica)
+    missing = missing_turns(turn_store, live_turns)
     state.peers = tuple(peers)
-    state.tried = {turn: state.tried[turn] for turn in lacked if turn in state.tried}
-    report(turn_store, state, lacked, index)
-    state.lacked, state.index = lacked, index
-    now = store.now_ms(turn_store)
-    state.asks = {peer: ask for peer, ask in state.asks.items() if peer in peers and now < ask.until_ms}
-    state.queues = queues_of(turn_store, state, now)
-    ask_all(replica)
-
-
-def report(turn_store, state, lacked, index):
-    """Tell how many bodies are missing, and as of which ledger index that is so.
-
-    A body that was lacking in the last round and is held now isn't missing, so that bodies on their way to every
-    replica don't count. Nor is one that every peer has denied: no acknowledged turn is, while losses are tolerated.
+    state.attempts = {turn: state.attempts[turn] for turn in missing if turn in state.attempts}
+    update_missing_count(turn_store, state, missing, index)
+    state.missing, state.index = missing, index
+    now_ms = store.now_ms(turn_store)
+    state.requests = {
+        peer: request for peer, request in state.requests.items() if peer in peers and now_ms < request.deadline_ms
+    }
+    state.queues = build_queues(turn_store, state, now_ms)
+    request_from_all_peers(replica)
+
+
+def update_missing_count(turn_store, state, missing, index):
+    """Update the number of missing bodies and the ledger index as of which it holds.
+
+    A body counts as missing only if two rounds in a row miss it, which leaves out bodies that are being written to all
+    replicas. A body that every peer lacks doesn't count either: unless more replicas failed than are tolerated, its
+    turn was never acknowledged.
     """
-    before = lacked if state.lacked is None else [t for t in state.lacked if t not in turn_store.index]
-    nowhere = [turn for turn in before if denied_by_all(state, turn)]
-    turn_store.missing = len(before) - len(nowhere)
-    counted = 0 if state.lacked is None else state.index
-    turn_store.counted = min([counted, *(index for turn in nowhere for index in state.tried[turn].denied.values())])
+    candidates = missing if state.missing is None else [t for t in state.missing if t not in turn_store.index]
+    absent_everywhere = [turn for turn in candidates if is_absent_everywhere(state, turn)]
+    turn_store.missing_count = len(candidates) - len(absent_everywhere)
+    round_index = 0 if state.missing is None else state.index
+    turn_store.missing_as_of_index = min(
+        [round_index, *(index for turn in absent_everywhere for index in state.attempts[turn].absent_at.values())]
+    )
 
 
-def denied_by_all(state, turn):
-    """Tell whether every peer has said that it lacks a turn's body."""
-    tried = state.tried.get(turn)
-    return tried is not None and bool(state.peers) and all(peer in tried.denied for peer in state.peers)
+def is_absent_everywhere(state, turn):
+    """Return whether every peer has replied that it lacks a turn's body."""
+    attempts = state.attempts.get(turn)
+    return attempts is not None and bool(state.peers) and all(peer in attempts.absent_at for peer in state.peers)
 
 
-def repairing(replica):
-    """Return a replica's state of repair; made at first use."""
-    if replica.turn_store.repairing is None:
-        replica.turn_store.repairing = Repair(int(replica.machine.token(4), 16))
-    return replica.turn_store.repairing
+def repair_state_of(replica):
+    """Return a replica's repair state, creating it on first use."""
+    if replica.turn_store.repair_state is None:
+        replica.turn_store.repair_state = RepairState(int(replica.machine.token(4), 16))
+    return replica.turn_store.repair_state
 
 
-def queues_of(turn_store, state, now):
-    """Turns to ask for now, by the peer whose turn it is to be asked."""
+def build_queues(turn_store, state, now_ms):
+    """Return the missing turns to request now, by the peer to request them from."""
     queues = {peer: deque() for peer in state.peers}
-    open_asks = {turn for ask in state.asks.values() for turn in ask.turns}
-    for turn in state.lacked:
-        peer = None if turn in open_asks or turn in turn_store.pending else next_peer(state, turn, now)
+    requested = {turn for request in state.requests.values() for turn in request.turns}
+    for turn in state.missing:
+        peer = None if turn in requested or turn in turn_store.pending_puts else next_peer(state, turn, now_ms)
         if peer is not None:
             queues[peer].append(turn)
     return queues
 
 
-def next_peer(state, turn, now):
-    """A peer that wasn't asked for a turn in this cycle, or None; each turn begins its cycles at another peer."""
+def next_peer(state, turn, now_ms):
+    """Return a peer that was not asked for a turn in this cycle, or None.
+
+    The turn's checksum selects the first peer of a cycle, which spreads the requests over the peers.
+    """
     first = crc32(turn.encode()) % max(1, len(state.peers))
     peers = state.peers[first:] + state.peers[:first]
-    tried = state.tried.get(turn)
-    if tried is None or not peers:
+    attempts = state.attempts.get(turn)
+    if attempts is None or not peers:
         return peers[0] if peers else None
-    left = [peer for peer in peers if peer not in tried.asked]
-    if not left and now >= tried.again_ms:
-        tried.asked, left = [], peers
-    return left[0] if left else None
+    unasked = [peer for peer in peers if peer not in attempts.asked_peers]
+    if not unasked and now_ms >= attempts.next_cycle_ms:
+        attempts.asked_peers, unasked = [], peers
+    return unasked[0] if unasked else None
 
 
-def ask_all(replica):
-    """Ask every peer for its next batch."""
-    for peer in replica.turn_store.repairing.peers:
-        ask_next(replica, peer)
+def request_from_all_peers(replica):
+    """Request the next batch from every peer."""
+    for peer in replica.turn_store.repair_state.peers:
+        request_next_batch(replica, peer)
 
 
-def may_ask(turn_store, state):
-    """Whether one more answer may come in without passing the bound of bytes in flight."""
-    most_bytes = max(MESSAGE_BYTES, turn_store.queue_bytes // IN_FLIGHT_SHARE)
-    in_flight_bytes = len(state.asks) * MESSAGE_BYTES + turn_store.queued_bytes
-    return store.has_capacity(turn_store) and in_flight_bytes + MESSAGE_BYTES <= most_bytes
+def has_request_capacity(turn_store, state):
+    """Return whether one more full reply fits in the bound of bytes in flight."""
+    max_bytes = max(REPLY_BYTES, turn_store.max_queue_bytes // IN_FLIGHT_DIVISOR)
+    in_flight_bytes = len(state.requests) * REPLY_BYTES + turn_store.queued_bytes
+    return store.has_capacity(turn_store) and in_flight_bytes + REPLY_BYTES <= max_bytes
 
 
-def ask_next(replica, peer):
-    """Ask a peer for its next batch, if it has answered the last one."""
-    turn_store, state = replica.turn_store, replica.turn_store.repairing
+def request_next_batch(replica, peer):
+    """Request the next batch from a peer, unless its last request is still open."""
+    turn_store, state = replica.turn_store, replica.turn_store.repair_state
     queue = state.queues.get(peer)
-    if not queue or peer in state.asks or not may_ask(turn_store, state):
+    if not queue or peer in state.requests or not has_request_capacity(turn_store, state):
         return
     turns = []
     while queue and len(turns) < BATCH_TURNS:
         turn = queue.popleft()
-        if turn not in turn_store.index and turn not in turn_store.pending:
+        if turn not in turn_store.index and turn not in turn_store.pending_puts:
             turns.append(turn)
     if turns:
-        send_ask(replica, state, peer, tuple(turns))
+        send_request(replica, state, peer, tuple(turns))
 
 
-def send_ask(replica, state, peer, turns):
-    """Send a request for some turns' bodies to a peer."""
-    now = store.now_ms(replica.turn_store)
-    state.number += 1
-    state.asks[peer] = OpenRequest(state.number, turns, now + SILENT_MS, state.index)
+def send_request(replica, state, peer, turns):
+    """Send a request for the bodies of turns to a peer."""
+    now_ms = store.now_ms(replica.turn_store)
+    state.last_number += 1
+    state.requests[peer] = OpenRequest(state.last_number, turns, now_ms + REPLY_TIMEOUT_MS, state.index)
     for turn in turns:
-        tried = state.tried.setdefault(turn, TurnAttempts())
-        tried.asked.append(peer)
-        tried.again_ms = now + CYCLE_MS
-    replica.send(peer, GetBodiesRequest(state.incarnation, state.number, turns))
+        attempts = state.attempts.setdefault(turn, TurnAttempts())
+        attempts.asked_peers.append(peer)
+        attempts.next_cycle_ms = now_ms + RETRY_CYCLE_MS
+    replica.send(peer, GetBodiesRequest(state.incarnation, state.last_number, turns))
 
 
-def on_bodies(replica, peer, body):
-    """A peer's answer: keep what it brought, ask others for what it denied, and go on with the next batch."""
-    turn_store, state = replica.turn_store, replica.turn_store.repairing
-    ask = state.asks.get(peer) if state is not None else None
-    if ask is None or body.incarnation != state.incarnation or body.number != ask.number:
+def on_reply(replica, peer, message):
+    """Store the bodies of a peer's reply and redirect what it lacks to other peers; ignore replies not requested."""
+    turn_store, state = replica.turn_store, replica.turn_store.repair_state
+    request = state.requests.get(peer) if state is not None else None
+    if request is None or message.incarnation != state.incarnation or message.number != request.number:
         return
-    del state.asks[peer]
-    brought = {turn: data for turn, data in body.items if turn in ask.turns}
-    for turn, data in brought.items():
-        store.put(turn_store, turn, data).addCallback(lambda _: wake(replica))
-    rest = [turn for turn in ask.turns if turn not in brought and turn in state.tried]
-    if is_truncated(body.items):
-        ask_rest(state, peer, rest)
+    del state.requests[peer]
+    received = {turn: data for turn, data in message.items if turn in request.turns}
+    for turn, data in received.items():
+        store.put(turn_store, turn, data).addCallback(lambda _: schedule_requests(replica))
+    remaining = [turn for turn in request.turns if turn not in received and turn in state.attempts]
+    if is_truncated(message.items):
+        requeue_remaining(state, peer, remaining)
     else:
-        deny(state, peer, rest, ask.index, store.now_ms(turn_store))
-    wake(replica)
+        record_absent(state, peer, remaining, request.index, store.now_ms(turn_store))
+    schedule_requests(replica)
 
 
-def ask_rest(state, peer, turns):
-    """The answer was full: the same peer is asked for what didn't fit in it."""
+def requeue_remaining(state, peer, turns):
+    """Put turns that did not fit in a full reply back to the head of the peer's queue."""
     for turn in turns:
-        state.tried[turn].asked.remove(peer)
+        state.attempts[turn].asked_peers.remove(peer)
     if peer in state.queues:
         state.queues[peer].extendleft(reversed(turns))
 
 
-def deny(state, peer, turns, index, now):
-    """The peer lacks these turns: another one is asked, unless all were."""
+def record_absent(state, peer, turns, index, now_ms):
+    """Record that a peer lacks turns and queue them for other peers not asked in this cycle."""
     for turn in turns:
-        tried = state.tried[turn]
-        tried.denied[peer] = index
-        other = next_peer(state, turn, now)
-        if other is not None:
-            state.queues.setdefault(other, deque()).append(turn)
+        attempts = state.attempts[turn]
+        attempts.absent_at[peer] = index
+        other_peer = next_peer(state, turn, now_ms)
+        if other_peer is not None:
+            state.queues.setdefault(other_peer, deque()).append(turn)
 
 
-def wake(replica):
-    """Go on asking, once the calls of this moment are done."""
-    state = replica.turn_store.repairing
-    if not state.waking:
-        state.waking = True
-        replica.reactor.callLater(0, woken, replica)
+def schedule_requests(replica):
+    """Schedule the next requests for after the current event, unless they are scheduled already."""
+    state = replica.turn_store.repair_state
+    if not state.is_resume_scheduled:
+        state.is_resume_scheduled = True
+        replica.reactor.callLater(0, resume_requests, replica)
 
 
-def woken(replica):
-    """Go on asking."""
-    replica.turn_store.repairing.waking = False
-    ask_all(replica)
+def resume_requests(replica):
+    """Request the next batch from every peer."""
+    replica.turn_store.repair_state.is_resume_scheduled = False
+    request_from_all_peers(replica)
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -1,4 +1,4 @@
-"""Segment files of the turn_store: scanned when opened, written in a thread, read at an offset."""
+"""Segment files of the turn store: scanned on opening, appended to by a worker thread, read by offset."""
 
 import os
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class BodyFiles(Files, frozen=True):
-    """File operations that segments need beside those of a log."""
+    """File operations of the turn store, which needs more of them than a log."""
 
     pread: Callable = os.pread
     unlink: Callable = os.unlink
@@ -23,7 +23,7 @@
 
 
 class SegmentLog(Struct):
-    """The open segment; once opened, touched only by the one batch under way."""
+    """The sequence of segments and the open one. After opening, only the thread of the running batch may change it."""
 
     folder: str
     files: BodyFiles
@@ -32,95 +32,101 @@
     write_ahead_log: write_ahead_logs.WriteAheadLog | None = None
 
 
-class Written(Struct):
-    """What of a batch is synced, the sizes of the segments touched, and what stopped the rest."""
+class BatchResult(Struct):
+    """Result of a batch: locations of the synced bodies, sizes of the segments written to, and the first error."""
 
-    spots: dict[str, tuple[int, int, int]]
-    sizes: dict[int, int]
-    fault: OSError | None = None
+    locations: dict[str, tuple[int, int, int]]
+    segment_sizes: dict[int, int]
+    error: OSError | None = None
 
 
-def name_of(number):
+def segment_name(number):
     """Return the file name of a segment."""
     return f"{number:08d}"
 
 
 def open_segments(folder, files, segment_bytes):
-    """-> log, index, sizes by segment number, faults; the last segment is the open one."""
-    log, index, sizes, faults = SegmentLog(folder, files, segment_bytes), {}, {}, []
+    """Scan all segments; return (log, locations by turn, sizes by segment number, errors).
+
+    The last segment stays open for appending.
+    """
+    log, index, segment_sizes, errors = SegmentLog(folder, files, segment_bytes), {}, {}, []
     files.makedirs(folder, exist_ok=True)
     write_ahead_logs.sync_directory(files, os.path.dirname(folder))
     for number in sorted(int(name) for name in files.listdir(folder) if name.isdigit()):
-        close_log(log)
-        log.write_ahead_log, found, fault = write_ahead_logs.open_records(folder, name_of(number), files)
-        log.number, sizes[number] = number, log.write_ahead_log.size
-        index.update(locations_of(number, found))
-        if fault is not None:
-            faults.append(fault)
-    return log, index, sizes, faults
-
-
-def locations_of(number, found):
-    """Return where each turn's body lies in a segment: (segment, offset, length)."""
-    spots = {}
+        close_segment(log)
+        log.write_ahead_log, found, error = write_ahead_logs.open_records(folder, segment_name(number), files)
+        log.number, segment_sizes[number] = number, log.write_ahead_log.size
+        index.update(record_locations(number, found))
+        if error is not None:
+            errors.append(error)
+    return log, index, segment_sizes, errors
+
+
+def record_locations(number, found):
+    """Return the location of each turn's body in a segment: (segment number, offset, length)."""
+    locations = {}
     for record in found:
         with suppress(DecodeError, ValidationError):
-            spots[decode(record.payload)[0]] = (number, record.offset, record.end - record.offset)
-    return spots
+            locations[decode(record.payload)[0]] = (number, record.offset, record.end - record.offset)
+    return locations
 
 
-def roll(log):
-    """Close the open segment and open the next."""
-    close_log(log)
-    log.write_ahead_log, _, _ = write_ahead_logs.open_log(log.folder, name_of(log.number + 1), log.files)
+def open_next_segment(log):
+    """Close the open segment and create the next."""
+    close_segment(log)
+    log.write_ahead_log, _, _ = write_ahead_logs.open_log(log.folder, segment_name(log.number + 1), log.files)
     log.number += 1
 
 
 def write_batch(log, batch):
-    """Appends and syncs (turn, data) pairs; runs in a thread and never raises an OSError."""
-    written, at = Written({}, {}), 0
+    """Append and sync (turn, body) pairs, opening new segments as they fill; return a BatchResult.
+
+    Runs in a thread; an OSError ends the batch and is returned in the result.
+    """
+    result, position = BatchResult({}, {}), 0
     try:
-        while at < len(batch):
+        while position < len(batch):
             if log.write_ahead_log is None or log.write_ahead_log.size >= log.segment_bytes:
-                roll(log)
-            chunk, spots, offset = [], {}, log.write_ahead_log.size
-            while at < len(batch) and (not chunk or offset < log.segment_bytes):
-                chunk.append(encode(batch[at]))
-                length = records.HEADER.size + len(chunk[-1])
-                spots[batch[at][0]] = (log.number, offset, length)
-                offset, at = offset + length, at + 1
-            write_ahead_logs.append(log.write_ahead_log, chunk)
+                open_next_segment(log)
+            payloads, locations, offset = [], {}, log.write_ahead_log.size
+            while position < len(batch) and (not payloads or offset < log.segment_bytes):
+                payloads.append(encode(batch[position]))
+                length = records.HEADER.size + len(payloads[-1])
+                locations[batch[position][0]] = (log.number, offset, length)
+                offset, position = offset + length, position + 1
+            write_ahead_logs.append(log.write_ahead_log, payloads)
             write_ahead_logs.sync(log.write_ahead_log)
-            written.spots.update(spots)
-            written.sizes[log.number] = log.write_ahead_log.size
-    except OSError as fault:
-        written.fault = fault
-        recover_segment(log)
-    return written
+            result.locations.update(locations)
+            result.segment_sizes[log.number] = log.write_ahead_log.size
+    except OSError as error:
+        result.error = error
+        discard_partial_write(log)
+    return result
 
 
-def recover_segment(log):
-    """Cut off what a failed write left behind, or close the segment."""
+def discard_partial_write(log):
+    """Truncate what a failed write left behind; close the segment if that fails too."""
     if log.write_ahead_log is not None:
         try:
             log.files.ftruncate(log.write_ahead_log.fd, log.write_ahead_log.size)
         except OSError:
-            close_log(log)
+            close_segment(log)
 
 
-def close_log(log):
-    """Close the open segment."""
+def close_segment(log):
+    """Close the open segment, if any."""
     if log.write_ahead_log is not None:
         with suppress(OSError):
             write_ahead_logs.close(log.write_ahead_log)
         log.write_ahead_log = None
 
 
-def read_body(log, spot):
-    """(turn, data) of a record, or None where its checksum is wrong or it can't be read."""
-    number, offset, length = spot
+def read_body(log, location):
+    """Return the (turn, body) stored at a location, or None if it can't be read or its checksum is wrong."""
+    number, offset, length = location
     try:
-        fd = log.files.open(os.path.join(log.folder, name_of(number)), os.O_RDONLY)
+        fd = log.files.open(os.path.join(log.folder, segment_name(number)), os.O_RDONLY)
         try:
             raw = log.files.pread(fd, length, offset)
         finally:
--- a/frostpost/turn_store/serving.py
+++ b/frostpost/turn_store/serving.py
@@ -1,36 +1,37 @@
-"""A storage daemon's side: bodies put and got by others; answers to its own requests go to the repair."""
+"""Server of the turn store on a replica: answers puts and gets, and passes replies to repair."""
 
 from frostpost.virtual_synchrony.agent_messages import GetBodiesReply, GetBodiesRequest, PutBodyReply, PutBodyRequest
 
 from . import store
-from .repair import MESSAGE_BYTES, on_bodies
+from .repair import REPLY_BYTES, on_reply
 
 
-def on_message(replica, frm_address, body):
-    """Takes PutBodyRequest, GetBodiesRequest and GetBodiesReply; -> whether it was one of them."""
-    if isinstance(body, PutBodyRequest):
-        store.put(replica.turn_store, body.turn, body.data).addCallback(
-            lambda synced: replica.send(frm_address, PutBodyReply(body.incarnation, body.number, synced))
+def on_message(replica, sender_address, message):
+    """Handle PutBodyRequest, GetBodiesRequest and GetBodiesReply; return whether the message was one of them."""
+    if isinstance(message, PutBodyRequest):
+        store.put(replica.turn_store, message.turn, message.data).addCallback(
+            lambda synced: replica.send(sender_address, PutBodyReply(message.incarnation, message.number, synced))
         )
-    elif isinstance(body, GetBodiesRequest):
+    elif isinstance(message, GetBodiesRequest):
         replica.send(
-            frm_address, GetBodiesReply(body.incarnation, body.number, stored_bodies(replica.turn_store, body.turns))
+            sender_address,
+            GetBodiesReply(message.incarnation, message.number, read_bodies(replica.turn_store, message.turns)),
         )
-    elif isinstance(body, GetBodiesReply):
-        on_bodies(replica, frm_address, body)
+    elif isinstance(message, GetBodiesReply):
+        on_reply(replica, sender_address, message)
     else:
         return False
     return True
 
 
-def stored_bodies(turn_store, turns):
-    """As many of the bodies asked for as fit in one answer."""
-    items, total = [], 0
+def read_bodies(turn_store, turns):
+    """Return (turn, body) pairs for the turns that are stored, as many as fit in one reply."""
+    items, total_bytes = [], 0
     for turn in dict.fromkeys(turns):
-        if total >= MESSAGE_BYTES:
+        if total_bytes >= REPLY_BYTES:
             break
         data = store.get(turn_store, turn)
         if data is not None:
             items.append((turn, data))
-            total += len(data)
+            total_bytes += len(data)
     return tuple(items)
--- a/tests/fleet_simulator/inner.py
+++ b/tests/fleet_simulator/inner.py
@@ -57,9 +57,9 @@
     if keys:
         yield f"keys stay at work: {[(k, program_ledger.keys[k].attempt) for k in keys[:4]]}"
     lacking = {
-        d.name: d.owner.turn_store.missing
+        d.name: d.owner.turn_store.missing_count
         for d in world.of("storage")
-        if d.owner is not None and d.owner.turn_store.missing and not released(d)
+        if d.owner is not None and d.owner.turn_store.missing_count and not released(d)
     }
     if lacking:
         yield f"bodies are missing: {lacking}"
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -164,7 +164,7 @@
 
 def fetched_in_rounds():
     """Missing bodies are asked for in rounds only."""
-    return [(repair, "wake", lambda replica: None)]
+    return [(repair, "schedule_requests", lambda replica: None)]
 
 
 def vote_kept():
--- a/tests/test_cluster_bootstrap.py
+++ b/tests/test_cluster_bootstrap.py
@@ -115,7 +115,7 @@
 
 def test_charter_is_handed_out_only_once_it_is_synced():
     core = Core()
-    core.threads.held = True
+    core.threads.is_paused = True
     core.hello("s1", "s2", "s3")
     assert core.after(STILL_S) == () and core.after(1) == ()
     core.hello("s4")
@@ -139,7 +139,7 @@
 
 def test_loss_of_power_before_the_sync_leaves_no_charter():
     core = Core()
-    core.threads.held = True
+    core.threads.is_paused = True
     core.hello("s1", "s2", "s3")
     core.after(STILL_S)
     lose_unsynced(core.drive)
--- a/tests/test_disk_crashes_of_users.py
+++ b/tests/test_disk_crashes_of_users.py
@@ -49,7 +49,7 @@
     batch = [(turn, turn.encode() * 9) for turn in turns]
     notes.tried.update(batch)
     written = segments.write_batch(log, batch)
-    notes.lasting.update((turn, data) for turn, data in batch if turn in written.spots)
+    notes.lasting.update((turn, data) for turn, data in batch if turn in written.locations)
     return written
 
 
@@ -58,13 +58,13 @@
     for turns in ("a", "bc", "def", "gh"):
         put(log, notes, turns)
     disk.capacity_bytes = sum(len(model.content(i)) for i in disk.names.values()) + 90
-    assert put(log, notes, "ijk").fault is not None
+    assert put(log, notes, "ijk").error is not None
     disk.capacity_bytes = 1 << 30
     put(log, notes, "lm")
     for turn, (number, _, _) in segments.open_segments(f"{FOLDER}/turns", log.files, 200)[1].items():
         if number == 1:
             notes.lasting.pop(turn, None)
-    log.files.unlink(f"{FOLDER}/turns/{segments.name_of(1)}")
+    log.files.unlink(f"{FOLDER}/turns/{segments.segment_name(1)}")
     put(log, notes, "n")
 
 
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -4,7 +4,7 @@
 from fleet_simulator import stage as plays
 from fleet_simulator import world as worlds
 from fleet_simulator.crowd import MOST_TOKENS
-from test_turn_store_serving import Net, hold
+from test_turn_store_serving import Network, put_bodies
 
 from frostpost.cluster import agent_sessions as sessions
 from frostpost.simulator import net as nets
@@ -101,8 +101,8 @@
 
 
 def test_a_newcomer_is_whole_within_its_time_to_catch_up():
-    net, turns = Net(3), [f"t{n}" for n in range(4000)]
+    network, turns = Network(3), [f"t{n}" for n in range(4000)]
     for peer in ("@s1:1", "@s2:1"):
-        hold(net, peer, turns)
-    net.repair("@s0:1", dict.fromkeys(turns), CATCH_UP_MS // REPAIR_MS)
-    assert net.replicas["@s0:1"].turn_store.missing == 0
+        put_bodies(network, peer, turns)
+    network.repair("@s0:1", dict.fromkeys(turns), CATCH_UP_MS // REPAIR_MS)
+    assert network.replicas["@s0:1"].turn_store.missing_count == 0
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -2,7 +2,7 @@
 
 import pytest
 from expression import Ok
-from test_turn_store_drive import machine_of, outcome
+from test_turn_store_drive import machine_of, results_of
 from twisted.internet.task import Clock
 
 from frostpost.cluster.agent_context import AgentContext
@@ -17,153 +17,161 @@
 )
 from frostpost.virtual_synchrony.endpoints import Member
 
-RING = {f"s{n}": f"@s{n}:1" for n in range(3)}
+REPLICAS = {f"s{n}": f"@s{n}:1" for n in range(3)}
 
 
 @pytest.fixture
 def agent(monkeypatch):
     clock = Clock()
-    made = AgentContext(SimpleNamespace(), clock, SimpleNamespace(member=Member("e", 9)), machine_of(clock))
-    made.extras = {"ring": dict(RING), "voters": tuple(RING), "sent": [], "lease": True}
-    made.links["send"] = lambda to, body: made.extras["sent"].append((to, body))
-    monkeypatch.setattr(client.lease_client, "replica_addresses", lambda agent: agent.extras["ring"], raising=False)
+    agent_context = AgentContext(SimpleNamespace(), clock, SimpleNamespace(member=Member("e", 9)), machine_of(clock))
+    agent_context.extras = {"replicas": dict(REPLICAS), "voters": tuple(REPLICAS), "sent": [], "lease": True}
+    agent_context.links["send"] = lambda to, body: agent_context.extras["sent"].append((to, body))
+    monkeypatch.setattr(client.lease_client, "replica_addresses", lambda agent: agent.extras["replicas"], raising=False)
     monkeypatch.setattr(client.lease_client, "voters_of", lambda agent: agent.extras["voters"], raising=False)
     monkeypatch.setattr(client.lease_client, "holds_lease", lambda agent: agent.extras["lease"], raising=False)
-    return made
+    return agent_context
 
 
-def taken(agent):
+def sent_messages(agent):
     sent, agent.extras["sent"] = agent.extras["sent"], []
     return sent
 
 
-def asked(agent):
-    ((to, body),) = taken(agent)
+def sent_request(agent):
+    ((to, body),) = sent_messages(agent)
     assert isinstance(body, GetBodiesRequest)
     return to[1:-2], body
 
 
-def answer(agent, name, body, items):
+def reply(agent, name, body, items):
     client.on_reply(agent, name, GetBodiesReply(9, body.number, tuple(items)))
 
 
-def test_put_is_ok_once_a_majority_of_the_voters_has_synced(agent):
-    seen = outcome(client.put(agent, "t", b"body", 2000))
-    assert [(to, type(b)) for to, b in taken(agent)] == [(to, PutBodyRequest) for to in RING.values()]
-    agent.extras["ring"]["other"] = "@other:1"
-    for name, boot, synced in (("s0", 9, True), ("s0", 9, True), ("other", 9, True), ("s1", 8, True), ("s1", 9, False)):
-        assert client.on_reply(agent, name, PutBodyReply(boot, 1, synced))
-        assert seen == []
+def test_put_succeeds_once_a_majority_of_the_voters_has_synced(agent):
+    results = results_of(client.put(agent, "t", b"body", 2000))
+    assert [(to, type(body)) for to, body in sent_messages(agent)] == [(to, PutBodyRequest) for to in REPLICAS.values()]
+    agent.extras["replicas"]["other"] = "@other:1"
+    for name, incarnation, synced in (
+        ("s0", 9, True),
+        ("s0", 9, True),
+        ("other", 9, True),
+        ("s1", 8, True),
+        ("s1", 9, False),
+    ):
+        assert client.on_reply(agent, name, PutBodyReply(incarnation, 1, synced))
+        assert results == []
     assert cache.lookup(client.cache_of(agent), "t") is None
     client.on_reply(agent, "s2", PutBodyReply(9, 1, True))
-    assert seen == [Ok(client.Synced(frozenset({"s0", "s2", "other"})))] and cache.lookup(agent.cache, "t") == b"body"
+    assert (
+        results == [Ok(client.Synced(frozenset({"s0", "s2", "other"})))] and cache.lookup(agent.cache, "t") == b"body"
+    )
     assert agent.reactor.getDelayedCalls() == []
 
 
-def test_put_counts_the_voters_of_a_running_lease_only(agent):
-    seen = outcome(client.put(agent, "t", b"body", 2000))
+def test_put_succeeds_only_under_a_valid_lease_with_its_voters(agent):
+    results = results_of(client.put(agent, "t", b"body", 2000))
     agent.extras["lease"] = False
     for name in ("s0", "s1"):
         client.on_reply(agent, name, PutBodyReply(9, 1, True))
-    client.recount_holders(agent)
-    assert seen == []
+    client.recheck_puts(agent)
+    assert results == []
     agent.extras.update(lease=True, voters=("s1", "s2", "s3"))
-    client.recount_holders(agent)
-    assert seen == []
+    client.recheck_puts(agent)
+    assert results == []
     agent.extras["voters"] = ("s0", "s1", "s3")
-    client.recount_holders(agent)
-    assert seen == [Ok(client.Synced(frozenset({"s0", "s1"})))]
+    client.recheck_puts(agent)
+    assert results == [Ok(client.Synced(frozenset({"s0", "s1"})))]
     assert client.is_durable_at(agent, {"s0", "s1"}) and not client.is_durable_at(agent, {"s0", "s2"})
     agent.extras["lease"] = False
     assert not client.is_durable_at(agent, {"s0", "s1"})
 
 
-def test_put_is_sent_again_to_those_that_have_not_synced_and_ends_in_time(agent):
-    seen = outcome(client.put(agent, "t", b"body", 1000))
-    taken(agent)
+def test_put_is_resent_to_replicas_that_have_not_synced_until_its_timeout(agent):
+    results = results_of(client.put(agent, "t", b"body", 1000))
+    sent_messages(agent)
     client.on_reply(agent, "s1", PutBodyReply(9, 1, True))
     agent.reactor.advance(0.3)
-    assert [to for to, _ in taken(agent)] == ["@s0:1", "@s2:1"]
+    assert [to for to, _ in sent_messages(agent)] == ["@s0:1", "@s2:1"]
     agent.reactor.advance(0.7)
-    assert isinstance(seen[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
+    assert isinstance(results[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
     assert cache.lookup(client.cache_of(agent), "t") is None
 
 
-def test_without_voters_no_put_is_ok(agent):
+def test_put_does_not_succeed_without_voters(agent):
     agent.extras["voters"] = ()
-    seen = outcome(client.put(agent, "t", b"body", 1000))
+    results = results_of(client.put(agent, "t", b"body", 1000))
     client.on_reply(agent, "s0", PutBodyReply(9, 1, True))
-    assert seen == []
+    assert results == []
 
 
-def test_fetch_asks_one_daemon_keeps_the_order_and_fills_the_cache(agent):
-    seen = outcome(client.fetch(agent, ("a", "b", "a"), 1000))
-    name, body = asked(agent)
-    answer(agent, name, body, [("b", b"2"), ("a", b"1")])
-    assert seen == [Ok((b"1", b"2", b"1"))] and agent.reactor.getDelayedCalls() == []
-    assert outcome(client.fetch(agent, ("b",), 1000)) == [Ok((b"2",))] and taken(agent) == []
+def test_fetch_asks_one_replica_keeps_the_order_and_fills_the_cache(agent):
+    results = results_of(client.fetch(agent, ("a", "b", "a"), 1000))
+    name, body = sent_request(agent)
+    reply(agent, name, body, [("b", b"2"), ("a", b"1")])
+    assert results == [Ok((b"1", b"2", b"1"))] and agent.reactor.getDelayedCalls() == []
+    assert results_of(client.fetch(agent, ("b",), 1000)) == [Ok((b"2",))] and sent_messages(agent) == []
 
 
-def test_fetch_falls_over_to_another_daemon_when_one_lacks_some(agent):
-    seen = outcome(client.fetch(agent, ("a", "b"), 1000))
-    first, body = asked(agent)
-    answer(agent, first, body, [("a", b"1")])
-    second, body = asked(agent)
+def test_fetch_fails_over_to_another_replica_when_one_lacks_a_body(agent):
+    results = results_of(client.fetch(agent, ("a", "b"), 1000))
+    first, body = sent_request(agent)
+    reply(agent, first, body, [("a", b"1")])
+    second, body = sent_request(agent)
     assert second != first and body.turns == ("b",)
-    answer(agent, second, body, [("b", b"2")])
-    assert seen == [Ok((b"1", b"2"))]
+    reply(agent, second, body, [("b", b"2")])
+    assert results == [Ok((b"1", b"2"))]
 
 
-def test_fetch_asks_others_when_one_is_silent_and_takes_late_answers(agent):
-    seen = outcome(client.fetch(agent, ("a",), 1000))
-    first, body = asked(agent)
+def test_fetch_asks_other_replicas_after_a_delay_and_accepts_late_replies(agent):
+    results = results_of(client.fetch(agent, ("a",), 1000))
+    first, body = sent_request(agent)
     agent.reactor.advance(0.15)
-    assert asked(agent)[0] != first
-    answer(agent, first, body, [("a", b"1")])
-    assert seen == [Ok((b"1",))]
+    assert sent_request(agent)[0] != first
+    reply(agent, first, body, [("a", b"1")])
+    assert results == [Ok((b"1",))]
 
 
-def test_fetch_asks_the_same_daemon_for_the_rest_of_a_bounded_answer(agent):
-    seen = outcome(client.fetch(agent, ("a", "b"), 1000))
-    first, body = asked(agent)
-    answer(agent, first, body, [("a", b"x" * 1_600_000)])
-    again, body = asked(agent)
-    assert again == first and body.turns == ("b",)
-    answer(agent, first, body, [("b", b"2")])
-    assert seen[0].is_ok()
+def test_fetch_asks_the_same_replica_for_the_rest_after_a_truncated_reply(agent):
+    results = results_of(client.fetch(agent, ("a", "b"), 1000))
+    first, body = sent_request(agent)
+    reply(agent, first, body, [("a", b"x" * 1_600_000)])
+    second, body = sent_request(agent)
+    assert second == first and body.turns == ("b",)
+    reply(agent, first, body, [("b", b"2")])
+    assert results[0].is_ok()
 
 
-def test_fetch_ends_at_once_when_all_daemons_lack_it(agent):
-    seen = outcome(client.fetch(agent, ("a",), 5000))
-    for _ in RING:
-        assert seen == []
-        name, body = asked(agent)
-        answer(agent, name, body, [])
-    assert isinstance(seen[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
+def test_fetch_fails_at_once_when_all_replicas_lack_the_body(agent):
+    results = results_of(client.fetch(agent, ("a",), 5000))
+    for _ in REPLICAS:
+        assert results == []
+        name, body = sent_request(agent)
+        reply(agent, name, body, [])
+    assert isinstance(results[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
 
 
-def test_fetch_ends_in_time_when_nobody_answers(agent):
-    seen = outcome(client.fetch(agent, ("a",), 1000))
+def test_fetch_times_out_without_replies_from_any_replica(agent):
+    results = results_of(client.fetch(agent, ("a",), 1000))
     agent.reactor.pump([0.25] * 4)
-    assert isinstance(seen[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
-    assert {to for to, _ in taken(agent)} == set(RING.values())
+    assert isinstance(results[0].error, Unavailable) and agent.reactor.getDelayedCalls() == []
+    assert {to for to, _ in sent_messages(agent)} == set(REPLICAS.values())
 
 
-def test_cancelling_stops_the_timers(agent):
-    for waiting in (client.fetch(agent, ("a",), 1000), client.put(agent, "t", b"body", 1000)):
-        waiting.addErrback(lambda _: None)
-        waiting.cancel()
+def test_cancelling_a_put_or_fetch_stops_its_timers(agent):
+    for deferred in (client.fetch(agent, ("a",), 1000), client.put(agent, "t", b"body", 1000)):
+        deferred.addErrback(lambda _: None)
+        deferred.cancel()
     assert agent.reactor.getDelayedCalls() == [] and not client.on_reply(agent, "s0", DirectoryRequest())
 
 
-def test_cache_is_bounded_by_bytes_and_drops_the_least_recently_used(agent):
+def test_cache_is_bounded_by_bytes_and_evicts_the_least_recently_used(agent):
     agent.settings.cache_bytes = 1000
-    held = client.cache_of(agent)
+    body_cache = client.cache_of(agent)
     for turn in "abc":
-        cache.remember(held, turn, b"x" * 100)
-    cache.lookup(held, "a")
-    cache.remember(held, "d", b"x" * 100)
-    assert list(held.items) == ["c", "a", "d"] and held.used_bytes == 900
-    cache.remember(held, "e", b"x" * 2000)
-    cache.remember(held, "d", b"x" * 150)
-    assert list(held.items) == ["c", "a", "d"] and held.used_bytes == 950
+        cache.insert(body_cache, turn, b"x" * 100)
+    cache.lookup(body_cache, "a")
+    cache.insert(body_cache, "d", b"x" * 100)
+    assert list(body_cache.bodies) == ["c", "a", "d"] and body_cache.used_bytes == 900
+    cache.insert(body_cache, "e", b"x" * 2000)
+    cache.insert(body_cache, "d", b"x" * 150)
+    assert list(body_cache.bodies) == ["c", "a", "d"] and body_cache.used_bytes == 950
