--- a/frostpost/app/__init__.py
+++ b/frostpost/app/__init__.py
@@ -1,1 +1,1 @@
-"""Assembly of a daemon of the own HTTP interface."""
+"""Assembly and command of a daemon with the native HTTP API."""
--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -1,14 +1,14 @@
-"""Put a daemon together: state from disk, links, HTTP site and periodic jobs."""
+"""Assemble a daemon: state read from disk, links to peers, HTTP site and periodic jobs."""
 
 from msgspec import DecodeError, json
 from twisted.internet.endpoints import TCP4ServerEndpoint
 from twisted.internet.task import LoopingCall
 
-from frostpost.background import shelves
+from frostpost.background import config_bodies
 from frostpost.background.calendars import calendars
-from frostpost.background.listing import list_
-from frostpost.background.runners import poll_all
-from frostpost.background.ticking import tick_ledger
+from frostpost.background.ledger_clock import tick_ledger
+from frostpost.background.load_poller import poll_all_runners
+from frostpost.background.runner_list_poller import poll_runner_list
 from frostpost.daemon import disk as disks
 from frostpost.daemon.context import Context, TestHooks, clock_ms
 from frostpost.daemon.core import create_core
@@ -24,7 +24,7 @@
 
 
 def read_hooks(ctx):
-    """Read the test hooks that the settings name, if any."""
+    """Read the file of test hooks if the settings name one; reset the hooks if it can't be read."""
     if not ctx.settings.hooks:
         return
     try:
@@ -34,25 +34,25 @@
         ctx.hooks = TestHooks()
 
 
-def loops(ctx):
-    """Start the periodic jobs; an exception in one ends the daemon."""
+def start_periodic_jobs(ctx):
+    """Start the periodic jobs; an exception in one of them ends the daemon."""
     background = ctx.settings.background
     jobs = (
         (tick_periodically, TICK_MS / 1000),
         (lambda c: c.disk.check_health(), 0.1),
         (read_hooks, 0.1),
-        (poll_all, background.load_ms / 1000),
-        (list_, background.list_ms / 4000),
+        (poll_all_runners, background.load_ms / 1000),
+        (poll_runner_list, background.list_ms / 4000),
         (tick_ledger, background.tick_ms / 1000),
         (calendars, background.calendar_ms / 1000),
-        (shelves.honour, 0.1),
-        (shelves.tidy, 30.0),
+        (config_bodies.activate_configuration, 0.1),
+        (config_bodies.prune_bodies, 30.0),
     )
-    for job, every_s in jobs:
+    for job, interval_s in jobs:
         loop = LoopingCall(job, ctx)
         loop.clock = ctx.reactor
 
-        def broken(failure, job=job):
+        def on_error(failure, job=job):
             log_event(
                 "Internal",
                 job=getattr(job, "__name__", "job"),
@@ -61,12 +61,12 @@
             )
             ctx.lifecycle.crash()
 
-        loop.start(every_s, now=True).addErrback(broken)
+        loop.start(interval_s, now=True).addErrback(on_error)
         ctx.tasks.append(loop)
 
 
 def assemble(settings, reactor, machine):
-    """Return (context, site) of a daemon; nothing listens yet."""
+    """Return the (context, HTTP site) of a daemon that does not listen yet."""
     incarnation = 1 + int(machine.token(6), 16)
     endpoint = Endpoint(
         Member(settings.name, incarnation),
@@ -83,36 +83,36 @@
     if settings.role == "storage":
         write_ahead_log, records, error = disks.open_log(settings.data, machine.files)
         ctx.disk = disks.LogWriter(ctx, write_ahead_log)
-        error = shelves.load(ctx, settings.data) or error
+        error = config_bodies.load(ctx, settings.data) or error
         if error:
             ctx.disk_damage = f"{type(error).__name__} at {error.offset} in {error.path}"
             log_event(type(error).__name__, path=error.path, offset=error.offset)
 
-    def applied():
+    def on_applied():
         wake(ctx)
         if ctx.effective_config_index < ctx.core.ledger.config_index:
-            reactor.callLater(0, shelves.honour, ctx)
+            reactor.callLater(0, config_bodies.activate_configuration, ctx)
 
     ctx.links = {
         "send": make_links(ctx),
-        "applied": applied,
-        "news": lambda frm, body: shelves.received(ctx, frm, body),
-        "heard": lambda frm, vector: shelves.heard(ctx, frm, vector),
+        "applied": on_applied,
+        "news": lambda sender_name, message: config_bodies.on_message(ctx, sender_name, message),
+        "heard": lambda sender_name, vector: config_bodies.on_version_vector(ctx, sender_name, vector),
     }
     ctx.http_agent = http_agent(ctx)[1]
-    seeds = [f"@{s}" for s in settings.seeds]
+    seeds = [f"@{address}" for address in settings.seeds]
     ctx.core, out = create_core(endpoint, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
-    ctx.core.synchrony.status = shelves.news(ctx)
+    ctx.core.synchrony.status = config_bodies.status_vector(ctx)
     ctx.disk.write(out.writes)
     return ctx, build(ctx)
 
 
-def raise_(ctx, site, hand, fallen):
-    """Listen for peers, then for HTTP, then start the periodic jobs."""
+def start_daemon(ctx, site, process, on_failure):
+    """Listen for peers, then for HTTP, then start the periodic jobs; `on_failure` gets the Failure of any step."""
 
-    def up(port):
-        hand.close = port.stopListening
-        loops(ctx)
+    def on_listening(port):
+        process.close = port.stopListening
+        start_periodic_jobs(ctx)
         ctx.lifecycle.started()
 
     def listen_http(_):
@@ -120,4 +120,4 @@
             site
         )
 
-    return listen(ctx).addCallback(listen_http).addCallbacks(up, fallen)
+    return listen(ctx).addCallback(listen_http).addCallbacks(on_listening, on_failure)
--- a/frostpost/background/__init__.py
+++ b/frostpost/background/__init__.py
@@ -1,1 +1,1 @@
-"""Periodic work of a daemon: load reports, the list of runners, ledger ticks, calendars, repair, metrics."""
+"""Periodic jobs of a daemon: load polling, the runner list, the ledger's clock, calendars, configuration, metrics."""
--- a/frostpost/background/calendars.py
+++ b/frostpost/background/calendars.py
@@ -1,4 +1,4 @@
-"""Tenants' calendars: parameters that change at times given by cron expressions."""
+"""Calendars of tenants: parameters that change at times given by cron expressions."""
 
 from datetime import UTC, datetime
 
@@ -14,63 +14,73 @@
 from frostpost.ledger.operations import Fire, SetConfig
 from frostpost.ledger.results import ConfigSet
 
-from . import shelves
+from . import config_bodies
 
 
-def due_s(cron, now_s):
-    """Return the last time at or before `now_s` (seconds, UTC) that a cron expression names."""
-    moment = datetime.fromtimestamp(now_s, UTC)
+def last_due_s(cron, before_s):
+    """Return the last time before `before_s` that a cron expression matches; both in seconds, UTC."""
+    moment = datetime.fromtimestamp(before_s, UTC)
     return int(croniter(cron, moment).get_prev(float))
 
 
-def amended(tenant, since_s, now_s):
-    """Return (time of the last due calendar, tenant with the changes of all due calendars)."""
-    due = sorted((due_s(c["cron"], now_s + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
-    late = [(at_s, n) for at_s, n in due if since_s < at_s <= now_s]
-    if not late:
+def apply_due_calendars(tenant, since_s, now_s):
+    """Apply the calendars due after `since_s` and up to `now_s` to a tenant's parameters, in the order of their times.
+
+    Returns (time of the last of them, changed tenant document), or (0, None) if none is due. A calendar that was due
+    several times is applied once, at the last of these.
+    """
+    last_times = sorted((last_due_s(c["cron"], now_s + 1), n) for n, c in enumerate(tenant.get("calendars", ())))
+    due = [(at_s, n) for at_s, n in last_times if since_s < at_s <= now_s]
+    if not due:
         return 0, None
     parameters = dict(tenant.get("parameters", {}))
-    for _, n in late:
-        parameters.update(tenant["calendars"][n]["set"])
-    return late[-1][0], {**tenant, "parameters": parameters}
+    for _, position in due:
+        parameters.update(tenant["calendars"][position]["set"])
+    return due[-1][0], {**tenant, "parameters": parameters}
 
 
 @inlineCallbacks
-def fire_one(ctx, fence, path, now_s):
-    """Order the due calendar changes of one tenant."""
-    version, tenant = ctx.documents[path][0], json.decode(shelves.body_of(ctx, path))
+def fire_tenant(ctx, fencing_token, path, now_s):
+    """Submit the due calendar changes of a tenant.
+
+    The first call for a tenant only records the time from which its calendars are due.
+    """
+    version, tenant = ctx.documents[path][0], json.decode(config_bodies.current_body(ctx, path))
     ask_ms = ctx.settings.doors.ask_ms
     since_s = ctx.core.ledger.fired.get(path)
     if since_s is None:
-        yield submit(ctx, Fire(fence, path, now_s, None), ask_ms)
+        yield submit(ctx, Fire(fencing_token, path, now_s, None), ask_ms)
         return
-    at_s, document = amended(tenant, since_s, now_s)
+    at_s, document = apply_due_calendars(tenant, since_s, now_s)
     if document is None:
         return
     if document == tenant:
-        yield submit(ctx, Fire(fence, path, at_s, None), ask_ms)
+        yield submit(ctx, Fire(fencing_token, path, at_s, None), ask_ms)
         return
     base = f"templates/{tenant['template']}"
-    item = yield shelves.put(ctx, json.encode(document))
+    item = yield config_bodies.put(ctx, json.encode(document))
     change = SetConfig(
         path, item.digest, item.size, version, item.source, item.number, ((base, ctx.documents[base][0]),)
     )
-    if (yield shelves.spread(ctx, item)):
-        result = yield submit(ctx, Fire(fence, path, at_s, change), ask_ms)
+    if (yield config_bodies.wait_for_majority(ctx, item)):
+        result = yield submit(ctx, Fire(fencing_token, path, at_s, change), ask_ms)
         if result.is_ok() and isinstance(result.ok, ConfigSet):
             log_event("CalendarFired", path=path, version=result.ok.version, at_s=at_s)
 
 
 @inlineCallbacks
 def calendars(ctx):
-    """Look through all tenants' calendars, if this daemon holds that duty."""
-    fence = singleton_roles.fencing_token(ctx.core.ledger, "calendars", ctx.endpoint.member)
+    """Fire the due calendars of all tenants if this daemon holds the role "calendars" and its configuration is current.
+
+    An error that ends this job is logged under the name of this function.
+    """
+    fencing_token = singleton_roles.fencing_token(ctx.core.ledger, "calendars", ctx.endpoint.member)
     if (
-        not fence
+        not fencing_token
         or not holds_lease(ctx.core, clock_ms(ctx))
         or ctx.effective_config_index < ctx.core.ledger.config_index
     ):
         return
-    for path in [p for p, (_, d) in ctx.documents.items() if d.get("calendars")]:
+    for path in [p for p, (_, tenant) in ctx.documents.items() if tenant.get("calendars")]:
         if path in ctx.documents:
-            yield fire_one(ctx, fence, path, int(ctx.machine.wall_s()))
+            yield fire_tenant(ctx, fencing_token, path, int(ctx.machine.wall_s()))
--- a/frostpost/background/runners.py
+++ b/frostpost/background/load_poller.py
@@ -1,4 +1,4 @@
-"""Poll the runners' load reports."""
+"""Poll the runners for their load reports."""
 
 from msgspec import Struct, json
 from twisted.internet.defer import inlineCallbacks
@@ -11,8 +11,8 @@
 from frostpost.placement.ranking import RunnerHealth
 
 
-class Report(Struct):
-    """A runner's load report."""
+class LoadReport(Struct):
+    """A runner's load report, a JSON document."""
 
     runner: str
     instance: str
@@ -23,8 +23,11 @@
 
 
 @inlineCallbacks
-def poll(ctx, runner):
-    """Ask one runner for its load and record its health; order a drain mark if it reports that it leaves."""
+def poll_runner(ctx, runner):
+    """Fetch a runner's load report and record its health; submit a drain operation if it reports that it is leaving.
+
+    A report from another runner or instance at this address records only who answered.
+    """
     health = ctx.runner_health.setdefault(runner.name, RunnerHealth())
     try:
         response = yield ctx.http_agent.get(
@@ -34,7 +37,7 @@
             reactor=ctx.reactor,
         )
         raw = yield read_body(response, ctx.settings.doors.result_bytes)
-        report = json.decode(raw, type=Report)
+        report = json.decode(raw, type=LoadReport)
     except Exception as error:
         health.failed_ms, health.failures = clock_ms(ctx), health.failures + 1
         count(ctx, f"load_error/{type(error).__name__}")
@@ -53,14 +56,17 @@
             submit(ctx, Drain(runner.name, True), ctx.settings.doors.ask_ms)
 
 
-def poll_all(ctx):
-    """Poll all runners, spread over the interval."""
+def poll_all_runners(ctx):
+    """Poll all runners, spread over the interval; a daemon that is no edge polls only while it has open requests.
+
+    Drops the health of runners that left the list and have no request in flight.
+    """
     if ctx.endpoint.role != "edge" and not ctx.requests_in_flight:
         return
-    listed = list(ctx.core.ledger.runners.values())
-    names = {r.name for r in listed}
-    for gone in [n for n, s in ctx.runner_health.items() if n not in names and not s.in_flight]:
-        del ctx.runner_health[gone]
-    space_s = ctx.settings.background.load_ms / 1000 / max(1, len(listed))
-    for n, runner in enumerate(listed):
-        ctx.reactor.callLater(n * space_s, poll, ctx, runner)
+    runners = list(ctx.core.ledger.runners.values())
+    names = {r.name for r in runners}
+    for removed_name in [n for n, h in ctx.runner_health.items() if n not in names and not h.in_flight]:
+        del ctx.runner_health[removed_name]
+    spacing_s = ctx.settings.background.load_ms / 1000 / max(1, len(runners))
+    for position, runner in enumerate(runners):
+        ctx.reactor.callLater(position * spacing_s, poll_runner, ctx, runner)
--- a/frostpost/background/meters.py
+++ b/frostpost/background/metrics.py
@@ -7,8 +7,8 @@
 from frostpost.daemon.core import holds_lease
 
 
-class Meters:
-    """Collects a daemon's gauges and counters."""
+class DaemonCollector:
+    """Prometheus collector of a daemon's gauges and counters."""
 
     __slots__ = ("ctx",)
 
@@ -39,8 +39,8 @@
         yield events
 
 
-def gather(ctx):
+def create_registry(ctx):
     """Return a registry of a daemon's metrics."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(Meters(ctx))
+    registry.register(DaemonCollector(ctx))
     return registry
--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.task import LoopingCall
 
-from frostpost.background.ticking import tick_ledger
+from frostpost.background.ledger_clock import tick_ledger
 from frostpost.daemon import core as cores
 from frostpost.daemon import disk as disks
 from frostpost.daemon import event_loop
--- a/frostpost/http_api/control.py
+++ b/frostpost/http_api/control.py
@@ -4,7 +4,7 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.background import shelves
+from frostpost.background import config_bodies
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import holds_lease
 from frostpost.daemon.event_loop import submit
@@ -95,7 +95,7 @@
     elif request.method == b"PATCH":
         if held == 0:
             return Error(errors.NoSuch(f"there is no {path} to amend"))
-        whole = yield ctx.machine.in_thread(json.decode, shelves.body_of(ctx, path))
+        whole = yield ctx.machine.in_thread(json.decode, config_bodies.current_body(ctx, path))
         document = merge_patch(whole, document)
     result, bases = yield ctx.machine.in_thread(judge, ctx, kind, name, document)
     if result.is_error():
@@ -121,8 +121,8 @@
 def order(ctx, path, body, version, bases):
     """Store a body with a majority, order the change, and wait until every daemon honours it."""
     doors = ctx.settings.doors
-    item = yield shelves.put(ctx, body)
-    if not (yield shelves.spread(ctx, item)):
+    item = yield config_bodies.put(ctx, body)
+    if not (yield config_bodies.wait_for_majority(ctx, item)):
         return Error(errors.Undecided())
     result = taken(
         ConfigSet,
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/reads.py
@@ -5,8 +5,8 @@
 from msgspec import Raw
 from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
-from frostpost.background.meters import gather
-from frostpost.background.shelves import body_of
+from frostpost.background.config_bodies import current_body
+from frostpost.background.metrics import create_registry
 from frostpost.daemon.context import clock_ms
 from frostpost.daemon.core import holds_lease
 from frostpost.daemon.event_loop import submit
@@ -152,7 +152,7 @@
         return errors.NoSuch(f"there is no {path}")
     if mark.version != held[0]:
         return errors.ConfigChanging()
-    return {"path": path, "version": held[0], "document": Raw(body_of(ctx, path))}
+    return {"path": path, "version": held[0], "document": Raw(current_body(ctx, path))}
 
 
 def configs(ctx):
@@ -223,4 +223,4 @@
     @app.route("/metrics", methods=["GET"])
     def metrics(request):
         request.setHeader("content-type", CONTENT_TYPE_LATEST)
-        return generate_latest(gather(ctx))
+        return generate_latest(create_registry(ctx))
--- a/frostpost/http_api/sets.py
+++ b/frostpost/http_api/sets.py
@@ -4,7 +4,7 @@
 from msgspec import json
 from twisted.internet.defer import inlineCallbacks
 
-from frostpost.background import shelves
+from frostpost.background import config_bodies
 from frostpost.daemon.event_loop import submit
 from frostpost.daemon.polling import poll_until
 from frostpost.daemon.structured_log import log_event
@@ -70,8 +70,8 @@
         if body is None:
             changes.append(Change(path, config_versions.REMOVED_DIGEST, 0, held, "", 0))
             continue
-        item = yield shelves.put(ctx, body)
-        if not (yield shelves.spread(ctx, item)):
+        item = yield config_bodies.put(ctx, body)
+        if not (yield config_bodies.wait_for_majority(ctx, item)):
             return Error(errors.Undecided())
         changes.append(Change(path, item.digest, item.size, held, item.source, item.number))
     result = control.taken(ManySet, (yield submit(ctx, SetMany(tuple(changes), index), doors.ack_ms)))
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -3,7 +3,7 @@
 from expression import Ok
 from twisted.internet.defer import succeed
 
-from frostpost.background import shelves
+from frostpost.background import config_bodies
 from frostpost.daemon import lifecycle
 from frostpost.daemon.event_loop import submit
 from frostpost.http_api import control, errors, forward, lookups, stream, turns
@@ -13,7 +13,7 @@
 
 from . import plants
 
-KEPT = {"close": turns.Stream.close, "read": lookups.read, "load": shelves.load}
+KEPT = {"close": turns.Stream.close, "read": lookups.read, "load": config_bodies.load}
 
 
 def any_failure(reason):
@@ -101,7 +101,7 @@
     "any_service": [(forward, "proved", any_service)],
     "leave_early": [(lifecycle, "poll_until", hurried)],
     "no_lease": plants.PLANTS["no_lease"],
-    "lose_bodies": [(shelves, "load", lose_bodies)],
+    "lose_bodies": [(config_bodies, "load", lose_bodies)],
     "last_result": [(lookups, "read", last_result)],
     "deny_run": [(lookups.errors, "Unknown", errors.RunnersFull)],
 }
--- a/frostpost/simulator/fleet.py
+++ b/frostpost/simulator/fleet.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, convert
 from twisted.internet.endpoints import TCP4ServerEndpoint
 
-from frostpost.app.assembly import assemble, raise_
+from frostpost.app.assembly import assemble, start_daemon
 from frostpost.daemon.lifecycle import DaemonProcess
 from frostpost.daemon.lifecycle import make_lifecycle as make_life
 from frostpost.daemon.machine import Machine
@@ -182,7 +182,7 @@
         return exited(fleet, name, type(error).__name__)
     daemon.hand = DaemonProcess(daemon.ctx, lambda: daemon.host.callLater(0, exited, fleet, name, None))
     daemon.ctx.lifecycle = make_life(daemon.hand)
-    raise_(daemon.ctx, site, daemon.hand, lambda failure: exited(fleet, name, failure.type.__name__))
+    start_daemon(daemon.ctx, site, daemon.hand, lambda failure: exited(fleet, name, failure.type.__name__))
 
 
 def exited(fleet, name, why):
--- a/tests/test_calendars.py
+++ b/tests/test_calendars.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from frostpost.background.calendars import amended, due_s
+from frostpost.background.calendars import apply_due_calendars, last_due_s
 from frostpost.tenant_config.instantiation import validate_tenant
 from frostpost.testbed.templates import TEMPLATES
 
 
-def at(text):
+def epoch_s(text):
     return int(datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp())
 
 
@@ -21,13 +21,13 @@
 }
 
 
-def test_due_is_the_last_time_passed():
-    assert due_s("0 6 * * *", at("2026-12-02T06:00:30")) == at("2026-12-02T06:00:00")
-    assert due_s("0 6 * * *", at("2026-12-02T05:59:59")) == at("2026-12-01T06:00:00")
+def test_last_due_time_is_the_latest_match_up_to_now():
+    assert last_due_s("0 6 * * *", epoch_s("2026-12-02T06:00:30")) == epoch_s("2026-12-02T06:00:00")
+    assert last_due_s("0 6 * * *", epoch_s("2026-12-02T05:59:59")) == epoch_s("2026-12-01T06:00:00")
 
 
 @pytest.mark.parametrize(
-    "since,now,fires,retention_ms",
+    "since,now,expected_time,retention_ms",
     [
         ("2026-12-02T05:59:50", "2026-12-02T06:00:00", "2026-12-02T06:00:00", 900000),
         ("2026-12-02T06:00:00", "2026-12-02T06:00:05", None, None),
@@ -36,15 +36,15 @@
         ("2026-12-02T18:00:00", "2026-12-02T17:00:00", None, None),
     ],
 )
-def test_a_gap_is_caught_up_by_the_last_of_each(since, now, fires, retention_ms):
-    at_s, document = amended(TENANT, at(since), at(now))
-    if fires is None:
+def test_missed_calendars_are_applied_once_in_the_order_of_their_last_times(since, now, expected_time, retention_ms):
+    at_s, document = apply_due_calendars(TENANT, epoch_s(since), epoch_s(now))
+    if expected_time is None:
         assert document is None
     else:
-        assert at_s == at(fires) and document["parameters"]["retention_ms"] == retention_ms
+        assert at_s == epoch_s(expected_time) and document["parameters"]["retention_ms"] == retention_ms
 
 
-def test_calendars_are_checked():
+def test_calendars_are_validated():
     assert validate_tenant("t", TENANT, TEMPLATES["clerks"]).is_ok()
     for calendar, path in (
         ({"cron": "0 6 * *", "set": {"retention_ms": 900000}}, "/calendars/0/cron"),
