--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -108,7 +108,7 @@
 
 
 def start_daemon(ctx, site, process, on_failure):
-    """Listen for peers, then for HTTP, then start the periodic jobs; `on_failure` gets the Failure of any step."""
+    """Listen for peers, then for HTTP, then start the periodic jobs; `on_failure` gets a failure to listen."""
 
     def on_listening(port):
         process.close = port.stopListening
--- a/frostpost/background/config_bodies.py
+++ b/frostpost/background/config_bodies.py
@@ -158,7 +158,7 @@
 
 
 def on_version_vector(ctx, sender_name, vector):
-    """Request the items that a peer's version vector is ahead by."""
+    """Request the newer items of a peer whose version vector is ahead."""
     send_all(ctx, body_store.request_versions(ctx.body_store, sender_name, vector))
 
 
--- a/frostpost/background/load_poller.py
+++ b/frostpost/background/load_poller.py
@@ -24,7 +24,7 @@
 
 @inlineCallbacks
 def poll_runner(ctx, runner):
-    """Fetch a runner's load report and record its health; submit a drain operation if it reports that it is leaving.
+    """Fetch a runner's load report and record its health; submit a Drain if it is leaving.
 
     A report from another runner or instance at this address records only who answered.
     """
--- a/frostpost/turn_store/client.py
+++ b/frostpost/turn_store/client.py
@@ -40,8 +40,7 @@
 class PendingFetch(Struct):
     """Bodies that are being fetched.
 
-    asked_replicas: in the order in which they were last asked. exhausted_replicas: those that replied without any of
-    the missing bodies.
+    contacted_replicas: ordered by last request. exhausted_replicas: those without any of the missing bodies.
     """
 
     number: int
@@ -49,7 +48,7 @@
     found: dict[str, bytes]
     missing: dict[str, None]
     result: Deferred
-    asked_replicas: list[str] = []
+    contacted_replicas: list[str] = []
     exhausted_replicas: set[str] = set()
     timers: dict[str, object] = {}
 
@@ -133,22 +132,24 @@
 def request_from_next_replica(agent, pending):
     """Request the missing bodies from a replica not asked yet, else from the one that was asked the longest ago."""
     names = sorted(lease_client.replica_addresses(agent))
-    unasked = [name for name in names if name not in pending.asked_replicas]
-    repeatable = [name for name in pending.asked_replicas if name in names and name not in pending.exhausted_replicas]
+    unasked = [name for name in names if name not in pending.contacted_replicas]
+    repeatable = [
+        name for name in pending.contacted_replicas if name in names and name not in pending.exhausted_replicas
+    ]
     if names and not unasked and not repeatable:
         fail_fetch(agent, pending)
         return
     delay_ms = NEXT_REPLICA_MS if len(unasked) > 1 or not names else LAST_REPLICA_MS
-    start_timer(agent, pending, "next replica", delay_ms, lambda: request_from_next_replica(agent, pending))
+    start_timer(agent, pending, "next_replica", delay_ms, lambda: request_from_next_replica(agent, pending))
     if names:
         request_bodies(agent, pending, unasked[pending.number % len(unasked)] if unasked else repeatable[0])
 
 
 def request_bodies(agent, pending, name):
     """Request the missing bodies from a replica."""
-    if name in pending.asked_replicas:
-        pending.asked_replicas.remove(name)
-    pending.asked_replicas.append(name)
+    if name in pending.contacted_replicas:
+        pending.contacted_replicas.remove(name)
+    pending.contacted_replicas.append(name)
     address = lease_client.replica_addresses(agent).get(name)
     if address is not None:
         agent.links["send"](
@@ -222,7 +223,7 @@
     names = lease_client.replica_addresses(agent).keys()
     if names <= pending.exhausted_replicas:
         fail_fetch(agent, pending)
-    elif not names <= set(pending.asked_replicas):
+    elif not names <= set(pending.contacted_replicas):
         request_from_next_replica(agent, pending)
 
 
--- a/frostpost/turn_store/repair.py
+++ b/frostpost/turn_store/repair.py
@@ -36,11 +36,11 @@
 class TurnAttempts(Struct):
     """The attempts to fetch a turn's body.
 
-    asked_peers: the peers asked in this cycle. next_cycle_ms: when a new cycle may begin. absent_at: by peer that
+    contacted_peers: the peers asked in this cycle. next_cycle_ms: when a new cycle may begin. absent_at: by peer that
     replied without the body, the ledger index that was applied when it was asked.
     """
 
-    asked_peers: list[str] = []
+    contacted_peers: list[str] = []
     next_cycle_ms: int = 0
     absent_at: dict[str, int] = {}
 
@@ -97,9 +97,9 @@
 def update_missing_count(turn_store, state, missing, index):
     """Update the number of missing bodies and the ledger index as of which it holds.
 
-    A body counts as missing only if two rounds in a row miss it, which leaves out bodies that are being written to all
-    replicas. A body that every peer lacks doesn't count either: unless more replicas failed than are tolerated, its
-    turn was never acknowledged.
+    A body counts if the previous round found it missing and it is still not stored, which leaves out bodies that are
+    being written to all replicas. The first round counts all that it finds missing, as of index 0. A body that every
+    peer lacks doesn't count: unless more replicas failed than are tolerated, its turn was never acknowledged.
     """
     candidates = missing if state.missing is None else [t for t in state.missing if t not in turn_store.index]
     absent_everywhere = [turn for turn in candidates if is_absent_everywhere(state, turn)]
@@ -144,9 +144,9 @@
     attempts = state.attempts.get(turn)
     if attempts is None or not peers:
         return peers[0] if peers else None
-    unasked = [peer for peer in peers if peer not in attempts.asked_peers]
+    unasked = [peer for peer in peers if peer not in attempts.contacted_peers]
     if not unasked and now_ms >= attempts.next_cycle_ms:
-        attempts.asked_peers, unasked = [], peers
+        attempts.contacted_peers, unasked = [], peers
     return unasked[0] if unasked else None
 
 
@@ -185,7 +185,7 @@
     state.requests[peer] = OpenRequest(state.last_number, turns, now_ms + REPLY_TIMEOUT_MS, state.index)
     for turn in turns:
         attempts = state.attempts.setdefault(turn, TurnAttempts())
-        attempts.asked_peers.append(peer)
+        attempts.contacted_peers.append(peer)
         attempts.next_cycle_ms = now_ms + RETRY_CYCLE_MS
     replica.send(peer, GetBodiesRequest(state.incarnation, state.last_number, turns))
 
@@ -211,7 +211,7 @@
 def requeue_remaining(state, peer, turns):
     """Put turns that did not fit in a full reply back to the head of the peer's queue."""
     for turn in turns:
-        state.attempts[turn].asked_peers.remove(peer)
+        state.attempts[turn].contacted_peers.remove(peer)
     if peer in state.queues:
         state.queues[peer].extendleft(reversed(turns))
 
--- a/frostpost/turn_store/segments.py
+++ b/frostpost/turn_store/segments.py
@@ -33,7 +33,7 @@
 
 
 class BatchResult(Struct):
-    """Result of a batch: locations of the synced bodies, sizes of the segments written to, and the first error."""
+    """Result of a batch: locations of the synced bodies, sizes of the segments written, and the error that ended it."""
 
     locations: dict[str, tuple[int, int, int]]
     segment_sizes: dict[int, int]
--- a/frostpost/turn_store/store.py
+++ b/frostpost/turn_store/store.py
@@ -98,7 +98,7 @@
 
 
 def put(turn_store, turn, data):
-    """Write a body unless it is stored; return a Deferred of True once it is synced, of False if it can't be."""
+    """Write a body unless it is stored already; return a Deferred of whether it is synced to disk."""
     if turn in turn_store.index and not turn_store.is_stopped:
         protect_from_expiry(turn_store, turn)
         return succeed(True)
