--- a/frostpost/cluster/replica_daemon.py
+++ b/frostpost/cluster/replica_daemon.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.task import LoopingCall
 
-from frostpost.background.ticking import tick_ledger
+from frostpost.background.ledger_clock import tick_ledger
 from frostpost.daemon import core as cores
 from frostpost.daemon import disk as disks
 from frostpost.daemon import event_loop
@@ -11,7 +11,7 @@
 from frostpost.daemon.structured_log import log_event
 from frostpost.turn_store import serving as turn_stores
 from frostpost.turn_store import store
-from frostpost.turn_store.repair import repair as repair_bodies
+from frostpost.turn_store.repair import run_round as repair_bodies
 from frostpost.virtual_synchrony.agent_messages import (
     DirectoryReply,
     DirectoryRequest,
@@ -61,8 +61,8 @@
     replica.turn_store = store.open_store(
         settings.data,
         machine,
-        tell=lambda failure: on_store_failure(replica, failure),
-        disk_bytes=settings.disk_mb * 600000 or 1 << 30,
+        on_error=lambda failure: on_store_failure(replica, failure),
+        max_disk_bytes=settings.disk_mb * 600000 or 1 << 30,
     )
     ctx.links = {
         "applied": lambda: on_applied(replica),
--- a/frostpost/cluster/voter_reconfiguration.py
+++ b/frostpost/cluster/voter_reconfiguration.py
@@ -38,7 +38,11 @@
 
 def status_report(turn_store, draining):
     """What a replica reports about its copies with each heartbeat."""
-    return {MISSING: turn_store.missing, COUNTED: turn_store.counted, **({DRAINING: 1} if draining else {})}
+    return {
+        MISSING: turn_store.missing_count,
+        COUNTED: turn_store.missing_as_of_index,
+        **({DRAINING: 1} if draining else {}),
+    }
 
 
 def reported_status(ctx, name):
--- a/tests/test_cluster_bootstrap.py
+++ b/tests/test_cluster_bootstrap.py
@@ -115,7 +115,7 @@
 
 def test_the_record_is_handed_out_only_after_its_sync():
     core = Core()
-    core.threads.held = True
+    core.threads.is_paused = True
     core.request_record("s1", "s2", "s3")
     assert core.advance(QUIET_S) == () and core.advance(1) == ()
     core.request_record("s4")
@@ -139,7 +139,7 @@
 
 def test_power_loss_before_the_sync_leaves_no_record():
     core = Core()
-    core.threads.held = True
+    core.threads.is_paused = True
     core.request_record("s1", "s2", "s3")
     core.advance(QUIET_S)
     lose_unsynced(core.drive)
