--- a/frostpost/proxy/runner_discovery.py
+++ b/frostpost/proxy/runner_discovery.py
@@ -67,7 +67,7 @@
     return max(own_ms, int(1000 * calls / (RATE_SHARE * settings.list_rate_per_s)))
 
 
-def turn_period_ms(agent):
+def poll_period_ms(agent):
     """Return the interval between two turns of the whole fleet, bounded by the list's rate."""
     settings = agent.settings
     rate_ms = 1000 * agent.runner_list.pages / (RATE_SHARE * settings.list_rate_per_s)
@@ -80,7 +80,7 @@
     random: from 0 to 1. Spread over the turns of all agents, so that about one of them reads in a period.
     """
     drain_ms = agent.settings.drain_ms
-    spread_ms = max(drain_ms * LEADERLESS_SPREAD_RATIO, session_of(agent).agent_count * turn_period_ms(agent))
+    spread_ms = max(drain_ms * LEADERLESS_SPREAD_RATIO, session_of(agent).agent_count * poll_period_ms(agent))
     return int(drain_ms * LEADERLESS_DRAIN_RATIO + random * spread_ms)
 
 
@@ -115,16 +115,16 @@
         close_expired(self.agent)
         maybeDeferred(self.agent.attachments["fetch_list"]).addCallbacks(self._on_fetched, self._on_failed)
 
-    def turn_period_ms(self):
+    def poll_period_ms(self):
         """Return the turn period that the next lease request asks for; 0 while this agent can take no turn."""
-        return turn_period_ms(self.agent) if self._may_read() else 0
+        return poll_period_ms(self.agent) if self._may_read() else 0
 
-    def on_turn(self):
+    def on_poll_granted(self):
         """Handle a turn granted by the leader."""
         if self._may_read():
             self.fetch()
 
-    def on_newest(self, newest):
+    def on_newest_reading(self, newest):
         """Handle the newest reading of any agent, received with a lease; schedules a read if its list differs."""
         if not self._may_read() or newest.read_ms <= self.newest_ms:
             return
@@ -190,10 +190,10 @@
     """Start polling the list; returns a function that stops it."""
     poller, list_state = ListPoller(agent), agent.runner_list
     list_state.on_draining = lambda runner_ids: on_draining(agent, runner_ids)
-    list_state.on_newest, list_state.on_turn, list_state.turn_period_ms = (
-        poller.on_newest,
-        poller.on_turn,
-        poller.turn_period_ms,
+    list_state.on_newest_reading, list_state.on_poll_granted, list_state.poll_period_ms = (
+        poller.on_newest_reading,
+        poller.on_poll_granted,
+        poller.poll_period_ms,
     )
     poller.fetch()
     return poller.stop
--- a/tests/test_proxy_runner_discovery.py
+++ b/tests/test_proxy_runner_discovery.py
@@ -80,7 +80,7 @@
 def test_turns_use_at_most_half_of_the_list_rate(pages, rate, expected_ms):
     agent, _ = make_agent(lambda: succeed([]), list_rate_per_s=rate)
     agent.runner_list.pages = pages
-    assert runner_discovery.turn_period_ms(agent) == expected_ms
+    assert runner_discovery.poll_period_ms(agent) == expected_ms
     assert pages * 1000 / expected_ms <= rate / 2 * 1.01
 
 
