--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -17,7 +17,8 @@
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.models import ClientBounds
 
-from . import names, routing
+from . import header_names as names
+from . import routing
 from .server import Server, reply
 
 # After this much silence a caller goes on to another daemon; it waits longer for a large body.
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -12,8 +12,8 @@
 from frostpost.proxy import failures
 from frostpost.proxy.models import ClientBounds, Sink
 
-from .calls import call_of
-from .names import ATTEMPT
+from .header_names import ATTEMPT
+from .request_parser import call_of
 from .server import Server, close_after, reply
 
 LEAVING_RETRY_MS, CUT_S, CHANNEL_SHARE = 50, 2, 0.6
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -4,8 +4,8 @@
 
 from frostpost.cluster.settings import Front
 
+from .runner_protocol import wire
 from .settings import read
-from .wire import wire
 
 BACKLOG = 1024
 
@@ -37,7 +37,7 @@
 
 def fetch_list(agent):
     """-> Deferred[list[Runner]]: all pages of the platform's list."""
-    from .listing import fetch_list as fetch
+    from .runner_list import fetch_list as fetch
 
     return fetch(agent)
 
--- a/frostpost/platform/calls.py
+++ b/frostpost/platform/request_parser.py
@@ -5,7 +5,7 @@
 from frostpost.proxy.failures import BadRequest
 from frostpost.proxy.models import Call
 
-from . import names
+from . import header_names as names
 
 DEFAULT_LEFT_MS = 30000
 DROPPED = names.HOP_BY_HOP | {b"host", b"expect"}
--- a/frostpost/platform/wire.py
+++ b/frostpost/platform/runner_protocol.py
@@ -2,7 +2,7 @@
 
 from frostpost.proxy.models import RunnerHead, Wire
 
-from .names import ATTEMPT, HOP_BY_HOP, INSTANCE, LAST_EVENT, LEFT, LOAD, NOT_RUN, SEAL, TARGET, connection_names
+from .header_names import ATTEMPT, HOP_BY_HOP, INSTANCE, LAST_EVENT, LEFT, LOAD, NOT_RUN, SEAL, TARGET, connection_names
 
 REPLACED = frozenset((LEFT, TARGET))
 
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -4,7 +4,8 @@
 from twisted.internet.defer import succeed
 
 from frostpost.cluster import agent_sessions, control_client, lease_client, operation_server, voter_reconfiguration
-from frostpost.platform import control, front, listing, routing
+from frostpost.platform import control, front, routing
+from frostpost.platform import runner_list as listing
 from frostpost.platform.server import reply
 from frostpost.program_ledger import accepted_changes, routing_versions, turns
 from frostpost.program_ledger import apply as ledger
--- a/tests/test_platform_front_properties.py
+++ b/tests/test_platform_front_properties.py
@@ -8,7 +8,7 @@
 from strict_http import ReadRequest, read_request, read_requests
 from test_platform_front import Fleet
 
-from frostpost.platform.wire import wire
+from frostpost.platform.runner_protocol import wire
 from frostpost.proxy import failures
 from frostpost.proxy.exchange import request_bytes
 from frostpost.proxy.models import Runner
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -7,7 +7,7 @@
 from twisted.python.failure import Failure
 
 from frostpost.platform import front
-from frostpost.platform.wire import wire
+from frostpost.platform.runner_protocol import wire
 from frostpost.program_ledger.messages import ClaimOperationKey, KeyAnswered, ResolveOperationKey
 from frostpost.proxy import serve
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,8 +5,8 @@
 import pytest
 from msgspec import structs
 
-from frostpost.platform import listing
-from frostpost.platform.wire import wire
+from frostpost.platform import runner_list as listing
+from frostpost.platform.runner_protocol import wire
 from frostpost.proxy.models import Call, Runner
 
 ROOT = Path(__file__).parent.parent
