--- a/frostpost/cluster/attempt_tracing.py
+++ b/frostpost/cluster/attempt_tracing.py
@@ -35,7 +35,7 @@
 
 def trace_request(agent, call, request):
     """Log the start of a client's request, and its status and duration when it ends."""
-    started_ms, previous_callback = now_ms(agent), request.on_over
+    started_ms, previous_callback = now_ms(agent), request.on_finished
     log_event("trace", attempt=call.attempt, at="taken", host=call.host, program=call.program, key=call.key)
 
     def on_finished(lost):
@@ -49,4 +49,4 @@
         )
         previous_callback(lost)
 
-    request.on_over = on_finished
+    request.on_finished = on_finished
--- a/frostpost/platform/__init__.py
+++ b/frostpost/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform translated: settings, HTTP, control calls, the list of runners; its names stand only here."""
+"""Adapter to the hosting platform: settings, HTTP, control calls and the runner list; its names appear only here."""
--- a/frostpost/platform/control.py
+++ b/frostpost/platform/control.py
@@ -1,8 +1,9 @@
-"""Calls of the platform's operator, translated into the product's own operations.
+"""Control API for the platform's operator: replaces and reads the routing configuration, and retires storage daemons.
 
-No answer rests on this daemon's own copy: each but a syntactic 400 and a 404 for an unknown path follows a verdict that
-was ordered after the call came. Where none comes in time, the answer is 503, well before the caller takes silence for a
-failure: a change may be taken then or not, and is known again when it is sent again.
+Responses are linearizable: apart from syntax errors (400) and unknown paths (404), each is based on the result of an
+operation that was ordered after the request arrived, never on this daemon's copy of the state. Without a result in time
+the response is 503, sent before the caller's own timeout. The change may have been applied by then; sending it again is
+safe, as an applied change is recognised by its digest.
 """
 
 from importlib import import_module
@@ -17,207 +18,218 @@
 from frostpost.proxy.failures import Unavailable
 from frostpost.proxy.models import ClientBounds
 
-from . import header_names as names
-from . import routing
+from . import header_names, routing
 from .server import Server, reply
 
-# After this much silence a caller goes on to another daemon; it waits longer for a large body.
-SILENCE_MS, BYTES_PER_MS = 1000, 1000
-# Shares of the silence: for a verdict, for a verdict without a lease, and for the whole answer.
-CONTACT_RATIO, OUT_OF_TOUCH_RATIO, ANSWER_RATIO = 0.5, 0.2, 0.8
-RETRY_MS, MOST_CHANNELS = 100, 128
-BOUNDS = ClientBounds(body_bytes=64 << 20)
-JSON = (b"Content-Type", b"application/json")
-ROOT = b"/frostpost/"
-RETIRE_STATUS = {"in_service": 200, "completed": 200, "unknown": 404, "few": 409}
+# A caller tries another daemon after this time without a response; a large body extends it.
+CALLER_TIMEOUT_MS, UPLOAD_BYTES_PER_MS = 1000, 1000
+# Parts of the caller's timeout: for an operation, for an operation without a lease, and for the whole response.
+OPERATION_RATIO, UNLEASED_OPERATION_RATIO, RESPONSE_RATIO = 0.5, 0.2, 0.8
+RETRY_MS, MAX_CONNECTIONS = 100, 128
+CLIENT_BOUNDS = ClientBounds(body_bytes=64 << 20)
+JSON_HEADER = (b"Content-Type", b"application/json")
+PATH_PREFIX = b"/frostpost/"
+RETIREMENT_STATUS = {"in_service": 200, "completed": 200, "unknown": 404, "few": 409}
 
 
-class Change(Struct):
-    """One change as asked for. make(held document's bytes) -> Result[(document, Routing), RoutingInvalid]."""
+class RoutingChange(Struct):
+    """One requested change.
+
+    build(bytes of the current document) returns Result[(document, Routing), RoutingInvalid].
+    """
 
     issue: int
     base: int
     digest: bytes
-    make: object
+    build: object
 
 
-class Allowed(Struct):
-    """Until when a call may wait: for its result, and for its answer."""
+class Deadlines(Struct):
+    """Until when a call may wait for the result of its operation, and for its response."""
 
-    contact_ms: int
-    answer_ms: int
+    operation_ms: int
+    response_ms: int
 
 
-class Moved(Struct, frozen=True, tag="RoutingMoved"):
-    """Another version is current."""
+class VersionConflict(Struct, frozen=True, tag="RoutingMoved"):
+    """The change is based on a version that is not the current one."""
 
     version: int
 
 
-class Refused(Struct, frozen=True):
-    """Why a call isn't answered with 200, as the status and the error that its caller is told."""
+class ErrorResponse(Struct, frozen=True):
+    """HTTP status and error body of a call that failed."""
 
     status: int
     error: object
 
 
 def control_client():
-    """`cluster.control_client`, imported on first use: an edge daemon never needs it."""
+    """Return the module `cluster.control_client`, imported on first use, as edge daemons never need it."""
     return import_module("frostpost.cluster.control_client")
 
 
-def allowed(agent, body_bytes=0):
-    """What a call that has just come may wait."""
-    now = now_ms(agent)
-    contact = CONTACT_RATIO if holds_lease(agent) else OUT_OF_TOUCH_RATIO
-    answer_ms = int(SILENCE_MS * ANSWER_RATIO) + body_bytes // BYTES_PER_MS
-    return Allowed(now + int(SILENCE_MS * contact), now + answer_ms)
+def call_deadlines(agent, body_bytes=0):
+    """Return the Deadlines of a call that has just arrived."""
+    current_ms = now_ms(agent)
+    ratio = OPERATION_RATIO if holds_lease(agent) else UNLEASED_OPERATION_RATIO
+    response_ms = int(CALLER_TIMEOUT_MS * RESPONSE_RATIO) + body_bytes // UPLOAD_BYTES_PER_MS
+    return Deadlines(current_ms + int(CALLER_TIMEOUT_MS * ratio), current_ms + response_ms)
 
 
-def remaining_ms(agent, until_ms):
-    """Milliseconds until a moment, at least 0."""
-    return max(0, until_ms - now_ms(agent))
+def remaining_ms(agent, deadline_ms):
+    """Return the milliseconds until a deadline, at least 0."""
+    return max(0, deadline_ms - now_ms(agent))
 
 
-def say_no(request, status, fault):
-    """Answer with a status and a failure as JSON."""
-    reply(request, status, json.encode(fault), [JSON])
+def reply_error(request, status, error):
+    """Send an error as JSON with the given status."""
+    reply(request, status, json.encode(error), [JSON_HEADER])
 
 
-def unavailable(request, fault):
-    """Answer 503 with when to come back."""
-    retry_ms = getattr(fault, "retry_ms", RETRY_MS)
-    reply(request, 503, json.encode(fault), [JSON, (b"Retry-After", b"%g" % (retry_ms / 1000))])
+def reply_unavailable(request, error):
+    """Send an error as JSON with status 503 and a Retry-After header."""
+    retry_ms = getattr(error, "retry_ms", RETRY_MS)
+    reply(request, 503, json.encode(error), [JSON_HEADER, (b"Retry-After", b"%g" % (retry_ms / 1000))])
 
 
-def base_of(request):
-    """The version that a change builds on; None where the header is missing or no number."""
-    value = (request.getHeader(names.BASE) or b"").strip()
-    return int(value) if value.isascii() and value.isdigit() and len(value) <= len(str(routing.MOST_ISSUE)) else None
+def base_version(request):
+    """Return the version that a change is based on, or None if the header is missing or not a number."""
+    value = (request.getHeader(header_names.BASE_REVISION) or b"").strip()
+    return int(value) if value.isascii() and value.isdigit() and len(value) <= len(str(routing.MAX_ISSUE)) else None
 
 
-def asked(request, kind):
-    """Result[Change, RoutingInvalid] of a request; judged by what it says alone."""
-    base = base_of(request)
+def parse_routing_change(request, kind):
+    """Parse a request without regard to the current version. Returns Result[RoutingChange, RoutingInvalid]."""
+    base = base_version(request)
     if base is None:
         return Error(routing.RoutingInvalid("X-Base-Revision", "is missing or no number"))
     if kind == "replace":
-        return routing.parse(request.body).map(
-            lambda found: Change(found[0]["issue"], base, routing.digest(kind, found[0]), lambda _: Ok(found))
+        return routing.parse_document(request.body).map(
+            lambda parsed: RoutingChange(
+                parsed[0]["issue"], base, routing.request_digest(kind, parsed[0]), lambda _: Ok(parsed)
+            )
         )
     return routing.parse_change(request.body).map(
-        lambda change: Change(
+        lambda change: RoutingChange(
             change["issue"],
             base,
-            routing.digest(f"{kind} {base}", change),
-            lambda held: routing.read_json(held).bind(lambda document: routing.check(routing.merge(document, change))),
+            routing.request_digest(f"{kind} {base}", change),
+            lambda current: routing.parse_json(current).bind(
+                lambda document: routing.validate(routing.apply_change(document, change))
+            ),
         )
     )
 
 
-def judged(change, held):
-    """Result[body to take in, Refused] of a change that wasn't taken, by the version that was looked up for it."""
-    if change.base != held.version:
-        return Error(Refused(412, Moved(held.version)))
-    if change.issue <= held.version:
-        return Error(Refused(400, routing.RoutingInvalid("issue", "is not above the current one")))
-    made = change.make(routing.document_of(held.body))
-    return made.map(lambda found: routing.to_body(found[0])).map_error(lambda error: Refused(400, error))
+def build_body(change, current):
+    """Build the body to store for a change that has not been applied.
+
+    `current` is the RoutingState that was read for it. Returns Result[bytes, ErrorResponse].
+    """
+    if change.base != current.version:
+        return Error(ErrorResponse(412, VersionConflict(current.version)))
+    if change.issue <= current.version:
+        return Error(ErrorResponse(400, routing.RoutingInvalid("issue", "is not above the current one")))
+    built = change.build(routing.document_from_body(current.body))
+    return built.map(lambda parsed: routing.encode_body(parsed[0])).map_error(lambda error: ErrorResponse(400, error))
 
 
 @inlineCallbacks
-def settle(agent, change, until):
-    """Take a change in, or find it taken -> Result[version, Refused]."""
-    held = yield control_client().read_routing(
-        agent, remaining_ms(agent, until.contact_ms), change.issue, change.digest
+def submit_change(agent, change, deadlines):
+    """Apply a change, or find that it was applied before. Returns Result[version, ErrorResponse]."""
+    current = yield control_client().read_routing(
+        agent, remaining_ms(agent, deadlines.operation_ms), change.issue, change.digest
     )
-    if held.is_error():
-        return Error(Refused(503, held.error))
-    held = held.ok
-    if held.uncertain:
-        return Error(Refused(503, Unavailable(RETRY_MS, "may have been taken too long ago to be known")))
-    if held.taken:
-        result = yield control_client().wait_until_honoured(agent, change.issue, remaining_ms(agent, until.answer_ms))
-        return result.map_error(lambda error: Refused(503, error))
-    body = judged(change, held)
-    if body.is_error():
-        return body
+    if current.is_error():
+        return Error(ErrorResponse(503, current.error))
+    current = current.ok
+    if current.uncertain:
+        return Error(ErrorResponse(503, Unavailable(RETRY_MS, "may have been taken too long ago to be known")))
+    if current.taken:
+        result = yield control_client().wait_until_honoured(
+            agent, change.issue, remaining_ms(agent, deadlines.response_ms)
+        )
+        return result.map_error(lambda error: ErrorResponse(503, error))
+    built_body = build_body(change, current)
+    if built_body.is_error():
+        return built_body
     result = yield control_client().set_routing(
-        agent, change.base, change.issue, body.ok, change.digest, remaining_ms(agent, until.answer_ms)
+        agent, change.base, change.issue, built_body.ok, change.digest, remaining_ms(agent, deadlines.response_ms)
     )
-    return result.map_error(refused)
+    return result.map_error(error_response)
 
 
-def refused(error):
-    """How a caller is told why the ledger didn't take its change."""
+def error_response(error):
+    """Convert the ledger's rejection of a change into an ErrorResponse."""
     if isinstance(error, control_client().RoutingConflict):
-        return Refused(412, Moved(error.version))
-    return Refused(503, error)
+        return ErrorResponse(412, VersionConflict(error.version))
+    return ErrorResponse(503, error)
 
 
 @inlineCallbacks
-def change_routing(agent, request, kind):
-    """Take a change of the configuration; kind: "replace" or "modify"."""
-    until = allowed(agent, len(request.body))
-    change = asked(request, kind)
+def handle_change(agent, request, kind):
+    """Handle a change of the configuration; `kind` is "replace" or "modify"."""
+    deadlines = call_deadlines(agent, len(request.body))
+    change = parse_routing_change(request, kind)
     if change.is_error():
-        say_no(request, 400, change.error)
+        reply_error(request, 400, change.error)
         return
-    result = yield settle(agent, change.ok, until)
+    result = yield submit_change(agent, change.ok, deadlines)
     if result.is_ok():
-        reply(request, 200, json.encode({"issue": change.ok.issue}), [JSON])
+        reply(request, 200, json.encode({"issue": change.ok.issue}), [JSON_HEADER])
     elif result.error.status == 503:
-        unavailable(request, result.error.error)
+        reply_unavailable(request, result.error.error)
     else:
-        say_no(request, result.error.status, result.error.error)
+        reply_error(request, result.error.status, result.error.error)
 
 
 @inlineCallbacks
-def query(agent, request):
-    """Answer with the configuration in force."""
-    looked = yield control_client().read_routing(agent, remaining_ms(agent, allowed(agent).contact_ms))
-    if looked.is_error():
-        unavailable(request, looked.error)
+def handle_query(agent, request):
+    """Send the current configuration."""
+    result = yield control_client().read_routing(agent, remaining_ms(agent, call_deadlines(agent).operation_ms))
+    if result.is_error():
+        reply_unavailable(request, result.error)
     else:
-        reply(request, 200, routing.document_of(looked.ok.body), [JSON])
+        reply(request, 200, routing.document_from_body(result.ok.body), [JSON_HEADER])
 
 
 @inlineCallbacks
-def retire(agent, request, name, ask):
-    """Answer how far the retirement of a replica is; ask: begins it, or only reads it."""
-    result = yield ask(agent, name, remaining_ms(agent, allowed(agent).contact_ms))
+def handle_retire(agent, request, name, operation):
+    """Send the state of a replica's retirement; `operation` starts the retirement or only reads its state."""
+    result = yield operation(agent, name, remaining_ms(agent, call_deadlines(agent).operation_ms))
     if result.is_error():
-        unavailable(request, result.error)
+        reply_unavailable(request, result.error)
         return
     state = getattr(result.ok, "state", result.ok)
-    reply(request, RETIRE_STATUS.get(state, 404), json.encode({"state": state}), [JSON])
+    reply(request, RETIREMENT_STATUS.get(state, 404), json.encode({"state": state}), [JSON_HEADER])
 
 
-def call_for(agent, request):
-    """The call that a method and a path name, or None."""
-    if not request.path.startswith(ROOT):
+def find_operation(agent, request):
+    """Return the function that handles the method and path of a request, or None."""
+    if not request.path.startswith(PATH_PREFIX):
         return None
-    what, _, node = request.path[len(ROOT) :].decode("latin-1").partition("/")
-    calls = {
-        ("POST", "Configuration.Replace", False): lambda: change_routing(agent, request, "replace"),
-        ("POST", "Configuration.Modify", False): lambda: change_routing(agent, request, "modify"),
-        ("GET", "Configuration.Query", False): lambda: query(agent, request),
-        ("POST", "Retire.Initiate", True): lambda: retire(agent, request, node, control_client().retire),
-        ("GET", "Retire.Query", True): lambda: retire(agent, request, node, control_client().read_retirement),
+    operation_name, _, node = request.path[len(PATH_PREFIX) :].decode("latin-1").partition("/")
+    operations = {
+        ("POST", "Configuration.Replace", False): lambda: handle_change(agent, request, "replace"),
+        ("POST", "Configuration.Modify", False): lambda: handle_change(agent, request, "modify"),
+        ("GET", "Configuration.Query", False): lambda: handle_query(agent, request),
+        ("POST", "Retire.Initiate", True): lambda: handle_retire(agent, request, node, control_client().retire),
+        ("GET", "Retire.Query", True): lambda: handle_retire(agent, request, node, control_client().read_retirement),
     }
-    return calls.get((request.method.decode("latin-1"), what, bool(node)))
+    return operations.get((request.method.decode("latin-1"), operation_name, bool(node)))
 
 
-def handler(agent):
-    """handle(request) for every control call."""
+def make_handler(agent):
+    """Return handle(request) for control calls."""
 
     def handle(request):
-        call = call_for(agent, request)
-        if call is None:
+        operation = find_operation(agent, request)
+        if operation is None:
             reply(request, 404)
             return
 
-        def broken(failure):
+        def report_failure(failure):
             log_event(
                 "Internal",
                 type=failure.type.__name__,
@@ -227,11 +239,11 @@
             if not request.startedWriting:
                 reply(request, 500)
 
-        call().addErrback(broken)
+        operation().addErrback(report_failure)
 
     return handle
 
 
-def server(agent):
-    """The server of the control address."""
-    return Server(agent.reactor, handler(agent), lambda: BOUNDS, MOST_CHANNELS)
+def make_server(agent):
+    """Create the server of the control address."""
+    return Server(agent.reactor, make_handler(agent), lambda: CLIENT_BOUNDS, MAX_CONNECTIONS)
--- a/frostpost/platform/documents.py
+++ b/frostpost/platform/documents.py
@@ -1,17 +1,17 @@
-"""The parts of a configuration document that the product knows."""
+"""The fields of a configuration document that this software interprets; others are preserved."""
 
 from msgspec import Struct, field
 
 
-class Share(Struct):
-    """A share of a route's requests that goes to a service."""
+class TargetShare(Struct):
+    """The share of a route's requests that is sent to one service."""
 
     target: str
     share: float
 
 
 class RouteItem(Struct, rename="kebab"):
-    """A route as the document has it; times in milliseconds or seconds as their names say."""
+    """A route as written in the document. Times are in the unit that ends their name."""
 
     name: str
     host: str
@@ -19,7 +19,7 @@
     guard_ms: float
     route_class: str = "unsafe"
     target: str | None = None
-    distribution: list[Share] | None = None
+    distribution: list[TargetShare] | None = None
     target_latency_ms: float | None = None
     precedence: int | None = None
     max_attempts: int | None = None
@@ -30,7 +30,7 @@
 
 
 class Engine(Struct, rename="kebab"):
-    """What runners of a service can do: requests at once, tokens of cache, tokens in an event."""
+    """Capacity of a service's runners: concurrent requests, cached tokens, tokens in one event."""
 
     capacity: int | None = None
     cache_tokens: int | None = None
@@ -38,7 +38,7 @@
 
 
 class ServiceItem(Struct, rename="kebab"):
-    """A service as the document has it."""
+    """A service as written in the document."""
 
     name: str
     max_connections: int = 64
@@ -46,8 +46,8 @@
     engine: Engine | None = None
 
 
-class BoundItem(Struct, rename="kebab"):
-    """Bounds on clients: bytes of head and body, milliseconds for the head and between requests."""
+class BoundsItem(Struct, rename="kebab"):
+    """Bounds on client requests: bytes of header and body, milliseconds for the header and for idle connections."""
 
     max_header_bytes: int | None = None
     max_body_bytes: int | None = None
@@ -56,9 +56,9 @@
 
 
 class Document(Struct, rename="kebab"):
-    """A whole configuration document, or the part of one that a change brings."""
+    """A configuration document."""
 
     issue: int
     route_table: list[RouteItem] = field(default_factory=list)
     service_table: list[ServiceItem] = field(default_factory=list)
-    limits: BoundItem | None = None
+    limits: BoundsItem | None = None
--- a/frostpost/platform/front.py
+++ b/frostpost/platform/front.py
@@ -1,4 +1,4 @@
-"""Requests of the platform's clients, translated into `Call`, and answers back."""
+"""Serves client requests: parses each into a `Call`, passes it to the proxy and writes the response."""
 
 from msgspec import json
 from twisted.internet.defer import maybeDeferred
@@ -12,12 +12,12 @@
 from frostpost.proxy import failures
 from frostpost.proxy.models import ClientBounds, Sink
 
-from .header_names import ATTEMPT
-from .request_parser import call_of
-from .server import Server, close_after, reply
+from .header_names import ATTEMPT_ID
+from .request_parser import parse_request
+from .server import Server, close_after_response, reply
 
-LEAVING_RETRY_MS, CUT_S, CHANNEL_SHARE = 50, 2, 0.6
-STATUS = {
+SHUTDOWN_RETRY_MS, ABORT_DELAY_S, CONNECTION_RATIO = 50, 2, 0.6
+STATUS_BY_FAILURE = {
     failures.NoRoute: 404,
     failures.BadRequest: 400,
     failures.UnknownTurn: 404,
@@ -31,217 +31,217 @@
 }
 
 
-def retry_ms_of(failure):
-    return LEAVING_RETRY_MS if isinstance(failure, failures.Leaving) else getattr(failure, "retry_ms", None)
+def retry_after_ms(failure):
+    return SHUTDOWN_RETRY_MS if isinstance(failure, failures.Leaving) else getattr(failure, "retry_ms", None)
 
 
 @implementer(IPushProducer)
-class Answer:
-    """The way of one answer to its client; a body that is whole within one turn of the reactor gets a length."""
+class ClientResponse:
+    """The response to one request; a body that is complete within one reactor iteration gets a Content-Length."""
 
     __slots__ = (
         "agent",
         "request",
         "status",
         "headers",
-        "begun",
-        "over",
-        "held",
-        "flushing",
-        "length",
-        "gone_",
-        "paused",
-        "resumed",
+        "started",
+        "finished",
+        "buffer",
+        "flush_call",
+        "content_length",
+        "disconnect_callback",
+        "pause_callback",
+        "resume_callback",
     )
 
     def __init__(self, agent, request):
         self.agent, self.request, self.status, self.headers = agent, request, 0, ()
-        self.begun = self.over = False
-        self.held, self.flushing, self.length = b"", None, None
-        self.gone_ = self.paused = self.resumed = None
+        self.started = self.finished = False
+        self.buffer, self.flush_call, self.content_length = b"", None, None
+        self.disconnect_callback = self.pause_callback = self.resume_callback = None
         agent.open_requests += 1
-        request.on_over = self.ended
+        request.on_finished = self.request_finished
 
     def sink(self):
         return Sink(
             self.head,
             self.data,
             self.end,
-            self.cut,
-            self.failed,
-            self.gone,
-            self.on_gone,
+            self.abort,
+            self.fail,
+            self.is_disconnected,
+            self.on_disconnect,
             self.on_pause,
             self.on_resume,
         )
 
-    def ended(self, lost):
+    def request_finished(self, disconnected):
         self.agent.open_requests -= 1
-        seen, self.over = self.over, True
-        self.stop_flushing()
-        if lost and not seen and self.gone_ is not None:
-            self.gone_()
-
-    def stop_flushing(self):
-        if self.flushing is not None and self.flushing.active():
-            self.flushing.cancel()
-        self.flushing = None
-
-    def begin(self):
-        self.begun, request = True, self.request
+        was_finished, self.finished = self.finished, True
+        self.cancel_flush()
+        if disconnected and not was_finished and self.disconnect_callback is not None:
+            self.disconnect_callback()
+
+    def cancel_flush(self):
+        if self.flush_call is not None and self.flush_call.active():
+            self.flush_call.cancel()
+        self.flush_call = None
+
+    def start(self):
+        self.started, request = True, self.request
         request.setResponseCode(self.status)
         for name, value in self.headers:
             request.responseHeaders.addRawHeader(name, value)
         if self.agent.draining:
-            close_after(request)
-        held, self.held = self.held, b""
-        request.write(held)
+            close_after_response(request)
+        buffer, self.buffer = self.buffer, b""
+        request.write(buffer)
 
     def head(self, status, headers):
-        if self.over:
+        if self.finished:
             return
-        self.status, self.headers = status, self.under_own_id(headers)
-        low = {name.lower(): value for name, value in headers}
-        if low.get(b"content-length", b"").isdigit():
-            self.length = int(low[b"content-length"])
-        if b"text/event-stream" in low.get(b"content-type", b""):
-            self.begin()
-
-    def under_own_id(self, headers):
-        """Headers that name this request's attempt: what a key's first request was answered names that one's."""
-        own = self.request.requestHeaders.getRawHeaders(ATTEMPT, (b"",))[0]
-        return [(name, own if name.lower() == ATTEMPT else value) for name, value in headers]
-
-    def data(self, piece):
-        if self.over or not piece:
+        self.status, self.headers = status, self.with_own_attempt_id(headers)
+        values = {name.lower(): value for name, value in headers}
+        if values.get(b"content-length", b"").isdigit():
+            self.content_length = int(values[b"content-length"])
+        if b"text/event-stream" in values.get(b"content-type", b""):
+            self.start()
+
+    def with_own_attempt_id(self, headers):
+        """Return the headers with this request's attempt id; a replayed response has that of the first attempt."""
+        own_id = self.request.requestHeaders.getRawHeaders(ATTEMPT_ID, (b"",))[0]
+        return [(name, own_id if name.lower() == ATTEMPT_ID else value) for name, value in headers]
+
+    def data(self, chunk):
+        if self.finished or not chunk:
             return
-        if self.begun:
-            self.request.write(piece)
+        if self.started:
+            self.request.write(chunk)
         else:
-            self.held += piece
-            if self.flushing is None:
-                self.flushing = self.agent.reactor.callLater(0, self.flush)
+            self.buffer += chunk
+            if self.flush_call is None:
+                self.flush_call = self.agent.reactor.callLater(0, self.flush)
 
     def flush(self):
-        self.flushing = None
-        if not self.over:
-            self.begin()
+        self.flush_call = None
+        if not self.finished:
+            self.start()
 
     def end(self):
-        if self.over:
+        if self.finished:
             return
-        self.stop_flushing()
-        request, bodiless = self.request, self.request.method == b"HEAD" or self.status in NO_BODY_CODES
-        if not self.begun:
-            if self.length is None and not bodiless:
-                self.length = len(self.held)
-                self.headers = [*self.headers, (b"Content-Length", b"%d" % self.length)]
-            self.begin()
-        if self.length is not None and not bodiless and request.sentLength != self.length:
-            self.cut()
+        self.cancel_flush()
+        request, has_no_body = self.request, self.request.method == b"HEAD" or self.status in NO_BODY_CODES
+        if not self.started:
+            if self.content_length is None and not has_no_body:
+                self.content_length = len(self.buffer)
+                self.headers = [*self.headers, (b"Content-Length", b"%d" % self.content_length)]
+            self.start()
+        if self.content_length is not None and not has_no_body and request.sentLength != self.content_length:
+            self.abort()
             return
-        self.over = True
-        self.stop_producing()
+        self.finished = True
+        self.unregister_producer()
         request.finish()
 
-    def stop_producing(self):
+    def unregister_producer(self):
         if self.request.producer is not None:
             self.request.unregisterProducer()
 
-    def cut(self):
-        """Close without an end; what was handed over is still sent, where the client can tell that more is missing."""
-        if self.over:
+    def abort(self):
+        """Close an incomplete response; pending data is sent if the framing reveals the truncation, else discarded."""
+        if self.finished:
             return
-        self.over = True
-        self.stop_flushing()
-        self.stop_producing()
-        transport, framed = self.request.channel.transport, self.request.chunked or self.length is not None
-        if self.begun and not framed:
+        self.finished = True
+        self.cancel_flush()
+        self.unregister_producer()
+        transport, is_framed = self.request.channel.transport, self.request.chunked or self.content_length is not None
+        if self.started and not is_framed:
             transport.abortConnection()
             return
-        self.agent.reactor.callLater(CUT_S, transport.abortConnection)
+        self.agent.reactor.callLater(ABORT_DELAY_S, transport.abortConnection)
         self.request.channel.loseConnection()
 
-    def failed(self, failure):
-        if self.over:
+    def fail(self, failure):
+        if self.finished:
             return
-        if self.begun:
-            self.cut()
+        if self.started:
+            self.abort()
             return
-        self.over = True
-        self.stop_flushing()
-        self.stop_producing()
-        headers, retry_ms = [(b"Content-Type", b"application/json")], retry_ms_of(failure)
+        self.finished = True
+        self.cancel_flush()
+        self.unregister_producer()
+        headers, retry_ms = [(b"Content-Type", b"application/json")], retry_after_ms(failure)
         if retry_ms is not None:
             headers.append((b"Retry-After", b"%g" % (retry_ms / 1000)))
         close = self.agent.draining or isinstance(failure, failures.Leaving)
-        reply(self.request, STATUS.get(type(failure), 502), json.encode(failure), headers, close)
+        reply(self.request, STATUS_BY_FAILURE.get(type(failure), 502), json.encode(failure), headers, close)
 
-    def gone(self):
-        return self.over
+    def is_disconnected(self):
+        return self.finished
 
-    def on_gone(self, callback):
-        self.gone_ = callback
-        if self.request.lost:
+    def on_disconnect(self, callback):
+        self.disconnect_callback = callback
+        if self.request.disconnected:
             callback()
 
     def on_pause(self, callback):
-        self.paused = callback
-        self.produce()
-        if not self.over and self.request.channel._waitingForTransport:
+        self.pause_callback = callback
+        self.register_producer()
+        if not self.finished and self.request.channel._waitingForTransport:
             callback()
 
     def on_resume(self, callback):
-        self.resumed = callback
-        self.produce()
+        self.resume_callback = callback
+        self.register_producer()
 
-    def produce(self):
-        if not self.over and self.request.producer is None:
+    def register_producer(self):
+        if not self.finished and self.request.producer is None:
             self.request.registerProducer(self, True)
 
     def pauseProducing(self):
-        if self.paused is not None:
-            self.paused()
+        if self.pause_callback is not None:
+            self.pause_callback()
 
     def resumeProducing(self):
-        if self.resumed is not None:
-            self.resumed()
+        if self.resume_callback is not None:
+            self.resume_callback()
 
     def stopProducing(self):
         pass
 
 
-def handler(agent, serve):
-    """handle(request) that passes every request to serve(agent, call, sink)."""
+def make_handler(agent, serve):
+    """Return handle(request), which passes each request to serve(agent, call, sink)."""
 
     def handle(request):
-        waited_ms = int((agent.reactor.seconds() - request.started_s) * 1000)
-        answer, result = Answer(agent, request), call_of(request, now_ms(agent) - waited_ms)
+        elapsed_ms = int((agent.reactor.seconds() - request.started_s) * 1000)
+        response, result = ClientResponse(agent, request), parse_request(request, now_ms(agent) - elapsed_ms)
         if result.is_error():
-            answer.failed(result.error)
+            response.fail(result.error)
             return
         if is_traced(agent):
             trace_request(agent, result.ok, request)
 
-        def broken(failure):
+        def report_failure(failure):
             log_event(
                 "Internal",
                 type=failure.type.__name__,
                 text=failure.getErrorMessage()[:200],
                 at=failure.getTraceback(detail="brief")[-400:],
             )
-            answer.failed(failures.Unknown("internal"))
+            response.fail(failures.Unknown("internal"))
 
-        maybeDeferred(serve, agent, result.ok, answer.sink()).addErrback(broken)
+        maybeDeferred(serve, agent, result.ok, response.sink()).addErrback(report_failure)
 
     return handle
 
 
-def bounds_of(agent):
+def client_bounds(agent):
     return ClientBounds() if agent.routing is None else agent.routing.bounds
 
 
-def server(agent, serve):
-    """The server of the front address."""
-    most_channels = max(64, int(agent.settings.max_fds * CHANNEL_SHARE))
-    return Server(agent.reactor, handler(agent, serve), lambda: bounds_of(agent), most_channels)
+def make_server(agent, serve):
+    """Create the server of the front address."""
+    max_connections = max(64, int(agent.settings.max_fds * CONNECTION_RATIO))
+    return Server(agent.reactor, make_handler(agent, serve), lambda: client_bounds(agent), max_connections)
--- a/frostpost/platform/listening.py
+++ b/frostpost/platform/listening.py
@@ -1,17 +1,20 @@
-"""The addresses that a role serves, and the front that the product is handed."""
+"""Opens the listening ports of a daemon and assembles the platform's `Front`."""
 
 from twisted.internet.defer import maybeDeferred
 
 from frostpost.cluster.settings import Front
 
-from .runner_protocol import wire
-from .settings import read
+from .runner_protocol import make_wire
+from .settings import read_settings
 
 BACKLOG = 1024
 
 
 def open_ports(agent, serve=None):
-    """Listen on every address that the settings name; the front's server becomes `agent.front`."""
+    """Listen on every address in the settings and store the server of the front address as `agent.front`.
+
+    Returns the list of ports.
+    """
     settings, ports = agent.settings, []
 
     def listen(address, server):
@@ -22,39 +25,39 @@
             from frostpost.proxy.serve import serve
         from . import front
 
-        agent.front = front.server(agent, serve)
+        agent.front = front.make_server(agent, serve)
         listen(settings.front, agent.front)
     if settings.readiness:
         from . import readiness
 
-        listen(settings.readiness, readiness.server(agent))
+        listen(settings.readiness, readiness.make_server(agent))
     if settings.control:
         from . import control
 
-        listen(settings.control, control.server(agent))
+        listen(settings.control, control.make_server(agent))
     return ports
 
 
 def fetch_list(agent):
-    """-> Deferred[list[Runner]]: all pages of the platform's list."""
-    from .runner_list import fetch_list as fetch
+    """Fetch all pages of the platform's runner list. Returns Deferred[list[Runner]]."""
+    from .runner_list import fetch_list as fetch_all
 
-    return fetch(agent)
+    return fetch_all(agent)
 
 
 def routing_from_body(body):
-    """A committed configuration as routing."""
-    from .routing import routing_from_body as routing
+    """Decode a stored configuration into Routing."""
+    from .routing import routing_from_body as decode
 
-    return routing(body)
+    return decode(body)
 
 
 def make_front(path=None, role=None):
-    """The platform's `Front`."""
+    """Create the platform's `Front`; `path` and `role` are used again when the settings are reloaded."""
     return Front(
         listen=lambda agent: maybeDeferred(open_ports, agent),
-        wire=wire(),
+        wire=make_wire(),
         fetch_list=fetch_list,
         routing_from_body=routing_from_body,
-        reread=lambda: read(path, role),
+        reread=lambda: read_settings(path, role),
     )
--- a/frostpost/platform/main.py
+++ b/frostpost/platform/main.py
@@ -1,15 +1,15 @@
-"""One daemon on the users' machines: `python3 -m frostpost.platform.main [ROLE] [--check] [--routing FILE]`."""
+"""Runs one daemon on the platform: `python3 -m frostpost.platform.main [ROLE] [--check] [--routing FILE]`."""
 
 import gc
 import sys
 
 from msgspec import json
 
-from .settings import ROLES, read
+from .settings import ROLES, read_settings
 
 
 def parse_flags():
-    """(role, settings file, check only, routing file); the plain way of starting needs no parser."""
+    """Return (role, settings file, check only, routing file); the argument parser is imported only if it is needed."""
     if len(sys.argv) == 1 or len(sys.argv) == 2 and sys.argv[1] in ROLES:
         return (sys.argv[1:] or [None])[0], None, False, None
     from typing import Annotated
@@ -18,34 +18,34 @@
     from msgspec import Struct
 
     class Flags(Struct):
-        role: Annotated[str | None, cappa.Arg(help="edge, core or storage; the settings tell it otherwise")] = None
-        settings: Annotated[str | None, cappa.Arg(long=True, help="settings file, for that of the environment")] = None
-        check: Annotated[bool, cappa.Arg(long=True, help="print what the settings become, and stop")] = False
+        role: Annotated[str | None, cappa.Arg(help="edge, core or storage; default: from the settings")] = None
+        settings: Annotated[str | None, cappa.Arg(long=True, help="settings file; default: $FROSTPOST_BOOT")] = None
+        check: Annotated[bool, cappa.Arg(long=True, help="print the settings as parsed, and exit")] = False
         routing: Annotated[
-            str | None, cappa.Arg(long=True, help="print what this configuration document becomes, and stop")
+            str | None, cappa.Arg(long=True, help="print this configuration document as parsed, and exit")
         ] = None
 
-    command = cappa.command(Flags, name="frostpost", help="Run one frostpost daemon on the users' machines.")
-    flags = cappa.parse(command)
-    return flags.role, flags.settings, flags.check, flags.routing
+    command = cappa.command(Flags, name="frostpost", help="Run one frostpost daemon.")
+    arguments = cappa.parse(command)
+    return arguments.role, arguments.settings, arguments.check, arguments.routing
 
 
-def without_tls():
-    """Nothing here speaks TLS: its libraries cost a tenth of a second and ten MB at the start."""
+def disable_tls():
+    """Keep Twisted from importing OpenSSL, which is unused and slows down the start."""
     sys.modules.setdefault("OpenSSL", None)
 
 
-def show_routing(path):
-    """Print the Routing of a configuration document, or why it is none; -> exit status."""
+def print_routing(path):
+    """Print the Routing of a configuration document, or the error in it. Returns the exit status."""
     from expression import Error
 
-    from .routing import RoutingInvalid, parse
+    from .routing import RoutingInvalid, parse_document
 
     try:
         with open(path, "rb") as file:
-            result = parse(file.read())
-    except OSError as fault:
-        result = Error(RoutingInvalid(path, fault.strerror or "cannot be read"))
+            result = parse_document(file.read())
+    except OSError as error:
+        result = Error(RoutingInvalid(path, error.strerror or "cannot be read"))
     if result.is_error():
         print(f"{type(result.error).__name__}: {result.error.path}: {result.error.text}", file=sys.stderr)
         return 65
@@ -53,20 +53,20 @@
     return 0
 
 
-def start_collecting():
-    """Look for cycles from now on, and never among what the start has made: that stays."""
+def enable_gc():
+    """Enable cyclic garbage collection, excluding all objects created during startup."""
     gc.freeze()
     gc.enable()
 
 
 def main():
-    """Run the command; returns the exit status."""
+    """Run the command. Returns the exit status."""
     gc.disable()
-    without_tls()
-    role, path, check, document = parse_flags()
-    if document is not None:
-        return show_routing(document)
-    result = read(path, role)
+    disable_tls()
+    role, path, check, routing_path = parse_flags()
+    if routing_path is not None:
+        return print_routing(routing_path)
+    result = read_settings(path, role)
     if result.is_error():
         print(f"{type(result.error).__name__}: {result.error.path}: {result.error.text}", file=sys.stderr)
         return 78
@@ -79,7 +79,7 @@
     from .listening import make_front
 
     start_logging()
-    return run_daemon(result.ok, make_front(path, role), on_started=start_collecting)
+    return run_daemon(result.ok, make_front(path, role), on_started=enable_gc)
 
 
 if __name__ == "__main__":
--- a/frostpost/platform/readiness.py
+++ b/frostpost/platform/readiness.py
@@ -1,14 +1,14 @@
-"""Whether this daemon wants new connections."""
+"""Readiness endpoint: whether this daemon accepts new connections."""
 
 from frostpost.proxy.models import ClientBounds
 
 from .server import Server, reply
 
-PATH, BOUNDS = b"/frostpost/readiness", ClientBounds(body_bytes=1024)
+PATH, CLIENT_BOUNDS = b"/frostpost/readiness", ClientBounds(body_bytes=1024)
 
 
-def ready(agent):
-    """Whether new connections may come: a lease, a configuration and a list are there, and it isn't draining."""
+def is_ready(agent):
+    """Return whether the daemon has a lease, a configuration and a runner list, and isn't draining."""
     from frostpost.cluster.lease_client import holds_lease
     from frostpost.cluster.list_reading import NEVER_MS
 
@@ -20,13 +20,13 @@
     )
 
 
-def server(agent):
-    """The server of the readiness address."""
+def make_server(agent):
+    """Create the server of the readiness address."""
 
     def handle(request):
         if request.path != PATH:
             reply(request, 404)
         else:
-            reply(request, 200 if ready(agent) else 503)
+            reply(request, 200 if is_ready(agent) else 503)
 
-    return Server(agent.reactor, handle, lambda: BOUNDS, 64)
+    return Server(agent.reactor, handle, lambda: CLIENT_BOUNDS, 64)
--- a/frostpost/platform/request_parser.py
+++ b/frostpost/platform/request_parser.py
@@ -1,82 +1,87 @@
-"""A request of a client, read into `Call`."""
+"""Parses a client's HTTP request into a `Call`."""
 
 from expression import Error, Ok
 
 from frostpost.proxy.failures import BadRequest
 from frostpost.proxy.models import Call
 
-from . import header_names as names
+from . import header_names
 
-DEFAULT_LEFT_MS = 30000
-DROPPED = names.HOP_BY_HOP | {b"host", b"expect"}
-BAD_FIELD = BadRequest("a header field is not as it should be")
+DEFAULT_TIME_REMAINING_MS = 30000
+EXCLUDED_HEADERS = header_names.HOP_BY_HOP | {b"host", b"expect"}
+INVALID_HEADER = BadRequest("a header field is not as it should be")
 
 
-def split_headers(raw):
-    """(headers to pass on, single fields by name), or None when one of these fields comes twice."""
-    raw = list(raw)
-    connection = [value for name, values in raw if name.lower() == b"connection" for value in values]
-    dropped = DROPPED | names.connection_names(connection) if connection else DROPPED
-    passed, fields = [], {}
-    for name, values in raw:
-        low = name.lower()
-        if low in names.REQUEST_FIELDS:
+def split_headers(raw_headers):
+    """Split raw headers into those to forward and the values of single-valued ones by lower-case name.
+
+    Returns None if a single-valued header is repeated.
+    """
+    raw_headers = list(raw_headers)
+    connection_values = [value for name, values in raw_headers if name.lower() == b"connection" for value in values]
+    excluded = (
+        EXCLUDED_HEADERS | header_names.connection_options(connection_values) if connection_values else EXCLUDED_HEADERS
+    )
+    forwarded, fields = [], {}
+    for name, values in raw_headers:
+        lower_name = name.lower()
+        if lower_name in header_names.REQUEST_HEADERS:
             if len(values) != 1:
                 return None
-            fields[low] = values[0]
-        if low not in dropped:
-            passed.extend((name, value) for value in values)
-    return passed, fields
+            fields[lower_name] = values[0]
+        if lower_name not in excluded:
+            forwarded.extend((name, value) for value in values)
+    return forwarded, fields
 
 
-def number(fields, name, default=0):
-    """A whole number of a header field, or the default where it is missing; ValueError where it is none."""
+def integer_field(fields, name, default=0):
+    """Return a header field as an integer, or the default if it is missing; raises ValueError if it is not a number."""
     return int(float(fields[name])) if name in fields else default
 
 
-def text(fields, name):
-    """A header field as text; empty where it is missing."""
+def text_field(fields, name):
+    """Return a header field as text, empty if it is missing."""
     return fields[name].decode("latin-1") if name in fields else ""
 
 
-def parts_of(value):
-    """The prompt parts of a header: (name, tokens) pairs in order."""
-    pairs = (part.strip().rpartition(":") for part in value.split(",") if part.strip())
-    return tuple((part, int(tokens)) for part, _, tokens in pairs)
+def parse_prompt_parts(value):
+    """Parse the prompt prefix header into (part, token count) pairs, in order."""
+    items = (item.strip().rpartition(":") for item in value.split(",") if item.strip())
+    return tuple((part_name, int(token_count)) for part_name, _, token_count in items)
 
 
-def call_of(request, started_ms):
-    """Result[Call, BadRequest] of one request."""
-    split = split_headers(request.requestHeaders.getAllRawHeaders())
-    if split is None:
-        return Error(BAD_FIELD)
-    headers, fields = split
-    if not fields.get(names.ATTEMPT):
+def parse_request(request, started_ms):
+    """Parse one request. Returns Result[Call, BadRequest]."""
+    parsed = split_headers(request.requestHeaders.getAllRawHeaders())
+    if parsed is None:
+        return Error(INVALID_HEADER)
+    headers, fields = parsed
+    if not fields.get(header_names.ATTEMPT_ID):
         return Error(BadRequest("the attempt has no id"))
     try:
-        tokens = [int(part) for part in text(fields, names.TOKENS).split(",") if part.strip()]
-        prompt, most = (*tokens, 0, 0)[:2]
+        token_counts = [int(item) for item in text_field(fields, header_names.TOKEN_COUNT).split(",") if item.strip()]
+        prompt_tokens, max_output_tokens = (*token_counts, 0, 0)[:2]
         return Ok(
             Call(
-                attempt=text(fields, names.ATTEMPT),
+                attempt=text_field(fields, header_names.ATTEMPT_ID),
                 method=request.method,
                 uri=request.uri,
-                host=text(fields, b"host").partition(":")[0].lower(),
+                host=text_field(fields, b"host").partition(":")[0].lower(),
                 headers=headers,
                 body=request.body,
                 started_ms=started_ms,
-                deadline_ms=started_ms + number(fields, names.LEFT, DEFAULT_LEFT_MS),
-                key=text(fields, names.KEY),
-                program=text(fields, names.PROGRAM),
-                session_id=text(fields, names.LINE),
-                budget=number(fields, names.BUDGET),
-                previous_turn=text(fields, names.PREVIOUS),
-                prompt_tokens=prompt,
-                max_output_tokens=most,
-                prompt_parts=parts_of(text(fields, names.PARTS)),
-                program_remaining_ms=number(fields, names.PROGRAM_LEFT),
-                last_event_id=text(fields, names.LAST_EVENT),
+                deadline_ms=started_ms + integer_field(fields, header_names.TIME_REMAINING, DEFAULT_TIME_REMAINING_MS),
+                key=text_field(fields, header_names.OPERATION_KEY),
+                program=text_field(fields, header_names.PROGRAM_ID),
+                session_id=text_field(fields, header_names.SESSION_ID),
+                budget=integer_field(fields, header_names.TOKEN_BUDGET),
+                previous_turn=text_field(fields, header_names.PREVIOUS_TURN),
+                prompt_tokens=prompt_tokens,
+                max_output_tokens=max_output_tokens,
+                prompt_parts=parse_prompt_parts(text_field(fields, header_names.PROMPT_PREFIX)),
+                program_remaining_ms=integer_field(fields, header_names.PROGRAM_DEADLINE),
+                last_event_id=text_field(fields, header_names.LAST_EVENT_ID),
             )
         )
     except (ValueError, OverflowError):
-        return Error(BAD_FIELD)
+        return Error(INVALID_HEADER)
--- a/frostpost/platform/runner_protocol.py
+++ b/frostpost/platform/runner_protocol.py
@@ -1,29 +1,40 @@
-"""How runners are spoken to: headers of a request sent to one, and the head of its answer."""
+"""HTTP protocol of runners: headers of requests to a runner and the header of its response."""
 
 from frostpost.proxy.models import RunnerHead, Wire
 
-from .header_names import ATTEMPT, HOP_BY_HOP, INSTANCE, LAST_EVENT, LEFT, LOAD, NOT_RUN, SEAL, TARGET, connection_names
+from .header_names import (
+    ATTEMPT_ID,
+    HOP_BY_HOP,
+    INSTANCE_ID,
+    INSTANCE_LOAD,
+    LAST_EVENT_ID,
+    NOT_EXECUTED,
+    SERVER_SEAL,
+    TARGET_INSTANCE,
+    TIME_REMAINING,
+    connection_options,
+)
 
-REPLACED = frozenset((LEFT, TARGET))
+REPLACED_HEADERS = frozenset((TIME_REMAINING, TARGET_INSTANCE))
 
 
-def request_headers(call, runner, left_ms):
-    """The call's headers with the time left, the runner's id and the last event put in."""
+def request_headers(call, runner, remaining_ms):
+    """Return the headers of a call with the time remaining, the runner's id and, if resumed, the last event id."""
     resumed = bool(call.last_event_id)
     headers = [
         (name, value)
         for name, value in call.headers
-        if (low := name.lower()) not in REPLACED and not (resumed and low == LAST_EVENT)
+        if (lower_name := name.lower()) not in REPLACED_HEADERS and not (resumed and lower_name == LAST_EVENT_ID)
     ]
-    headers.append((b"X-Time-Remaining", b"%d" % max(0, int(left_ms))))
+    headers.append((b"X-Time-Remaining", b"%d" % max(0, int(remaining_ms))))
     headers.append((b"X-Target-Instance", runner.id.encode("latin-1")))
     if resumed:
         headers.append((b"Last-Event-Id", call.last_event_id.encode("latin-1")))
     return headers
 
 
-def load_of(value):
-    """The load that a runner tells: three whole numbers; None where it can't be read."""
+def parse_load(value):
+    """Parse the load that a runner reports into three integers, or None if it is invalid."""
     parts = value.split(b",")
     try:
         load = tuple(int(part) for part in parts[:3])
@@ -32,8 +43,8 @@
     return load if len(load) == 3 and min(load) >= 0 else None
 
 
-def keep_ms_of(value):
-    """How long a runner keeps an idle connection, in milliseconds; 0 where it doesn't tell."""
+def parse_keep_alive_ms(value):
+    """Return the timeout of a Keep-Alive header in milliseconds, 0 if it has none."""
     for part in value.split(b","):
         name, _, text = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and text.strip().isdigit():
@@ -41,33 +52,33 @@
     return 0
 
 
-def single_values(headers):
-    """Value of each name in lower case; values of a name that comes again are joined, so that they fit none."""
-    found = {}
+def joined_values(headers):
+    """Return header values by lower-case name; repeated headers are joined, so that they match no single value."""
+    values = {}
     for name, value in headers:
-        low = name.lower()
-        found[low] = found[low] + b", " + value if low in found else value
-    return found
+        lower_name = name.lower()
+        values[lower_name] = values[lower_name] + b", " + value if lower_name in values else value
+    return values
 
 
 def read_head(status, headers):
-    """RunnerHead of a status and (name, value) pairs."""
-    found = single_values(headers)
-    connection = [value for name, value in headers if name.lower() == b"connection"]
-    gone = HOP_BY_HOP | connection_names(connection)
+    """Parse a status and (name, value) pairs into a RunnerHead."""
+    values = joined_values(headers)
+    connection_values = [value for name, value in headers if name.lower() == b"connection"]
+    excluded = HOP_BY_HOP | connection_options(connection_values)
     return RunnerHead(
         status=status,
-        headers=[(name, value) for name, value in headers if name.lower() not in gone],
-        attempt=found.get(ATTEMPT, b"").decode("latin-1"),
-        not_executed=status == 421 or NOT_RUN in found,
-        sealed=sum(name.lower() == SEAL for name, _ in headers) == 1 and bool(found[SEAL]),
-        instance=found.get(INSTANCE, b"").decode("latin-1"),
-        load=load_of(found[LOAD]) if LOAD in found else None,
-        close=any(token.strip().lower() == b"close" for value in connection for token in value.split(b",")),
-        keep_alive_ms=keep_ms_of(found.get(b"keep-alive", b"")),
+        headers=[(name, value) for name, value in headers if name.lower() not in excluded],
+        attempt=values.get(ATTEMPT_ID, b"").decode("latin-1"),
+        not_executed=status == 421 or NOT_EXECUTED in values,
+        sealed=sum(name.lower() == SERVER_SEAL for name, _ in headers) == 1 and bool(values[SERVER_SEAL]),
+        instance=values.get(INSTANCE_ID, b"").decode("latin-1"),
+        load=parse_load(values[INSTANCE_LOAD]) if INSTANCE_LOAD in values else None,
+        close=any(token.strip().lower() == b"close" for value in connection_values for token in value.split(b",")),
+        keep_alive_ms=parse_keep_alive_ms(values.get(b"keep-alive", b"")),
     )
 
 
-def wire():
-    """How requests to runners are written and their answers' heads are read."""
+def make_wire():
+    """Create the `Wire` of the platform's runners."""
     return Wire(request_headers=request_headers, read_head=read_head)
--- a/frostpost/platform/settings.py
+++ b/frostpost/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into `DaemonSettings`."""
+"""Reads the platform's settings file into `DaemonSettings`."""
 
 import os
 from ipaddress import IPv4Address
@@ -11,21 +11,21 @@
 
 from frostpost.cluster.settings import DaemonSettings
 
-VARIABLE = "FROSTPOST_BOOT"
+PATH_VARIABLE = "FROSTPOST_BOOT"
 ROLES = ("edge", "core", "storage")
-LIST_MS, LIST_SHARE_OF_DRAIN, DRAIN_MS = 1200, 0.4, 3000
+MAX_LIST_MS, LIST_DRAIN_RATIO, DEFAULT_DRAIN_MS = 1200, 0.4, 3000
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 class SettingsInvalid(Struct, frozen=True, tag="SettingsInvalid"):
-    """path: the field that is wrong, with dots; text: what is wrong with it."""
+    """The settings are invalid. path: dotted path of the field, or the file; text: the error."""
 
     path: str
     text: str
 
 
-def address_of(text):
-    """(host, port) of `host:port`, or None."""
+def parse_address(text):
+    """Parse `ip:port` into (host, port), or None if it is invalid."""
     host, _, port = str(text).rpartition(":")
     try:
         IPv4Address(host)
@@ -35,21 +35,21 @@
 
 
 def check_address(field, value, error):
-    """A rule of cerberus: "ip:port"."""
-    if address_of(value) is None:
-        error(field, "is no IP number and port")
+    """Cerberus check: an IPv4 address and port."""
+    if parse_address(value) is None:
+        error(field, "must be an IPv4 address and port")
 
 
 def check_ip(field, value, error):
-    """A rule of cerberus: an IP number."""
+    """Cerberus check: an IPv4 address."""
     try:
         IPv4Address(value)
     except ValueError:
-        error(field, "is no IP number")
+        error(field, "must be an IPv4 address")
 
 
 def check_finite(field, value, error):
-    """A rule of cerberus: no infinite number and no NaN."""
+    """Cerberus check: neither infinite nor NaN."""
     if not isfinite(value):
         error(field, "must be finite")
 
@@ -71,8 +71,8 @@
 )
 
 
-def table(**fields):
-    """A schema of a table with these fields; others are allowed."""
+def table_schema(**fields):
+    """Return the schema of a table with these fields; others are allowed."""
     return {"type": "dict", "nullable": True, "schema": {name.replace("_", "-"): rule for name, rule in fields.items()}}
 
 
@@ -83,7 +83,7 @@
     "ip": {"type": "string", "required": True, "check_with": check_ip},
     "zone": {"type": "string", "nullable": True},
     "zones": {"type": "dict", "nullable": True, "valuesrules": {"type": "string", "nullable": True}},
-    "bind-addresses": table(front=ADDRESS, readiness=ADDRESS, control=ADDRESS),
+    "bind-addresses": table_schema(front=ADDRESS, readiness=ADDRESS, control=ADDRESS),
     "port-range": {
         "type": "list",
         "required": True,
@@ -92,25 +92,29 @@
     },
     "seeds": {"type": "list", "schema": {"type": "string", "check_with": check_address}, "nullable": True},
     "initial-start": {"type": "boolean", "nullable": True},
-    "limits": table(memory_mb=NUMBER, max_fds=NUMBER, disk_mb=NUMBER),
+    "limits": table_schema(memory_mb=NUMBER, max_fds=NUMBER, disk_mb=NUMBER),
     "data-dir": {"type": "string", "nullable": True},
-    "tolerance": table(machines=COUNT, zones=COUNT, regions=COUNT),
-    "timers": table(**{name: NUMBER for name in TIMERS}),
-    "cloud-api": table(address=ADDRESS, rate_per_s=NUMBER),
+    "tolerance": table_schema(machines=COUNT, zones=COUNT, regions=COUNT),
+    "timers": table_schema(**{name: NUMBER for name in TIMERS}),
+    "cloud-api": table_schema(address=ADDRESS, rate_per_s=NUMBER),
     "frostpost-trace": {"type": "boolean", "nullable": True},
 }
 
 
 def first_error(errors, path=""):
-    """The first error of a validation, with its path."""
-    name, found = next(iter(errors.items()))
-    where = f"{path}.{name}" if path else str(name)
-    last = found[-1]
-    return first_error(last, where) if isinstance(last, dict) else SettingsInvalid(where, str(found[0]))
+    """Return the first validation error with its path."""
+    name, messages = next(iter(errors.items()))
+    field_path = f"{path}.{name}" if path else str(name)
+    last_message = messages[-1]
+    return (
+        first_error(last_message, field_path)
+        if isinstance(last_message, dict)
+        else SettingsInvalid(field_path, str(messages[0]))
+    )
 
 
-def role_of(document):
-    """The product's role by what the machine serves."""
+def machine_role(document):
+    """Return the daemon's role according to what the machine serves."""
     serves = document.get("serves") or []
     if "storage" in serves:
         return "storage"
@@ -119,49 +123,53 @@
     return "core" if "control" in serves else document.get("machine-class")
 
 
-def timers_of(timers):
-    """Those of the platform's timers that the product knows, as its own fields in milliseconds."""
-    found = {}
+def convert_timers(timers):
+    """Convert the known timers into fields of DaemonSettings, in milliseconds."""
+    converted = {}
     for name in TIMERS:
         value = timers.get(name)
         if value is not None:
             base, _, unit = name.rpartition("-")
-            found[base.replace("-", "_") + "_ms"] = round(value * 1000) if unit == "s" else round(value)
-    return found
+            converted[base.replace("-", "_") + "_ms"] = round(value * 1000) if unit == "s" else round(value)
+    return converted
 
 
-def whole(found, **names):
-    """The fields that are there, as whole numbers under the product's names."""
-    return {ours: int(found[theirs]) for ours, theirs in names.items() if found.get(theirs) is not None}
+def integer_fields(section, **keys):
+    """Return the keys of a section that are set, as integers by field of DaemonSettings."""
+    return {field: int(section[key]) for field, key in keys.items() if section.get(key) is not None}
 
 
 def from_document(document, role=None):
-    """A document as read -> Result[DaemonSettings, SettingsInvalid]; a role given wins over the file's."""
+    """Convert a decoded document; `role` overrides the one in it. Returns Result[DaemonSettings, SettingsInvalid]."""
     if not isinstance(document, dict):
-        return Error(SettingsInvalid("", "is no mapping"))
+        return Error(SettingsInvalid("", "must be a mapping"))
     validator = Validator(SCHEMA, allow_unknown=True)
     if not validator.validate(document):
         return Error(first_error(validator.errors))
-    role, data = role or role_of(document), document.get("data-dir") or ""
+    role, data = role or machine_role(document), document.get("data-dir") or ""
     if role not in ROLES:
-        return Error(SettingsInvalid("serves", "names no role that is known"))
+        return Error(SettingsInvalid("serves", "neither it nor machine-class gives a known role"))
     if role == "storage" and not data:
-        return Error(SettingsInvalid("data-dir", "a storage daemon needs a data folder"))
-    bound, api = document.get("bind-addresses") or {}, document.get("cloud-api") or {}
+        return Error(SettingsInvalid("data-dir", "is required on a storage daemon"))
+    bind_addresses, cloud_api = document.get("bind-addresses") or {}, document.get("cloud-api") or {}
     host, port = document["ip"], document["port-range"][0]
-    seeds = tuple(f"{address_of(seed)[0]}:{port}" for seed in document.get("seeds") or ())
-    fields = timers_of(document.get("timers") or {})
-    fields |= whole(document.get("limits") or {}, memory_mb="memory-mb", max_fds="max-fds", disk_mb="disk-mb")
-    fields |= whole(
+    seeds = tuple(f"{parse_address(seed)[0]}:{port}" for seed in document.get("seeds") or ())
+    fields = convert_timers(document.get("timers") or {})
+    fields |= integer_fields(document.get("limits") or {}, memory_mb="memory-mb", max_fds="max-fds", disk_mb="disk-mb")
+    fields |= integer_fields(
         document.get("tolerance") or {}, tolerated="machines", tolerated_zones="zones", tolerated_regions="regions"
     )
     fields["regions"] = {zone: region or "" for zone, region in (document.get("zones") or {}).items()}
-    if api.get("address"):
-        fields["list_host"], fields["list_port"] = address_of(api["address"])
-    if api.get("rate-per-s") is not None:
-        fields["list_rate_per_s"] = float(api["rate-per-s"])
-    places = {name: address_of(bound[name]) for name in ("front", "readiness", "control") if bound.get(name)}
-    drain_ms = fields.setdefault("drain_ms", DRAIN_MS)
+    if cloud_api.get("address"):
+        fields["list_host"], fields["list_port"] = parse_address(cloud_api["address"])
+    if cloud_api.get("rate-per-s") is not None:
+        fields["list_rate_per_s"] = float(cloud_api["rate-per-s"])
+    addresses = {
+        name: parse_address(bind_addresses[name])
+        for name in ("front", "readiness", "control")
+        if bind_addresses.get(name)
+    }
+    drain_ms = fields.setdefault("drain_ms", DEFAULT_DRAIN_MS)
     return Ok(
         DaemonSettings(
             name=document.get("node-name") or f"{role}-{host}",
@@ -173,23 +181,23 @@
             first_start=bool(document.get("initial-start")),
             data=data,
             trace=bool(document.get("frostpost-trace")),
-            list_ms=max(50, int(min(LIST_MS, drain_ms * LIST_SHARE_OF_DRAIN))),
-            **places,
+            list_ms=max(50, int(min(MAX_LIST_MS, drain_ms * LIST_DRAIN_RATIO))),
+            **addresses,
             **fields,
         )
     )
 
 
-def read(path=None, role=None):
-    """Read the file at path, or the one that the environment names."""
-    path = path or os.environ.get(VARIABLE)
+def read_settings(path=None, role=None):
+    """Read the settings file at `path`, by default the one that the environment variable FROSTPOST_BOOT names."""
+    path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        return Error(SettingsInvalid(VARIABLE, "is not set"))
+        return Error(SettingsInvalid(PATH_VARIABLE, "is not set"))
     try:
         with open(path, "rb") as file:
             document = yaml.load(file, Loader=LOADER)
-    except OSError as fault:
-        return Error(SettingsInvalid(path, fault.strerror or "cannot be read"))
-    except (yaml.YAMLError, ValueError, RecursionError) as fault:
-        return Error(SettingsInvalid(path, " ".join(str(fault).split())[:200]))
+    except OSError as error:
+        return Error(SettingsInvalid(path, error.strerror or "cannot be read"))
+    except (yaml.YAMLError, ValueError, RecursionError) as error:
+        return Error(SettingsInvalid(path, " ".join(str(error).split())[:200]))
     return from_document(document, role)
--- a/frostpost/platform/strict_json.py
+++ b/frostpost/platform/strict_json.py
@@ -1,4 +1,4 @@
-"""JSON of the platform read strictly: no key twice, no constants that aren't numbers."""
+"""Strict JSON parser: rejects duplicate keys, NaN, infinities and unpaired surrogates."""
 
 import json
 from math import isfinite
@@ -9,42 +9,44 @@
 
 
 class RoutingInvalid(Struct, frozen=True, tag="RoutingInvalid"):
-    """path: what is wrong in a document; text: why."""
+    """A configuration document is invalid. path: the field or item; text: the error."""
 
     path: str
     text: str
 
 
 class DuplicateKeyError(ValueError):
-    """An object that names one key twice."""
+    """An object has a duplicate key."""
 
 
-def without_doubles(pairs):
-    """An object's pairs as a dict; a name that comes twice is an error."""
-    found = dict(pairs)
-    if len(found) != len(pairs):
+def object_from_pairs(pairs):
+    """Return the pairs of an object as a dict; raises DuplicateKeyError."""
+    decoded = dict(pairs)
+    if len(decoded) != len(pairs):
         raise DuplicateKeyError("an object names a key twice")
-    return found
+    return decoded
 
 
-def no_constant(text):
-    """NaN and infinities are errors."""
+def reject_constant(text):
+    """Raise ValueError for NaN or an infinity."""
     raise ValueError(f"{text} is no number")
 
 
-def finite(text):
-    """A number; one that overflows is an error."""
+def parse_finite_float(text):
+    """Parse a float; raises ValueError if it overflows."""
     value = float(text)
-    return value if isfinite(value) else no_constant(text)
+    return value if isfinite(value) else reject_constant(text)
 
 
-def read_json(body):
-    """Result[object, RoutingInvalid] of bytes."""
+def parse_json(body):
+    """Parse the JSON object in `body`. Returns Result[dict, RoutingInvalid]."""
     try:
         text = body.decode("utf-8")
         if "\\ud" in text.lower():
             msgspec.json.decode(body)
-        document = json.loads(text, object_pairs_hook=without_doubles, parse_constant=no_constant, parse_float=finite)
-    except (ValueError, RecursionError, msgspec.DecodeError) as fault:
-        return Error(RoutingInvalid("", str(fault)[:200]))
+        document = json.loads(
+            text, object_pairs_hook=object_from_pairs, parse_constant=reject_constant, parse_float=parse_finite_float
+        )
+    except (ValueError, RecursionError, msgspec.DecodeError) as error:
+        return Error(RoutingInvalid("", str(error)[:200]))
     return Ok(document) if isinstance(document, dict) else Error(RoutingInvalid("", "is no object"))
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -4,8 +4,7 @@
 from twisted.internet.defer import succeed
 
 from frostpost.cluster import agent_sessions, control_client, lease_client, operation_server, voter_reconfiguration
-from frostpost.platform import control, front, routing
-from frostpost.platform import runner_list as listing
+from frostpost.platform import control, front, routing, runner_list
 from frostpost.platform.server import reply
 from frostpost.program_ledger import accepted_changes, routing_versions, turns
 from frostpost.program_ledger import apply as ledger
@@ -68,17 +67,17 @@
 
 
 def drain_ignored():
-    kept = listing.runner_of
+    kept = runner_list.parse_runner
 
-    def runner_of(entry):
+    def parse_runner(entry):
         runner = kept(entry)
         return runner and structs.replace(runner, draining=False)
 
-    return [(listing, "runner_of", runner_of)]
+    return [(runner_list, "parse_runner", parse_runner)]
 
 
 def promise_broken():
-    return [(front, "STATUS", {**front.STATUS, Unknown: 503, TimedOut: 503})]
+    return [(front, "STATUS_BY_FAILURE", {**front.STATUS_BY_FAILURE, Unknown: 503, TimedOut: 503})]
 
 
 def echo_unread():
@@ -86,7 +85,7 @@
 
 
 def cut_ended():
-    return [(front.Answer, "cut", lambda answer: answer.end())]
+    return [(front.ClientResponse, "abort", lambda answer: answer.end())]
 
 
 def resumed_always():
@@ -197,11 +196,11 @@
 def read_from_copy():
     """A control daemon tells the configuration that it holds itself."""
 
-    def query(agent, request):
-        reply(request, 200, routing.document_of(agent.routing_body))
+    def handle_query(agent, request):
+        reply(request, 200, routing.document_from_body(agent.routing_body))
         return succeed(None)
 
-    return [(control, "query", query)]
+    return [(control, "handle_query", handle_query)]
 
 
 def read_from_leader():
--- a/tests/fleet_simulator/stage.py
+++ b/tests/fleet_simulator/stage.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from frostpost.platform.readiness import ready as is_ready
+from frostpost.platform.readiness import is_ready
 
 from . import world as worlds
 from .crowd import Crowd
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -73,7 +73,7 @@
 
 def ask(method, what, document=None, base=None, raw=None):
     clock = Clock()
-    channel = control.server(AgentContext(None, clock, "a", Machine(seconds=clock.seconds))).buildProtocol(None)
+    channel = control.make_server(AgentContext(None, clock, "a", Machine(seconds=clock.seconds))).buildProtocol(None)
     transport = StringTransport()
     channel.makeConnection(transport)
     body = raw if raw is not None else b"" if document is None else json.dumps(document).encode()
@@ -103,8 +103,8 @@
 
 def set_order(document, base):
     """A change that another daemon hands in."""
-    digest = routing.digest("replace", document)
-    return SetRouting(base, document["issue"], routing.to_body(document), digest, 1000)
+    digest = routing.request_digest("replace", document)
+    return SetRouting(base, document["issue"], routing.encode_body(document), digest, 1000)
 
 
 def held():
@@ -205,7 +205,7 @@
 def test_calls_wait_well_inside_the_silence_that_callers_bear(ring):
     replace(whole(7), 0)
     held()
-    assert len(ring.calls) == 3 and max(ring.calls) <= control.SILENCE_MS * control.ANSWER_RATIO
+    assert len(ring.calls) == 3 and max(ring.calls) <= control.CALLER_TIMEOUT_MS * control.RESPONSE_RATIO
 
 
 def test_without_the_ring_the_answer_is_to_come_back(ring):
--- a/tests/test_platform_control_cuts.py
+++ b/tests/test_platform_control_cuts.py
@@ -10,10 +10,10 @@
 from fleet_simulator.plants import planted
 
 from frostpost.cluster.lease_client import holds_lease
-from frostpost.platform.control import ANSWER_RATIO, SILENCE_MS
+from frostpost.platform.control import CALLER_TIMEOUT_MS, RESPONSE_RATIO
 
 CUT_MS = 20000
-AT_ONCE_MS = SILENCE_MS * (ANSWER_RATIO + 0.1)
+AT_ONCE_MS = CALLER_TIMEOUT_MS * (RESPONSE_RATIO + 0.1)
 BEFORE_RETURN_MS = 1500
 
 
@@ -173,7 +173,7 @@
     sent_ms = world.now_ms()
     caller.all_calls(3)
     caller.all_calls(13)
-    world.run(sent_ms + SILENCE_MS)
+    world.run(sent_ms + CALLER_TIMEOUT_MS)
     calls = caller.calls(sent_ms, sent_ms + 1)
     by_status = {(call.name.partition("/")[0], call.version and call.version.base, call.status) for call in calls}
     assert all(call.ended_ms - call.sent_ms <= AT_ONCE_MS for call in calls)
--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -31,7 +31,7 @@
         self.clock.advance(100)
         self.agent = AgentContext(SimpleNamespace(max_fds=1000), self.clock, "a", Machine(seconds=self.clock.seconds))
         self.agent.routing = Routing(1, (), {}, ClientBounds(**bounds))
-        self.server = front.server(self.agent, lambda agent, call, sink: self.calls.append((call, sink)))
+        self.server = front.make_server(self.agent, lambda agent, call, sink: self.calls.append((call, sink)))
         self.transport, self.channel = Wire(), self.server.buildProtocol(None)
         self.channel.makeConnection(self.transport)
 
@@ -129,7 +129,7 @@
     sink.data(b"c")
     sink.end()
     assert fleet.said().endswith(b"2\r\nab\r\n") and fleet.transport.disconnecting and sink.is_disconnected()
-    fleet.clock.advance(front.CUT_S)
+    fleet.clock.advance(front.ABORT_DELAY_S)
     assert fleet.transport.aborted
 
 
@@ -174,7 +174,7 @@
     sink.fail(failures.Unknown())
     assert fleet.transport.disconnecting and not fleet.said().endswith(b"0\r\n\r\n")
     other = Fleet()
-    other.server.handle = front.handler(other.agent, lambda *_: 1 / 0)
+    other.server.handle = front.make_handler(other.agent, lambda *_: 1 / 0)
     other.ask()
     assert other.said().startswith(b"HTTP/1.1 502 ") and other.agent.open_requests == 0
 
--- a/tests/test_platform_front_properties.py
+++ b/tests/test_platform_front_properties.py
@@ -8,7 +8,7 @@
 from strict_http import ReadRequest, read_request, read_requests
 from test_platform_front import Fleet
 
-from frostpost.platform.runner_protocol import wire
+from frostpost.platform.runner_protocol import make_wire
 from frostpost.proxy import failures
 from frostpost.proxy.exchange import request_bytes
 from frostpost.proxy.models import Runner
@@ -189,7 +189,7 @@
     for call, _ in fleet.calls:
         if not is_unambiguous(call):
             continue
-        request, end = read_request(written := request_bytes(wire(), RUNNER, call, call.body, 100))
+        request, end = read_request(written := request_bytes(make_wire(), RUNNER, call, call.body, 100))
         assert end == len(written)
         assert (request.method, request.target, request.body) == (call.method, call.uri, call.body)
         names = [name.lower() for name, _ in request.fields]
@@ -203,7 +203,7 @@
     fleet, _ = fed([data])
     ((call, _),) = fleet.calls
     assert is_unambiguous(call)
-    request, _ = read_request(request_bytes(wire(), RUNNER, call, call.body, 100))
+    request, _ = read_request(request_bytes(make_wire(), RUNNER, call, call.body, 100))
     assert isinstance(request, ReadRequest)
     assert (request.method, request.target, request.body) == (sent.method, sent.target, sent.body)
     for name, _ in sent.fields[1:]:
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -7,7 +7,7 @@
 from twisted.python.failure import Failure
 
 from frostpost.platform import front
-from frostpost.platform.runner_protocol import wire
+from frostpost.platform.runner_protocol import make_wire
 from frostpost.program_ledger.messages import ClaimOperationKey, KeyAnswered, ResolveOperationKey
 from frostpost.proxy import serve
 
@@ -23,8 +23,8 @@
             [make_route(**{"kind": "unsafe", "attempts": 1, **route})], [make_runner("r1")], patch
         )
         agent = self.harness.agent
-        agent.wire, agent.settings.max_fds = wire(), 1000
-        self.server = front.server(agent, serve.serve)
+        agent.wire, agent.settings.max_fds = make_wire(), 1000
+        self.server = front.make_server(agent, serve.serve)
         self.client()
 
     def client(self):
--- a/tests/test_platform_routing.py
+++ b/tests/test_platform_routing.py
@@ -58,7 +58,7 @@
 
 
 def test_a_document_becomes_a_routing():
-    document, found = routing.parse(body()).ok
+    document, found = routing.parse_document(body()).ok
     assert document == DOCUMENT
     one, two = found.routes
     assert (one.host, one.prefix, one.kind, one.timeout_ms, one.target_latency_ms, one.rank) == (
@@ -115,7 +115,7 @@
     ids=range(13),
 )
 def test_what_cannot_be_read_whole_is_invalid(sent):
-    assert isinstance(routing.parse(sent).error, routing.RoutingInvalid)
+    assert isinstance(routing.parse_document(sent).error, routing.RoutingInvalid)
 
 
 @pytest.mark.parametrize(
@@ -148,7 +148,7 @@
     ids=range(23),
 )
 def test_invalid_documents(changes):
-    assert isinstance(routing.parse(body(**changes)).error, routing.RoutingInvalid)
+    assert isinstance(routing.parse_document(body(**changes)).error, routing.RoutingInvalid)
 
 
 def test_a_change_replaces_adds_and_removes_by_name():
@@ -162,17 +162,17 @@
             }
         ).encode()
     ).ok
-    merged = routing.merge(DOCUMENT, change)
+    merged = routing.apply_change(DOCUMENT, change)
     assert before == DOCUMENT
     assert [(r["name"], r["guard-ms"]) for r in merged["route-table"]] == [("r1", 1), ("r3", 4000)]
     assert (merged["issue"], merged["odd"], merged["service-table"]) == (9, {"kept": 1.5}, DOCUMENT["service-table"])
-    assert routing.check(merged).ok[1].version == 9
+    assert routing.validate(merged).ok[1].version == 9
 
 
 def test_a_change_may_bring_limits_and_may_leave_an_invalid_whole():
-    merged = routing.merge(DOCUMENT, {"issue": 8, "limits": {"idle-ms": 5}, "remove": {"service-table": ["s2"]}})
+    merged = routing.apply_change(DOCUMENT, {"issue": 8, "limits": {"idle-ms": 5}, "remove": {"service-table": ["s2"]}})
     assert merged["limits"] == {"idle-ms": 5}
-    assert routing.check(merged).is_error()
+    assert routing.validate(merged).is_error()
 
 
 @pytest.mark.parametrize(
@@ -191,15 +191,15 @@
 
 
 def test_a_stored_body_is_read_back_whole():
-    document, found = routing.parse(body()).ok
-    stored = routing.to_body(document)
-    assert json.loads(routing.document_of(stored)) == DOCUMENT
+    document, found = routing.parse_document(body()).ok
+    stored = routing.encode_body(document)
+    assert json.loads(routing.document_from_body(stored)) == DOCUMENT
     assert routing.routing_from_body(stored) == found
     assert routing.routing_from_body(b"").routes == ()
 
 
 def test_a_digest_knows_the_same_request_again():
     same = json.loads(json.dumps(DOCUMENT, sort_keys=True))
-    assert routing.digest("replace", same) == routing.digest("replace", DOCUMENT)
-    assert routing.digest("replace", {**same, "issue": 8}) != routing.digest("replace", DOCUMENT)
-    assert routing.digest("modify", same) != routing.digest("replace", DOCUMENT)
+    assert routing.request_digest("replace", same) == routing.request_digest("replace", DOCUMENT)
+    assert routing.request_digest("replace", {**same, "issue": 8}) != routing.request_digest("replace", DOCUMENT)
+    assert routing.request_digest("modify", same) != routing.request_digest("replace", DOCUMENT)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -97,8 +97,8 @@
     file = Path(tmp_path, "settings.yaml")
     file.write_text(DOCUMENT)
     monkeypatch.setenv("FROSTPOST_BOOT", str(file))
-    assert settings.read().ok.name == "edge-a-1"
+    assert settings.read_settings().ok.name == "edge-a-1"
     file.write_text("a: [")
-    assert settings.read().error.path == str(file)
+    assert settings.read_settings().error.path == str(file)
     monkeypatch.delenv("FROSTPOST_BOOT")
-    assert settings.read().error.path == "FROSTPOST_BOOT"
+    assert settings.read_settings().error.path == "FROSTPOST_BOOT"
--- a/tests/test_platform_tracing.py
+++ b/tests/test_platform_tracing.py
@@ -70,7 +70,7 @@
     if text is not None:
         path.write_text(text)
     monkeypatch.setattr("sys.argv", ["frostpost", "--routing", str(path)])
-    monkeypatch.setattr(main, "without_tls", lambda: None)
+    monkeypatch.setattr(main, "disable_tls", lambda: None)
     assert main.main() == status
     out, err = capsys.readouterr()
     assert err.startswith(told) if told else json.decode(out)["version"] == 4
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -5,8 +5,8 @@
 import pytest
 from msgspec import structs
 
-from frostpost.platform import runner_list as listing
-from frostpost.platform.runner_protocol import wire
+from frostpost.platform import runner_list
+from frostpost.platform.runner_protocol import make_wire
 from frostpost.proxy.models import Call, Runner
 
 ROOT = Path(__file__).parent.parent
@@ -76,11 +76,11 @@
 
 
 def head(status, **headers):
-    return wire().read_head(status, [(name.replace("_", "-").encode(), value) for name, value in headers.items()])
+    return make_wire().read_head(status, [(name.replace("_", "-").encode(), value) for name, value in headers.items()])
 
 
 def test_a_runner_gets_the_callers_headers_with_the_time_left_and_its_own_name():
-    assert wire().request_headers(CALL, RUNNER, 850.7) == [
+    assert make_wire().request_headers(CALL, RUNNER, 850.7) == [
         (b"X-Attempt-Id", b"a1"),
         (b"X-Previous-Turn", b"a0"),
         (b"Accept", b"a"),
@@ -92,7 +92,7 @@
 
 
 def test_a_stream_taken_up_names_its_last_event_and_time_never_falls_below_nothing():
-    sent = wire().request_headers(structs.replace(CALL, last_event_id="12"), RUNNER, -5)
+    sent = make_wire().request_headers(structs.replace(CALL, last_event_id="12"), RUNNER, -5)
     assert [value for name, value in sent if name == b"Last-Event-Id"] == [b"12"]
     assert (b"X-Time-Remaining", b"0") in sent
 
@@ -134,11 +134,11 @@
 
 @pytest.mark.parametrize("seals", [[], [b""], [b"s", b"t"], [b"s", b"s"]])
 def test_only_one_seal_that_says_something_is_a_seal(seals):
-    assert not wire().read_head(200, [(b"X-Server-Seal", seal) for seal in seals]).sealed
+    assert not make_wire().read_head(200, [(b"X-Server-Seal", seal) for seal in seals]).sealed
 
 
 def test_two_ids_of_an_attempt_fit_none():
-    found = wire().read_head(200, [(b"X-Attempt-Id", b"a1"), (b"x-attempt-id", b"a0")])
+    found = make_wire().read_head(200, [(b"X-Attempt-Id", b"a1"), (b"x-attempt-id", b"a0")])
     assert found.attempt not in ("", "a0", "a1")
 
 
@@ -158,7 +158,7 @@
         "new": 1,
     }
     bad = [{}, None, 7, {**good, "address": "host:80"}, {**good, "capacity": "x"}, {**good, "id": None}]
-    runners, token = listing.read_page(
+    runners, token = runner_list.parse_page(
         json.dumps(
             {"instances": [*bad, good, {**good, "id": "i-8", "state": "draining"}], "next-token": "p-50"}
         ).encode()
@@ -168,13 +168,13 @@
         Runner(id="i-8", service="s1", host="10.0.0.9", port=8080, zone="a", slots=32, draining=True),
     ]
     assert token == "p-50"
-    assert listing.read_page(b'{"instances":[],"next-token":null}') == ([], None)
+    assert runner_list.parse_page(b'{"instances":[],"next-token":null}') == ([], None)
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"instances":7}', b'{"instances":[', b"\xff"])
 def test_what_is_no_page_is_told(body):
-    with pytest.raises(listing.ListBrokenError):
-        listing.read_page(body)
+    with pytest.raises(runner_list.InvalidListError):
+        runner_list.parse_page(body)
 
 
 def test_names_of_the_platform_stand_in_its_package_its_tests_and_docs_only():
