--- a/tests/test_platform_front.py
+++ b/tests/test_platform_front.py
@@ -13,18 +13,18 @@
 GET = b"GET /x/1?q=a%20b HTTP/1.1\r\nHost: A.Example:80\r\nX-Attempt-Id: a1\r\n"
 
 
-class Wire(StringTransport):
-    aborted = ended = False
+class RecordingTransport(StringTransport):
+    aborted = write_closed = False
 
     def abortConnection(self):
         self.aborted = True
 
     def loseWriteConnection(self):
-        self.ended = True
+        self.write_closed = True
 
 
-class Fleet:
-    """A front over one fake connection, with a serve that keeps what it is handed."""
+class FrontHarness:
+    """A front server with one fake connection that records the calls passed to the proxy."""
 
     def __init__(self, **bounds):
         self.clock, self.calls = Clock(), []
@@ -32,23 +32,23 @@
         self.agent = AgentContext(SimpleNamespace(max_fds=1000), self.clock, "a", Machine(seconds=self.clock.seconds))
         self.agent.routing = Routing(1, (), {}, ClientBounds(**bounds))
         self.server = front.make_server(self.agent, lambda agent, call, sink: self.calls.append((call, sink)))
-        self.transport, self.channel = Wire(), self.server.buildProtocol(None)
+        self.transport, self.channel = RecordingTransport(), self.server.buildProtocol(None)
         self.channel.makeConnection(self.transport)
 
-    def ask(self, data=GET + b"\r\n"):
+    def send(self, data=GET + b"\r\n"):
         self.channel.dataReceived(data)
         return self.calls[-1] if self.calls else (None, None)
 
-    def said(self):
+    def take_response(self):
         self.clock.advance(0)
-        value = self.transport.value()
+        data = self.transport.value()
         self.transport.clear()
-        return value
+        return data
 
 
-def test_a_request_becomes_a_call():
-    fleet = Fleet()
-    call, _ = fleet.ask(
+def test_request_is_parsed_into_a_call():
+    harness = FrontHarness()
+    call, _ = harness.send(
         b"POST /x/1?q=a%20b HTTP/1.1\r\nHost: A.Example:80\r\nX-Attempt-Id: a1\r\nX-Time-Remaining: 1500\r\n"
         b"X-Token-Count: 1460,80\r\nX-Prompt-Prefix: 5c:800,91:410\r\nX-Program-Id: p\r\nX-Session-Id: l\r\n"
         b"X-Program-Deadline: 5200\r\nX-Token-Budget: 4640\r\nX-Previous-Turn: a0\r\nX-Operation-Key: k\r\n"
@@ -66,20 +66,20 @@
     assert (call.key, call.program, call.session_id, call.budget, call.previous_turn) == ("k", "p", "l", 4640, "a0")
     assert (call.prompt_tokens, call.max_output_tokens, call.prompt_parts) == (1460, 80, (("5c", 800), ("91", 410)))
     assert (call.program_remaining_ms, call.last_event_id) == (5200, "12")
-    low = [name.lower() for name, _ in call.headers]
-    assert low.count(b"accept") == 2 and b"x-previous-turn" in low and b"x-attempt-id" in low
-    assert not {b"host", b"connection", b"odd", b"te", b"content-length"} & set(low)
+    lower_names = [name.lower() for name, _ in call.headers]
+    assert lower_names.count(b"accept") == 2 and b"x-previous-turn" in lower_names and b"x-attempt-id" in lower_names
+    assert not {b"host", b"connection", b"odd", b"te", b"content-length"} & set(lower_names)
 
 
-def test_a_chunked_body_is_put_together():
-    call, _ = Fleet().ask(
+def test_chunked_body_is_decoded():
+    call, _ = FrontHarness().send(
         GET.replace(b"GET", b"POST") + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     )
-    assert call.body == b"abc" and b"transfer-encoding" not in [n.lower() for n, _ in call.headers]
+    assert call.body == b"abc" and b"transfer-encoding" not in [name.lower() for name, _ in call.headers]
 
 
 @pytest.mark.parametrize(
-    "head",
+    "header",
     [
         b"GET / HTTP/1.1\r\nHost: a\r\n",
         GET + b"X-Attempt-Id: a2\r\n",
@@ -89,61 +89,67 @@
         GET + b"Host: b\r\n",
     ],
 )
-def test_what_cannot_be_read_is_a_bad_request(head):
-    fleet = Fleet()
-    fleet.ask(head + b"\r\n")
-    assert fleet.calls == [] and fleet.said().startswith(b"HTTP/1.1 400 ") and fleet.agent.open_requests == 0
+def test_invalid_header_is_a_bad_request(header):
+    harness = FrontHarness()
+    harness.send(header + b"\r\n")
+    assert (
+        harness.calls == []
+        and harness.take_response().startswith(b"HTTP/1.1 400 ")
+        and harness.agent.open_requests == 0
+    )
 
 
-def test_a_whole_answer_has_a_length_and_only_the_headers_given():
-    fleet = Fleet()
-    _, sink = fleet.ask()
-    assert fleet.agent.open_requests == 1
+def test_complete_response_has_a_length_and_only_the_given_headers():
+    harness = FrontHarness()
+    _, sink = harness.send()
+    assert harness.agent.open_requests == 1
     sink.head(200, [(b"X-Odd", b"1"), (b"X-Odd", b"2")])
     sink.data(b"ab")
     sink.data(b"c")
     sink.end()
-    assert fleet.said() == b"HTTP/1.1 200 OK\r\nX-Odd: 1\r\nX-Odd: 2\r\nContent-Length: 3\r\n\r\nabc"
-    assert fleet.agent.open_requests == 0 and not fleet.transport.disconnecting
-    assert len(fleet.calls) == 1 and fleet.ask() and len(fleet.calls) == 2
+    assert harness.take_response() == b"HTTP/1.1 200 OK\r\nX-Odd: 1\r\nX-Odd: 2\r\nContent-Length: 3\r\n\r\nabc"
+    assert harness.agent.open_requests == 0 and not harness.transport.disconnecting
+    assert len(harness.calls) == 1 and harness.send() and len(harness.calls) == 2
 
 
-def test_a_stream_is_passed_on_as_it_comes_and_ends_with_its_last_chunk():
-    fleet = Fleet()
-    _, sink = fleet.ask()
+def test_stream_is_forwarded_as_chunks():
+    harness = FrontHarness()
+    _, sink = harness.send()
     sink.head(200, [])
     sink.data(b"ab")
-    assert fleet.said().endswith(b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
+    assert harness.take_response().endswith(b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
     sink.data(b"c")
-    assert fleet.said() == b"1\r\nc\r\n"
+    assert harness.take_response() == b"1\r\nc\r\n"
     sink.end()
-    assert fleet.said() == b"0\r\n\r\n"
+    assert harness.take_response() == b"0\r\n\r\n"
 
 
-def test_an_answer_cut_off_does_not_look_complete():
-    fleet = Fleet()
-    _, sink = fleet.ask()
+def test_aborted_response_is_incomplete():
+    harness = FrontHarness()
+    _, sink = harness.send()
     sink.head(200, [(b"Content-Type", b"text/event-stream")])
     sink.data(b"ab")
     sink.abort()
     sink.data(b"c")
     sink.end()
-    assert fleet.said().endswith(b"2\r\nab\r\n") and fleet.transport.disconnecting and sink.is_disconnected()
-    fleet.clock.advance(front.ABORT_DELAY_S)
-    assert fleet.transport.aborted
+    assert (
+        harness.take_response().endswith(b"2\r\nab\r\n") and harness.transport.disconnecting and sink.is_disconnected()
+    )
+    harness.clock.advance(front.ABORT_DELAY_S)
+    assert harness.transport.aborted
 
 
-def test_an_answer_shorter_than_its_length_is_cut():
-    fleet = Fleet()
-    _, sink = fleet.ask()
+def test_response_shorter_than_its_length_is_aborted():
+    harness = FrontHarness()
+    _, sink = harness.send()
     sink.head(200, [(b"Content-Length", b"5")])
     sink.data(b"ab")
     sink.end()
-    assert fleet.transport.disconnecting and fleet.said().endswith(b"ab")
+    assert harness.transport.disconnecting and harness.take_response().endswith(b"ab")
 
 
 @pytest.mark.parametrize(
-    "failure,status,retry",
+    "failure,status,retry_after",
     [
         (failures.NoRoute(), 404, None),
         (failures.BadRequest("x"), 400, None),
@@ -157,47 +163,47 @@
         (failures.TimedOut(), 504, None),
     ],
 )
-def test_failures_become_statuses(failure, status, retry):
-    fleet = Fleet()
-    _, sink = fleet.ask()
+def test_failures_are_mapped_to_statuses(failure, status, retry_after):
+    harness = FrontHarness()
+    _, sink = harness.send()
     sink.fail(failure)
-    said = fleet.said()
-    assert said.startswith(b"HTTP/1.1 %d " % status) and type(failure).__name__.encode() in said
-    assert (b"Retry-After: %s\r\n" % retry in said) if retry else b"Retry-After" not in said
-    assert (b"Connection: close" in said) == isinstance(failure, failures.Leaving)
+    response = harness.take_response()
+    assert response.startswith(b"HTTP/1.1 %d " % status) and type(failure).__name__.encode() in response
+    assert (b"Retry-After: %s\r\n" % retry_after in response) if retry_after else b"Retry-After" not in response
+    assert (b"Connection: close" in response) == isinstance(failure, failures.Leaving)
 
 
-def test_a_failure_after_the_head_cuts_and_a_broken_serve_is_told():
-    fleet = Fleet()
-    _, sink = fleet.ask()
+def test_failure_after_the_header_aborts_and_an_exception_is_reported():
+    harness = FrontHarness()
+    _, sink = harness.send()
     sink.head(200, [(b"Content-Type", b"text/event-stream")])
     sink.fail(failures.Unknown())
-    assert fleet.transport.disconnecting and not fleet.said().endswith(b"0\r\n\r\n")
-    other = Fleet()
-    other.server.handle = front.make_handler(other.agent, lambda *_: 1 / 0)
-    other.ask()
-    assert other.said().startswith(b"HTTP/1.1 502 ") and other.agent.open_requests == 0
+    assert harness.transport.disconnecting and not harness.take_response().endswith(b"0\r\n\r\n")
+    other_harness = FrontHarness()
+    other_harness.server.handle = front.make_handler(other_harness.agent, lambda *_: 1 / 0)
+    other_harness.send()
+    assert other_harness.take_response().startswith(b"HTTP/1.1 502 ") and other_harness.agent.open_requests == 0
 
 
-def test_answers_of_a_leaving_daemon_end_their_connection():
-    fleet = Fleet()
-    _, sink = fleet.ask()
-    fleet.agent.draining = True
+def test_draining_daemon_closes_connections_after_the_response():
+    harness = FrontHarness()
+    _, sink = harness.send()
+    harness.agent.draining = True
     sink.head(200, [])
     sink.end()
-    assert b"Connection: close\r\n" in fleet.said() and fleet.transport.disconnecting
-
-
-def test_a_client_that_leaves_is_told_and_backpressure_passes():
-    fleet, seen = Fleet(), []
-    _, sink = fleet.ask()
-    sink.on_disconnect(lambda: seen.append("gone"))
-    sink.on_pause(lambda: seen.append("pause"))
-    sink.on_resume(lambda: seen.append("resume"))
-    fleet.channel.pauseProducing()
-    fleet.channel.resumeProducing()
-    fleet.channel.connectionLost(SimpleNamespace(value=None))
-    assert seen == ["pause", "resume", "gone"] and sink.is_disconnected() and fleet.agent.open_requests == 0
+    assert b"Connection: close\r\n" in harness.take_response() and harness.transport.disconnecting
+
+
+def test_disconnect_and_backpressure_are_reported():
+    harness, events = FrontHarness(), []
+    _, sink = harness.send()
+    sink.on_disconnect(lambda: events.append("gone"))
+    sink.on_pause(lambda: events.append("pause"))
+    sink.on_resume(lambda: events.append("resume"))
+    harness.channel.pauseProducing()
+    harness.channel.resumeProducing()
+    harness.channel.connectionLost(SimpleNamespace(value=None))
+    assert events == ["pause", "resume", "gone"] and sink.is_disconnected() and harness.agent.open_requests == 0
     sink.head(200, [])
     sink.data(b"x")
     sink.end()
@@ -205,7 +211,7 @@
 
 
 @pytest.mark.parametrize(
-    "sent,status",
+    "data,status",
     [
         (GET + b"X-Long: " + b"a" * 600 + b"\r\n", 431),
         (b"GET /" + b"a" * 600, 431),
@@ -215,40 +221,40 @@
         (b"odd\r\n", 400),
     ],
 )
-def test_bounds_of_what_a_client_sends(sent, status):
-    fleet = Fleet(header_bytes=500, body_bytes=8)
-    fleet.ask(sent)
-    fleet.ask(b"0\r\n\r\n" + GET + b"\r\n")
-    said = fleet.said()
-    assert said.startswith(b"HTTP/1.1 %d " % status) and said.count(b"HTTP/1.1") == 1
-    assert fleet.calls == [] and fleet.transport.ended
-    fleet.clock.advance(5)
-    assert fleet.transport.aborted
-
-
-def test_times_of_a_slow_client():
-    fleet = Fleet(header_ms=1000, idle_ms=3000)
+def test_requests_beyond_the_bounds_are_rejected(data, status):
+    harness = FrontHarness(header_bytes=500, body_bytes=8)
+    harness.send(data)
+    harness.send(b"0\r\n\r\n" + GET + b"\r\n")
+    response = harness.take_response()
+    assert response.startswith(b"HTTP/1.1 %d " % status) and response.count(b"HTTP/1.1") == 1
+    assert harness.calls == [] and harness.transport.write_closed
+    harness.clock.advance(5)
+    assert harness.transport.aborted
+
+
+def test_slow_clients_time_out():
+    harness = FrontHarness(header_ms=1000, idle_ms=3000)
     for _ in range(3):
-        fleet.channel.dataReceived(b"GET")
-        fleet.clock.advance(0.5)
-    assert fleet.said().startswith(b"HTTP/1.1 408 ")
-    body = Fleet(header_ms=1000, idle_ms=3000)
-    body.ask(GET + b"Content-Length: 9\r\n\r\nab")
-    body.clock.advance(3.1)
-    assert body.said().startswith(b"HTTP/1.1 408 ") and body.calls == []
-    idle = Fleet(header_ms=1000, idle_ms=3000)
-    idle.clock.advance(3.1)
-    assert idle.said() == b"" and idle.transport.disconnecting
-
-
-def test_pipelined_requests_are_served_one_after_the_other():
-    fleet = Fleet()
-    fleet.ask((GET + b"\r\n") * 2)
-    assert len(fleet.calls) == 1
-    fleet.calls[0][1].fail(failures.NoRoute())
-    assert len(fleet.calls) == 2
-    fleet.server.close_idle()
-    assert not fleet.transport.disconnecting
-    fleet.calls[1][1].fail(failures.NoRoute())
-    fleet.server.close_idle()
-    assert fleet.transport.disconnecting
+        harness.channel.dataReceived(b"GET")
+        harness.clock.advance(0.5)
+    assert harness.take_response().startswith(b"HTTP/1.1 408 ")
+    slow_body = FrontHarness(header_ms=1000, idle_ms=3000)
+    slow_body.send(GET + b"Content-Length: 9\r\n\r\nab")
+    slow_body.clock.advance(3.1)
+    assert slow_body.take_response().startswith(b"HTTP/1.1 408 ") and slow_body.calls == []
+    idle_connection = FrontHarness(header_ms=1000, idle_ms=3000)
+    idle_connection.clock.advance(3.1)
+    assert idle_connection.take_response() == b"" and idle_connection.transport.disconnecting
+
+
+def test_pipelined_requests_are_served_in_order():
+    harness = FrontHarness()
+    harness.send((GET + b"\r\n") * 2)
+    assert len(harness.calls) == 1
+    harness.calls[0][1].fail(failures.NoRoute())
+    assert len(harness.calls) == 2
+    harness.server.close_idle()
+    assert not harness.transport.disconnecting
+    harness.calls[1][1].fail(failures.NoRoute())
+    harness.server.close_idle()
+    assert harness.transport.disconnecting
--- a/tests/test_platform_routing.py
+++ b/tests/test_platform_routing.py
@@ -57,11 +57,11 @@
     return [{**ROUTE, **changes}, DOCUMENT["route-table"][1]]
 
 
-def test_a_document_becomes_a_routing():
-    document, found = routing.parse_document(body()).ok
+def test_document_is_converted_into_routing():
+    document, parsed = routing.parse_document(body()).ok
     assert document == DOCUMENT
-    one, two = found.routes
-    assert (one.host, one.prefix, one.kind, one.timeout_ms, one.target_latency_ms, one.rank) == (
+    first, second = parsed.routes
+    assert (first.host, first.prefix, first.kind, first.timeout_ms, first.target_latency_ms, first.rank) == (
         "a.example",
         "/x/",
         "streaming",
@@ -69,7 +69,14 @@
         200,
         1,
     )
-    assert (one.weights, one.attempts, one.retained, one.retention_ms, one.resumable, one.max_event_gap_ms) == (
+    assert (
+        first.weights,
+        first.attempts,
+        first.retained,
+        first.retention_ms,
+        first.resumable,
+        first.max_event_gap_ms,
+    ) == (
         (("s1", 90), ("s2", 10)),
         2,
         True,
@@ -77,8 +84,8 @@
         True,
         250,
     )
-    assert (two.weights, two.attempts, two.retained, two.target_latency_ms) == ((("s2", 1),), 1, False, 900)
-    service = found.services["s1"]
+    assert (second.weights, second.attempts, second.retained, second.target_latency_ms) == ((("s2", 1),), 1, False, 900)
+    service = parsed.services["s1"]
     assert (service.max_connections, service.dedupes, service.event_tokens, service.slots, service.cache_tokens) == (
         240,
         True,
@@ -86,17 +93,17 @@
         32,
         9,
     )
-    assert (found.bounds.header_bytes, found.bounds.body_bytes, found.bounds.header_ms, found.bounds.idle_ms) == (
+    assert (parsed.bounds.header_bytes, parsed.bounds.body_bytes, parsed.bounds.header_ms, parsed.bounds.idle_ms) == (
         8192,
         1000,
         2000,
         9000,
     )
-    assert found.version == 7
+    assert parsed.version == 7
 
 
 @pytest.mark.parametrize(
-    "sent",
+    "data",
     [
         b"",
         b"[]",
@@ -114,8 +121,8 @@
     ],
     ids=range(13),
 )
-def test_what_cannot_be_read_whole_is_invalid(sent):
-    assert isinstance(routing.parse_document(sent).error, routing.RoutingInvalid)
+def test_malformed_json_is_invalid(data):
+    assert isinstance(routing.parse_document(data).error, routing.RoutingInvalid)
 
 
 @pytest.mark.parametrize(
@@ -147,12 +154,12 @@
     ],
     ids=range(23),
 )
-def test_invalid_documents(changes):
+def test_invalid_documents_are_rejected(changes):
     assert isinstance(routing.parse_document(body(**changes)).error, routing.RoutingInvalid)
 
 
-def test_a_change_replaces_adds_and_removes_by_name():
-    before = copy.deepcopy(DOCUMENT)
+def test_change_replaces_adds_and_removes_by_name():
+    original = copy.deepcopy(DOCUMENT)
     change = routing.parse_change(
         json.dumps(
             {
@@ -163,13 +170,13 @@
         ).encode()
     ).ok
     merged = routing.apply_change(DOCUMENT, change)
-    assert before == DOCUMENT
-    assert [(r["name"], r["guard-ms"]) for r in merged["route-table"]] == [("r1", 1), ("r3", 4000)]
+    assert original == DOCUMENT
+    assert [(route["name"], route["guard-ms"]) for route in merged["route-table"]] == [("r1", 1), ("r3", 4000)]
     assert (merged["issue"], merged["odd"], merged["service-table"]) == (9, {"kept": 1.5}, DOCUMENT["service-table"])
     assert routing.validate(merged).ok[1].version == 9
 
 
-def test_a_change_may_bring_limits_and_may_leave_an_invalid_whole():
+def test_change_may_set_bounds_and_its_result_is_validated():
     merged = routing.apply_change(DOCUMENT, {"issue": 8, "limits": {"idle-ms": 5}, "remove": {"service-table": ["s2"]}})
     assert merged["limits"] == {"idle-ms": 5}
     assert routing.validate(merged).is_error()
@@ -186,20 +193,22 @@
         {"issue": 9, "remove": {"route-table": "r1"}},
     ],
 )
-def test_invalid_changes(change):
+def test_invalid_changes_are_rejected(change):
     assert isinstance(routing.parse_change(json.dumps(change).encode()).error, routing.RoutingInvalid)
 
 
-def test_a_stored_body_is_read_back_whole():
-    document, found = routing.parse_document(body()).ok
+def test_stored_body_round_trips():
+    document, parsed = routing.parse_document(body()).ok
     stored = routing.encode_body(document)
     assert json.loads(routing.document_from_body(stored)) == DOCUMENT
-    assert routing.routing_from_body(stored) == found
+    assert routing.routing_from_body(stored) == parsed
     assert routing.routing_from_body(b"").routes == ()
 
 
-def test_a_digest_knows_the_same_request_again():
-    same = json.loads(json.dumps(DOCUMENT, sort_keys=True))
-    assert routing.request_digest("replace", same) == routing.request_digest("replace", DOCUMENT)
-    assert routing.request_digest("replace", {**same, "issue": 8}) != routing.request_digest("replace", DOCUMENT)
-    assert routing.request_digest("modify", same) != routing.request_digest("replace", DOCUMENT)
+def test_equal_requests_have_equal_digests():
+    equal_document = json.loads(json.dumps(DOCUMENT, sort_keys=True))
+    assert routing.request_digest("replace", equal_document) == routing.request_digest("replace", DOCUMENT)
+    assert routing.request_digest("replace", {**equal_document, "issue": 8}) != routing.request_digest(
+        "replace", DOCUMENT
+    )
+    assert routing.request_digest("modify", equal_document) != routing.request_digest("replace", DOCUMENT)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -24,28 +24,34 @@
 """
 
 
-def read(**changes):
+def parse(**changes):
     return settings.from_document({**yaml.safe_load(DOCUMENT), **changes})
 
 
-def test_settings_become_the_products_terms():
-    found = read().ok
-    assert (found.name, found.role, found.zone, found.host, found.port) == ("edge-a-1", "edge", "a", "10.1.0.30", 7380)
-    assert (found.front, found.readiness, found.control) == (("10.1.0.30", 8149), ("10.1.0.30", 8141), None)
-    assert found.seeds == ("10.1.0.34:7380", "10.2.0.38:7380")
-    assert (found.tolerated, found.tolerated_zones, found.tolerated_regions) == (1, 1, 0)
-    assert (found.catch_up_ms, found.grace_ms, found.key_window_ms) == (4800, 8000, 60000)
-    assert (found.list_host, found.list_port, found.list_ms) == ("10.200.0.100", 8142, 1200)
-    assert found.first_start and found.data == ""
+def test_settings_are_converted():
+    parsed = parse().ok
+    assert (parsed.name, parsed.role, parsed.zone, parsed.host, parsed.port) == (
+        "edge-a-1",
+        "edge",
+        "a",
+        "10.1.0.30",
+        7380,
+    )
+    assert (parsed.front, parsed.readiness, parsed.control) == (("10.1.0.30", 8149), ("10.1.0.30", 8141), None)
+    assert parsed.seeds == ("10.1.0.34:7380", "10.2.0.38:7380")
+    assert (parsed.tolerated, parsed.tolerated_zones, parsed.tolerated_regions) == (1, 1, 0)
+    assert (parsed.catch_up_ms, parsed.grace_ms, parsed.key_window_ms) == (4800, 8000, 60000)
+    assert (parsed.list_host, parsed.list_port, parsed.list_ms) == ("10.200.0.100", 8142, 1200)
+    assert parsed.first_start and parsed.data == ""
 
 
-def test_unknown_fields_are_ignored_everywhere():
-    assert read(**{"odd": {"a": [1]}, "limits": {"memory-mb": 9, "odd": None}}).ok.memory_mb == 9
+def test_unknown_fields_are_ignored():
+    assert parse(**{"odd": {"a": [1]}, "limits": {"memory-mb": 9, "odd": None}}).ok.memory_mb == 9
 
 
 def test_missing_fields_have_defaults():
-    found = settings.from_document({"ip": "10.0.0.1", "port-range": [7000, 7010], "serves": ["control"]}).ok
-    assert (found.role, found.seeds, found.first_start, found.drain_ms, found.max_fds) == (
+    parsed = settings.from_document({"ip": "10.0.0.1", "port-range": [7000, 7010], "serves": ["control"]}).ok
+    assert (parsed.role, parsed.seeds, parsed.first_start, parsed.drain_ms, parsed.max_fds) == (
         "core",
         (),
         False,
@@ -54,10 +60,10 @@
     )
 
 
-def test_one_seed_other_zone_and_fractions():
-    found = read(zone="far", seeds=["10.9.0.1:1"], timers={"drain-ms": 1000.6, "catch-up-s": 0.25}).ok
-    assert (found.zone, found.seeds, found.drain_ms, found.catch_up_ms) == ("far", ("10.9.0.1:7380",), 1001, 250)
-    assert found.list_ms * 2 < found.drain_ms
+def test_fractional_times_are_rounded_and_ports_of_seeds_replaced():
+    parsed = parse(zone="far", seeds=["10.9.0.1:1"], timers={"drain-ms": 1000.6, "catch-up-s": 0.25}).ok
+    assert (parsed.zone, parsed.seeds, parsed.drain_ms, parsed.catch_up_ms) == ("far", ("10.9.0.1:7380",), 1001, 250)
+    assert parsed.list_ms * 2 < parsed.drain_ms
 
 
 @pytest.mark.parametrize(
@@ -70,8 +76,8 @@
         ([], "edge"),
     ],
 )
-def test_role_follows_what_it_serves(serves, role):
-    assert read(serves=serves, **{"data-dir": "/data"}).ok.role == role
+def test_role_follows_from_serves(serves, role):
+    assert parse(serves=serves, **{"data-dir": "/data"}).ok.role == role
 
 
 @pytest.mark.parametrize(
@@ -89,11 +95,11 @@
         ({"serves": [], "machine-class": "odd"}, "serves"),
     ],
 )
-def test_a_fault_names_its_field(changes, path):
-    assert read(**changes).error.path == path
+def test_error_has_the_path_of_the_field(changes, path):
+    assert parse(**changes).error.path == path
 
 
-def test_the_file_is_read_from_the_place_the_environment_names(tmp_path, monkeypatch):
+def test_settings_file_is_named_by_the_environment(tmp_path, monkeypatch):
     file = Path(tmp_path, "settings.yaml")
     file.write_text(DOCUMENT)
     monkeypatch.setenv("FROSTPOST_BOOT", str(file))
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -10,7 +10,7 @@
 from frostpost.proxy.models import Call, Runner
 
 ROOT = Path(__file__).parent.parent
-NAMES = [
+PLATFORM_NAMES = [
     "X-Attempt-Id",
     "X-Time-Remaining",
     "X-Operation-Key",
@@ -75,11 +75,11 @@
 )
 
 
-def head(status, **headers):
+def read_head(status, **headers):
     return make_wire().read_head(status, [(name.replace("_", "-").encode(), value) for name, value in headers.items()])
 
 
-def test_a_runner_gets_the_callers_headers_with_the_time_left_and_its_own_name():
+def test_request_has_the_calls_headers_time_remaining_and_runner_id():
     assert make_wire().request_headers(CALL, RUNNER, 850.7) == [
         (b"X-Attempt-Id", b"a1"),
         (b"X-Previous-Turn", b"a0"),
@@ -91,14 +91,14 @@
     ]
 
 
-def test_a_stream_taken_up_names_its_last_event_and_time_never_falls_below_nothing():
-    sent = make_wire().request_headers(structs.replace(CALL, last_event_id="12"), RUNNER, -5)
-    assert [value for name, value in sent if name == b"Last-Event-Id"] == [b"12"]
-    assert (b"X-Time-Remaining", b"0") in sent
+def test_resumed_stream_has_its_last_event_id_and_remaining_time_is_not_negative():
+    headers = make_wire().request_headers(structs.replace(CALL, last_event_id="12"), RUNNER, -5)
+    assert [value for name, value in headers if name == b"Last-Event-Id"] == [b"12"]
+    assert (b"X-Time-Remaining", b"0") in headers
 
 
-def test_a_runners_head_is_read():
-    found = head(
+def test_response_header_is_parsed():
+    head = read_head(
         200,
         X_Attempt_Id=b"a1",
         X_Server_Seal=b"s",
@@ -110,15 +110,9 @@
         Odd=b"1",
         ETag=b"e",
     )
-    assert (found.status, found.attempt, found.sealed, found.not_executed, found.instance) == (
-        200,
-        "a1",
-        True,
-        False,
-        "i-1",
-    )
-    assert (found.load, found.close, found.keep_alive_ms) == ((3, 0, 8), True, 5000)
-    assert [name for name, _ in found.headers] == [
+    assert (head.status, head.attempt, head.sealed, head.not_executed, head.instance) == (200, "a1", True, False, "i-1")
+    assert (head.load, head.close, head.keep_alive_ms) == ((3, 0, 8), True, 5000)
+    assert [name for name, _ in head.headers] == [
         b"X-Attempt-Id",
         b"X-Server-Seal",
         b"X-Instance-Load",
@@ -127,28 +121,28 @@
     ]
 
 
-def test_only_two_things_say_that_it_was_not_run():
-    assert head(503, X_Not_Executed=b"1").not_executed and head(421).not_executed
-    assert not head(503).not_executed and not head(500).not_executed
+def test_only_421_and_x_not_executed_mean_not_executed():
+    assert read_head(503, X_Not_Executed=b"1").not_executed and read_head(421).not_executed
+    assert not read_head(503).not_executed and not read_head(500).not_executed
 
 
 @pytest.mark.parametrize("seals", [[], [b""], [b"s", b"t"], [b"s", b"s"]])
-def test_only_one_seal_that_says_something_is_a_seal(seals):
+def test_only_a_single_non_empty_seal_counts(seals):
     assert not make_wire().read_head(200, [(b"X-Server-Seal", seal) for seal in seals]).sealed
 
 
-def test_two_ids_of_an_attempt_fit_none():
-    found = make_wire().read_head(200, [(b"X-Attempt-Id", b"a1"), (b"x-attempt-id", b"a0")])
-    assert found.attempt not in ("", "a0", "a1")
+def test_repeated_attempt_id_matches_no_attempt():
+    head = make_wire().read_head(200, [(b"X-Attempt-Id", b"a1"), (b"x-attempt-id", b"a0")])
+    assert head.attempt not in ("", "a0", "a1")
 
 
 @pytest.mark.parametrize("value", [b"", b"1,2", b"a,b,c", b"-1,0,8"])
-def test_a_load_that_cannot_be_read_is_none(value):
-    assert head(200, X_Instance_Load=value).load is None
+def test_invalid_load_is_ignored(value):
+    assert read_head(200, X_Instance_Load=value).load is None
 
 
-def test_entries_of_the_list_become_runners():
-    good = {
+def test_list_entries_are_converted_into_runners():
+    valid_entry = {
         "target": "s1",
         "address": "10.0.0.9:8080",
         "zone": "a",
@@ -157,10 +151,20 @@
         "id": "i-7",
         "new": 1,
     }
-    bad = [{}, None, 7, {**good, "address": "host:80"}, {**good, "capacity": "x"}, {**good, "id": None}]
+    invalid_entries = [
+        {},
+        None,
+        7,
+        {**valid_entry, "address": "host:80"},
+        {**valid_entry, "capacity": "x"},
+        {**valid_entry, "id": None},
+    ]
     runners, token = runner_list.parse_page(
         json.dumps(
-            {"instances": [*bad, good, {**good, "id": "i-8", "state": "draining"}], "next-token": "p-50"}
+            {
+                "instances": [*invalid_entries, valid_entry, {**valid_entry, "id": "i-8", "state": "draining"}],
+                "next-token": "p-50",
+            }
         ).encode()
     )
     assert runners == [
@@ -172,13 +176,21 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"instances":7}', b'{"instances":[', b"\xff"])
-def test_what_is_no_page_is_told(body):
+def test_invalid_page_raises(body):
     with pytest.raises(runner_list.InvalidListError):
         runner_list.parse_page(body)
 
 
-def test_names_of_the_platform_stand_in_its_package_its_tests_and_docs_only():
-    pattern = re.compile("|".join(rf"(?<![\w-]){re.escape(name)}(?![\w-])" for name in NAMES), re.IGNORECASE)
-    code = [*(ROOT / "frostpost").rglob("*.py"), *(ROOT / "tests").glob("*.py")]
-    ours = [p for p in code if p.parent != ROOT / "frostpost/platform" and not p.name.startswith("test_platform")]
-    assert [(str(p.relative_to(ROOT)), found.group()) for p in ours if (found := pattern.search(p.read_text()))] == []
+def test_platform_names_appear_only_in_its_package_and_tests():
+    pattern = re.compile("|".join(rf"(?<![\w-]){re.escape(name)}(?![\w-])" for name in PLATFORM_NAMES), re.IGNORECASE)
+    files = [*(ROOT / "frostpost").rglob("*.py"), *(ROOT / "tests").glob("*.py")]
+    other_files = [
+        path
+        for path in files
+        if path.parent != ROOT / "frostpost/platform" and not path.name.startswith("test_platform")
+    ]
+    assert [
+        (str(path.relative_to(ROOT)), match.group())
+        for path in other_files
+        if (match := pattern.search(path.read_text()))
+    ] == []
