--- a/frostpost/admin/__init__.py
+++ b/frostpost/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' commands."""
+"""Operator commands."""
--- a/frostpost/admin/arguments.py
+++ b/frostpost/admin/arguments.py
@@ -1,59 +1,64 @@
-"""Arguments of the operators' commands."""
+"""Command-line arguments of the operator commands."""
 
 from typing import Annotated
 
 import cappa
 from msgspec import Struct
 
-DOOR = Annotated[str, cappa.Arg(long="--door", help="IP:port of any daemon", default=cappa.Env("FROSTPOST_DOOR"))]
-TEXT = Annotated[bool, cappa.Arg(long="--json", help="print JSON instead of text")]
+DAEMON_ADDRESS = Annotated[
+    str, cappa.Arg(long="--door", help="IP:port of any daemon", default=cappa.Env("FROSTPOST_DOOR"))
+]
+JSON_OUTPUT = Annotated[bool, cappa.Arg(long="--json", help="print JSON instead of text")]
 
 
-@cappa.command(name="apply", help="Bring the directory's declarations into effect; what is the same is left alone.")
+@cappa.command(name="apply", help="Apply a folder of configurations; unchanged ones are skipped.")
 class Apply(Struct, kw_only=True):
     """Arguments of apply."""
 
     folder: Annotated[str, cappa.Arg(help="folder with templates/*.json and tenants/*.json")]
-    whole: Annotated[bool, cappa.Arg(long=True, help="take the folder as one: all or nothing, others removed")] = False
-    door: DOOR
-    json: TEXT = False
+    whole: Annotated[
+        bool,
+        cappa.Arg(long=True, help="apply all or nothing, and remove what the folder lacks"),
+    ] = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="diff", help="Show what apply would change; exit status 1 if anything.")
+@cappa.command(name="diff", help="Show what apply would change; exit status 1 if there are differences.")
 class Diff(Struct, kw_only=True):
     """Arguments of diff."""
 
     folder: Annotated[str, cappa.Arg(help="folder with templates/*.json and tenants/*.json")]
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="get", help="Print one configuration, or the list of all.")
+@cappa.command(name="get", help="Print one configuration, or list all.")
 class Get(Struct, kw_only=True):
     """Arguments of get."""
 
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")] = ""
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="history", help="Print the kept versions of one configuration.")
+@cappa.command(name="history", help="Print the retained versions of one configuration.")
 class History(Struct, kw_only=True):
     """Arguments of history."""
 
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="rollback", help="Bring a kept version back, as a new version.")
+@cappa.command(name="rollback", help="Restore a retained version as a new version.")
 class Rollback(Struct, kw_only=True):
     """Arguments of rollback."""
 
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
-    version: Annotated[int, cappa.Arg(help="the version to bring back")]
-    door: DOOR
-    json: TEXT = False
+    version: Annotated[int, cappa.Arg(help="the version to restore")]
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
 @cappa.command(name="remove", help="Remove one configuration; a template in use is refused.")
@@ -61,86 +66,84 @@
     """Arguments of remove."""
 
     path: Annotated[str, cappa.Arg(help="templates/NAME or tenants/NAME")]
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="drain", help="Mark a runner as leaving, or as staying.")
+@cappa.command(name="drain", help="Drain a runner, or cancel its drain.")
 class Drain(Struct, kw_only=True):
     """Arguments of drain."""
 
     runner: Annotated[str, cappa.Arg(help="the runner's name")]
-    stay: Annotated[bool, cappa.Arg(long=True, help="take the mark away")] = False
-    door: DOOR
-    json: TEXT = False
+    stay: Annotated[bool, cappa.Arg(long=True, help="cancel the drain")] = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
 @cappa.command(name="status", help="Print one daemon's status.")
 class Status(Struct, kw_only=True):
     """Arguments of status."""
 
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="members", help="Print the daemons that this one knows, and what each has reached.")
+@cappa.command(name="members", help="Print a daemon's peers and the log index that each has applied.")
 class Members(Struct, kw_only=True):
     """Arguments of members."""
 
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="runners", help="Print the runners with load and drain marks.")
+@cappa.command(name="runners", help="Print the runners with their load and drain state.")
 class Runners(Struct, kw_only=True):
     """Arguments of runners."""
 
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="explain", help="Print why a runner would be chosen for a route.")
+@cappa.command(name="explain", help="Print the placement scores of the runners for a route.")
 class Explain(Struct, kw_only=True):
     """Arguments of explain."""
 
     tenant: str
     route: str
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
 @cappa.command(name="voters", help="Print the storage voters, or change them.")
 class Voters(Struct, kw_only=True):
     """Arguments of voters."""
 
-    add: Annotated[str, cappa.Arg(long=True, help="take this storage daemon in as a voter")] = ""
-    remove: Annotated[str, cappa.Arg(long=True, help="empty this storage daemon: it votes no more")] = ""
-    door: DOOR
-    json: TEXT = False
+    add: Annotated[str, cappa.Arg(long=True, help="make this storage daemon a voter")] = ""
+    remove: Annotated[str, cappa.Arg(long=True, help="remove this storage daemon from the voters")] = ""
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="doctor", help="Look for common problems; exit status 1 if any is found.")
+@cappa.command(name="doctor", help="Check a fleet for common problems; exit status 1 if any is found.")
 class Doctor(Struct, kw_only=True):
     """Arguments of doctor."""
 
-    door: DOOR
-    json: TEXT = False
+    door: DAEMON_ADDRESS
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(
-    name="fleet", help="Print every daemon of a fleet on the users' machines, asked over the inner addresses."
-)
+@cappa.command(name="fleet", help="Print the status of every daemon of a fleet, queried over the inner addresses.")
 class Fleet(Struct, kw_only=True):
     """Arguments of fleet."""
 
     seed: Annotated[list[str], cappa.Arg(long="--seed", required=True, help="IP:port, the inner address of any daemon")]
-    doctor: Annotated[bool, cappa.Arg(long=True, help="look for common problems; exit status 1 if any is found")] = (
+    doctor: Annotated[bool, cappa.Arg(long=True, help="check for common problems; exit status 1 if any is found")] = (
         False
     )
-    json: TEXT = False
+    json: JSON_OUTPUT = False
 
 
-@cappa.command(name="admin", help="Change and show configurations, runners, voters and members of a fleet.")
+@cappa.command(name="admin", help="Show and change the configurations, runners, voters and members of a fleet.")
 class Admin(Struct):
     """Arguments of admin: one of its subcommands."""
 
--- a/frostpost/admin/configs.py
+++ b/frostpost/admin/configs.py
@@ -1,118 +1,128 @@
-"""Commands that bring a folder of declarations into effect."""
+"""Commands that show configurations and apply them from a folder."""
 
 import os
 import sys
 
 from msgspec import DecodeError, json
 
-from .asking import DONE, FOUND, MISUSED, Refused, ask, fail, say
+from .api_client import EXIT_FOUND, EXIT_OK, EXIT_USAGE, Refused, print_error, print_result, send_request
 
 
-def declared(folder):
-    """Return (documents by path, errors) of a folder."""
-    found, errors = {}, []
+def read_folder(folder):
+    """Return the folder's documents by path, and the errors found."""
+    documents, errors = {}, []
     for kind in ("templates", "tenants"):
-        base = os.path.join(folder, kind)
-        for name in sorted(os.listdir(base)) if os.path.isdir(base) else ():
+        directory = os.path.join(folder, kind)
+        for name in sorted(os.listdir(directory)) if os.path.isdir(directory) else ():
             if not name.endswith(".json"):
                 continue
-            path = os.path.join(base, name)
+            path = os.path.join(directory, name)
             with open(path, "rb") as file:
                 try:
-                    found[f"{kind}/{name[:-5]}"] = json.decode(file.read())
+                    documents[f"{kind}/{name[:-5]}"] = json.decode(file.read())
                 except DecodeError as error:
                     errors.append(f"{path}: {error}")
-    return found, errors
-
-
-def changes(door, found):
-    """Return the (path, document, version held) that differ, and an error or None."""
-    plan = []
-    for path, document in found.items():
-        held = ask(door, f"/v1/config/{path}")
-        if held.is_ok():
-            if held.ok["document"] != document:
-                plan.append((path, document, held.ok["version"]))
-        elif isinstance(held.error, Refused) and held.error.status == 404:
-            plan.append((path, document, 0))
+    return documents, errors
+
+
+def find_changes(daemon, documents):
+    """Return a (path, document, current version) for each difference, and an error or None.
+
+    The version is 0 for a document that the fleet doesn't have.
+    """
+    changes = []
+    for path, document in documents.items():
+        current = send_request(daemon, f"/v1/config/{path}")
+        if current.is_ok():
+            if current.ok["document"] != document:
+                changes.append((path, document, current.ok["version"]))
+        elif isinstance(current.error, Refused) and current.error.status == 404:
+            changes.append((path, document, 0))
         else:
-            return plan, held.error
-    return plan, None
+            return changes, current.error
+    return changes, None
 
 
-def read(command):
-    """Return a folder's documents, or None after printing its errors."""
-    found, errors = declared(command.folder)
-    if errors or not found:
+def read_documents(command):
+    """Return the folder's documents, or None after printing its errors."""
+    documents, errors = read_folder(command.folder)
+    if errors or not documents:
         for error in errors or [f"{command.folder}: no templates/*.json or tenants/*.json"]:
             print(f"BadDeclaration: {error}", file=sys.stderr)
         return None
-    return found
+    return documents
 
 
-def planned(command, door):
-    """Return (exit status, changes to make); the changes are None after an error."""
-    found = read(command)
-    if found is None:
-        return MISUSED, None
-    plan, error = changes(door, found)
-    return (fail(command, error), None) if error is not None else (DONE, plan)
+def plan_changes(command, daemon):
+    """Return the exit status and the changes to make; the changes are None after an error."""
+    documents = read_documents(command)
+    if documents is None:
+        return EXIT_USAGE, None
+    changes, error = find_changes(daemon, documents)
+    return (print_error(command, error), None) if error is not None else (EXIT_OK, changes)
 
 
-def diff(command, door):
-    """Print what apply would change."""
-    status, plan = planned(command, door)
-    if plan is None:
+def diff(command, daemon):
+    """Print the changes that apply would make."""
+    status, changes = plan_changes(command, daemon)
+    if changes is None:
         return status
-    rows = [{"path": p, "version": v, "change": "new" if v == 0 else "amended"} for p, _, v in plan]
-    say(command, rows, "\n".join(f"{r['path']}: {r['change']}" for r in rows) or "nothing differs")
-    return FOUND if rows else DONE
-
-
-def apply_whole(command, door):
-    """Apply a folder as one change: all or nothing."""
-    found = read(command)
-    if found is None:
-        return MISUSED
-    held = ask(door, "/v1/config")
-    if held.is_error():
-        return fail(command, held.error)
-    whole = {"templates": {}, "tenants": {}}
-    for path, document in found.items():
+    rows = [
+        {"path": path, "version": version, "change": "new" if version == 0 else "amended"}
+        for path, _, version in changes
+    ]
+    print_result(command, rows, "\n".join(f"{row['path']}: {row['change']}" for row in rows) or "no differences")
+    return EXIT_FOUND if rows else EXIT_OK
+
+
+def apply_atomically(command, daemon):
+    """Apply a folder as one atomic change."""
+    documents = read_documents(command)
+    if documents is None:
+        return EXIT_USAGE
+    current = send_request(daemon, "/v1/config")
+    if current.is_error():
+        return print_error(command, current.error)
+    combined = {"templates": {}, "tenants": {}}
+    for path, document in documents.items():
         kind, name = path.split("/", 1)
-        whole[kind][name] = document
-    result = ask(door, "/v1/config", "PUT", whole, {"if-match": str(held.ok["index"])})
+        combined[kind][name] = document
+    result = send_request(daemon, "/v1/config", "PUT", combined, {"if-match": str(current.ok["index"])})
     if result.is_error():
-        return fail(command, result.error)
+        return print_error(command, result.error)
     rows = [{"path": p, "version": v} for p, v in sorted(result.ok["versions"].items())]
-    say(command, rows, "\n".join(f"{r['path']}: version {r['version']}" for r in rows) or "nothing to do")
-    return DONE
+    print_result(
+        command, rows, "\n".join(f"{row['path']}: version {row['version']}" for row in rows) or "nothing to do"
+    )
+    return EXIT_OK
 
 
-def apply(command, door):
-    """Apply a folder, document by document."""
+def apply(command, daemon):
+    """Apply a folder, one document at a time."""
     if command.whole:
-        return apply_whole(command, door)
-    status, plan = planned(command, door)
-    if plan is None:
+        return apply_atomically(command, daemon)
+    status, changes = plan_changes(command, daemon)
+    if changes is None:
         return status
     rows = []
-    for path, document, version in plan:
-        result = ask(door, f"/v1/config/{path}", "PUT", document, {"if-match": str(version)})
+    for path, document, version in changes:
+        result = send_request(daemon, f"/v1/config/{path}", "PUT", document, {"if-match": str(version)})
         if result.is_error():
-            say(command, rows, "\n".join(f"{r['path']}: version {r['version']}" for r in rows))
-            print(f"stopped at {path}", file=sys.stderr)
-            return fail(command, result.error)
+            print_result(command, rows, "\n".join(f"{row['path']}: version {row['version']}" for row in rows))
+            print(f"apply stopped at {path}", file=sys.stderr)
+            return print_error(command, result.error)
         rows.append({"path": path, "version": result.ok["version"]})
-    say(command, rows, "\n".join(f"{r['path']}: version {r['version']}" for r in rows) or "nothing to do")
-    return DONE
+    print_result(
+        command, rows, "\n".join(f"{row['path']}: version {row['version']}" for row in rows) or "nothing to do"
+    )
+    return EXIT_OK
 
 
-def get(command, door):
-    """Print one document or the list of all."""
-    result = ask(door, f"/v1/config/{command.path}" if command.path else "/v1/config")
+def get(command, daemon):
+    """Print one document or list all."""
+    result = send_request(daemon, f"/v1/config/{command.path}" if command.path else "/v1/config")
     if result.is_error():
-        return fail(command, result.error)
+        return print_error(command, result.error)
     if command.path:
         text = (
             f"{command.path} version {result.ok['version']}\n"
@@ -120,7 +130,8 @@
         )
     else:
         text = "\n".join(
-            f"{p} version {c['version']} ({c['size']} bytes)" for p, c in sorted(result.ok["configs"].items())
+            f"{path} version {config['version']} ({config['size']} bytes)"
+            for path, config in sorted(result.ok["configs"].items())
         )
-    say(command, result.ok, text)
-    return DONE
+    print_result(command, result.ok, text)
+    return EXIT_OK
--- a/frostpost/admin/fleet.py
+++ b/frostpost/admin/fleet.py
@@ -1,4 +1,4 @@
-"""The whole fleet on the users' machines, asked daemon by daemon."""
+"""Query every daemon of a fleet over its inner address, and print their statuses."""
 
 import sys
 
@@ -6,16 +6,18 @@
 
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, StatusReply, StatusRequest
 
-from . import inner
-from .asking import DONE, FOUND, UNREACHED, say
-from .remedies import findings_of
+from . import frame_client
+from .api_client import EXIT_FOUND, EXIT_OK, EXIT_UNREACHABLE, print_result
+from .fleet_checks import check_fleet
 
-DEPTH = 3
+DISCOVERY_ROUNDS = 3
 
 
 class Fleet(Struct):
-    """ring, leaves: name -> facts of those that answered. silent: name -> address of those that didn't.
-    zones: name -> zone of the replicas. listed: the agents as the replicas see them.
+    """Statuses of a fleet's daemons; all maps are keyed by daemon name.
+
+    `ring` and `agents` hold the facts of the replicas and agents that answered, `ring_silent` and `leaves_silent` the
+    addresses of those that did not, `zones` the zones of the replicas, and `listed` the agents that the replicas list.
     """
 
     seeds_silent: list[str] = []
@@ -27,49 +29,52 @@
     listed: dict[str, dict] = {}
 
 
-def take(fleet, answers):
-    """Sort facts in; -> addresses whose answer could be read."""
-    read = set()
-    for address, (endpoint, tell) in answers.items():
+def add_answers(fleet, answers):
+    """Add the answers to `fleet`. Returns the addresses whose answer could be decoded."""
+    readable = set()
+    for address, (endpoint, reply) in answers.items():
         try:
-            facts = json.decode(tell.status_json, type=dict)
+            facts = json.decode(reply.status_json, type=dict)
         except DecodeError:
             continue
-        read.add(address)
+        readable.add(address)
         (fleet.ring if endpoint.role == "storage" else fleet.agents)[endpoint.member.name] = facts
         if endpoint.role == "storage":
             fleet.zones[endpoint.member.name] = endpoint.zone
-    return read
+    return readable
+
 
+def sequencer_facts(fleet):
+    """Return the facts of the primary's sequencer, or None; of two, those of the later configuration."""
+    candidates = [f for f in fleet.ring.values() if f.get("sequencing")]
+    return max(candidates, key=lambda f: f["configuration"]["epoch"], default=None)
 
-def chief_of(fleet):
-    """Facts of the replica that sequences the primary, or None; of two, that of the later configuration."""
-    found = [f for f in fleet.ring.values() if f.get("sequencing")]
-    return max(found, key=lambda f: f["configuration"]["epoch"], default=None)
 
+def list_agents(fleet):
+    """Return the agents by name as the sequencer lists them.
 
-def leaves_listed(fleet):
-    """Agents as the sequencer sees them; those that it never saw, as the daemons do that sequenced before."""
-    listed, chief = {}, chief_of(fleet)
+    An agent that the sequencer doesn't list is taken from the replica that has its latest lease.
+    """
+    listed, sequencer = {}, sequencer_facts(fleet)
     for facts in fleet.ring.values():
-        for name, seen in facts.get("leaves", {}).items():
-            left_ms = listed.get(name, seen)["lease_left_ms"]
-            if left_ms is None or (seen["lease_left_ms"] or 0) >= left_ms:
-                listed[name] = seen
-    return listed | (chief["leaves"] if chief else {})
-
-
-def ring_of(ask, seeds):
-    """Name -> place of the replicas, told by the seeds and by those that they tell of."""
-    places, asked, fresh = {}, set(), set(seeds)
-    for _ in range(DEPTH):
-        asked |= fresh
-        for _, told in ask(fresh, DirectoryRequest(), DirectoryReply).values():
-            places |= {endpoint.member.name: endpoint for endpoint in told.endpoints if endpoint.role == "storage"}
-        fresh = {address_of(endpoint) for endpoint in places.values()} - asked
-        if not fresh:
+        for name, agent in facts.get("leaves", {}).items():
+            lease_left_ms = listed.get(name, agent)["lease_left_ms"]
+            if lease_left_ms is None or (agent["lease_left_ms"] or 0) >= lease_left_ms:
+                listed[name] = agent
+    return listed | (sequencer["leaves"] if sequencer else {})
+
+
+def discover_replicas(query, seeds):
+    """Return the replicas' endpoints by name, found through the seeds and through the replicas that these list."""
+    endpoints, queried, pending = {}, set(), set(seeds)
+    for _ in range(DISCOVERY_ROUNDS):
+        queried |= pending
+        for _, reply in query(pending, DirectoryRequest(), DirectoryReply).values():
+            endpoints |= {endpoint.member.name: endpoint for endpoint in reply.endpoints if endpoint.role == "storage"}
+        pending = {address_of(endpoint) for endpoint in endpoints.values()} - queried
+        if not pending:
             break
-    return places
+    return endpoints
 
 
 def address_of(endpoint):
@@ -77,27 +82,30 @@
     return f"{endpoint.host}:{endpoint.port}"
 
 
-def gather(seeds, ask=inner.ask):
-    """Fleet, as its daemons tell it; ask(addresses, body, kind) -> address -> (place, answer)."""
+def query_fleet(seeds, query=frame_client.query_daemons):
+    """Query all daemons that can be found from the seeds. Returns a Fleet.
+
+    `query(addresses, body, kind)` returns the (endpoint, answer) of each address that answered.
+    """
     fleet = Fleet()
-    places = ring_of(ask, seeds)
-    ring = {name: address_of(endpoint) for name, endpoint in places.items()}
-    fleet.zones |= {name: endpoint.zone for name, endpoint in places.items()}
-    asked = {*seeds, *ring.values()}
-    reached = take(fleet, ask(asked, StatusRequest(), StatusReply))
+    endpoints = discover_replicas(query, seeds)
+    replica_addresses = {name: address_of(endpoint) for name, endpoint in endpoints.items()}
+    fleet.zones |= {name: endpoint.zone for name, endpoint in endpoints.items()}
+    queried = {*seeds, *replica_addresses.values()}
+    reached = add_answers(fleet, query(queried, StatusRequest(), StatusReply))
     fleet.seeds_silent = [seed for seed in seeds if seed not in reached]
-    fleet.ring_silent = {name: address for name, address in ring.items() if name not in fleet.ring}
-    fleet.listed = leaves_listed(fleet)
-    leaves = {name: seen["address"] for name, seen in fleet.listed.items()}
-    take(fleet, ask(set(leaves.values()) - asked, StatusRequest(), StatusReply))
-    fleet.leaves_silent = {name: address for name, address in leaves.items() if name not in fleet.agents}
+    fleet.ring_silent = {name: address for name, address in replica_addresses.items() if name not in fleet.ring}
+    fleet.listed = list_agents(fleet)
+    agent_addresses = {name: agent["address"] for name, agent in fleet.listed.items()}
+    add_answers(fleet, query(set(agent_addresses.values()) - queried, StatusRequest(), StatusReply))
+    fleet.leaves_silent = {name: address for name, address in agent_addresses.items() if name not in fleet.agents}
     return fleet
 
 
-def state_of(facts):
-    """Return a storage daemon's state in a few words."""
+def describe_state(facts):
+    """Describe a storage daemon's state."""
     if facts["charter_waiting"]:
-        return "waits for the charter"
+        return "waiting for the charter"
     if facts.get("recovering"):
         return "recovering"
     if facts.get("sequencing"):
@@ -105,14 +113,14 @@
     return "member" if facts.get("primary_opened") else "no primary"
 
 
-def ring_row(name, facts):
+def replica_row(name, facts):
     """Return the columns for a storage daemon."""
-    id, turn_store = facts.get("configuration", {}), facts["turn_store"]
+    configuration, turn_store = facts.get("configuration", {}), facts["turn_store"]
     return [
         name,
         facts["zone"],
-        state_of(facts),
-        f"{id.get('epoch', '-')} by {id.get('proposer', '-')}",
+        describe_state(facts),
+        f"{configuration.get('epoch', '-')} by {configuration.get('proposer', '-')}",
         f"{len(facts.get('members', ()))} members",
         f"applied {facts.get('applied', 0)}",
         f"routing {facts.get('routing', {}).get('version', 0)}",
@@ -121,7 +129,7 @@
     ]
 
 
-def leaf_row(name, facts):
+def agent_row(name, facts):
     """Return the columns for an edge or core daemon."""
     routing, runners = facts["routing"], facts["runners"]
     return [
@@ -145,28 +153,32 @@
     return ["  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip() for row in rows]
 
 
-def text_of(fleet):
-    """Return a fleet as text."""
-    chief = chief_of(fleet)
-    lines = [f"voters: {', '.join(chief['voters'])}" if chief else "no primary"]
-    lines += table([ring_row(*one) for one in sorted(fleet.ring.items())])
-    lines += table([leaf_row(*one) for one in sorted(fleet.agents.items())])
-    silent = sorted((fleet.ring_silent | fleet.leaves_silent).items())
-    return "\n".join([*lines, *(f"{name} at {address}: no answer" for name, address in silent)])
+def format_fleet(fleet):
+    """Format a fleet as text."""
+    sequencer = sequencer_facts(fleet)
+    lines = [f"voters: {', '.join(sequencer['voters'])}" if sequencer else "no primary"]
+    lines += table([replica_row(*daemon) for daemon in sorted(fleet.ring.items())])
+    lines += table([agent_row(*daemon) for daemon in sorted(fleet.agents.items())])
+    unanswered = sorted((fleet.ring_silent | fleet.leaves_silent).items())
+    return "\n".join([*lines, *(f"{name} at {address}: no answer" for name, address in unanswered)])
 
 
 def run(command, _):
-    """Run the fleet command."""
-    addresses = {given: inner.resolved(given) for given in command.seed}
-    fleet = gather([address for address in addresses.values() if address])
-    fleet.seeds_silent += [given for given, address in addresses.items() if address is None]
+    """Query a fleet, and print its statuses or the findings of its checks."""
+    addresses = {seed: frame_client.resolve_address(seed) for seed in command.seed}
+    fleet = query_fleet([address for address in addresses.values() if address])
+    fleet.seeds_silent += [seed for seed, address in addresses.items() if address is None]
     if not fleet.ring and not fleet.agents:
         print(f"Unreached: {', '.join(command.seed)}: no daemon answers there", file=sys.stderr)
-        return UNREACHED
+        return EXIT_UNREACHABLE
     if not command.doctor:
-        say(command, to_builtins(fleet), text_of(fleet))
-        return DONE
-    findings = findings_of(fleet, chief_of(fleet))
+        print_result(command, to_builtins(fleet), format_fleet(fleet))
+        return EXIT_OK
+    findings = check_fleet(fleet, sequencer_facts(fleet))
     text = "\n".join(f"{f.problem} at {f.where}: {f.cause}; {f.remedy}" for f in findings)
-    say(command, to_builtins(findings), text or f"{len(fleet.ring) + len(fleet.agents)} daemons are in order")
-    return FOUND if findings else DONE
+    print_result(
+        command,
+        to_builtins(findings),
+        text or f"{len(fleet.ring) + len(fleet.agents)} daemons checked, no problems found",
+    )
+    return EXIT_FOUND if findings else EXIT_OK
--- a/tests/test_fleet_status.py
+++ b/tests/test_fleet_status.py
@@ -11,9 +11,9 @@
 from test_cluster_replica_daemon import directory_requests, new_replica
 from twisted.internet.task import Clock
 
-from frostpost.admin import arguments, commands, inner
+from frostpost.admin import arguments, commands, frame_client
 from frostpost.admin import fleet as fleets
-from frostpost.admin.remedies import findings_of
+from frostpost.admin.fleet_checks import check_fleet
 from frostpost.cluster import agent as agents
 from frostpost.cluster import operation_client, replica_daemon, status
 from frostpost.command import main
@@ -49,7 +49,7 @@
 
 def test_status_messages_are_decoded_as_encoded():
     for body in (StatusRequest(), StatusReply(b"{}")):
-        assert inner.decode(inner.encode(Frame(FRAME_VERSION, OPERATOR, "", body))).body == body
+        assert frame_client.decode(frame_client.encode(Frame(FRAME_VERSION, OPERATOR, "", body))).body == body
 
 
 def test_an_agent_replies_with_its_facts(replies):
@@ -106,7 +106,7 @@
 
 
 def simulated_ask(world, replies):
-    """Returns a stand-in for `inner.ask` on a simulated deployment; dead daemons do not reply."""
+    """Returns a stand-in for `frame_client.query_daemons` on a simulated deployment; dead daemons do not reply."""
 
     def ask(addresses, body, kind):
         answers = {}
@@ -143,8 +143,8 @@
 
 def gather_findings(world, replies):
     seeds = [f"{d.host.address}:{worlds.INNER}" for d in world.of("core")]
-    fleet = fleets.gather(seeds, simulated_ask(world, replies))
-    return fleet, findings_of(fleet, fleets.chief_of(fleet))
+    fleet = fleets.query_fleet(seeds, simulated_ask(world, replies))
+    return fleet, check_fleet(fleet, fleets.sequencer_facts(fleet))
 
 
 def test_a_deployment_has_no_findings_until_a_voter_dies(world, replies):
@@ -152,9 +152,9 @@
     assert findings == []
     assert set(fleet.ring) == {d.name for d in world.of("storage")}
     assert set(fleet.agents) == {d.name for d in world.of("core", "edge")}
-    text = fleets.text_of(fleet)
+    text = fleets.format_fleet(fleet)
     assert all(name in text for name in world.daemons) and "sequencer" in text
-    sequencer_name = fleets.chief_of(fleet)["name"]
+    sequencer_name = fleets.sequencer_facts(fleet)["name"]
     killed, agent = next(d for d in world.of("storage") if d.name != sequencer_name), world.of("edge")[0]
     for daemon in (killed, agent):
         worlds.kill(world, daemon)
@@ -166,7 +166,7 @@
         ("Silent", agent.name),
     }
     assert all(f.cause and f.remedy for f in findings)
-    assert f"{killed.name} at {killed.host.address}:{worlds.INNER}: no answer" in fleets.text_of(fleet)
+    assert f"{killed.name} at {killed.host.address}:{worlds.INNER}: no answer" in fleets.format_fleet(fleet)
 
 
 def sequencer_facts(**changes):
@@ -250,16 +250,16 @@
     ],
 )
 def test_each_problem_is_the_only_finding(fleet, problems):
-    findings = findings_of(fleet, fleets.chief_of(fleet))
+    findings = check_fleet(fleet, fleets.sequencer_facts(fleet))
     assert {(f.problem, f.where) for f in findings} == problems and all(f.cause and f.remedy for f in findings)
 
 
 def test_a_frame_is_decoded_once_all_its_bytes_have_arrived():
-    data = inner.encode(STATUS_FRAME)
+    data = frame_client.encode(STATUS_FRAME)
     buffer = bytearray(struct.pack("!I", len(data)) + data + b"\0")
-    assert list(inner.frames_of(buffer)) == [STATUS_FRAME] and buffer == b"\0"
+    assert list(frame_client.take_frames(buffer)) == [STATUS_FRAME] and buffer == b"\0"
     with pytest.raises(ValueError):
-        list(inner.frames_of(bytearray(b"\xff\xff\xff\xff")))
+        list(frame_client.take_frames(bytearray(b"\xff\xff\xff\xff")))
 
 
 def test_a_daemon_replies_to_the_port_on_which_the_command_listens():
@@ -269,15 +269,15 @@
     def serve():
         connection, _ = daemon.accept()
         with connection, connection.makefile("rb") as file:
-            frame = inner.decode(file.read(struct.unpack("!I", file.read(4))[0]))
+            frame = frame_client.decode(file.read(struct.unpack("!I", file.read(4))[0]))
         endpoint = Endpoint(Member("c1", 1), "core", "z", "127.0.0.1", port, 0)
-        data = inner.encode(Frame(FRAME_VERSION, endpoint, "", StatusReply(b"{}")))
+        data = frame_client.encode(Frame(FRAME_VERSION, endpoint, "", StatusReply(b"{}")))
         with socket.create_connection((frame.endpoint.host, frame.endpoint.port), 2) as reply_connection:
             reply_connection.sendall(struct.pack("!I", len(data)) + data)
 
     thread = Thread(target=serve, daemon=True)
     thread.start()
-    answers = inner.ask({f"127.0.0.1:{port}", "127.0.0.1:1"}, StatusRequest(), StatusReply)
+    answers = frame_client.query_daemons({f"127.0.0.1:{port}", "127.0.0.1:1"}, StatusRequest(), StatusReply)
     thread.join(2)
     daemon.close()
     assert {address: reply.status_json for address, (_, reply) in answers.items()} == {f"127.0.0.1:{port}": b"{}"}
--- a/tests/test_ledger_retention.py
+++ b/tests/test_ledger_retention.py
@@ -153,7 +153,7 @@
 
 
 def test_doctor_reports_daemons_with_older_rules():
-    from frostpost.admin.doctor import of_daemon
+    from frostpost.admin.doctor import check_daemon
     from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION
 
     status = {
@@ -167,8 +167,8 @@
         "config_index": 1,
         "counts": {},
     }
-    assert [finding.problem for finding in of_daemon("e1", status)] == ["OlderRules"]
-    assert [finding.problem for finding in of_daemon("e1", {**status, "rules": PROTOCOL_REVISION - 1})] == [
+    assert [finding.problem for finding in check_daemon("e1", status)] == ["OlderRules"]
+    assert [finding.problem for finding in check_daemon("e1", {**status, "rules": PROTOCOL_REVISION - 1})] == [
         "OlderRules"
     ]
-    assert list(of_daemon("e1", {**status, "rules": PROTOCOL_REVISION})) == []
+    assert list(check_daemon("e1", {**status, "rules": PROTOCOL_REVISION})) == []
