--- a/frostpost/command.py
+++ b/frostpost/command.py
@@ -17,7 +17,7 @@
     Admin: ("frostpost.admin.commands", "run"),
     Doctor: ("frostpost.admin.commands", "run_doctor"),
     Fleet: ("frostpost.testbed.proving", "run_fleet"),
-    Proof: ("frostpost.testbed.proving", "proofs"),
+    Proof: ("frostpost.testbed.proving", "run_proofs"),
     Simulate: ("frostpost.simulator.sweep", "simulate"),
 }
 
--- a/frostpost/simulator/fleet.py
+++ b/frostpost/simulator/fleet.py
@@ -12,7 +12,7 @@
 from frostpost.daemon.settings import Settings
 from frostpost.testbed import platform as platforms
 from frostpost.testbed import runner as runners
-from frostpost.testbed.notes import Notes
+from frostpost.testbed.event_log import EventLog
 
 from . import drives
 from .hosts import Host
@@ -46,8 +46,8 @@
     platform: object = None
     crowd: object = None
     callers: Host | None = None
-    notes: Notes | None = None
-    runner_notes: Notes | None = None
+    notes: EventLog | None = None
+    runner_notes: EventLog | None = None
     trace: list = []
     planned: list = []
     amends: int = 0
@@ -87,7 +87,7 @@
     random = Random(seed)
     fleet = SimulatedFleet(seed, random, Net(random))
     seconds = fleet.net.clock.seconds
-    fleet.notes, fleet.runner_notes = Notes(None, seconds), Notes(None, seconds)
+    fleet.notes, fleet.runner_notes = EventLog(None, seconds), EventLog(None, seconds)
     raise_platform(fleet)
     fleet.callers = add_host(fleet, "callers", "a")
     raise_runners(fleet, pools)
@@ -132,8 +132,8 @@
         for n in range(many):
             host = add_host(fleet, f"{pool}{n + 1}", "abc"[n % 3])
             raise_runner(fleet, host, f"{pool}{n + 1}", pool, room)
-    platforms.show(fleet.platform, list(fleet.rows))
-    fleet.platform.pages[0] = (-1.0, list(fleet.rows))
+    platforms.publish(fleet.platform, list(fleet.rows))
+    fleet.platform.published[0] = (-1.0, list(fleet.rows))
 
 
 def raise_runner(fleet, host, name, pool, room, listed=True, careless=False):
--- a/frostpost/simulator/fleet_calls.py
+++ b/frostpost/simulator/fleet_calls.py
@@ -31,9 +31,9 @@
 def crowd(fleet, seconds, factor, tag="p"):
     """Start stand-in callers."""
     fleet.callers.catch_up()
-    fleet.crowd = callers.Crowd(fleet.callers, doors(fleet), fleet.seed, fleet.notes, tag)
+    fleet.crowd = callers.CallerGroup(fleet.callers, doors(fleet), fleet.seed, fleet.notes, tag)
     over = []
-    callers.arrivals(fleet.crowd, seconds, factor, lambda: over.append(True))
+    callers.run_arrivals(fleet.crowd, seconds, factor, lambda: over.append(True))
     return over
 
 
@@ -51,7 +51,7 @@
     done = client.request(
         method,
         f"http://{daemon.host.address}:{HTTP}{path}",
-        data=None if document is None else callers.body_of(host, json.encode(document)),
+        data=None if document is None else callers.request_body(host, json.encode(document)),
         headers=headers or {},
         timeout=20,
         reactor=host,
--- a/frostpost/simulator/fleet_events.py
+++ b/frostpost/simulator/fleet_events.py
@@ -2,7 +2,7 @@
 
 from msgspec import json
 
-from frostpost.testbed.runner import CUTS
+from frostpost.testbed.runner import DISCONNECT_MODES
 from frostpost.testbed.templates import TEMPLATES, TENANTS
 
 from . import fleet as fleets
@@ -10,7 +10,7 @@
 from .fleet import later
 from .fleet_faults import show
 
-MODES = (*CUTS, "stall", "bare503", "endless")
+MODES = (*DISCONNECT_MODES, "stall", "bare503", "endless")
 
 
 def any_runner(fleet, random):
@@ -51,7 +51,7 @@
     if sum(r.pool == runner.pool and not r.away for r in fleet.backs.values()) < 2:
         return
     runner.leaving = runner.away = True
-    fleet.runner_notes.say("changed", runner=runner.name, mode=runner.mode, leaving=True)
+    fleet.runner_notes.record("changed", runner=runner.name, mode=runner.mode, leaving=True)
     later(fleet, 5000, stay, fleet, runner)
 
 
@@ -89,7 +89,7 @@
             return later(fleet, 5, look)
         status, raw = box[0]
         said = json.decode(raw) if raw[:1] == b"{" else {}
-        fleet.notes.say(
+        fleet.notes.record(
             kind,
             status=status,
             asked_ms=asked_ms,
@@ -180,7 +180,7 @@
             return later(fleet, 5, look)
         status, raw = box[0]
         version = json.decode(raw).get("versions", {}).get("tenants/hlidar") if status == 200 else None
-        fleet.notes.say(
+        fleet.notes.record(
             "configured", status=status, asked_ms=int(asked_ms), version=version, value=value, if_match=None
         )
 
--- a/frostpost/simulator/fleet_faults.py
+++ b/frostpost/simulator/fleet_faults.py
@@ -60,10 +60,10 @@
 
     def told(note):
         if note["kind"] == "answered" and note["status"] == 200 and "end" in (note["lines"] or [{}])[-1]:
-            fleet.notes.tap = None
+            fleet.notes.on_event = None
             later(fleet, 0, every_voter_down, fleet, random)
 
-    fleet.notes.tap = told
+    fleet.notes.on_event = told
 
 
 def every_voter_down(fleet, random):
@@ -175,7 +175,7 @@
 
 def show(fleet):
     """Publish the current list of runners."""
-    platforms.show(fleet.platform, list(fleet.rows))
+    platforms.publish(fleet.platform, list(fleet.rows))
 
 
 CORE = {
--- a/frostpost/simulator/whole.py
+++ b/frostpost/simulator/whole.py
@@ -5,9 +5,9 @@
 from msgspec import Struct
 
 from frostpost.testbed import callers
+from frostpost.testbed.caller_requests import Breach
 from frostpost.testbed.judge import judge, summary
 from frostpost.testbed.templates import TEMPLATES, TENANTS
-from frostpost.testbed.told import Breach
 
 from . import fleet as fleets
 from . import fleet_calls
@@ -111,8 +111,8 @@
     fleets.run(fleet, fleets.clock_ms(fleet) + 1000)
     seen = len(fleet.notes.lines)
     fleet.callers.catch_up()
-    after = callers.Crowd(fleet.callers, fleet_calls.doors(fleet), seed + 1, fleet.notes, "z")
-    callers.arrivals(after, 1.5, max(factor, 0.3), lambda: None)
+    after = callers.CallerGroup(fleet.callers, fleet_calls.doors(fleet), seed + 1, fleet.notes, "z")
+    callers.run_arrivals(after, 1.5, max(factor, 0.3), lambda: None)
     fleets.run(fleet, fleets.clock_ms(fleet) + 6000)
     late = summary([n for n in fleet.notes.lines[seen:] if n.get("request", "z")[0] == "z"])
     if late["results"].get("served", 0) * 10 < late["asked"] * 9:
--- a/frostpost/testbed/callers.py
+++ b/frostpost/testbed/callers.py
@@ -1,4 +1,4 @@
-"""Stand-in callers that send turns and lookups and note what they are told."""
+"""Stand-in callers that send turns and lookups and record the responses in an event log."""
 
 import signal
 import sys
@@ -16,45 +16,56 @@
 
 from frostpost.http_api.http_client import ByNumber
 
-from .notes import Notes
+from .event_log import EventLog
 from .templates import DEPLOYMENTS
 
 
-class Reading(Protocol):
+class BodyCollector(Protocol):
     """Collects a response's body."""
 
     def __init__(self):
         self.data, self.done, self.times = bytearray(), Deferred(), []
 
     def dataReceived(self, data):
-        """Add a piece."""
+        """Append received data."""
         self.data += data
 
     def connectionLost(self, reason):
-        """Tell whether the body is whole."""
+        """Fire `done` with whether the body is complete."""
         self.done.callback(bool(reason.check(ResponseDone)))
 
 
-class Crowd:
-    """Callers that share a client; most: how many programs run at once."""
-
-    __slots__ = ("reactor", "client", "doors", "random", "notes", "serial", "open", "tag", "most", "end_s")
+class CallerGroup:
+    """Callers that share an HTTP client; at most `max_active` programs run at once."""
+
+    __slots__ = (
+        "reactor",
+        "client",
+        "addresses",
+        "random",
+        "events",
+        "serial",
+        "active_programs",
+        "tag",
+        "max_active",
+        "end_s",
+    )
 
-    def __init__(self, reactor, doors, seed, notes, tag="p", most=600):
+    def __init__(self, reactor, addresses, seed, events, tag="p", max_active=600):
         pool = HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost, pool.retryAutomatically = 40, False
         self.reactor = reactor
         self.client = HTTPClient(Agent.usingEndpointFactory(reactor, ByNumber(reactor, 1), pool))
-        self.doors, self.random, self.notes = doors, Random(seed), notes
-        self.serial, self.open, self.tag, self.most = 0, 0, tag, most
+        self.addresses, self.random, self.events = addresses, Random(seed), events
+        self.serial, self.active_programs, self.tag, self.max_active = 0, 0, tag, max_active
 
 
-def body_of(reactor, raw):
-    """Return a request body."""
+def request_body(reactor, raw):
+    """Return a body producer for bytes."""
     return FileBodyProducer(BytesIO(raw), Cooperator(scheduler=lambda call: reactor.callLater(0, call)))
 
 
-def rest(reactor, wait_s):
+def sleep(reactor, wait_s):
     """Return a Deferred that fires after some seconds."""
     done = Deferred()
     reactor.callLater(wait_s, done.callback, None)
@@ -62,27 +73,27 @@
 
 
 @inlineCallbacks
-def post(crowd, path, document):
-    """Send a request and note both it and its response."""
-    crowd.serial += 1
-    request = f"{crowd.tag}{crowd.serial}"
-    door = crowd.random.choice(crowd.doors)
-    start_s = crowd.reactor.seconds()
-    crowd.notes.say("asked", request=request, path=path, document=document, door=door)
-    status, whole, raw, retry = 0, False, b"", None
+def post_request(group, path, document):
+    """Send a request; records the request and its response."""
+    group.serial += 1
+    request_id = f"{group.tag}{group.serial}"
+    address = group.random.choice(group.addresses)
+    start_s = group.reactor.seconds()
+    group.events.record("asked", request=request_id, path=path, document=document, door=address)
+    status, complete, raw, retry_after = 0, False, b"", None
     try:
-        response = yield crowd.client.post(
-            f"http://{door}{path}",
-            body_of(crowd.reactor, json.encode(document)),
-            headers={"x-request": [request], "content-type": ["application/json"]},
+        response = yield group.client.post(
+            f"http://{address}{path}",
+            request_body(group.reactor, json.encode(document)),
+            headers={"x-request": [request_id], "content-type": ["application/json"]},
             unbuffered=True,
         )
         status = response.code
-        retry = (response.headers.getRawHeaders("retry-after") or [None])[0]
-        reading = Reading()
-        response.deliverBody(reading)
-        whole = yield reading.done
-        raw = bytes(reading.data)
+        retry_after = (response.headers.getRawHeaders("retry-after") or [None])[0]
+        body = BodyCollector()
+        response.deliverBody(body)
+        complete = yield body.done
+        raw = bytes(body.data)
     except Exception as error:
         raw = json.encode({"error": {"type": f"Link{type(error).__name__}"}})
     lines = []
@@ -90,107 +101,113 @@
         try:
             lines.append(json.decode(line)) if line else None
         except DecodeError:
-            whole = False
-    took_ms = round((crowd.reactor.seconds() - start_s) * 1000, 1)
-    crowd.notes.say(
-        "answered", request=request, status=status, whole=whole, lines=lines, retry_after=retry, took_ms=took_ms
+            complete = False
+    latency_ms = round((group.reactor.seconds() - start_s) * 1000, 1)
+    group.events.record(
+        "answered",
+        request=request_id,
+        status=status,
+        whole=complete,
+        lines=lines,
+        retry_after=retry_after,
+        took_ms=latency_ms,
     )
-    return status, whole, lines, retry
+    return status, complete, lines, retry_after
 
 
 @inlineCallbacks
-def look(crowd, path):
-    """Read a program's history and note it."""
-    door, asked_ms = crowd.random.choice(crowd.doors), int(crowd.notes.seconds() * 1000)
+def read_history(group, path):
+    """Read a program's history and record it."""
+    address, sent_ms = group.random.choice(group.addresses), int(group.events.seconds() * 1000)
     try:
-        response = yield crowd.client.get(f"http://{door}{path}", timeout=5, reactor=crowd.reactor)
+        response = yield group.client.get(f"http://{address}{path}", timeout=5, reactor=group.reactor)
         raw = yield response.content()
         document = json.decode(raw)
     except Exception as error:
-        crowd.notes.say("unread", path=path, error=type(error).__name__)
+        group.events.record("unread", path=path, error=type(error).__name__)
         return
-    crowd.notes.say("read", path=path, door=door, asked_ms=asked_ms, status=response.code, document=document)
+    group.events.record("read", path=path, door=address, asked_ms=sent_ms, status=response.code, document=document)
 
 
 @inlineCallbacks
-def insist(crowd, path, document, attempts=4):
-    """Send a request again, as long as the response says when to come back."""
+def post_with_retries(group, path, document, attempts=4):
+    """Send a request, and repeat it as long as the response has a `retry-after`."""
     for _ in range(attempts):
-        status, whole, lines, retry = yield post(crowd, path, document)
-        if status not in (409, 429, 503) or retry is None:
+        status, complete, lines, retry_after = yield post_request(group, path, document)
+        if status not in (409, 429, 503) or retry_after is None:
             break
-        yield rest(crowd.reactor, float(retry) * (0.5 + crowd.random.random()))
-    return status, whole, lines
+        yield sleep(group.reactor, float(retry_after) * (0.5 + group.random.random()))
+    return status, complete, lines
 
 
 @inlineCallbacks
-def program(crowd, tenant, route, lookups):
-    """Run one program: a few turns, each with lookups."""
-    if crowd.open >= crowd.most:
-        crowd.notes.say("withheld", tenant=tenant, route=route)
+def run_program(group, tenant, route, lookups):
+    """Run one program: one to three turns, each followed by a lookup."""
+    if group.active_programs >= group.max_active:
+        group.events.record("withheld", tenant=tenant, route=route)
         return
-    crowd.open += 1
+    group.active_programs += 1
     try:
-        crowd.serial += 1
-        name = f"{crowd.tag}-{route}-{crowd.serial}"
-        for turn in range(1 + crowd.random.randrange(3)):
-            yield insist(
-                crowd,
+        group.serial += 1
+        name = f"{group.tag}-{route}-{group.serial}"
+        for turn in range(1 + group.random.randrange(3)):
+            yield post_with_retries(
+                group,
                 f"/v1/tenants/{tenant}/routes/{route}/turns",
                 {"program": name, "input": f"{name} turn {turn} of the shared prompt"},
             )
-            kind = crowd.random.choice(lookups)
+            kind = group.random.choice(lookups)
             document = {"input": f"{name}/{turn}"}
             if kind in ("claims", "notices"):
                 document["key"] = f"{name}/{turn}"
-                again = post(crowd, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
-                yield insist(crowd, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
-                yield again
+                duplicate = post_request(group, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
+                yield post_with_retries(group, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
+                yield duplicate
             else:
-                yield insist(crowd, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
-            if crowd.random.random() < 0.3:
-                yield look(crowd, f"/v1/tenants/{tenant}/programs/{name}")
+                yield post_with_retries(group, f"/v1/tenants/{tenant}/routes/{kind}/lookups", document)
+            if group.random.random() < 0.3:
+                yield read_history(group, f"/v1/tenants/{tenant}/programs/{name}")
     finally:
-        crowd.open -= 1
+        group.active_programs -= 1
 
 
-def arrivals(crowd, seconds, factor, done):
-    """Start programs at the deployments' rates, and call `done` once all have ended."""
-    reactor = crowd.reactor
-    crowd.end_s = reactor.seconds() + seconds
+def run_arrivals(group, seconds, factor, done):
+    """Start programs at the deployments' rates; calls `done` once all have finished."""
+    reactor = group.reactor
+    group.end_s = reactor.seconds() + seconds
     running = []
 
-    def arrive(tenant, route, rate, lookups):
-        if reactor.seconds() >= crowd.end_s:
+    def start_program(tenant, route, rate, lookups):
+        if reactor.seconds() >= group.end_s:
             return
-        running.append(program(crowd, tenant, route, lookups))
-        reactor.callLater(crowd.random.expovariate(rate * factor), arrive, tenant, route, rate, lookups)
+        running.append(run_program(group, tenant, route, lookups))
+        reactor.callLater(group.random.expovariate(rate * factor), start_program, tenant, route, rate, lookups)
 
-    for tenant, shape in DEPLOYMENTS.items():
-        for route, rate in shape.items():
+    for tenant, deployment in DEPLOYMENTS.items():
+        for route, rate in deployment.items():
             if route != "lookups":
-                arrive(tenant, route, rate, shape["lookups"])
+                start_program(tenant, route, rate, deployment["lookups"])
 
-    def check():
-        if reactor.seconds() >= crowd.end_s and (crowd.open == 0 or reactor.seconds() > crowd.end_s + 40):
-            crowd.notes.say("over", still_open=crowd.open)
+    def stop_if_finished():
+        if reactor.seconds() >= group.end_s and (group.active_programs == 0 or reactor.seconds() > group.end_s + 40):
+            group.events.record("over", still_open=group.active_programs)
             done()
         else:
-            reactor.callLater(0.1, check)
+            reactor.callLater(0.1, stop_if_finished)
 
-    check()
+    stop_if_finished()
 
 
-@cappa.command(name="callers", help="Stand-in callers of both deployments, at the brief's rates.")
+@cappa.command(name="callers", help="Stand-in callers of both deployments.")
 class Callers(Struct, kw_only=True):
     """Arguments of the command."""
 
-    notes: Annotated[str, cappa.Arg(help="file that the callers' notes go to")]
-    doors: Annotated[list[str], cappa.Arg(long="--door", help="IP:port of an edge daemon; may be given again")]
-    seconds: Annotated[float, cappa.Arg(long=True, help="how long programs arrive")] = 10.0
-    factor: Annotated[float, cappa.Arg(long=True, help="times the brief's rates")] = 1.0
+    notes: Annotated[str, cappa.Arg(help="file for the callers' event log")]
+    doors: Annotated[list[str], cappa.Arg(long="--door", help="IP:port of an edge daemon; may be repeated")]
+    seconds: Annotated[float, cappa.Arg(long=True, help="how long programs are started")] = 10.0
+    factor: Annotated[float, cappa.Arg(long=True, help="multiple of the deployments' rates")] = 1.0
     seed: Annotated[int, cappa.Arg(long=True)] = 1
-    tag: Annotated[str, cappa.Arg(long=True, help="start of every request id")] = "p"
+    tag: Annotated[str, cappa.Arg(long=True, help="prefix of every request id")] = "p"
 
 
 def main():
@@ -198,15 +215,15 @@
     from twisted.internet import reactor
 
     command = cappa.parse(Callers)
-    crowd = Crowd(reactor, command.doors, command.seed, Notes(command.notes), command.tag)
+    group = CallerGroup(reactor, command.doors, command.seed, EventLog(command.notes), command.tag)
 
-    def over():
-        crowd.end_s = min(crowd.end_s, reactor.seconds())
+    def stop_arrivals():
+        group.end_s = min(group.end_s, reactor.seconds())
 
     reactor.addSystemEventTrigger(
-        "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(over))
+        "after", "startup", lambda: signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(stop_arrivals))
     )
-    reactor.callWhenRunning(arrivals, crowd, command.seconds, command.factor, reactor.stop)
+    reactor.callWhenRunning(run_arrivals, group, command.seconds, command.factor, reactor.stop)
     reactor.run()
     return 0
 
--- a/frostpost/testbed/judge.py
+++ b/frostpost/testbed/judge.py
@@ -1,144 +1,160 @@
-"""Judge a run by the notes of callers and runners alone."""
+"""Check a run of a fleet by the event logs of its callers and runners alone."""
 
 from collections import defaultdict
 from itertools import pairwise
 
-from .amends import configured, drained
-from .memories import histories
-from .told import NOT_RUN, Breach, asks, ended, error_of, route_of
+from .caller_requests import NOT_RUN_ERRORS, Breach, error_type, is_complete_turn, read_requests, resolve_route
+from .config_checks import check_config_changes, confirmed_drains
+from .history_checks import check_histories
 
 
-def doubled(found, runs):
-    """Yield breaches: requests that ran twice, for nobody, after a refusal, or on a wrong runner."""
-    for request, ran in runs.items():
-        ask = found.get(request)
-        if ask is None:
-            yield Breach("stranger", f"{request} ran and nobody asked it")
+def check_executions(requests, runs):
+    """Yield breaches: requests that ran twice, without a caller, after a refusal, or on a wrong runner."""
+    for request_id, executions in runs.items():
+        request = requests.get(request_id)
+        if request is None:
+            yield Breach("stranger", f"{request_id} ran without a request")
             continue
-        shape = route_of(ask.tenant, ask.route)
-        if shape.get("repeat", "once") != "free" and len(ran) > 1:
-            yield Breach("twice", f"{request} ran {len(ran)} times")
-        if ran and ask.status and error_of(ask) in NOT_RUN:
-            yield Breach("ran_after_refusal", f"{request} was told {error_of(ask)} and ran")
-        for note in ran:
-            if note["pool"] not in shape["pools"]:
-                yield Breach("not_allowed", f"{request} reached {note['runner']}")
+        route = resolve_route(request.tenant, request.route)
+        if route.get("repeat", "once") != "free" and len(executions) > 1:
+            yield Breach("twice", f"{request_id} ran {len(executions)} times")
+        if executions and request.status and error_type(request) in NOT_RUN_ERRORS:
+            yield Breach("ran_after_refusal", f"{request_id} was refused with {error_type(request)} but ran")
+        for event in executions:
+            if event["pool"] not in route["pools"]:
+                yield Breach("not_allowed", f"{request_id} reached {event['runner']}")
 
 
-def keys_once(found, runs):
+def check_idempotency_keys(requests, runs):
     """Yield breaches: idempotency keys that ran twice within their window."""
-    ran = defaultdict(list)
-    for request, notes in runs.items():
-        ask = found.get(request)
-        if ask and "key" in ask.document:
-            ran[(ask.tenant, ask.route, ask.document["key"])] += [n["at_ms"] for n in notes]
-    for key, times in ran.items():
-        times.sort()
-        if any(b - a < 60000 for a, b in pairwise(times)):
-            yield Breach("key_twice", f"{key} ran at {times}")
-
-
-def lookups_right(found):
-    """Yield breaches: lookups with somebody else's answer."""
-    for ask in found.values():
-        if ask.kind != "lookups" or ask.status != 200:
+    executions = defaultdict(list)
+    for request_id, events in runs.items():
+        request = requests.get(request_id)
+        if request and "key" in request.document:
+            executions[(request.tenant, request.route, request.document["key"])] += [event["at_ms"] for event in events]
+    for key, times_ms in executions.items():
+        times_ms.sort()
+        if any(b - a < 60000 for a, b in pairwise(times_ms)):
+            yield Breach("key_twice", f"{key} ran at {times_ms}")
+
+
+def check_lookups(requests):
+    """Yield breaches: lookups that received the answer to another request."""
+    for request in requests.values():
+        if request.kind != "lookups" or request.status != 200:
             continue
-        if not ask.whole or ask.lines[0].get("result", {}).get("echo") != ask.document["input"]:
-            yield Breach("wrong_answer", f"{ask.request} was given {str(ask.lines)[:200]}")
+        if not request.complete or request.lines[0].get("result", {}).get("echo") != request.document["input"]:
+            yield Breach("wrong_answer", f"{request.request_id} received {str(request.lines)[:200]}")
 
 
-def streams_right(found, by_run):
-    """Yield breaches: streams that skip, repeat, mix or end early."""
-    for ask in found.values():
-        if ask.kind != "turns" or ask.status != 200:
+def check_streams(requests, by_run):
+    """Yield breaches: streams that skip or repeat pieces, mix runs or end early."""
+    for request in requests.values():
+        if request.kind != "turns" or request.status != 200:
             continue
-        pieces = [line for line in ask.lines if "piece" in line]
-        owners = {p["text"].split(":")[0] for p in pieces}
-        if [p["piece"] for p in pieces] != list(range(1, len(pieces) + 1)):
-            yield Breach("stream", f"{ask.request} skips or repeats a piece")
-        if len(owners) > 1 or any(p["text"] != f"{o}:{p['piece']} " for o in owners for p in pieces):
-            yield Breach("stream", f"{ask.request} splices {owners}")
+        pieces = [line for line in request.lines if "piece" in line]
+        owners = {piece["text"].split(":")[0] for piece in pieces}
+        if [piece["piece"] for piece in pieces] != list(range(1, len(pieces) + 1)):
+            yield Breach("stream", f"{request.request_id} skips or repeats a piece")
+        if len(owners) > 1 or any(piece["text"] != f"{o}:{piece['piece']} " for o in owners for piece in pieces):
+            yield Breach("stream", f"{request.request_id} mixes output of {owners}")
         for owner in owners:
-            if by_run.get(owner, {}).get("request") != ask.request:
-                yield Breach("someone_elses", f"{ask.request} was given {owner}")
-        if ended(ask) and any(len(pieces) != by_run[o]["total"] for o in owners if "total" in by_run.get(o, {})):
-            yield Breach("partial_as_whole", f"{ask.request} ends before its run did")
-        if ended(ask) and (ask.lines[-1]["pieces"] != len(pieces) or not ask.whole):
-            yield Breach("partial_as_whole", f"{ask.request} ends with a piece missing")
-
-
-def budgets(found, runs):
-    """Yield breaches: programs that got more than their budget."""
-    spent, most = defaultdict(int), {}
-    for ask in found.values():
-        if ask.kind == "turns" and ask.status == 200:
-            shape = route_of(ask.tenant, ask.route)
-            key = (ask.tenant, ask.document["program"])
-            spent[key] += sum(line.get("units", 0) for line in ask.lines if "piece" in line)
-            turn = max([shape["max_output"], *(n.get("max_output") or 0 for n in runs[ask.request])])
-            most[key] = shape["budget"] + turn
+            if by_run.get(owner, {}).get("request") != request.request_id:
+                yield Breach("someone_elses", f"{request.request_id} received output of {owner}")
+        if is_complete_turn(request) and any(
+            len(pieces) != by_run[o]["total"] for o in owners if "total" in by_run.get(o, {})
+        ):
+            yield Breach("partial_as_whole", f"{request.request_id} ends before its run did")
+        if is_complete_turn(request) and (request.lines[-1]["pieces"] != len(pieces) or not request.complete):
+            yield Breach("partial_as_whole", f"{request.request_id} ends with a piece missing")
+
+
+def check_budgets(requests, runs):
+    """Yield breaches: programs that received more output than their budget."""
+    spent, max_units = defaultdict(int), {}
+    for request in requests.values():
+        if request.kind == "turns" and request.status == 200:
+            route = resolve_route(request.tenant, request.route)
+            key = (request.tenant, request.document["program"])
+            spent[key] += sum(line.get("units", 0) for line in request.lines if "piece" in line)
+            turn_units = max(
+                [route["max_output"], *(event.get("max_output") or 0 for event in runs[request.request_id])]
+            )
+            max_units[key] = route["budget"] + turn_units
     for key, units in spent.items():
-        if units > most[key]:
-            yield Breach("budget", f"{key} was handed {units}")
-
-
-def leaving(runner_notes, drains, grace_ms=3000):
-    """Yield breaches: work sent to a runner after it was drained."""
-    gone = dict(drains)
-    for note in runner_notes:
-        if note["kind"] == "changed" and note["leaving"]:
-            gone.setdefault(note["runner"], note["at_ms"])
-    for note in runner_notes:
-        since_ms = gone.get(note.get("runner"))
+        if units > max_units[key]:
+            yield Breach("budget", f"{key} exceeded its budget: units received {units}")
+
+
+def check_drained_runners(runner_events, drains, grace_ms=3000):
+    """Yield breaches: work sent to a runner later than `grace_ms` after it was drained."""
+    drained_ms = dict(drains)
+    for event in runner_events:
+        if event["kind"] == "changed" and event["leaving"]:
+            drained_ms.setdefault(event["runner"], event["at_ms"])
+    for event in runner_events:
+        since_ms = drained_ms.get(event.get("runner"))
         if (
-            note["kind"] == "ran"
+            event["kind"] == "ran"
             and since_ms is not None
-            and note["at_ms"] - note.get("held_ms", 0) > since_ms + grace_ms
+            and event["at_ms"] - event.get("held_ms", 0) > since_ms + grace_ms
         ):
-            yield Breach("leaving", f"{note['runner']} got work {note['at_ms'] - since_ms} ms after")
+            yield Breach("leaving", f"{event['runner']} got work {event['at_ms'] - since_ms} ms after its drain")
 
 
-def cut_mid_answer(found, runs):
-    """Yield breaches: answers cut off in planned work."""
-    for ask in found.values():
-        if ask.status == 200 and not ask.whole:
-            yield Breach("dropped", f"{ask.request} was cut in its answer")
-        if ask.status == 0 and ask.answered_ms and runs.get(ask.request):
-            yield Breach("dropped", f"{ask.request} ran and its link was cut: {error_of(ask)}")
+def check_interrupted_answers(requests, runs):
+    """Yield breaches: answers that were interrupted although all disturbances were planned."""
+    for request in requests.values():
+        if request.status == 200 and not request.complete:
+            yield Breach("dropped", f"{request.request_id} was cut off during its answer")
+        if request.status == 0 and request.answered_ms and runs.get(request.request_id):
+            yield Breach("dropped", f"{request.request_id} ran but its connection was cut: {error_type(request)}")
 
 
-def ran_by(runner_notes):
-    """Return (runs by request, run by id)."""
+def index_runs(runner_events):
+    """Return the runs by request id, and each run by its own id."""
     runs, by_run = defaultdict(list), {}
-    for note in runner_notes:
-        if note["kind"] == "ran":
-            runs[note["request"]].append(note)
-            by_run[note["run"]] = note
+    for event in runner_events:
+        if event["kind"] == "ran":
+            runs[event["request"]].append(event)
+            by_run[event["run"]] = event
     return runs, by_run
 
 
-def judge(caller_notes, runner_notes, drains=(), planned=False):
-    """Return all breaches; planned: no answer may be cut off."""
-    found = asks(caller_notes)
-    runs, by_run = ran_by(runner_notes)
+def judge(caller_events, runner_events, drains=(), planned=False):
+    """Return all breaches; with `planned`, an interrupted answer is one too."""
+    requests = read_requests(caller_events)
+    runs, by_run = index_runs(runner_events)
     return [
-        *doubled(found, runs),
-        *keys_once(found, runs),
-        *lookups_right(found),
-        *streams_right(found, by_run),
-        *histories(caller_notes, found, runs),
-        *budgets(found, runs),
-        *leaving(runner_notes, [*drains, *drained(caller_notes)]),
-        *configured(caller_notes, by_run),
-        *(cut_mid_answer(found, runs) if planned else ()),
+        *check_executions(requests, runs),
+        *check_idempotency_keys(requests, runs),
+        *check_lookups(requests),
+        *check_streams(requests, by_run),
+        *check_histories(caller_events, requests, runs),
+        *check_budgets(requests, runs),
+        *check_drained_runners(runner_events, [*drains, *confirmed_drains(caller_events)]),
+        *check_config_changes(caller_events, by_run),
+        *(check_interrupted_answers(requests, runs) if planned else ()),
     ]
 
 
-def summary(caller_notes):
-    """Return counts of results and latencies in milliseconds."""
-    found, tally = asks(caller_notes), defaultdict(int)
-    took = sorted(a.answered_ms - a.asked_ms for a in found.values() if a.status == 200)
-    for ask in found.values():
-        tally[error_of(ask) or ("served" if ask.status == 200 else f"status {ask.status}")] += 1
-    spot = {p: took[min(len(took) - 1, int(len(took) * p / 100))] for p in (50, 95, 99)} if took else {}
-    return {"asked": len(found), "results": dict(tally), "took_ms": spot, "most_ms": took[-1] if took else None}
+def summary(caller_events):
+    """Return the counts of results, and latency percentiles in milliseconds."""
+    requests, counts = read_requests(caller_events), defaultdict(int)
+    latencies_ms = sorted(a.answered_ms - a.sent_ms for a in requests.values() if a.status == 200)
+    for request in requests.values():
+        counts[error_type(request) or ("served" if request.status == 200 else f"status {request.status}")] += 1
+    percentiles = (
+        {
+            percent: latencies_ms[min(len(latencies_ms) - 1, int(len(latencies_ms) * percent / 100))]
+            for percent in (50, 95, 99)
+        }
+        if latencies_ms
+        else {}
+    )
+    return {
+        "asked": len(requests),
+        "results": dict(counts),
+        "took_ms": percentiles,
+        "most_ms": latencies_ms[-1] if latencies_ms else None,
+    }
--- a/frostpost/testbed/platform.py
+++ b/frostpost/testbed/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of runners: it lags and limits the rate of requests."""
+"""A stand-in for the platform's runner list, with propagation lag and a rate limit."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -9,50 +9,52 @@
 
 
 class Platform(Struct):
-    """The list's state; rates per second, lag in seconds."""
+    """State of the list: published versions, lag in seconds and the token bucket of the rate limit."""
 
     lag_s: float = 0.5
     per_second: float = 4.0
     tokens: float = 4.0
-    last_s: float = 0.0
-    pages: list[tuple[float, list[dict]]] = []
-    asked: int = 0
-    refused: int = 0
+    refilled_s: float = 0.0
+    published: list[tuple[float, list[dict]]] = []
+    requests_received: int = 0
+    requests_refused: int = 0
     seconds: Callable = monotonic
 
 
-def show(platform, rows):
-    """Publish a list."""
-    platform.pages.append((platform.seconds(), rows))
+def publish(platform, rows):
+    """Publish a new version of the list."""
+    platform.published.append((platform.seconds(), rows))
 
 
-def seen(platform, now_s):
-    """Return the list as it is shown at a time."""
-    shown = [rows for at_s, rows in platform.pages if now_s - at_s >= platform.lag_s]
-    return shown[-1] if shown else []
+def visible_rows(platform, now_s):
+    """Return the newest version that is older than the lag, or an empty list."""
+    visible = [rows for at_s, rows in platform.published if now_s - at_s >= platform.lag_s]
+    return visible[-1] if visible else []
 
 
 def build(platform, reactor=None):
-    """Return the HTTP site."""
+    """Return the HTTP site that serves the list, and replaces it on PUT."""
     app = Klein()
 
     @app.route("/runners", methods=["GET"])
     def runners(request):
         now_s = platform.seconds()
-        platform.asked += 1
-        platform.tokens = min(platform.per_second, platform.tokens + (now_s - platform.last_s) * platform.per_second)
-        platform.last_s = now_s
+        platform.requests_received += 1
+        platform.tokens = min(
+            platform.per_second, platform.tokens + (now_s - platform.refilled_s) * platform.per_second
+        )
+        platform.refilled_s = now_s
         if platform.tokens < 1:
-            platform.refused += 1
+            platform.requests_refused += 1
             request.setResponseCode(429)
             request.setHeader("retry-after", "1")
             return b"{}"
         platform.tokens -= 1
-        return json.encode({"runners": seen(platform, now_s)})
+        return json.encode({"runners": visible_rows(platform, now_s)})
 
     @app.route("/runners", methods=["PUT"])
-    def change(request):
-        show(platform, json.decode(request.content.read())["runners"])
+    def replace(request):
+        publish(platform, json.decode(request.content.read())["runners"])
         return b"{}"
 
     return Site(app.resource(), reactor=reactor)
--- a/frostpost/testbed/proof_steps.py
+++ b/frostpost/testbed/proof_steps.py
@@ -1,17 +1,17 @@
-"""Steps that proofs on real processes share."""
+"""Steps that the proofs on real processes share."""
 
 import signal
 import time
 
 from msgspec import json
 
-from .fleet import call, ready, send, start, wait_for
+from .fleet import call, ready, send_signal, start, wait_for
 
 
-def hook(fleet, name, **facts):
-    """Write a daemon's test hooks."""
+def set_hooks(fleet, name, **fields):
+    """Write a daemon's test hooks; without fields this clears them."""
     with open(f"{fleet.folder}/{name}.hooks", "wb") as file:
-        file.write(json.encode(facts))
+        file.write(json.encode(fields))
 
 
 def status_of(fleet, name):
@@ -19,44 +19,44 @@
     return call(fleet, name, "/v1/status", timeout=3)[1]
 
 
-def one(fleet, role, skip=()):
-    """Return the name of a daemon of a role."""
-    return next(n for n, d in fleet.daemons.items() if d.role == role and n not in skip)
+def pick_daemon(fleet, role, excluded=()):
+    """Return the first daemon of a role that is not excluded."""
+    return next(n for n, d in fleet.daemons.items() if d.role == role and n not in excluded)
 
 
 def sequencer(fleet):
-    """Return the name of the leader."""
-    return status_of(fleet, one(fleet, "storage"))["configuration"]["sequencer"]
+    """Return the name of the sequencer."""
+    return status_of(fleet, pick_daemon(fleet, "storage"))["configuration"]["sequencer"]
 
 
-def holder(fleet, duty):
-    """Return the name of the holder of a duty."""
-    return status_of(fleet, one(fleet, "storage"))["duties"][duty]["holder"]
+def duty_holder(fleet, duty):
+    """Return the name of the daemon that holds a singleton role."""
+    return status_of(fleet, pick_daemon(fleet, "storage"))["duties"][duty]["holder"]
 
 
-def again(fleet, name, wait_s=30):
-    """Start a daemon again and wait until it serves."""
+def restart(fleet, name, timeout_s=30):
+    """Start a daemon and wait until it is ready. Returns a report of its restart."""
     start(fleet, name)
     start_s = time.monotonic()
-    up = wait_for(lambda: ready(fleet, [name]), wait_s)
-    return {"daemon": name, "back": up, "back_ms": round((time.monotonic() - start_s) * 1000)}
+    became_ready = wait_for(lambda: ready(fleet, [name]), timeout_s)
+    return {"daemon": name, "back": became_ready, "back_ms": round((time.monotonic() - start_s) * 1000)}
 
 
-def change(row, **facts):
-    """Change a stand-in runner's behaviour."""
+def control_runner(row, **fields):
+    """Set controls of a stand-in runner."""
     import urllib.request
 
-    request = urllib.request.Request(f"http://127.0.0.1:{row['port']}/stand-in", json.encode(facts), method="POST")
+    request = urllib.request.Request(f"http://127.0.0.1:{row['port']}/stand-in", json.encode(fields), method="POST")
     return json.decode(urllib.request.urlopen(request).read())
 
 
-def advanced(fleet, index):
-    """Whether all daemons are ready and a storage daemon has applied more than `index` entries."""
-    return ready(fleet) and status_of(fleet, one(fleet, "storage"))["applied"] > index
+def has_progressed(fleet, index):
+    """Tell whether all daemons are ready and a storage daemon has applied entries past `index`."""
+    return ready(fleet) and status_of(fleet, pick_daemon(fleet, "storage"))["applied"] > index
 
 
-def round_one(fleet, name):
-    """Restart one daemon."""
-    send(fleet, name, signal.SIGTERM)
+def restart_gracefully(fleet, name):
+    """Stop one daemon by SIGTERM and restart it."""
+    send_signal(fleet, name, signal.SIGTERM)
     fleet.daemons[name].process.wait(40)
-    return again(fleet, name)
+    return restart(fleet, name)
--- a/frostpost/testbed/proofs.py
+++ b/frostpost/testbed/proofs.py
@@ -1,4 +1,4 @@
-"""Proofs on real processes: each brings a kind of trouble about while callers run."""
+"""Proofs on real processes: each injects one kind of fault while callers run, and adds its results to `report`."""
 
 import shutil
 import signal
@@ -8,107 +8,117 @@
 from msgspec import json
 
 from . import fleet as fleets
-from .contests import races
-from .fleet import call, kill, ready, send, start, wait_for
-from .proof_steps import advanced, again, change, holder, hook, one, round_one, sequencer, status_of
-
-
-def kill_each(fleet, facts):
-    """Kill daemons of each kind."""
-    victims = [one(fleet, "edge"), sequencer(fleet), one(fleet, "storage")]
-    for name in dict.fromkeys([*victims, holder(fleet, "list")]):
+from .config_races import race_config_changes
+from .fleet import call, kill, ready, send_signal, start, wait_for
+from .proof_steps import (
+    control_runner,
+    duty_holder,
+    has_progressed,
+    pick_daemon,
+    restart,
+    restart_gracefully,
+    sequencer,
+    set_hooks,
+    status_of,
+)
+
+
+def kill_each_role(fleet, report):
+    """Kill and restart a daemon of each role."""
+    victims = [pick_daemon(fleet, "edge"), sequencer(fleet), pick_daemon(fleet, "storage")]
+    for name in dict.fromkeys([*victims, duty_holder(fleet, "list")]):
         kill(fleet, name)
         time.sleep(1.5)
-        facts.setdefault("restarts", []).append(again(fleet, name))
+        report.setdefault("restarts", []).append(restart(fleet, name))
 
 
-def freeze_each(fleet, facts):
-    """Freeze daemons of each kind."""
-    for name in (one(fleet, "edge"), sequencer(fleet), one(fleet, "storage")):
-        send(fleet, name, signal.SIGSTOP)
+def freeze_each_role(fleet, report):
+    """Suspend and resume a daemon of each role."""
+    for name in (pick_daemon(fleet, "edge"), sequencer(fleet), pick_daemon(fleet, "storage")):
+        send_signal(fleet, name, signal.SIGSTOP)
         time.sleep(2.5)
-        send(fleet, name, signal.SIGCONT)
-        facts.setdefault("thawed", []).append(wait_for(lambda: ready(fleet), 20))
+        send_signal(fleet, name, signal.SIGCONT)
+        report.setdefault("thawed", []).append(wait_for(lambda: ready(fleet), 20))
 
 
-def cuts(fleet, facts):
-    """Cut links in several ways."""
-    core = [n for n, d in fleet.daemons.items() if d.role == "core"]
-    rest = [n for n in fleet.daemons if n not in core]
-    storage = one(fleet, "storage")
-    plans = [
-        ({n: rest for n in core}, {n: core for n in rest}),
+def cut_links(fleet, report):
+    """Cut the links between daemons: a partition, one isolated daemon, and a partial cut."""
+    cores = [n for n, d in fleet.daemons.items() if d.role == "core"]
+    remaining = [n for n in fleet.daemons if n not in cores]
+    storage = pick_daemon(fleet, "storage")
+    partitions = [
+        ({n: remaining for n in cores}, {n: cores for n in remaining}),
         ({storage: [n for n in fleet.daemons if n != storage]}, {}),
-        ({core[0]: rest[:2]}, {}),
+        ({cores[0]: remaining[:2]}, {}),
     ]
-    for plan in plans:
-        for side in plan:
-            for name, others in side.items():
-                hook(fleet, name, cut=others)
+    for partition in partitions:
+        for cuts in partition:
+            for name, others in cuts.items():
+                set_hooks(fleet, name, cut=others)
         time.sleep(2.5)
         for name in fleet.daemons:
-            hook(fleet, name)
-        facts.setdefault("mended", []).append(wait_for(lambda: ready(fleet), 20))
+            set_hooks(fleet, name)
+        report.setdefault("mended", []).append(wait_for(lambda: ready(fleet), 20))
 
 
-def roll(fleet, facts):
-    """Restart all daemons in turn."""
+def rolling_restart(fleet, report):
+    """Restart all daemons one after the other."""
     for name, daemon in fleet.daemons.items():
-        send(fleet, name, signal.SIGTERM)
+        send_signal(fleet, name, signal.SIGTERM)
         daemon.process.wait(40)
-        facts.setdefault("exits", []).append(daemon.process.returncode)
-        facts.setdefault("restarts", []).append(again(fleet, name))
+        report.setdefault("exits", []).append(daemon.process.returncode)
+        report.setdefault("restarts", []).append(restart(fleet, name))
 
 
-def all_down(fleet, facts):
-    """Kill all daemons at once."""
+def kill_all(fleet, report):
+    """Kill and restart all daemons at once."""
     for name in fleet.daemons:
-        send(fleet, name, signal.SIGKILL)
+        send_signal(fleet, name, signal.SIGKILL)
     for daemon in fleet.daemons.values():
         daemon.process.wait()
     start_s = time.monotonic()
     for name in fleet.daemons:
         start(fleet, name)
-    facts["back"] = wait_for(lambda: ready(fleet), 60)
-    facts["back_ms"] = round((time.monotonic() - start_s) * 1000)
+    report["back"] = wait_for(lambda: ready(fleet), 60)
+    report["back_ms"] = round((time.monotonic() - start_s) * 1000)
 
 
-def lose_disk(fleet, facts):
-    """Lose one disk, then another daemon."""
-    name = one(fleet, "storage")
+def lose_disk(fleet, report):
+    """Lose a storage daemon's disk, and after its recovery another storage daemon."""
+    name = pick_daemon(fleet, "storage")
     kill(fleet, name)
     shutil.rmtree(f"{fleet.folder}/{name}.data")
     time.sleep(1)
-    facts["restart"] = again(fleet, name)
-    other = one(fleet, "storage", (name,))
-    facts["refilled"] = wait_for(lambda: status_of(fleet, other)["peers"][name]["ready"], 20)
+    report["restart"] = restart(fleet, name)
+    other = pick_daemon(fleet, "storage", (name,))
+    report["refilled"] = wait_for(lambda: status_of(fleet, other)["peers"][name]["ready"], 20)
     kill(fleet, other)
-    facts["served_without_other"] = wait_for(lambda: ready(fleet, [n for n in fleet.daemons if n != other]), 10)
-    facts["other_back"] = again(fleet, other)
+    report["served_without_other"] = wait_for(lambda: ready(fleet, [n for n in fleet.daemons if n != other]), 10)
+    report["other_back"] = restart(fleet, other)
 
 
-def slow_disk(fleet, facts):
-    """Slow down one disk."""
-    name = one(fleet, "storage")
-    hook(fleet, name, sync_delay_ms=2500)
+def slow_disk(fleet, report):
+    """Delay the syncs of one disk."""
+    name = pick_daemon(fleet, "storage")
+    set_hooks(fleet, name, sync_delay_ms=2500)
     time.sleep(4)
-    facts["unwell"] = status_of(fleet, name)["unwell"]
-    facts["others_serve"] = ready(fleet, [n for n, d in fleet.daemons.items() if d.role == "edge"])
-    hook(fleet, name)
-    facts["well"] = wait_for(lambda: ready(fleet), 20)
+    report["unwell"] = status_of(fleet, name)["unwell"]
+    report["others_serve"] = ready(fleet, [n for n, d in fleet.daemons.items() if d.role == "edge"])
+    set_hooks(fleet, name)
+    report["well"] = wait_for(lambda: ready(fleet), 20)
 
 
-def runners(fleet, facts):
-    """Let runners misbehave and leave."""
+def runner_failures(fleet, report):
+    """Make runners fail in each mode, drain and leave the list."""
     import urllib.request
 
     rows = list(fleet.runners)
     for pool in ("hmodel", "tlookup"):
         row = next(r for r in rows if r["pool"] == pool)
         for mode in ("before_headers", "in_piece", "before_end", "stall"):
-            change(row, mode=mode)
+            control_runner(row, mode=mode)
             time.sleep(1)
-        change(row, mode="well", leaving=True)
+        control_runner(row, mode="well", leaving=True)
         time.sleep(1)
         rows = [r for r in rows if r != row]
         request = urllib.request.Request(
@@ -116,89 +126,91 @@
         )
         urllib.request.urlopen(request).read()
         time.sleep(2)
-    facts["listed"] = len(rows)
+    report["listed"] = len(rows)
 
 
-def drains(fleet, facts):
+def drain_runner(fleet, report):
     """Drain a runner."""
     row = next(r for r in fleet.runners if r["pool"] == "hmodel")
-    status, said = call(fleet, one(fleet, "edge"), f"/v1/runners/{row['name']}/drain", "POST", {"leaving": True})
-    facts["drained"] = (row["name"], status)
-    facts["drains"] = {row["name"]: int(time.monotonic() * 1000)}
+    status, response = call(
+        fleet, pick_daemon(fleet, "edge"), f"/v1/runners/{row['name']}/drain", "POST", {"leaving": True}
+    )
+    report["drained"] = (row["name"], status)
+    report["drains"] = {row["name"]: int(time.monotonic() * 1000)}
     time.sleep(5)
 
 
-def clocks(fleet, facts):
-    """Let wall clocks jump."""
-    fleet.program = "frostpost.testbed.skewed"
+def wall_clock_jumps(fleet, report):
+    """Make the wall clocks of some daemons jump."""
+    fleet.daemon_module = "frostpost.testbed.skewed_daemon"
     for name in fleet.daemons:
-        facts.setdefault("restarts", []).append(round_one(fleet, name))
+        report.setdefault("restarts", []).append(restart_gracefully(fleet, name))
     for jump_s in (-3600, 7200):
-        for name in [one(fleet, "edge"), sequencer(fleet), *(n for n in fleet.daemons if n[0] == "s")]:
+        for name in [pick_daemon(fleet, "edge"), sequencer(fleet), *(n for n in fleet.daemons if n[0] == "s")]:
             with open(f"{fleet.folder}/{name}.skew", "w") as file:
                 file.write(str(jump_s))
-        before = status_of(fleet, one(fleet, "storage"))["applied"]
-        facts.setdefault("goes_on", []).append(wait_for(partial(advanced, fleet, before + 50), 20))
-
-
-def upgrade(fleet, facts):
-    """Roll out this version over the one before."""
-    facts["before"] = [status_of(fleet, n).get("rules") for n in fleet.daemons]
-    fleet.before = ""
-    roll(fleet, facts)
-    facts["rules"] = wait_for(lambda: all(status_of(fleet, n).get("rules") == 2 for n in fleet.daemons), 20)
-
-
-CROWD = 6
-
-
-def crowd(fleet, facts):
-    """Multiply the load for a while."""
-    extra = fleets.load(fleet, 4, factor=CROWD, seed=9, tag="q")
-    facts["crowd_exit"] = extra.wait(90)
-
-
-def grow(fleet, facts):
-    """Replace a voter by a new storage daemon."""
-    old = one(fleet, "storage")
-    edge = one(fleet, "edge")
-    fleet.seeds = [f"127.0.0.1:{fleet.daemons[n].port}" for n in (edge, one(fleet, "core"))]
-    fleets.extend(fleet, "s9", "storage", "b")
-    fleets.extend(fleet, "e9", "edge", "c")
-    facts["joined"] = [again(fleet, "s9"), again(fleet, "e9")]
-    facts["full"] = wait_for(lambda: status_of(fleet, edge)["peers"]["s9"]["ready"], 20)
-    facts["too_few"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old})[0]
-    facts["added"] = call(fleet, edge, "/v1/voters", "POST", {"add": "s9"})
-    facts["emptied"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old})
-    send(fleet, old, signal.SIGTERM)
-    fleet.daemons[old].process.wait(40)
-    facts["exit"] = fleet.daemons[old].process.returncode
-    other = one(fleet, "storage", (old,))
+        applied = status_of(fleet, pick_daemon(fleet, "storage"))["applied"]
+        report.setdefault("goes_on", []).append(wait_for(partial(has_progressed, fleet, applied + 50), 20))
+
+
+def upgrade(fleet, report):
+    """Upgrade all daemons from the previous version to this one."""
+    report["before"] = [status_of(fleet, n).get("rules") for n in fleet.daemons]
+    fleet.previous_version = ""
+    rolling_restart(fleet, report)
+    report["rules"] = wait_for(lambda: all(status_of(fleet, n).get("rules") == 2 for n in fleet.daemons), 20)
+
+
+OVERLOAD_FACTOR = 6
+
+
+def overload(fleet, report):
+    """Multiply the load for four seconds."""
+    extra_callers = fleets.start_callers(fleet, 4, factor=OVERLOAD_FACTOR, seed=9, tag="q")
+    report["crowd_exit"] = extra_callers.wait(90)
+
+
+def replace_voter(fleet, report):
+    """Replace a voter by a new storage daemon, then lose another one."""
+    old_voter = pick_daemon(fleet, "storage")
+    edge = pick_daemon(fleet, "edge")
+    fleet.seeds = [f"127.0.0.1:{fleet.daemons[n].port}" for n in (edge, pick_daemon(fleet, "core"))]
+    fleets.add_daemon(fleet, "s9", "storage", "b")
+    fleets.add_daemon(fleet, "e9", "edge", "c")
+    report["joined"] = [restart(fleet, "s9"), restart(fleet, "e9")]
+    report["full"] = wait_for(lambda: status_of(fleet, edge)["peers"]["s9"]["ready"], 20)
+    report["too_few"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old_voter})[0]
+    report["added"] = call(fleet, edge, "/v1/voters", "POST", {"add": "s9"})
+    report["emptied"] = call(fleet, edge, "/v1/voters", "POST", {"remove": old_voter})
+    send_signal(fleet, old_voter, signal.SIGTERM)
+    fleet.daemons[old_voter].process.wait(40)
+    report["exit"] = fleet.daemons[old_voter].process.returncode
+    other = pick_daemon(fleet, "storage", (old_voter,))
     kill(fleet, other)
-    rest = [n for n in fleet.daemons if n not in (old, other)]
-    facts["served_without_another"] = wait_for(lambda: ready(fleet, rest), 10)
-    facts["other_back"] = again(fleet, other)
+    remaining = [n for n in fleet.daemons if n not in (old_voter, other)]
+    report["served_without_another"] = wait_for(lambda: ready(fleet, remaining), 10)
+    report["other_back"] = restart(fleet, other)
 
 
-def calm(fleet, facts):
-    """Cause nothing."""
+def run_undisturbed(fleet, report):
+    """Inject no fault."""
     time.sleep(5)
 
 
 PROOFS = {
-    "calm": calm,
-    "kill": kill_each,
-    "freeze": freeze_each,
-    "cuts": cuts,
-    "roll": roll,
-    "all_down": all_down,
+    "calm": run_undisturbed,
+    "kill": kill_each_role,
+    "freeze": freeze_each_role,
+    "cuts": cut_links,
+    "roll": rolling_restart,
+    "all_down": kill_all,
     "lose_disk": lose_disk,
     "slow_disk": slow_disk,
-    "runners": runners,
-    "drains": drains,
-    "crowd": crowd,
-    "races": races,
-    "grow": grow,
-    "clocks": clocks,
+    "runners": runner_failures,
+    "drains": drain_runner,
+    "crowd": overload,
+    "races": race_config_changes,
+    "grow": replace_voter,
+    "clocks": wall_clock_jumps,
     "upgrade": upgrade,
 }
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,11 +1,11 @@
 import pytest
 
-from frostpost.testbed.proving import prove
+from frostpost.testbed.proving import run_proof
 
 
 @pytest.mark.parametrize("name", ("kill", "all_down", "races", "clocks"))
-def test_real_processes(name, tmp_path):
-    report = prove(name, "quick", 0.3, 1, str(tmp_path))
+def test_proof_on_real_processes(name, tmp_path):
+    report = run_proof(name, "quick", 0.3, 1, str(tmp_path))
     assert report["breaches"] == []
     assert report["facts"]["stamped"] == [200] * 4
     assert report["after"]["results"].get("served", 0) > 20
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,12 +1,12 @@
 import pytest
 
-from frostpost.testbed.judge import cut_mid_answer, judge
-from frostpost.testbed.told import asks
+from frostpost.testbed.caller_requests import read_requests
+from frostpost.testbed.judge import check_interrupted_answers, judge
 
 PATH = "/v1/tenants/hlidar/routes/{}/{}"
 
 
-def asked(request, route, kind, at_ms=0, **document):
+def asked_event(request, route, kind, at_ms=0, **document):
     return {
         "kind": "asked",
         "request": request,
@@ -16,11 +16,11 @@
     }
 
 
-def answered(request, lines, status=200, whole=True, at_ms=100):
+def answered_event(request, lines, status=200, whole=True, at_ms=100):
     return {"kind": "answered", "request": request, "status": status, "whole": whole, "lines": lines, "at_ms": at_ms}
 
 
-def ran(request, run, pool="hlookup", at_ms=50, runner="r", history=None, **facts):
+def ran_event(request, run, pool="hlookup", at_ms=50, runner="r", history=None, **fields):
     return {
         "kind": "ran",
         "request": request,
@@ -31,11 +31,11 @@
         "history": history or [],
         "input": "x",
         "total": 2,
-        **facts,
+        **fields,
     }
 
 
-def amended(value, version, status=200, at_ms=0, if_match=None):
+def configured_event(value, version, status=200, at_ms=0, if_match=None):
     return {
         "kind": "configured",
         "value": value,
@@ -46,7 +46,7 @@
     }
 
 
-def read(lines, at_ms=300, status=200):
+def read_event(lines, at_ms=300, status=200):
     return {
         "kind": "read",
         "path": "/v1/tenants/hlidar/programs/p",
@@ -61,81 +61,109 @@
     return [{"piece": n, "text": f"{run}:{k} ", "units": 1} for n, k in numbers]
 
 
-TURN = asked("t1", "check", "turns", program="p")
-WHOLE = [*pieces("a", [(1, 1), (2, 2)]), {"end": True, "pieces": 2, "units": 2}]
+TURN_REQUEST = asked_event("t1", "check", "turns", program="p")
+COMPLETE_TURN = [*pieces("a", [(1, 1), (2, 2)]), {"end": True, "pieces": 2, "units": 2}]
 CASES = {
-    "twice": ([asked("q", "rates", "lookups"), answered("q", [], 502)], [ran("q", "a"), ran("q", "b")]),
+    "twice": (
+        [asked_event("q", "rates", "lookups"), answered_event("q", [], 502)],
+        [ran_event("q", "a"), ran_event("q", "b")],
+    ),
     "ran_after_refusal": (
-        [asked("q", "rates", "lookups"), answered("q", [{"error": {"type": "Crowded"}}], 429)],
-        [ran("q", "a")],
+        [asked_event("q", "rates", "lookups"), answered_event("q", [{"error": {"type": "Crowded"}}], 429)],
+        [ran_event("q", "a")],
     ),
     "key_twice": (
-        [asked("q", "claims", "lookups", key="k"), asked("w", "claims", "lookups", key="k")],
-        [ran("q", "a"), ran("w", "b", at_ms=59000)],
+        [asked_event("q", "claims", "lookups", key="k"), asked_event("w", "claims", "lookups", key="k")],
+        [ran_event("q", "a"), ran_event("w", "b", at_ms=59000)],
+    ),
+    "wrong_answer": (
+        [asked_event("q", "rates", "lookups"), answered_event("q", [{"result": {"echo": "other"}}])],
+        [ran_event("q", "a")],
     ),
-    "wrong_answer": ([asked("q", "rates", "lookups"), answered("q", [{"result": {"echo": "other"}}])], [ran("q", "a")]),
-    "someone_elses": ([TURN, answered("t1", WHOLE)], [ran("t2", "a", "hmodel")]),
+    "someone_elses": ([TURN_REQUEST, answered_event("t1", COMPLETE_TURN)], [ran_event("t2", "a", "hmodel")]),
     "partial_as_whole": (
-        [TURN, answered("t1", [*pieces("a", [(1, 1)]), {"end": True, "pieces": 2, "units": 2}])],
-        [ran("t1", "a", "hmodel")],
+        [TURN_REQUEST, answered_event("t1", [*pieces("a", [(1, 1)]), {"end": True, "pieces": 2, "units": 2}])],
+        [ran_event("t1", "a", "hmodel")],
     ),
-    "stream": ([TURN, answered("t1", pieces("a", [(1, 1), (3, 3)]))], [ran("t1", "a", "hmodel")]),
+    "stream": ([TURN_REQUEST, answered_event("t1", pieces("a", [(1, 1), (3, 3)]))], [ran_event("t1", "a", "hmodel")]),
     "budget": (
-        [asked("t1", "audit", "turns", program="p"), answered("t1", [{"piece": 1, "text": "a:1 ", "units": 433}])],
-        [ran("t1", "a", "hmodel")],
+        [
+            asked_event("t1", "audit", "turns", program="p"),
+            answered_event("t1", [{"piece": 1, "text": "a:1 ", "units": 433}]),
+        ],
+        [ran_event("t1", "a", "hmodel")],
     ),
     "history": (
-        [TURN, answered("t1", WHOLE), asked("t2", "check", "turns", at_ms=200, program="p")],
-        [ran("t1", "a", "hmodel"), ran("t2", "b", "hmodel", at_ms=250)],
+        [
+            TURN_REQUEST,
+            answered_event("t1", COMPLETE_TURN),
+            asked_event("t2", "check", "turns", at_ms=200, program="p"),
+        ],
+        [ran_event("t1", "a", "hmodel"), ran_event("t2", "b", "hmodel", at_ms=250)],
+    ),
+    "history/read": (
+        [TURN_REQUEST, answered_event("t1", COMPLETE_TURN), read_event([], status=404)],
+        [ran_event("t1", "a", "hmodel")],
     ),
-    "history/read": ([TURN, answered("t1", WHOLE), read([], status=404)], [ran("t1", "a", "hmodel")]),
     "history/foreign": (
-        [TURN, answered("t1", WHOLE), read([["y", "b:1 "], ["x", "a:1 a:2 "]])],
-        [ran("t1", "a", "hmodel")],
+        [TURN_REQUEST, answered_event("t1", COMPLETE_TURN), read_event([["y", "b:1 "], ["x", "a:1 a:2 "]])],
+        [ran_event("t1", "a", "hmodel")],
     ),
-    "partial_as_whole/short": ([TURN, answered("t1", WHOLE)], [ran("t1", "a", "hmodel", total=3)]),
-    "config": ([amended(7, 2), amended(8, 3, at_ms=100)], [ran("q", "a", at_ms=2200, config={"tenants/hlidar": 2})]),
-    "losing": ([amended(7, None, 412)], [ran("q", "a", max_output=7)]),
-    "both_acked": ([amended(7, 2, if_match=1), amended(8, 3, if_match=1)], []),
-    "not_allowed": ([asked("q", "rates", "lookups")], [ran("q", "a", "tmodel")]),
-    "stranger": ([], [ran("q", "a")]),
+    "partial_as_whole/short": (
+        [TURN_REQUEST, answered_event("t1", COMPLETE_TURN)],
+        [ran_event("t1", "a", "hmodel", total=3)],
+    ),
+    "config": (
+        [configured_event(7, 2), configured_event(8, 3, at_ms=100)],
+        [ran_event("q", "a", at_ms=2200, config={"tenants/hlidar": 2})],
+    ),
+    "losing": ([configured_event(7, None, 412)], [ran_event("q", "a", max_output=7)]),
+    "both_acked": ([configured_event(7, 2, if_match=1), configured_event(8, 3, if_match=1)], []),
+    "not_allowed": ([asked_event("q", "rates", "lookups")], [ran_event("q", "a", "tmodel")]),
+    "stranger": ([], [ran_event("q", "a")]),
     "leaving": (
-        [asked("q", "rates", "lookups")],
-        [{"kind": "changed", "runner": "r", "leaving": True, "at_ms": 0}, ran("q", "a", at_ms=3001)],
+        [asked_event("q", "rates", "lookups")],
+        [{"kind": "changed", "runner": "r", "leaving": True, "at_ms": 0}, ran_event("q", "a", at_ms=3001)],
     ),
 }
 
 
-@pytest.mark.parametrize("never", sorted(CASES))
-def test_each_breach_is_seen(never):
-    callers, runners = CASES[never]
-    assert never.split("/")[0] in {b.never for b in judge(callers, runners)}
+@pytest.mark.parametrize("rule", sorted(CASES))
+def test_each_breach_is_reported(rule):
+    callers, runners = CASES[rule]
+    assert rule.split("/")[0] in {b.never for b in judge(callers, runners)}
 
 
-def test_a_right_story_has_no_breach():
-    kept = [["x", "a:1 a:2 "]]
+def test_correct_run_has_no_breach():
+    history = [["x", "a:1 a:2 "]]
     callers = [
-        TURN,
-        answered("t1", WHOLE),
-        asked("t2", "check", "turns", at_ms=200, program="p"),
-        asked("q", "rates", "lookups"),
-        answered("q", [{"result": {"echo": "x"}}]),
-        read(kept),
-        amended(7, 2),
-        amended(8, None, 412),
+        TURN_REQUEST,
+        answered_event("t1", COMPLETE_TURN),
+        asked_event("t2", "check", "turns", at_ms=200, program="p"),
+        asked_event("q", "rates", "lookups"),
+        answered_event("q", [{"result": {"echo": "x"}}]),
+        read_event(history),
+        configured_event(7, 2),
+        configured_event(8, None, 412),
+    ]
+    runners = [
+        ran_event("t1", "a", "hmodel"),
+        ran_event("t2", "b", "hmodel", at_ms=250, history=history),
+        ran_event("q", "c"),
     ]
-    runners = [ran("t1", "a", "hmodel"), ran("t2", "b", "hmodel", at_ms=250, history=kept), ran("q", "c")]
     assert judge(callers, runners) == []
 
 
-def test_a_cut_answer_is_seen():
-    assert list(cut_mid_answer(asks([TURN, answered("t1", [], whole=False)]), {}))
-    lost = asks([TURN, answered("t1", [{"error": {"type": "LinkResponseNeverReceived"}}], status=0)])
-    assert list(cut_mid_answer(lost, {"t1": [1]})) and not list(cut_mid_answer(lost, {}))
+def test_interrupted_answer_is_reported():
+    assert list(check_interrupted_answers(read_requests([TURN_REQUEST, answered_event("t1", [], whole=False)]), {}))
+    reset = read_requests(
+        [TURN_REQUEST, answered_event("t1", [{"error": {"type": "LinkResponseNeverReceived"}}], status=0)]
+    )
+    assert list(check_interrupted_answers(reset, {"t1": [1]})) and not list(check_interrupted_answers(reset, {}))
 
 
-def test_a_run_that_its_frozen_runner_held_back_counts_from_when_it_was_sent():
-    callers = [asked("q", "rates", "lookups"), amended(7, 2), amended(8, 3, at_ms=100)]
-    late = {"at_ms": 2500, "config": {"tenants/hlidar": 2}}
-    assert judge(callers, [ran("q", "a", held_ms=500, **late)]) == []
-    assert {b.never for b in judge(callers, [ran("q", "a", held_ms=300, **late)])} == {"config"}
+def test_run_delayed_by_a_frozen_runner_is_dated_by_its_sending():
+    callers = [asked_event("q", "rates", "lookups"), configured_event(7, 2), configured_event(8, 3, at_ms=100)]
+    late_run = {"at_ms": 2500, "config": {"tenants/hlidar": 2}}
+    assert judge(callers, [ran_event("q", "a", held_ms=500, **late_run)]) == []
+    assert {b.never for b in judge(callers, [ran_event("q", "a", held_ms=300, **late_run)])} == {"config"}
--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -1,6 +1,6 @@
 import pytest
 from msgspec import json
-from test_stories import asked, later, raised
+from test_stories import advance, call_daemon, started_fleet
 
 from frostpost.simulator import fleet_calls
 from frostpost.testbed.templates import TEMPLATES, TENANTS
@@ -10,33 +10,33 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    fleet = raised()
-    later(fleet, 2000)
+    fleet = started_fleet()
+    advance(fleet, 2000)
     return fleet
 
 
 def index(fleet):
-    return asked(fleet, "e1", "/v1/config")[1]["index"]
+    return call_daemon(fleet, "e1", "/v1/config")[1]["index"]
 
 
 def test_a_whole_set_is_taken_as_one_and_twice_is_nothing(fleet):
     tenants = {**TENANTS, "third": {"template": "clerks"}}
-    status, said = asked(fleet, "s2", "/v1/config", "PUT", {**WHOLE, "tenants": tenants})
+    status, said = call_daemon(fleet, "s2", "/v1/config", "PUT", {**WHOLE, "tenants": tenants})
     assert status == 200 and set(said["versions"]) == {"tenants/third"}
-    later(fleet, 300)
-    status, again = asked(fleet, "e2", "/v1/config", "PUT", {**WHOLE, "tenants": tenants})
+    advance(fleet, 300)
+    status, again = call_daemon(fleet, "e2", "/v1/config", "PUT", {**WHOLE, "tenants": tenants})
     assert status == 200 and again == {"versions": {}, "index": said["index"]}
     for name in fleet.daemons:
         assert ("third", "check") in fleet.daemons[name].ctx.routes
-    status, said = asked(fleet, "c1", "/v1/config", "PUT", WHOLE)
+    status, said = call_daemon(fleet, "c1", "/v1/config", "PUT", WHOLE)
     assert status == 200 and set(said["versions"]) == {"tenants/third"}
-    assert asked(fleet, "e1", "/v1/config/tenants/third")[0] == 404
+    assert call_daemon(fleet, "e1", "/v1/config/tenants/third")[0] == 404
 
 
 def test_a_whole_set_with_one_wrong_part_changes_nothing(fleet):
     before = index(fleet)
     wrong = {**WHOLE, "tenants": {**TENANTS, "hlidar": {"template": "none"}, "fresh": {"template": "clerks"}}}
-    status, said = asked(fleet, "e1", "/v1/config", "PUT", wrong)
+    status, said = call_daemon(fleet, "e1", "/v1/config", "PUT", wrong)
     assert status == 422 and said["error"]["errors"][0]["path"] == "/tenants/hlidar/template"
     assert index(fleet) == before
 
@@ -46,33 +46,33 @@
     for n, door in enumerate(("e1", "e2")):
         tenants = {**TENANTS, f"racer{n}": {"template": "clerks"}}
         boxes.append(fleet_calls.call(fleet, door, "/v1/config", "PUT", {**WHOLE, "tenants": tenants}, headers))
-    later(fleet, 4000)
+    advance(fleet, 4000)
     assert sorted(b[0][0] for b in boxes) == [200, 412]
     won = [n for n, b in enumerate(boxes) if b[0][0] == 200][0]
-    held = json.decode(json.encode(asked(fleet, "c2", "/v1/config")[1]))["configs"]
+    held = json.decode(json.encode(call_daemon(fleet, "c2", "/v1/config")[1]))["configs"]
     assert f"tenants/racer{won}" in held and f"tenants/racer{1 - won}" not in held
-    assert asked(fleet, "e1", "/v1/config", "PUT", WHOLE)[0] == 200
+    assert call_daemon(fleet, "e1", "/v1/config", "PUT", WHOLE)[0] == 200
 
 
 def test_a_template_in_use_can_not_be_removed(fleet):
-    status, said = asked(fleet, "e1", "/v1/config/templates/clerks", "DELETE")
+    status, said = call_daemon(fleet, "e1", "/v1/config/templates/clerks", "DELETE")
     assert (status, said["error"]["type"]) == (409, "ConfigInUse")
-    assert asked(fleet, "e1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])[0] == 200
-    assert asked(fleet, "e2", "/v1/config/templates/spare", "DELETE")[0] == 200
-    assert asked(fleet, "e1", "/v1/config/templates/spare", "DELETE")[0] == 404
-    status, said = asked(fleet, "c1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])
+    assert call_daemon(fleet, "e1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])[0] == 200
+    assert call_daemon(fleet, "e2", "/v1/config/templates/spare", "DELETE")[0] == 200
+    assert call_daemon(fleet, "e1", "/v1/config/templates/spare", "DELETE")[0] == 404
+    status, said = call_daemon(fleet, "c1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])
     assert (status, said["version"]) == (200, 3)
-    assert asked(fleet, "e1", "/v1/config", "PUT", WHOLE)[0] == 200
+    assert call_daemon(fleet, "e1", "/v1/config", "PUT", WHOLE)[0] == 200
 
 
 def test_a_rollback_is_a_new_version_with_the_old_body(fleet):
     path = "/v1/config/tenants/tamar"
-    first = asked(fleet, "e1", path)[1]
+    first = call_daemon(fleet, "e1", path)[1]
     for retention_ms in (700000, 800000):
-        assert asked(fleet, "e1", path, "PATCH", {"parameters": {"retention_ms": retention_ms}})[0] == 200
-    versions = asked(fleet, "s1", path + "/history")[1]["versions"]
+        assert call_daemon(fleet, "e1", path, "PATCH", {"parameters": {"retention_ms": retention_ms}})[0] == 200
+    versions = call_daemon(fleet, "s1", path + "/history")[1]["versions"]
     assert [v["version"] for v in versions][-3:] == [first["version"] + n for n in range(3)]
-    status, said = asked(fleet, "e2", path + "/rollback", "POST", {"version": first["version"]})
+    status, said = call_daemon(fleet, "e2", path + "/rollback", "POST", {"version": first["version"]})
     assert (status, said["version"]) == (200, first["version"] + 3)
-    assert asked(fleet, "c1", path)[1]["document"] == first["document"]
-    assert asked(fleet, "e2", path + "/rollback", "POST", {"version": 99})[0] == 404
+    assert call_daemon(fleet, "c1", path)[1]["document"] == first["document"]
+    assert call_daemon(fleet, "e2", path + "/rollback", "POST", {"version": 99})[0] == 404
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -8,26 +8,26 @@
 from frostpost.testbed.templates import TEMPLATES
 
 
-def raised(seed=1, **facts):
+def started_fleet(seed=1, **facts):
     fleet = fleets.make(seed, **facts)
     assert whole.settled(fleet, 12000) and whole.stamp_all(fleet)
     return fleet
 
 
-def later(fleet, wait_ms):
+def advance(fleet, wait_ms):
     fleets.run(fleet, fleets.clock_ms(fleet) + wait_ms)
 
 
-def asked(fleet, name, path, method="GET", document=None, wait_ms=8000):
-    box = fleet_calls.call(fleet, name, path, method, document)
-    while not box and wait_ms > 0:
-        later(fleet, 50)
+def call_daemon(fleet, name, path, method="GET", document=None, wait_ms=8000):
+    replies = fleet_calls.call(fleet, name, path, method, document)
+    while not replies and wait_ms > 0:
+        advance(fleet, 50)
         wait_ms -= 50
-    status, raw = box[0] if box else (0, b"")
+    status, raw = replies[0] if replies else (0, b"")
     return status, json.decode(raw) if raw[:1] == b"{" and raw.count(b"\n") == 0 else raw
 
 
-class Slow(Protocol):
+class PausedReader(Protocol):
     def connectionMade(self):
         self.data, self.whole = bytearray(), False
         self.factory.made.append(self)
@@ -38,96 +38,96 @@
         self.data += data
 
 
-def slow_read(fleet):
-    factory = Factory.forProtocol(Slow)
+def read_slowly_during_shutdown(fleet):
+    factory = Factory.forProtocol(PausedReader)
     factory.made = []
     host = fleet.daemons["e1"].host.address
     TCP4ClientEndpoint(fleet.callers, host, fleets.HTTP).connect(factory)
-    later(fleet, 100)
+    advance(fleet, 100)
     fleets.warn(fleet, "e1")
-    later(fleet, 3000)
+    advance(fleet, 3000)
     reader = factory.made[0]
     reader.transport.resumeProducing()
-    later(fleet, 3000)
+    advance(fleet, 3000)
     return len(reader.data) > 600000 and bytes(reader.data).endswith(b"0\r\n\r\n"), fleet.daemons["e1"].exits
 
 
-def enlarged():
-    fleet = raised()
+def fleet_with_large_template():
+    fleet = started_fleet()
     template = {**TEMPLATES["clerks"], "notes": {"n": "x" * 600000}}
-    assert asked(fleet, "e2", "/v1/config/templates/clerks", "PUT", template)[0] == 200
-    later(fleet, 500)
+    assert call_daemon(fleet, "e2", "/v1/config/templates/clerks", "PUT", template)[0] == 200
+    advance(fleet, 500)
     return fleet
 
 
-def test_a_slow_reader_of_a_control_call_is_not_cut_by_a_planned_leave():
-    assert slow_read(enlarged()) == (True, [0])
+def test_planned_shutdown_completes_the_response_to_a_slow_reader():
+    assert read_slowly_during_shutdown(fleet_with_large_template()) == (True, [0])
 
 
-def test_the_same_is_cut_when_the_leave_waits_for_nothing():
+def test_shutdown_without_drain_cuts_the_response_to_a_slow_reader():
     with planted("leave_early"):
-        assert not slow_read(enlarged())[0]
+        assert not read_slowly_during_shutdown(fleet_with_large_template())[0]
 
 
-def served(fleet, door):
-    return asked(fleet, door, "/v1/tenants/hlidar/routes/flags/lookups", "POST", {"input": "x"})[0]
+def lookup_status(fleet, daemon):
+    return call_daemon(fleet, daemon, "/v1/tenants/hlidar/routes/flags/lookups", "POST", {"input": "x"})[0]
 
 
-def extend(fleet, name, role, seeds, zone="b"):
+def start_daemon(fleet, name, role, seeds, zone="b"):
     host = fleets.add_host(fleet, name, zone)
     fleets.add(fleet, name, role, zone, host, seeds, ["s1", "s2", "s3"], {})
     fleets.start(fleet, name)
     return f"{host.address}:{fleets.PORT}"
 
 
-def address(fleet, name):
+def inner_address(fleet, name):
     return f"{fleet.daemons[name].host.address}:{fleets.PORT}"
 
 
-def reseed(fleet, name, seeds):
+def replace_seeds(fleet, name, seeds):
     daemon = fleet.daemons[name]
     daemon.settings = daemon.settings.__class__(
         **{f: getattr(daemon.settings, f) for f in daemon.settings.__struct_fields__} | {"seeds": seeds}
     )
 
 
-def test_a_new_daemon_seeded_by_edges_alone_joins_and_serves():
-    fleet = raised()
-    extend(fleet, "e9", "edge", [address(fleet, "e1"), address(fleet, "e2")])
-    assert whole.settled(fleet, 8000) and served(fleet, "e9") == 200
+def test_daemon_with_only_edges_as_seeds_joins_and_serves():
+    fleet = started_fleet()
+    start_daemon(fleet, "e9", "edge", [inner_address(fleet, "e1"), inner_address(fleet, "e2")])
+    assert whole.settled(fleet, 8000) and lookup_status(fleet, "e9") == 200
 
 
-def test_a_daemon_none_of_whose_seeds_live_is_found_by_the_others():
-    fleet = raised()
-    reseed(fleet, "e2", ["127.1.9.1:7000", "127.1.9.2:7000", "127.1.9.3:7000"])
+def test_daemon_with_unreachable_seeds_is_found_by_the_others():
+    fleet = started_fleet()
+    replace_seeds(fleet, "e2", ["127.1.9.1:7000", "127.1.9.2:7000", "127.1.9.3:7000"])
     fleets.kill(fleet, "e2")
-    later(fleet, 1500)
+    advance(fleet, 1500)
     fleets.start(fleet, "e2")
-    assert whole.settled(fleet, 8000) and served(fleet, "e2") == 200
+    assert whole.settled(fleet, 8000) and lookup_status(fleet, "e2") == 200
 
 
-def test_all_three_seeds_are_replaced_while_the_fleet_runs():
-    fleet = raised(storages=3, cores=2)
-    old = [n for n in ("s1", "s2", "s3")]
-    fresh = [extend(fleet, n, "core", [address(fleet, "e1")]) for n in ("c7", "c8", "c9")]
+def test_all_seeds_are_replaced_while_the_fleet_runs():
+    fleet = started_fleet(storages=3, cores=2)
+    old_voters = [n for n in ("s1", "s2", "s3")]
+    new_seeds = [start_daemon(fleet, n, "core", [inner_address(fleet, "e1")]) for n in ("c7", "c8", "c9")]
     assert whole.settled(fleet, 8000)
     for name in fleet.daemons:
-        reseed(fleet, name, fresh)
+        replace_seeds(fleet, name, new_seeds)
         fleets.warn(fleet, name)
-        later(fleet, 2500)
+        advance(fleet, 2500)
         assert fleet.daemons[name].exits[-1] == 0
         fleets.start(fleet, name)
         assert whole.settled(fleet, 8000)
-    assert served(fleet, "e1") == 200
-    assert set(fleet.daemons["e1"].ctx.core.ledger.voters) == set(old)
+    assert lookup_status(fleet, "e1") == 200
+    assert set(fleet.daemons["e1"].ctx.core.ledger.voters) == set(old_voters)
 
 
-def test_everything_down_with_one_disk_gone_in_the_same_blow():
-    fleet = raised()
+def test_fleet_recovers_from_power_loss_of_all_daemons_with_one_disk_lost():
+    fleet = started_fleet()
     turn = {"program": "p", "input": "x"}
     path = "/v1/tenants/hlidar/routes/check/turns"
-    assert asked(fleet, "e1", path, "POST", turn)[0] == 200
-    before = asked(fleet, "e2", "/v1/tenants/hlidar/programs/p")[1]["history"]
+    assert call_daemon(fleet, "e1", path, "POST", turn)[0] == 200
+    history = call_daemon(fleet, "e2", "/v1/tenants/hlidar/programs/p")[1]["history"]
     for name in fleet.daemons:
         fleets.kill(fleet, name, True)
     fleet.daemons["s2"].drive.names.clear()
@@ -136,49 +136,51 @@
         fleets.start(fleet, name)
     start_ms = fleets.clock_ms(fleet)
     assert whole.settled(fleet, 12000) and fleets.clock_ms(fleet) - start_ms < 12000
-    assert asked(fleet, "e1", "/v1/tenants/hlidar/programs/p")[1]["history"] == before and len(before) == 1
-    assert served(fleet, "e2") == 200
+    assert call_daemon(fleet, "e1", "/v1/tenants/hlidar/programs/p")[1]["history"] == history and len(history) == 1
+    assert lookup_status(fleet, "e2") == 200
 
 
-def test_ends_are_taken_when_the_window_is_full():
-    fleet = raised(bounds={"window": 1})
+def test_turn_ends_are_accepted_while_the_window_is_full():
+    fleet = started_fleet(bounds={"window": 1})
     ctx = fleet.daemons["e1"].ctx
-    hold, send = {"hold": False}, ctx.links["send"]
+    state, send = {"hold": False}, ctx.links["send"]
     ctx.links["send"] = lambda to, body: (
-        None if hold["hold"] and type(body).__name__ == "SubmitRequest" else send(to, body)
+        None if state["hold"] and type(body).__name__ == "SubmitRequest" else send(to, body)
     )
     path, ledger = "/v1/tenants/hlidar/routes/check/turns", fleet.daemons["s1"].ctx.core
-    boxes = [fleet_calls.call(fleet, "e1", path, "POST", {"program": "p1", "input": "x"})]
+    replies_of = [fleet_calls.call(fleet, "e1", path, "POST", {"program": "p1", "input": "x"})]
     while not ledger.ledger.reservations:
-        later(fleet, 2)
-    hold["hold"] = True
-    boxes.append(fleet_calls.call(fleet, "e1", path, "POST", {"program": "p2", "input": "x"}))
-    later(fleet, 500)
+        advance(fleet, 2)
+    state["hold"] = True
+    replies_of.append(fleet_calls.call(fleet, "e1", path, "POST", {"program": "p2", "input": "x"}))
+    advance(fleet, 500)
     assert len(ctx.core.synchrony.outbox) == 2
-    hold["hold"] = False
-    later(fleet, 8000)
-    assert [b[0][0] for b in boxes] == [200, 200]
+    state["hold"] = False
+    advance(fleet, 8000)
+    assert [b[0][0] for b in replies_of] == [200, 200]
     assert not ledger.ledger.reservations and not ledger.ledger.running
 
 
-def test_a_stopped_reader_pauses_the_runner_and_is_given_up_in_time():
-    fleet = raised()
+def test_stopped_reader_pauses_the_runner_and_is_aborted_at_its_deadline():
+    fleet = started_fleet()
     for runner in fleet.backs.values():
         runner.flood = 20000
-    assert asked(fleet, "e1", "/v1/config/tenants/hlidar", "PATCH", {"parameters": {"check_output": 100}})[0] == 200
-    factory = Factory.forProtocol(Stopped)
+    assert (
+        call_daemon(fleet, "e1", "/v1/config/tenants/hlidar", "PATCH", {"parameters": {"check_output": 100}})[0] == 200
+    )
+    factory = Factory.forProtocol(StoppedReader)
     factory.made = []
     TCP4ClientEndpoint(fleet.callers, fleet.daemons["e1"].host.address, fleets.HTTP).connect(factory)
-    later(fleet, 1500)
+    advance(fleet, 1500)
     wire = factory.made[0].transport.other
     assert wire.out_bytes < 400000
     assert fleet.daemons["e1"].ctx.requests_in_flight == 1
-    later(fleet, 9000)
+    advance(fleet, 9000)
     assert fleet.daemons["e1"].ctx.requests_in_flight == 0
     assert not fleet.daemons["s1"].ctx.core.ledger.reservations
 
 
-class Stopped(Protocol):
+class StoppedReader(Protocol):
     def connectionMade(self):
         self.factory.made.append(self)
         body = b'{"program": "p", "input": "x"}'
