--- a/frostpost/__main__.py
+++ b/frostpost/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command as `python -m frostpost`."""
+"""Entry point of `python -m frostpost`."""
 
 import sys
 
--- a/frostpost/command.py
+++ b/frostpost/command.py
@@ -1,4 +1,4 @@
-"""The command `frostpost`: one subcommand for each thing that is run by hand."""
+"""The command line interface of `frostpost` and its subcommands."""
 
 import sys
 from importlib import import_module
@@ -11,8 +11,8 @@
 from frostpost.simulator.arguments import Simulate
 from frostpost.testbed.arguments import Fleet, Proof
 
-# What runs each subcommand; imported only when it is asked for, since some install an event loop.
-RUNNERS = {
+# Module and function of each subcommand; imported on use, since some modules install an event loop.
+ENTRY_POINTS = {
     Serve: ("frostpost.app.serve", "serve"),
     Admin: ("frostpost.admin.commands", "run"),
     Doctor: ("frostpost.admin.commands", "run_doctor"),
@@ -24,16 +24,16 @@
 
 @cappa.command(name="frostpost", help="A serving tier for agent programs: daemons, operators' commands, simulation.")
 class Frostpost(Struct):
-    """Arguments of the command: one of its subcommands."""
+    """Arguments of the command line."""
 
     command: cappa.Subcommands[Serve | Admin | Doctor | Fleet | Proof | Simulate]
 
 
-def main(words=None):
-    """Run the command line; returns the exit status."""
-    command = cappa.parse(Frostpost, argv=words).command
-    module, name = RUNNERS[type(command)]
-    return getattr(import_module(module), name)(command)
+def main(arguments=None):
+    """Run the subcommand in the arguments, by default those of the process; returns the exit status."""
+    command = cappa.parse(Frostpost, argv=arguments).command
+    module, function = ENTRY_POINTS[type(command)]
+    return getattr(import_module(module), function)(command)
 
 
 if __name__ == "__main__":
