--- a/frostpost/app/assembly.py
+++ b/frostpost/app/assembly.py
@@ -15,9 +15,9 @@
 from frostpost.daemon.event_loop import TICK_MS, tick_periodically
 from frostpost.daemon.frames import listen, make_links
 from frostpost.daemon.structured_log import log_event
-from frostpost.http_api.app import build
+from frostpost.http_api.app import build_site
 from frostpost.http_api.http_client import http_agent
-from frostpost.http_api.lookups import wake
+from frostpost.http_api.lookups import wake_key_waiters
 from frostpost.tenant_config.body_store import BodyStore
 from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.endpoints import PROTOCOL_REVISION, Endpoint, Member
@@ -89,7 +89,7 @@
             log_event(type(error).__name__, path=error.path, offset=error.offset)
 
     def on_applied():
-        wake(ctx)
+        wake_key_waiters(ctx)
         if ctx.effective_config_index < ctx.core.ledger.config_index:
             reactor.callLater(0, config_bodies.activate_configuration, ctx)
 
@@ -104,7 +104,7 @@
     ctx.core, out = create_core(endpoint, settings.bounds, seeds, settings.voters, replay(records), clock_ms(ctx))
     ctx.core.synchrony.status = config_bodies.status_vector(ctx)
     ctx.disk.write(out.writes)
-    return ctx, build(ctx)
+    return ctx, build_site(ctx)
 
 
 def start_daemon(ctx, site, process, on_failure):
--- a/frostpost/http_api/__init__.py
+++ b/frostpost/http_api/__init__.py
@@ -1,1 +1,1 @@
-"""The own HTTP interface: turns, lookups, configuration and status."""
+"""The daemon's HTTP interface: turns, lookups, configuration and status."""
--- a/frostpost/http_api/app.py
+++ b/frostpost/http_api/app.py
@@ -1,4 +1,4 @@
-"""The HTTP site: paths, request lifecycle, and how results become responses."""
+"""The HTTP site: paths, the lifecycle of requests, and the encoding of results as responses."""
 
 from klein import Klein
 from msgspec import json
@@ -8,27 +8,27 @@
 from frostpost.daemon.context import clock_ms, count
 from frostpost.daemon.structured_log import log_event
 
-from . import calls, control, errors, reads, voting
+from . import calls, control, errors, read_endpoints, voter_changes
 from .lookups import lookup
 from .turns import turn
 
 
-def refuse(request, error, request_id):
-    """Write an error response, with Retry-After where another try makes sense, and return its body."""
+def error_response(request, error, request_id):
+    """Set status and headers of an error response and return its body; Retry-After is set for retryable errors."""
     request.setResponseCode(error.status)
     request.setHeader("content-type", "application/json")
     request.setHeader("x-request", request_id)
-    retry = errors.retry_after(error)
-    if retry:
-        request.setHeader("retry-after", retry)
+    retry_after = errors.retry_after(error)
+    if retry_after:
+        request.setHeader("retry-after", retry_after)
     if isinstance(error, errors.Leaving):
         request.setHeader("connection", "close")
         if request.channel is not None:
             request.channel.persistent = False
-    return errors.body(error, request_id)
+    return errors.encode_error(error, request_id)
 
 
-def answer(request, document, request_id=""):
+def json_response(request, document, request_id=""):
     """Set the headers of a successful response and return its JSON body."""
     request.setHeader("content-type", "application/json")
     if request_id:
@@ -36,28 +36,28 @@
     return json.encode(document)
 
 
-def watch_caller(call):
-    """Stop the call's work when its client closes the connection."""
+def watch_disconnect(call):
+    """Cancel a call when its client closes the connection."""
 
-    def gone(_):
-        call.gone = True
-        if call.stop:
-            call.stop()
+    def on_disconnect(_):
+        call.client_gone = True
+        if call.cancel:
+            call.cancel()
 
-    call.request.notifyFinish().addErrback(gone)
+    call.request.notifyFinish().addErrback(on_disconnect)
 
 
 @inlineCallbacks
-def serve(ctx, call, handler):
+def run_call(ctx, call, handler):
     """Admit a call, run its handler, and log and count the result; returns an error or None."""
     error = calls.admit(ctx, call)
     if error is None:
         ctx.requests_in_flight += 1
-        watch_caller(call)
+        watch_disconnect(call)
         try:
             result = yield handler(ctx, call)
-        except Exception as broken:
-            log_event("Internal", request=call.id, type=type(broken).__name__, text=str(broken)[:200])
+        except Exception as exception:
+            log_event("Internal", request=call.id, type=type(exception).__name__, text=str(exception)[:200])
             result = errors.Internal()
         finally:
             ctx.requests_in_flight -= 1
@@ -76,126 +76,128 @@
 
 @inlineCallbacks
 def serve_turn(ctx, request, tenant, route):
-    """Serve a turn; an error after the first piece becomes the last line of the stream."""
-    call = calls.make(ctx, "turns", tenant, route, request)
-    error = yield serve(ctx, call, turn)
-    if call.gone:
+    """Serve a turn; an error after the first piece is sent as the last line of the stream."""
+    call = calls.create_call(ctx, "turns", tenant, route, request)
+    error = yield run_call(ctx, call, turn)
+    if call.client_gone:
         return b""
     if error is None:
         return b""
-    if call.emitted:
-        return errors.body(error, call.id) + b"\n"
-    return refuse(request, error, call.id)
+    if call.pieces_sent:
+        return errors.encode_error(error, call.id) + b"\n"
+    return error_response(request, error, call.id)
 
 
 @inlineCallbacks
 def serve_lookup(ctx, request, tenant, route):
     """Serve a lookup."""
-    call = calls.make(ctx, "lookups", tenant, route, request)
-    box = []
+    call = calls.create_call(ctx, "lookups", tenant, route, request)
+    results = []
 
     @inlineCallbacks
     def handler(ctx, call):
         result = yield lookup(ctx, call)
         if result.is_error():
             return result.error
-        box.append(result.ok)
+        results.append(result.ok)
         return None
 
-    error = yield serve(ctx, call, handler)
-    if call.gone:
+    error = yield run_call(ctx, call, handler)
+    if call.client_gone:
         return b""
     if error is not None:
-        return refuse(request, error, call.id)
-    return answer(request, {"result": box[0], "request": call.id}, call.id)
+        return error_response(request, error, call.id)
+    return json_response(request, {"result": results[0], "request": call.id}, call.id)
 
 
-class Bounded(Request):
-    """A request whose body may not be longer than a configuration."""
+class BoundedRequest(Request):
+    """A request whose body is limited to the largest allowed configuration."""
 
-    most_config, ctx = 64 << 20, None
+    max_body_bytes, ctx = 64 << 20, None
 
     def gotLength(self, length):
-        """Refuse a declared length over the bound before the body is read."""
-        self.too_long = length is not None and length > self.most_config
+        """Mark a request whose declared length exceeds the limit, before its body is read."""
+        self.too_long = length is not None and length > self.max_body_bytes
         super().gotLength(0 if self.too_long else length)
 
     def handleContentChunk(self, data):
-        """Read the body up to the bound."""
-        self.took = getattr(self, "took", 0) + len(data)
-        if self.took <= self.most_config:
+        """Buffer the body up to the limit and discard the rest."""
+        self.received_bytes = getattr(self, "received_bytes", 0) + len(data)
+        if self.received_bytes <= self.max_body_bytes:
             super().handleContentChunk(data)
         else:
             self.too_long = True
 
     def process(self):
-        """Refuse an oversized request, or count it and serve it."""
+        """Refuse an oversized request; serve any other and count it as open until it ends."""
         if getattr(self, "too_long", False):
-            body = refuse(self, errors.TooLong(self.most_config), "")
+            body = error_response(self, errors.TooLong(self.max_body_bytes), "")
             self.setHeader("connection", "close")
             self.write(body)
             self.finish()
             return
         self.ctx.open_requests += 1
-        self.notifyFinish().addBoth(self.over)
+        self.notifyFinish().addBoth(self.on_finished)
         super().process()
 
-    def over(self, _):
+    def on_finished(self, _):
         """Count the request as ended."""
         self.ctx.open_requests -= 1
 
 
-class Door(Site):
-    """The HTTP site; it keeps the open channels so that a leaving daemon can close them."""
+class TrackingSite(Site):
+    """A site that tracks its open channels, so that they can be closed on shutdown."""
 
     ctx = None
 
     def buildProtocol(self, addr):
-        """Make a channel that is registered while it is connected."""
+        """Create a channel that is registered while it is connected."""
         channel = super().buildProtocol(addr)
-        lost, made = channel.connectionLost, channel.makeConnection
+        connection_lost, make_connection = channel.connectionLost, channel.makeConnection
 
         def makeConnection(transport):
             self.ctx.connections[channel] = transport
-            return made(transport)
+            return make_connection(transport)
 
         def connectionLost(reason):
             self.ctx.connections.pop(channel, None)
-            return lost(reason)
+            return connection_lost(reason)
 
         channel.connectionLost, channel.makeConnection = connectionLost, makeConnection
         return channel
 
 
-def build(ctx):
-    """Return the site with all paths of the interface."""
+def build_site(ctx):
+    """Return the site with all paths of the HTTP interface."""
     app = Klein()
 
     @app.route("/v1/tenants/<tenant>/routes/<route>/turns", methods=["POST"])
-    def turns(request, tenant, route):
+    def post_turn(request, tenant, route):
         return serve_turn(ctx, request, tenant, route)
 
     @app.route("/v1/tenants/<tenant>/routes/<route>/lookups", methods=["POST"])
-    def lookups(request, tenant, route):
+    def post_lookup(request, tenant, route):
         return serve_lookup(ctx, request, tenant, route)
 
-    control.routes(app, ctx, answer, refuse)
-    reads.routes(app, ctx, answer, refuse)
-    voting.routes(app, ctx, answer, refuse)
+    control.add_routes(app, ctx, json_response, error_response)
+    read_endpoints.add_routes(app, ctx, json_response, error_response)
+    voter_changes.add_routes(app, ctx, json_response, error_response)
 
     @app.handle_errors(Exception)
-    def broken(request, failure):
+    def handle_exception(request, failure):
         code = getattr(failure.value, "code", 500)
         if code == 404:
-            return refuse(request, errors.NoSuch("there is nothing at this path"), "")
+            return error_response(request, errors.NoSuch("there is nothing at this path"), "")
         if code == 405:
-            return refuse(request, errors.WrongMethod(), "")
+            return error_response(request, errors.WrongMethod(), "")
         log_event("Internal", type=failure.type.__name__, text=failure.getErrorMessage()[:200])
-        return refuse(request, errors.Internal(), "")
+        return error_response(request, errors.Internal(), "")
 
-    site = Door(app.resource(), timeout=75, reactor=ctx.reactor)
+    site = TrackingSite(app.resource(), timeout=75, reactor=ctx.reactor)
     site.ctx = ctx
-    bounded = type("Bounded", (Bounded,), {"most_config": ctx.settings.doors.config_bytes, "ctx": ctx})
-    site.requestFactory = bounded
+    request_class = type(
+        "BoundedRequest", (BoundedRequest,), {"max_body_bytes": ctx.settings.doors.config_bytes, "ctx": ctx}
+    )
+    site.requestFactory = request_class
     site.displayTracebacks = False
     return site
--- a/frostpost/http_api/calls.py
+++ b/frostpost/http_api/calls.py
@@ -1,4 +1,4 @@
-"""A request on its way in: body checks and the chain of admission filters."""
+"""Admission of turns and lookups: body checks and the admission filters in their order."""
 
 from json import JSONDecodeError, loads
 
@@ -10,9 +10,9 @@
 
 from . import errors
 
-SHARES = {"urgent": 1.0, "normal": 0.8, "batch": 0.6}
-BUSY = 0.05
-LAGS = {"urgent": 4.0, "normal": 1.0, "batch": 0.6}
+IN_FLIGHT_FRACTIONS = {"urgent": 1.0, "normal": 0.8, "batch": 0.6}
+MIN_LAG_SHEDDING_FRACTION = 0.05
+LAG_FACTORS = {"urgent": 4.0, "normal": 1.0, "batch": 0.6}
 
 
 class DuplicateFieldError(ValueError):
@@ -20,38 +20,42 @@
 
 
 class Call(Struct):
-    """A turn or lookup that is being served; times in milliseconds."""
+    """A turn or lookup that is being served; times in milliseconds.
+
+    cancel: function that stops the work when the client disconnects, or None. may_proceed: checked just before the
+    request is written to a runner, or None. pieces_sent: pieces of the output written to the client.
+    """
 
     id: str
     kind: str
     tenant: str
     route_name: str
     started_ms: int
-    raw: bytes = b""
+    raw_body: bytes = b""
     document: dict = {}
     route: object = None
     deadline_ms: int = 0
-    gone: bool = False
-    stop: object = None
-    still: object = None
+    client_gone: bool = False
+    cancel: object = None
+    may_proceed: object = None
     request: object = None
-    emitted: int = 0
+    pieces_sent: int = 0
 
 
-def single(pairs):
-    """Return an object's fields, or raise DuplicateFieldError."""
-    found = {}
+def unique_fields(pairs):
+    """Return the fields of an object; raises DuplicateFieldError for a repeated name."""
+    fields_by_name = {}
     for key, value in pairs:
-        if key in found:
+        if key in fields_by_name:
             raise DuplicateFieldError(key)
-        found[key] = value
-    return found
+        fields_by_name[key] = value
+    return fields_by_name
 
 
-def parse(raw):
-    """Decode a JSON object; Error(BadBody) for anything else."""
+def parse_object(raw_body):
+    """Decode a JSON object; returns Error(BadBody) for anything else."""
     try:
-        document = loads(raw, object_pairs_hook=single)
+        document = loads(raw_body, object_pairs_hook=unique_fields)
     except DuplicateFieldError as error:
         return Error(errors.BadBody(f"/{error}", "this field is there twice"))
     except (JSONDecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -61,48 +65,48 @@
     return Ok(document)
 
 
-FIELDS = {
+BODY_FIELDS = {
     "turns": {"program": (str, True), "input": (str, True), "deadline_ms": (int, False), "max_output": (int, False)},
     "lookups": {"input": (str, True), "key": (str, False), "deadline_ms": (int, False)},
 }
 
 
-def shaped(kind, document):
-    """Return BadBody for the first field of a body that has a wrong name, type or size, else None."""
-    fields = FIELDS[kind]
+def check_fields(kind, document):
+    """Return BadBody for the first field with an invalid name, type or size, else None."""
+    fields = BODY_FIELDS[kind]
     for name in document:
         if name not in fields:
             return errors.BadBody(f"/{name}", "is no known field")
-    for name, (type_, needed) in fields.items():
+    for name, (field_type, is_required) in fields.items():
         if name not in document:
-            if needed:
+            if is_required:
                 return errors.BadBody(f"/{name}", "is missing")
             continue
         value = document[name]
-        if not isinstance(value, type_) or isinstance(value, bool):
-            return errors.BadBody(f"/{name}", f"must be {type_.__name__}")
-        if type_ is int and value <= 0:
+        if not isinstance(value, field_type) or isinstance(value, bool):
+            return errors.BadBody(f"/{name}", f"must be {field_type.__name__}")
+        if field_type is int and value <= 0:
             return errors.BadBody(f"/{name}", "must be above 0")
         if name in ("program", "key") and not 0 < len(value) <= 200:
             return errors.BadBody(f"/{name}", "must have 1 to 200 characters")
     return None
 
 
-def filter_leaving(ctx, call):
-    """Refuse calls while the daemon is leaving."""
+def filter_shutting_down(ctx, call):
+    """Refuse calls while the daemon is shutting down."""
     return errors.Leaving() if ctx.shutting_down else None
 
 
 def filter_body(ctx, call):
-    """Read and check the body."""
-    most = ctx.settings.doors.body_bytes
-    if len(call.raw) > most:
-        return errors.TooLong(most)
-    result = parse(call.raw)
+    """Parse and check the body."""
+    max_bytes = ctx.settings.doors.body_bytes
+    if len(call.raw_body) > max_bytes:
+        return errors.TooLong(max_bytes)
+    result = parse_object(call.raw_body)
     if result.is_error():
         return result.error
     call.document = result.ok
-    return shaped(call.kind, call.document)
+    return check_fields(call.kind, call.document)
 
 
 def filter_serving(ctx, call):
@@ -117,13 +121,13 @@
 def filter_route(ctx, call):
     """Find the route that the path names."""
     call.route = ctx.routes.get((call.tenant, call.route_name))
-    wanted = {"turns": "turn", "lookups": "lookup"}[call.kind]
-    if call.route is None or call.route.kind != wanted:
-        return errors.NoRoute(f"tenant {call.tenant} has no {wanted} route {call.route_name}")
+    required_kind = {"turns": "turn", "lookups": "lookup"}[call.kind]
+    if call.route is None or call.route.kind != required_kind:
+        return errors.NoRoute(f"tenant {call.tenant} has no {required_kind} route {call.route_name}")
     return None
 
 
-def filter_key(ctx, call):
+def filter_idempotency_key(ctx, call):
     """Check that an idempotency key is given where the route needs one, and nowhere else."""
     if call.route.repeat == "keyed" and call.kind == "lookups" and "key" not in call.document:
         return errors.BadBody("/key", "this route needs a key")
@@ -133,46 +137,57 @@
 
 
 def filter_deadline(ctx, call):
-    """Set the call's deadline: the lower of the route's and the caller's."""
+    """Set the call's deadline to the lower of the route's and the client's; refuse a call past it."""
     call.deadline_ms = min(call.document.get("deadline_ms", call.route.deadline_ms), call.route.deadline_ms)
     return errors.DeadlineExceeded() if remaining_ms(ctx, call) <= 0 else None
 
 
-def filter_crowd(ctx, call):
-    """Refuse calls by urgency when too many are in flight or the event loop lags."""
+def filter_overload(ctx, call):
+    """Refuse calls when too many are in flight or the event loop lags; less urgent calls are refused first."""
     doors, urgency = ctx.settings.doors, call.route.urgency
-    if ctx.requests_in_flight >= SHARES[urgency] * doors.in_flight:
+    if ctx.requests_in_flight >= IN_FLIGHT_FRACTIONS[urgency] * doors.in_flight:
         return errors.Crowded()
-    if ctx.requests_in_flight >= BUSY * doors.in_flight and ctx.lag_ms >= LAGS[urgency] * doors.lag_ms:
+    if (
+        ctx.requests_in_flight >= MIN_LAG_SHEDDING_FRACTION * doors.in_flight
+        and ctx.lag_ms >= LAG_FACTORS[urgency] * doors.lag_ms
+    ):
         return errors.Crowded()
     return None
 
 
-CHAIN = (filter_leaving, filter_serving, filter_route, filter_crowd, filter_body, filter_key, filter_deadline)
+ADMISSION_FILTERS = (
+    filter_shutting_down,
+    filter_serving,
+    filter_route,
+    filter_overload,
+    filter_body,
+    filter_idempotency_key,
+    filter_deadline,
+)
 
 
 def remaining_ms(ctx, call):
-    """Return the milliseconds that are left until the call's deadline."""
+    """Return the milliseconds until the call's deadline; negative after it."""
     return call.deadline_ms - (clock_ms(ctx) - call.started_ms)
 
 
 def admit(ctx, call):
     """Run the filters in order; return the first error, or None."""
-    for filter_ in CHAIN:
-        error = filter_(ctx, call)
+    for admission_filter in ADMISSION_FILTERS:
+        error = admission_filter(ctx, call)
         if error is not None:
             return error
     return None
 
 
-def body_of(request):
+def parse_body(request):
     """Parse the body of a request."""
     request.content.seek(0)
-    return parse(request.content.read())
+    return parse_object(request.content.read())
 
 
-def make(ctx, kind, tenant, route, request):
-    """Make a Call of a request."""
+def create_call(ctx, kind, tenant, route, request):
+    """Create the Call for a request; its id is the client's X-Request header or a new token."""
     request.content.seek(0)
     return Call(
         request.getHeader("x-request") or ctx.machine.token(8),
@@ -180,6 +195,6 @@
         tenant,
         route,
         clock_ms(ctx),
-        raw=request.content.read(),
+        raw_body=request.content.read(),
         request=request,
     )
--- a/frostpost/http_api/errors.py
+++ b/frostpost/http_api/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the own HTTP interface: each class has its status code, text and when to come back."""
+"""Errors of the daemon's HTTP interface, each with its status code, text and retry delay."""
 
 from msgspec import Struct, json, structs
 
@@ -31,7 +31,7 @@
 
 
 class RunnersFull(Struct, frozen=True, tag="RunnersFull"):
-    """No runner that the route may use has room."""
+    """No runner that the route may use has a free slot."""
 
     text: str = "no runner that this route may use has room; nothing was run"
     status: int = 503
@@ -55,7 +55,7 @@
 
 
 class BadBody(Struct, frozen=True, tag="BadBody"):
-    """The request's body is not valid; path: where, as a JSON pointer."""
+    """The request's body is not valid; path: JSON pointer to the invalid field."""
 
     path: str
     text: str
@@ -63,7 +63,7 @@
 
 
 class TooLong(Struct, frozen=True, tag="TooLong"):
-    """The body is longer than allowed; most: bytes."""
+    """The body is longer than allowed; most: the limit in bytes."""
 
     most: int
     text: str = "the body is too long"
@@ -78,14 +78,14 @@
 
 
 class NoSuch(Struct, frozen=True, tag="NoSuch"):
-    """There is nothing of that name."""
+    """There is no resource of that name."""
 
     text: str
     status: int = 404
 
 
 class WrongMethod(Struct, frozen=True, tag="WrongMethod"):
-    """The path does not take this method."""
+    """The path does not support this method."""
 
     text: str = "this path doesn't take this method"
     status: int = 405
@@ -101,7 +101,7 @@
 
 
 class TurnRunning(Struct, frozen=True, tag="TurnRunning"):
-    """The program has another turn running."""
+    """The program has another turn in progress."""
 
     text: str = "this program has another turn running; nothing was run"
     status: int = 409
@@ -109,7 +109,7 @@
 
 
 class ConfigMoved(Struct, frozen=True, tag="ConfigMoved"):
-    """The document is at another version than the caller expects."""
+    """The document's version is not the one that the client expects."""
 
     path: str
     version: int
@@ -118,7 +118,7 @@
 
 
 class ConfigInUse(Struct, frozen=True, tag="ConfigInUse"):
-    """A template that tenants use can't be removed."""
+    """The template is used by tenants and can't be removed."""
 
     path: str
     text: str
@@ -126,7 +126,7 @@
 
 
 class OlderRules(Struct, frozen=True, tag="OlderRules"):
-    """A daemon of an earlier version is still a member."""
+    """A daemon of an earlier software version is still a member."""
 
     text: str = "a daemon of the version before is still here; finish the roll-out first"
     status: int = 503
@@ -134,7 +134,7 @@
 
 
 class ConfigChanging(Struct, frozen=True, tag="ConfigChanging"):
-    """This daemon has not taken in the current configuration yet."""
+    """This daemon has not activated the current configuration yet."""
 
     text: str = "the configuration is just changing; nothing was run"
     status: int = 503
@@ -142,7 +142,7 @@
 
 
 class ConfigInvalid(Struct, frozen=True, tag="ConfigInvalid"):
-    """The document is not valid; every error with its path."""
+    """The document is not valid; errors: every error with its path."""
 
     errors: tuple
     text: str = "the configuration is not valid; nothing took effect"
@@ -150,7 +150,7 @@
 
 
 class ConfigUnknown(Struct, frozen=True, tag="ConfigUnknown"):
-    """It is not known whether every daemon honours the change."""
+    """It is not known whether every daemon has activated the change."""
 
     text: str = "not every daemon has confirmed the configuration; read it back before trying again"
     status: int = 504
@@ -172,7 +172,7 @@
 
 
 class RunnerError(Struct, frozen=True, tag="RunnerError"):
-    """The runner's answer is not valid."""
+    """The runner's response is not valid."""
 
     runner: str
     text: str
@@ -201,19 +201,19 @@
     status: int = 500
 
 
-def plain(error):
-    """Return an error's fields as a JSON object with its type."""
-    facts = {k: v for k, v in structs.asdict(error).items() if k != "status"}
-    return {"type": type(error).__name__, **facts}
+def to_dict(error):
+    """Return an error's fields, without the status code, and its type as a dict."""
+    fields = {k: v for k, v in structs.asdict(error).items() if k != "status"}
+    return {"type": type(error).__name__, **fields}
 
 
-def body(error, request_id):
-    """Return an error response's body."""
-    return json.encode({"error": plain(error), "request": request_id})
+def encode_error(error, request_id):
+    """Return the JSON body of an error response."""
+    return json.encode({"error": to_dict(error), "request": request_id})
 
 
 def retry_after(error):
-    """Return the Retry-After header in whole seconds, or None if another try makes no sense."""
+    """Return the Retry-After header in whole seconds, rounded up; None for an error that isn't retryable."""
     wait_ms = getattr(error, "retry_ms", None)
     if wait_ms is None:
         return None
--- a/frostpost/http_api/forward.py
+++ b/frostpost/http_api/forward.py
@@ -1,4 +1,4 @@
-"""One attempt at a runner: prove its identity, send the request under the lease, and hear the answer."""
+"""One attempt at a runner: verify its identity, send the request under the lease and read the response."""
 
 from collections.abc import Callable
 
@@ -15,229 +15,234 @@
 
 from .http_client import http_agent
 
-SAID_BYTES = 4096
+MAX_REPLY_BYTES = 4096
 
 
 class LeaseLostError(Exception):
-    """The lease, the runner or the call was lost before the request was written."""
+    """The lease, the runner or the call became invalid before the request was written."""
 
 
 class Stalled(Struct, frozen=True, tag="Stalled"):
-    """The runner was silent for too long after the request was sent."""
+    """The runner sent no data for too long, or the deadline passed, after the request was sent."""
 
     why: str
 
 
 class NeverSent(Struct, frozen=True, tag="NeverSent"):
-    """The request was not sent; it is safe to try elsewhere."""
+    """The request was not sent; another runner may be tried."""
 
     why: str
 
 
 class Refused(Struct, frozen=True, tag="Refused"):
-    """The runner refused the request and says that nothing ran."""
+    """The runner refused the request and reports that it did not run it."""
 
     status: int
 
 
 class Broken(Struct, frozen=True, tag="Broken"):
-    """The connection or the answer broke after the request was sent; it may have run."""
+    """The connection or the response failed after the request was sent; it may have run."""
 
     why: str
 
 
 class TooMuch(Struct, frozen=True, tag="TooMuch"):
-    """The answer was longer than allowed."""
+    """The response was longer than allowed; most: the bound in bytes."""
 
     most: int
 
 
 @implementer(IBodyProducer)
-class Guarded:
-    """The request's body; it is written only if lease, runner and call still stand at that moment."""
+class LeaseGuardedBody:
+    """A request body that is written only if lease, runner and call are still valid at that moment."""
 
     def __init__(self, ctx, attempt, data):
         self.ctx, self.attempt, self.data, self.length = ctx, attempt, data, len(data)
 
     def startProducing(self, consumer):
-        """Check lease, runner and call, then write the body at once."""
-        if self.attempt.gone or not holds_lease(self.ctx.core, clock_ms(self.ctx)):
+        """Check lease, runner and call, then write the body in the same turn of the event loop."""
+        if self.attempt.is_cancelled or not holds_lease(self.ctx.core, clock_ms(self.ctx)):
             return fail(LeaseLostError())
-        if not may_run(self.ctx, self.attempt.runner) or not self.attempt.still():
+        if not is_available(self.ctx, self.attempt.runner) or not self.attempt.may_proceed():
             return fail(LeaseLostError())
         self.attempt.sent = True
         consumer.write(self.data)
         return succeed(None)
 
     def stopProducing(self):
-        """Do nothing: the body is written at once."""
+        """Do nothing: the whole body is written by startProducing."""
         return None
 
     def pauseProducing(self):
-        """Do nothing: the body is written at once."""
+        """Do nothing: the whole body is written by startProducing."""
         return None
 
     def resumeProducing(self):
-        """Do nothing: the body is written at once."""
+        """Do nothing: the whole body is written by startProducing."""
         return None
 
 
-def may_run(ctx, runner):
-    """Tell whether a runner is listed as it was chosen and is not draining."""
-    held = ctx.core.ledger.runners.get(runner.name)
-    leaving = f"{runner.name}/{runner.instance}" in ctx.core.ledger.leaving
+def is_available(ctx, runner):
+    """Return whether a runner is still registered as it was when selected and is not draining."""
+    registered = ctx.core.ledger.runners.get(runner.name)
+    is_draining = f"{runner.name}/{runner.instance}" in ctx.core.ledger.leaving
     status = ctx.runner_health.get(runner.name)
-    reported = status is not None and status.leaving and status.instance == runner.instance
-    return held == runner and not leaving and not reported
+    reports_draining = status is not None and status.leaving and status.instance == runner.instance
+    return registered == runner and not is_draining and not reports_draining
 
 
-def unsent(reason):
-    """Tell whether a reason says that nothing ran."""
+def was_not_run(reason):
+    """Return whether an attempt that ended for this reason certainly did not run."""
     return isinstance(reason, (NeverSent, Refused))
 
 
-def ours(reason):
-    """Tell whether an attempt failed for a reason on this side."""
+def is_local_failure(reason):
+    """Return whether an attempt failed in this daemon before it reached the runner."""
     return isinstance(reason, NeverSent) and reason.why == "RequestGenerationFailed"
 
 
-def always():
-    """Return True: the default for a call that needs no further check."""
+def always_true():
+    """Return True; default for attempts without a further condition."""
     return True
 
 
 class Attempt(Struct):
-    """One attempt at a runner and what is known of its progress."""
+    """The state of one attempt at a runner; may_proceed is checked just before the request is written."""
 
     runner: object
-    still: Callable = always
+    may_proceed: Callable = always_true
     sent: bool = False
-    gone: bool = False
+    is_cancelled: bool = False
     ended: object = None
     protocol: object = None
     request: object = None
-    timer: object = None
-    held: bool = False
+    stall_timer: object = None
+    is_paused: bool = False
 
 
-class Hearing(Protocol):
-    """The body of a runner's answer, handed on as it arrives."""
+class ResponseReceiver(Protocol):
+    """Receives the body of a runner's response and passes it on as it arrives."""
 
-    def __init__(self, attempt, hear, ended, touch):
-        self.attempt, self.hear, self.ended, self.touch = attempt, hear, ended, touch
+    def __init__(self, attempt, on_data, ended, on_activity):
+        self.attempt, self.on_data, self.ended, self.on_activity = attempt, on_data, ended, on_activity
 
     def connectionMade(self):
-        """Start paused if the client reads slowly."""
-        if self.attempt.held:
+        """Pause at once if the client's flow control is already paused."""
+        if self.attempt.is_paused:
             self.transport.pauseProducing()
 
     def dataReceived(self, data):
-        """Hand on a piece and restart the silence timer."""
-        if not self.attempt.gone:
-            self.touch()
-            self.hear(data)
+        """Pass on a chunk and restart the stall timer."""
+        if not self.attempt.is_cancelled:
+            self.on_activity()
+            self.on_data(data)
 
     def connectionLost(self, reason):
-        """End the attempt, whole or broken."""
+        """End the attempt with None for a complete response, else with Broken."""
         if not self.ended.called:
-            whole = reason.check(ResponseDone)
-            self.ended.callback(None if whole else Broken(reason.type.__name__))
+            is_complete = reason.check(ResponseDone)
+            self.ended.callback(None if is_complete else Broken(reason.type.__name__))
 
 
 @inlineCallbacks
-def proved(ctx, attempt, client, base):
-    """Ask a runner who it is; Deferred of whether it is the one chosen and not draining."""
-    response = yield client.get(f"{base}/identity", unbuffered=True, allow_redirects=False)
-    raw = yield read_body(response, SAID_BYTES)
+def verify_identity(ctx, attempt, client, base_url):
+    """Query a runner's identity; returns whether it is the selected instance and is not draining."""
+    response = yield client.get(f"{base_url}/identity", unbuffered=True, allow_redirects=False)
+    raw = yield read_body(response, MAX_REPLY_BYTES)
     try:
-        said = json.decode(raw)
-        mine = (said["runner"], said["instance"]) == (attempt.runner.name, attempt.runner.instance)
-        return response.code == 200 and mine and not said.get("leaving", False)
+        document = json.decode(raw)
+        is_expected = (document["runner"], document["instance"]) == (attempt.runner.name, attempt.runner.instance)
+        return response.code == 200 and is_expected and not document.get("leaving", False)
     except (DecodeError, KeyError, TypeError, AttributeError):
         return False
 
 
-def never_ran(raw):
-    """Tell whether a refusal says that nothing ran."""
+def reports_not_run(raw):
+    """Return whether the body of a refusal states that the request did not run."""
     try:
         return json.decode(raw)["ran"] is False
     except (DecodeError, KeyError, TypeError):
         return False
 
 
-def start(ctx, attempt, path, document, hear, deadline_ms):
-    """Start an attempt; return (Deferred of the reason it ended or None if whole, stop function)."""
+def start_attempt(ctx, attempt, path, document, on_data, deadline_ms):
+    """Start an attempt; returns a Deferred and a function that stops the attempt with a reason.
+
+    The Deferred fires with the reason for the end, or with None after a complete response.
+    """
     ended, runner = Deferred(), attempt.runner
     attempt.ended = ended
     stall_ms = min(deadline_ms, ctx.settings.doors.stall_ms)
-    base = f"http://{runner.host}:{runner.port}"
-    pool, client = http_agent(ctx, most=1, persistent=True)
+    base_url = f"http://{runner.host}:{runner.port}"
+    pool, client = http_agent(ctx, max_connections=1, persistent=True)
 
-    def over(reason):
+    def end_attempt(reason):
         if not ended.called:
             ended.callback(reason)
 
     def stop(reason):
-        attempt.gone = True
+        attempt.is_cancelled = True
         if attempt.protocol is not None and attempt.protocol.transport is not None:
             attempt.protocol.transport.loseConnection()
         elif attempt.request is not None:
             attempt.request.cancel()
-        over(reason)
+        end_attempt(reason)
 
-    def silent(why):
-        stop(Stalled(why) if attempt.sent else NeverSent(why))
+    def on_timeout(cause):
+        stop(Stalled(cause) if attempt.sent else NeverSent(cause))
 
-    def touch():
-        if attempt.timer.active():
-            attempt.timer.reset(stall_ms / 1000)
+    def on_activity():
+        if attempt.stall_timer.active():
+            attempt.stall_timer.reset(stall_ms / 1000)
 
-    def responded(response):
+    def on_response(response):
         if response.code == 200:
-            attempt.protocol = Hearing(attempt, hear, ended, touch)
+            attempt.protocol = ResponseReceiver(attempt, on_data, ended, on_activity)
             response.deliverBody(attempt.protocol)
             return
-        attempt.gone = True
-        away = response.code in (421, 429, 503)
+        attempt.is_cancelled = True
+        refused = response.code in (421, 429, 503)
 
-        def said(raw):
-            over(Refused(response.code) if away and never_ran(raw) else Broken(f"status {response.code}"))
+        def on_error_body(raw):
+            end_attempt(
+                Refused(response.code) if refused and reports_not_run(raw) else Broken(f"status {response.code}")
+            )
 
-        read_body(response, SAID_BYTES).addCallbacks(said, lambda f: over(Broken(f.type.__name__)))
+        read_body(response, MAX_REPLY_BYTES).addCallbacks(on_error_body, lambda f: end_attempt(Broken(f.type.__name__)))
 
-    def failed(failure):
-        over(Broken(failure.type.__name__) if attempt.sent else NeverSent(failure.type.__name__))
+    def on_failure(failure):
+        end_attempt(Broken(failure.type.__name__) if attempt.sent else NeverSent(failure.type.__name__))
 
-    def send(known):
-        if not known:
+    def on_identity(is_verified):
+        if not is_verified:
             pool.closeCachedConnections()
-            return over(NeverSent("another service answers there, or it is leaving"))
-        ctx.reactor.callLater(0, post)
+            return end_attempt(NeverSent("another service answers there, or it is leaving"))
+        ctx.reactor.callLater(0, send_request)
 
-    def post():
-        if attempt.gone:
-            return over(NeverSent("given up"))
+    def send_request():
+        if attempt.is_cancelled:
+            return end_attempt(NeverSent("given up"))
         pool.persistent = False
         attempt.request = client.request(
             "POST",
-            f"{base}{path}",
+            f"{base_url}{path}",
             headers={"content-type": ["application/json"], "x-runner": [runner.name], "x-instance": [runner.instance]},
-            data=Guarded(ctx, attempt, json.encode(document)),
+            data=LeaseGuardedBody(ctx, attempt, json.encode(document)),
             unbuffered=True,
             allow_redirects=False,
         )
-        attempt.request.addCallbacks(responded, failed)
+        attempt.request.addCallbacks(on_response, on_failure)
 
-    def tidy(result):
-        for timer in (attempt.timer, whole):
+    def clean_up(result):
+        for timer in (attempt.stall_timer, deadline_timer):
             if timer.active():
                 timer.cancel()
         ctx.reactor.callLater(0, pool.closeCachedConnections)
         return result
 
-    attempt.timer = ctx.reactor.callLater(stall_ms / 1000, silent, "silent")
-    whole = ctx.reactor.callLater(max(0.001, deadline_ms / 1000), silent, "limit")
-    ended.addBoth(tidy)
-    attempt.request = proved(ctx, attempt, client, base)
-    attempt.request.addCallbacks(send, failed)
+    attempt.stall_timer = ctx.reactor.callLater(stall_ms / 1000, on_timeout, "silent")
+    deadline_timer = ctx.reactor.callLater(max(0.001, deadline_ms / 1000), on_timeout, "limit")
+    ended.addBoth(clean_up)
+    attempt.request = verify_identity(ctx, attempt, client, base_url)
+    attempt.request.addCallbacks(on_identity, on_failure)
     return ended, stop
--- a/frostpost/http_api/http_client.py
+++ b/frostpost/http_api/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client for numeric addresses: no name lookups, no retries of its own."""
+"""An HTTP client for numeric addresses, without name resolution and automatic retries."""
 
 from treq.client import HTTPClient
 from twisted.internet.defer import fail
@@ -10,22 +10,29 @@
 
 
 @implementer(IAgentEndpointFactory)
-class ByNumber:
-    """Makes endpoints for numeric addresses, so that nothing is looked up; bounds their number."""
+class NumericEndpointFactory:
+    """Creates endpoints for numeric addresses without name resolution; bounds the number of connections."""
 
-    __slots__ = ("reactor", "wait_s", "most", "made")
+    __slots__ = ("reactor", "timeout_s", "connections_left", "endpoints_created")
 
-    def __init__(self, reactor, wait_s, most=1 << 60):
-        self.reactor, self.wait_s, self.most, self.made = reactor, wait_s, most, 0
+    def __init__(self, reactor, timeout_s, connections_left=1 << 60):
+        self.reactor, self.timeout_s, self.connections_left, self.endpoints_created = (
+            reactor,
+            timeout_s,
+            connections_left,
+            0,
+        )
 
     def endpointForURI(self, uri):
         """Return an endpoint for a URI's host and port."""
-        self.made += 1
-        return Numbered(self, TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.wait_s))
+        self.endpoints_created += 1
+        return BoundedEndpoint(
+            self, TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.timeout_s)
+        )
 
 
-class Numbered:
-    """An endpoint that counts its connections against its factory's bound."""
+class BoundedEndpoint:
+    """An endpoint whose connections count towards its factory's bound."""
 
     __slots__ = ("factory", "endpoint")
 
@@ -33,16 +40,16 @@
         self.factory, self.endpoint = factory, endpoint
 
     def connect(self, protocolFactory):
-        """Connect, unless the bound on connections is used up."""
-        self.factory.most -= 1
-        if self.factory.most < 0:
+        """Connect; fails with ConnectionRefusedError once the bound is reached."""
+        self.factory.connections_left -= 1
+        if self.factory.connections_left < 0:
             return fail(ConnectionRefusedError("one connection only"))
         return self.endpoint.connect(protocolFactory)
 
 
-def http_agent(ctx, most=1 << 60, persistent=False):
-    """Return (pool, client) of an HTTP client without retries of its own."""
+def http_agent(ctx, max_connections=1 << 60, persistent=False):
+    """Return the (connection pool, client) of an HTTP client without automatic retries."""
     pool = HTTPConnectionPool(ctx.reactor, persistent=persistent)
     pool.retryAutomatically, pool.maxPersistentPerHost = False, 1
-    ends = ByNumber(ctx.reactor, ctx.settings.doors.connect_ms / 1000, most)
-    return pool, HTTPClient(Agent.usingEndpointFactory(ctx.reactor, ends, pool=pool))
+    endpoints = NumericEndpointFactory(ctx.reactor, ctx.settings.doors.connect_ms / 1000, max_connections)
+    return pool, HTTPClient(Agent.usingEndpointFactory(ctx.reactor, endpoints, pool=pool))
--- a/frostpost/http_api/lookups.py
+++ b/frostpost/http_api/lookups.py
@@ -1,4 +1,4 @@
-"""Lookups: repeated, tried once, or shared by idempotency key."""
+"""Lookups: retried on other runners, attempted once, or run once per idempotency key."""
 
 from hashlib import blake2b
 
@@ -13,14 +13,14 @@
 
 from . import errors, forward
 from .calls import remaining_ms
-from .forward import unsent
-from .selecting import health_of, record_failure, select
+from .forward import was_not_run
+from .runner_selection import health_of, rank_runners, record_failure
 
-RESULT_BYTES = 65536
+MAX_RECORDED_RESULT_BYTES = 65536
 
 
-class Run:
-    """One attempt of a lookup: the bytes heard and how it ended."""
+class LookupRun:
+    """One attempt of a lookup: the bytes received and the reason for its end."""
 
     __slots__ = ("data", "reason", "attempt")
 
@@ -29,19 +29,19 @@
 
 
 @inlineCallbacks
-def once(ctx, call, runner, share_ms):
-    """Run a lookup on one runner, for at most `share_ms`."""
-    attempt = forward.Attempt(runner, call.still or forward.always)
-    run = Run(attempt)
-    status = health_of(ctx, runner.name)
-    status.in_flight += 1
-
-    def hear(data):
+def attempt_once(ctx, call, runner, attempt_timeout_ms):
+    """Run a lookup on one runner, for at most `attempt_timeout_ms`."""
+    attempt = forward.Attempt(runner, call.may_proceed or forward.always_true)
+    run = LookupRun(attempt)
+    health = health_of(ctx, runner.name)
+    health.in_flight += 1
+
+    def on_data(data):
         run.data += data
         if len(run.data) > ctx.settings.doors.result_bytes:
             stop(forward.TooMuch(ctx.settings.doors.result_bytes))
 
-    ended, stop = forward.start(
+    ended, stop = forward.start_attempt(
         ctx,
         attempt,
         "/run",
@@ -56,22 +56,22 @@
             "key": call.document.get("key"),
             "config": dict(call.route.marks),
         },
-        hear,
-        max(1, min(share_ms, remaining_ms(ctx, call))),
+        on_data,
+        max(1, min(attempt_timeout_ms, remaining_ms(ctx, call))),
     )
     if call.route.repeat != "keyed":
-        call.stop = lambda: stop(forward.Broken("caller gone"))
+        call.cancel = lambda: stop(forward.Broken("caller gone"))
     run.reason = yield ended
-    status.in_flight -= 1
+    health.in_flight -= 1
     if run.reason is None:
-        status.failures = 0
-    elif not call.gone and not forward.ours(run.reason):
+        health.failures = 0
+    elif not call.client_gone and not forward.is_local_failure(run.reason):
         record_failure(ctx, runner.name)
     return run
 
 
-def read(run):
-    """Return the result that a run brought, or the error that it means."""
+def decode_result(run):
+    """Return the decoded result of an attempt, or the corresponding error."""
     if isinstance(run.reason, forward.TooMuch):
         return Error(errors.RunnerError(run.attempt.runner.name, "a result too long"))
     if run.reason is not None:
@@ -84,7 +84,7 @@
 
 
 def spend_retry(ctx):
-    """Take one retry from this daemon's retry budget; False if none is left."""
+    """Take one retry from this daemon's retry budget; returns False if none is left."""
     if ctx.retry_tokens < 1:
         count(ctx, "retries_withheld")
         return False
@@ -93,36 +93,39 @@
 
 
 @inlineCallbacks
-def try_runners(ctx, call, free):
-    """Try runners in order until one answers; after a sent request only if the route may repeat."""
+def try_runners(ctx, call, is_repeatable):
+    """Try runners in order of preference until one returns a result.
+
+    is_repeatable: whether another runner may be tried although the request may already have run.
+    """
     tried, sent = set(), False
     ctx.retry_tokens = min(50.0, ctx.retry_tokens + ctx.settings.doors.retry_ratio)
     while True:
         if remaining_ms(ctx, call) <= 0:
             return Error(errors.Unknown() if sent else errors.DeadlineExceeded())
-        ranked = select(ctx, call, (), tried)
-        if not ranked or call.gone:
+        candidates = rank_runners(ctx, call, (), tried)
+        if not candidates or call.client_gone:
             return Error(errors.Unknown() if sent else errors.RunnersFull())
-        share = remaining_ms(ctx, call) * 2 // 3 if free else remaining_ms(ctx, call)
-        run = yield once(ctx, call, ranked[0], share)
+        attempt_timeout_ms = remaining_ms(ctx, call) * 2 // 3 if is_repeatable else remaining_ms(ctx, call)
+        run = yield attempt_once(ctx, call, candidates[0], attempt_timeout_ms)
         if run.reason is None:
-            return read(run)
-        tried.add(ranked[0].name)
-        if unsent(run.reason):
+            return decode_result(run)
+        tried.add(candidates[0].name)
+        if was_not_run(run.reason):
             if not spend_retry(ctx):
                 return Error(errors.Unknown() if sent else errors.RunnersFull())
             continue
         sent = True
-        if isinstance(run.reason, forward.TooMuch) and not free:
-            return read(run)
-        if not free or call.gone or not spend_retry(ctx):
+        if isinstance(run.reason, forward.TooMuch) and not is_repeatable:
+            return decode_result(run)
+        if not is_repeatable or call.client_gone or not spend_retry(ctx):
             return Error(errors.Unknown())
         count(ctx, "free_retries")
 
 
 @inlineCallbacks
-def keyed(ctx, call):
-    """Run a lookup once per idempotency key, or wait for the attempt that owns the key."""
+def run_keyed(ctx, call):
+    """Run a lookup once per idempotency key; if another call owns the key, wait for its outcome."""
     key = f"{call.tenant}/{call.route_name}/{call.document['key']}"
     digest = blake2b(call.document["input"].encode(), digest_size=16).hexdigest()
     while True:
@@ -142,81 +145,84 @@
             case Shared("unknown", _):
                 return Error(errors.Unknown())
             case Shared():
-                yield settled(ctx, key, remaining_ms(ctx, call))
+                yield wait_for_outcome(ctx, key, remaining_ms(ctx, call))
                 if remaining_ms(ctx, call) <= 0:
                     return Error(errors.StillRunning())
             case Won():
-                return (yield owned(ctx, call, key))
+                return (yield run_with_key(ctx, call, key))
             case _:
                 return Error(errors.Unknown())
 
 
 @inlineCallbacks
-def owned(ctx, call, key):
-    """Run a lookup under a key that this call owns, and record its outcome."""
-    ask_ms = ctx.settings.doors.ask_ms * 2
-    call.still = lambda: holds(ctx, key)
+def run_with_key(ctx, call, key):
+    """Run a lookup under a key that this call owns and record its outcome.
+
+    The key is released if nothing ran. The result is returned only after the ledger has recorded it.
+    """
+    submit_timeout_ms = ctx.settings.doors.ask_ms * 2
+    call.may_proceed = lambda: owns_key(ctx, key)
     try:
         result = yield try_runners(ctx, call, False)
     except Exception:
-        submit(ctx, Finish(key, "unknown", b""), ask_ms)
+        submit(ctx, Finish(key, "unknown", b""), submit_timeout_ms)
         raise
     if result.is_error() and not isinstance(result.error, (errors.Unknown, errors.RunnerError)):
-        yield submit(ctx, Unclaim(key), ask_ms)
+        yield submit(ctx, Unclaim(key), submit_timeout_ms)
         return result
     encoded = json.encode(result.ok) if result.is_ok() else b""
-    status = "done" if result.is_ok() and len(encoded) <= RESULT_BYTES else "unknown"
-    told = yield submit(ctx, Finish(key, status, encoded if status == "done" else b""), ask_ms)
-    if status == "unknown" or told.is_error() or not isinstance(told.ok, Done):
+    status = "done" if result.is_ok() and len(encoded) <= MAX_RECORDED_RESULT_BYTES else "unknown"
+    recorded = yield submit(ctx, Finish(key, status, encoded if status == "done" else b""), submit_timeout_ms)
+    if status == "unknown" or recorded.is_error() or not isinstance(recorded.ok, Done):
         return Error(errors.Unknown())
     return result
 
 
-def holds(ctx, key):
-    """Tell whether this daemon still owns a key."""
+def owns_key(ctx, key):
+    """Return whether this daemon still owns a key without an outcome."""
     claim = ctx.core.ledger.keys.get(key)
     return claim is not None and claim.owner == ctx.endpoint.member and claim.status == "held"
 
 
-def settled(ctx, key, wait_ms):
-    """Return a Deferred that fires once a key has an outcome, or after `wait_ms`."""
-    waiting = Deferred()
-    ctx.key_waiters.setdefault(key, []).append(waiting)
+def wait_for_outcome(ctx, key, timeout_ms):
+    """Return a Deferred that fires once a key has an outcome, or after `timeout_ms`."""
+    waiter = Deferred()
+    ctx.key_waiters.setdefault(key, []).append(waiter)
 
     def expire():
-        if not waiting.called:
-            waiting.callback(None)
+        if not waiter.called:
+            waiter.callback(None)
 
-    timer = ctx.reactor.callLater(max(0.001, wait_ms / 1000), expire)
+    timer = ctx.reactor.callLater(max(0.001, timeout_ms / 1000), expire)
 
-    def tidy(result):
+    def clean_up(result):
         if timer.active():
             timer.cancel()
-        if waiting in ctx.key_waiters.get(key, []):
-            ctx.key_waiters[key].remove(waiting)
+        if waiter in ctx.key_waiters.get(key, []):
+            ctx.key_waiters[key].remove(waiter)
         return result
 
-    return waiting.addBoth(tidy)
+    return waiter.addBoth(clean_up)
 
 
-def wake(ctx):
-    """Wake the calls that wait for keys which have an outcome now."""
+def wake_key_waiters(ctx):
+    """Resume the calls waiting for keys that have an outcome or were released."""
     for key in list(ctx.key_waiters):
         claim = ctx.core.ledger.keys.get(key)
         if claim is None or claim.status != "held":
-            for waiting in ctx.key_waiters.pop(key):
-                ctx.reactor.callLater(0, fire, waiting)
+            for waiter in ctx.key_waiters.pop(key):
+                ctx.reactor.callLater(0, fire_once, waiter)
 
 
-def fire(waiting):
-    """Fire a waiting Deferred once."""
-    if not waiting.called:
-        waiting.callback(None)
+def fire_once(waiter):
+    """Fire a Deferred unless it has fired already."""
+    if not waiter.called:
+        waiter.callback(None)
 
 
 @inlineCallbacks
 def lookup(ctx, call):
-    """Serve a lookup as its route says."""
+    """Serve a lookup according to its route's `repeat` setting."""
     if call.route.repeat == "keyed":
-        return (yield keyed(ctx, call))
+        return (yield run_keyed(ctx, call))
     return (yield try_runners(ctx, call, call.route.repeat == "free"))
--- a/frostpost/http_api/reads.py
+++ b/frostpost/http_api/read_endpoints.py
@@ -1,4 +1,4 @@
-"""Reads: status, runners, programs, explanations, configuration, metrics."""
+"""Read-only paths: status, runners, programs, placement explanations, configuration and metrics."""
 
 from shutil import disk_usage
 
@@ -18,8 +18,8 @@
 from . import errors
 
 
-def status(ctx):
-    """Return a daemon's status document."""
+def daemon_status(ctx):
+    """Return the status document of this daemon."""
     synchrony, ledger = ctx.core.synchrony, ctx.core.ledger
     return {
         "name": synchrony.name,
@@ -66,22 +66,22 @@
         "wall_ms": int(ctx.machine.wall_s() * 1000),
         "list_set": bool(ctx.settings.list),
         "list_age_ms": clock_ms(ctx) - ctx.list_fetched_ms if ctx.list_fetched_ms else None,
-        "disk_free_part": free_part(ctx.settings.data),
+        "disk_free_part": free_disk_fraction(ctx.settings.data),
         "seeds": ctx.settings.seeds,
-        "places": [placed(p) for p in (synchrony.endpoint, *(p.endpoint for p in synchrony.peers.values()))],
+        "places": [addresses_of(p) for p in (synchrony.endpoint, *(p.endpoint for p in synchrony.peers.values()))],
     }
 
 
-def free_part(folder):
-    """Return the free share of the disk that holds a folder, None for no folder."""
+def free_disk_fraction(folder):
+    """Return the free fraction of the disk that contains a folder; None for no folder."""
     if not folder:
         return None
     usage = disk_usage(folder)
     return usage.free / usage.total
 
 
-def placed(endpoint):
-    """Return where a daemon listens."""
+def addresses_of(endpoint):
+    """Return the addresses, role and zone of a daemon."""
     return {
         "name": endpoint.member.name,
         "role": endpoint.role,
@@ -91,71 +91,71 @@
     }
 
 
-def runners(ctx):
-    """Return the runners with load and drain marks."""
+def runner_list(ctx):
+    """Return the registered runners with their load and draining state."""
     ledger = ctx.core.ledger
-    found = []
+    rows = []
     for runner in ledger.runners.values():
-        held = ctx.runner_health.get(runner.name)
-        found.append(
+        health = ctx.runner_health.get(runner.name)
+        rows.append(
             {
-                **named(runner),
+                **fields_of(runner),
                 "running": ledger.running.get(runner.name, 0),
                 "leaving": f"{runner.name}/{runner.instance}" in ledger.leaving,
-                "load": held.load if held else None,
-                "prefixes": len(held.prefixes) if held else None,
+                "load": health.load if health else None,
+                "prefixes": len(health.prefixes) if health else None,
             }
         )
-    return {"runners": found}
+    return {"runners": rows}
 
 
-def named(runner):
-    """Return a record's fields by name."""
+def fields_of(runner):
+    """Return the fields of a struct by name."""
     return {f: getattr(runner, f) for f in runner.__struct_fields__}
 
 
-def program(ctx, tenant, name):
+def program_state(ctx, tenant, name):
     """Return a program's budget and history, or an error."""
-    held = ctx.core.ledger.programs.get(f"{tenant}/{name}")
-    if held is None:
+    state = ctx.core.ledger.programs.get(f"{tenant}/{name}")
+    if state is None:
         return errors.NoSuch("this program has no history kept here")
-    if not all(is_intact(line) for line in held.lines):
+    if not all(is_intact(line) for line in state.lines):
         return errors.Internal("kept history failed its checksum")
     return {
         "program": name,
-        "budget": held.budget,
-        "spent": held.spent,
-        "reserved": held.reserved,
-        "history": [{"input": line.input, "output": line.output} for line in held.lines],
+        "budget": state.budget,
+        "spent": state.spent,
+        "reserved": state.reserved,
+        "history": [{"input": line.input, "output": line.output} for line in state.lines],
     }
 
 
-def explained(ctx, tenant, route):
-    """Return vetoes and scores of every runner for a route, or an error."""
-    found = ctx.routes.get((tenant, route))
-    if found is None:
+def explain_route(ctx, tenant, route):
+    """Return the vetoes and scores of every runner for a route, or an error."""
+    settings = ctx.routes.get((tenant, route))
+    if settings is None:
         return errors.NoRoute(f"tenant {tenant} has no route {route}")
-    question = PlacementRequest(
-        found.pools, ctx.settings.zone, (), "explain", clock_ms(ctx), leaving=frozenset(ctx.core.ledger.leaving)
+    placement_request = PlacementRequest(
+        settings.pools, ctx.settings.zone, (), "explain", clock_ms(ctx), leaving=frozenset(ctx.core.ledger.leaving)
     )
-    rows = explain(question, ctx.core.ledger.runners.values(), ctx.runner_health, ctx.settings.weights)
+    rows = explain(placement_request, ctx.core.ledger.runners.values(), ctx.runner_health, ctx.settings.weights)
     return {
-        "route": named(found),
+        "route": fields_of(settings),
         "runners": [{"runner": r.name, "vetoes": v, "scores": s, "total": round(t, 4)} for r, v, s, t in rows],
     }
 
 
-def config(ctx, path):
+def config_document(ctx, path):
     """Return one document with its version, or an error."""
-    held, mark = ctx.documents.get(path), ctx.core.ledger.configs.get(path)
-    if held is None or mark is None or not mark.digest:
+    active, version_entry = ctx.documents.get(path), ctx.core.ledger.configs.get(path)
+    if active is None or version_entry is None or not version_entry.digest:
         return errors.NoSuch(f"there is no {path}")
-    if mark.version != held[0]:
+    if version_entry.version != active[0]:
         return errors.ConfigChanging()
-    return {"path": path, "version": held[0], "document": Raw(current_body(ctx, path))}
+    return {"path": path, "version": active[0], "document": Raw(current_body(ctx, path))}
 
 
-def configs(ctx):
+def config_versions(ctx):
     """Return the versions of all documents and the index of the last change."""
     ledger = ctx.core.ledger
     return {
@@ -166,61 +166,61 @@
     }
 
 
-def routes(app, ctx, answer, refuse):
-    """Add the paths of reads."""
+def add_routes(app, ctx, json_response, error_response):
+    """Add the read-only paths."""
 
-    def serve(request, found):
-        if isinstance(found, dict):
-            if "version" in found:
-                request.setHeader("etag", f'"{found["version"]}"')
-            return answer(request, found)
-        return refuse(request, found, "")
+    def respond(request, result):
+        if isinstance(result, dict):
+            if "version" in result:
+                request.setHeader("etag", f'"{result["version"]}"')
+            return json_response(request, result)
+        return error_response(request, result, "")
 
-    def leased(request, look):
+    def respond_under_lease(request, read):
         if not holds_lease(ctx.core, clock_ms(ctx)):
-            return refuse(request, errors.NoPrimary(), "")
+            return error_response(request, errors.NoPrimary(), "")
         if ctx.effective_config_index < ctx.required_config_index:
-            return refuse(request, errors.ConfigChanging(), "")
-        return serve(request, look())
+            return error_response(request, errors.ConfigChanging(), "")
+        return respond(request, read())
 
     @app.route("/v1/status", methods=["GET"])
-    def status_(request):
-        return serve(request, status(ctx))
+    def get_status(request):
+        return respond(request, daemon_status(ctx))
 
     @app.route("/v1/runners", methods=["GET"])
-    def runners_(request):
-        return leased(request, lambda: runners(ctx))
+    def get_runners(request):
+        return respond_under_lease(request, lambda: runner_list(ctx))
 
     @app.route("/v1/tenants/<tenant>/programs/<name>", methods=["GET"])
-    def program_(request, tenant, name):
-        def look(result):
+    def get_program(request, tenant, name):
+        def on_look(result):
             if result.is_error():
-                return refuse(request, result.error, "")
-            return leased(request, lambda: program(ctx, tenant, name))
+                return error_response(request, result.error, "")
+            return respond_under_lease(request, lambda: program_state(ctx, tenant, name))
 
-        return submit(ctx, Look(), ctx.settings.doors.ask_ms).addCallback(look)
+        return submit(ctx, Look(), ctx.settings.doors.ask_ms).addCallback(on_look)
 
     @app.route("/v1/tenants/<tenant>/routes/<route>/explain", methods=["GET"])
-    def explain_(request, tenant, route):
-        return leased(request, lambda: explained(ctx, tenant, route))
+    def get_explanation(request, tenant, route):
+        return respond_under_lease(request, lambda: explain_route(ctx, tenant, route))
 
     @app.route("/v1/config", methods=["GET"])
-    def configs_(request):
-        return leased(request, lambda: configs(ctx))
+    def get_configs(request):
+        return respond_under_lease(request, lambda: config_versions(ctx))
 
     @app.route("/v1/config/<kind>/<name>", methods=["GET"])
-    def config_(request, kind, name):
-        return leased(request, lambda: config(ctx, f"{kind}/{name}"))
+    def get_config(request, kind, name):
+        return respond_under_lease(request, lambda: config_document(ctx, f"{kind}/{name}"))
 
     @app.route("/v1/ready", methods=["GET"])
-    def ready(request):
+    def get_ready(request):
         if ctx.shutting_down:
-            return refuse(request, errors.Leaving(), "")
+            return error_response(request, errors.Leaving(), "")
         if not holds_lease(ctx.core, clock_ms(ctx)) or ctx.effective_config_index < ctx.required_config_index:
-            return refuse(request, errors.NoPrimary(), "")
-        return answer(request, {"ready": True})
+            return error_response(request, errors.NoPrimary(), "")
+        return json_response(request, {"ready": True})
 
     @app.route("/metrics", methods=["GET"])
-    def metrics(request):
+    def get_metrics(request):
         request.setHeader("content-type", CONTENT_TYPE_LATEST)
         return generate_latest(create_registry(ctx))
--- a/frostpost/http_api/selecting.py
+++ b/frostpost/http_api/runner_selection.py
@@ -1,4 +1,4 @@
-"""The runners that a turn may go to, best first, and what is remembered of their failures."""
+"""Selection of runners for a call, and the record of their failures."""
 
 from frostpost.daemon.context import clock_ms
 from frostpost.ledger.results import BudgetSpent, NoRunner, StaleConfig, TurnOpen
@@ -8,33 +8,33 @@
 
 
 def health_of(ctx, name):
-    """Return what is known of a runner's health."""
+    """Return the health record of a runner; created on first use."""
     return ctx.runner_health.setdefault(name, RunnerHealth())
 
 
 def record_failure(ctx, name):
-    """Record a failure of a runner."""
+    """Record a failed attempt at a runner."""
     health = health_of(ctx, name)
     health.failed_ms, health.failures = clock_ms(ctx), health.failures + 1
 
 
-def select(ctx, call, chain, tried):
-    """Return the runners for a call, best first."""
-    question = PlacementRequest(
+def rank_runners(ctx, call, prefix_digests, tried):
+    """Return the eligible runners for a call that are not in `tried`, best first."""
+    placement_request = PlacementRequest(
         call.route.pools,
         ctx.settings.zone,
-        chain,
+        prefix_digests,
         call.id,
         clock_ms(ctx),
         frozenset(tried),
         frozenset(ctx.core.ledger.leaving),
     )
     runners = ctx.core.ledger.runners.values()
-    return rank(question, runners, ctx.runner_health, ctx.settings.weights)
+    return rank(placement_request, runners, ctx.runner_health, ctx.settings.weights)
 
 
-def meaning(result):
-    """Return the error that a refused reservation means."""
+def reservation_error(result):
+    """Return the error for a reservation that the ledger refused."""
     match result:
         case NoRunner():
             return errors.RunnersFull()
--- a/frostpost/simulator/doorplants.py
+++ b/frostpost/simulator/doorplants.py
@@ -13,7 +13,7 @@
 
 from . import plants
 
-KEPT = {"close": turns.Stream.close, "read": lookups.read, "load": config_bodies.load}
+KEPT = {"close": turns.Stream.close, "read": lookups.decode_result, "load": config_bodies.load}
 
 
 def any_failure(reason):
@@ -28,8 +28,8 @@
 
 def take_as_whole(stream, reason):
     """Plant: take a partial stream as whole."""
-    stream.ended, stream.bad = stream.held is not None, None
-    return KEPT["close"](stream, None if stream.ended else reason)
+    stream.saw_end, stream.stream_error = stream.pending_piece is not None, None
+    return KEPT["close"](stream, None if stream.saw_end else reason)
 
 
 def spend_nothing(reservation, used, line):
@@ -85,24 +85,24 @@
 LAST = []
 UNHEEDING = tuple(v for v in ranking.VETOES if v is not ranking.veto_leaving)
 DOORS = {
-    "retry_once": [(lookups, "unsent", any_failure)],
+    "retry_once": [(lookups, "was_not_run", any_failure)],
     "key_freed": [(lookups, "submit", unclaim_all)],
     "partial_taken": [(turns.Stream, "close", take_as_whole)],
-    "splice": [(turns, "unsent", any_failure)],
+    "splice": [(turns, "was_not_run", any_failure)],
     "spend_nothing": [(stream, "Settle", spend_nothing)],
     "end_first": [(stream, "submit", hasty)],
-    "ack_at_once": [(control, "everywhere", at_once)],
-    "heed_nothing": [(control, "if_match", heed_nothing)],
+    "ack_at_once": [(control, "all_members_reached", at_once)],
+    "heed_nothing": [(control, "expected_version", heed_nothing)],
     "send_leaving": [
-        (forward, "may_run", any_runner),
-        (forward, "proved", any_service),
+        (forward, "is_available", any_runner),
+        (forward, "verify_identity", any_service),
         (ranking, "VETOES", UNHEEDING),
     ],
-    "any_service": [(forward, "proved", any_service)],
+    "any_service": [(forward, "verify_identity", any_service)],
     "leave_early": [(lifecycle, "poll_until", hurried)],
     "no_lease": plants.PLANTS["no_lease"],
     "lose_bodies": [(config_bodies, "load", lose_bodies)],
-    "last_result": [(lookups, "read", last_result)],
+    "last_result": [(lookups, "decode_result", last_result)],
     "deny_run": [(lookups.errors, "Unknown", errors.RunnersFull)],
 }
 
--- a/frostpost/simulator/fleet_calls.py
+++ b/frostpost/simulator/fleet_calls.py
@@ -42,11 +42,11 @@
     from treq.client import HTTPClient
     from twisted.web.client import Agent
 
-    from frostpost.http_api.http_client import ByNumber
+    from frostpost.http_api.http_client import NumericEndpointFactory
 
     host, box = fleet.callers, []
     host.catch_up()
-    client = HTTPClient(Agent.usingEndpointFactory(host, ByNumber(host, 1)))
+    client = HTTPClient(Agent.usingEndpointFactory(host, NumericEndpointFactory(host, 1)))
     daemon = fleet.daemons[name]
     done = client.request(
         method,
--- a/frostpost/testbed/callers.py
+++ b/frostpost/testbed/callers.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import Cooperator
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 
-from frostpost.http_api.http_client import ByNumber
+from frostpost.http_api.http_client import NumericEndpointFactory
 
 from .notes import Notes
 from .templates import DEPLOYMENTS
@@ -44,7 +44,7 @@
         pool = HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost, pool.retryAutomatically = 40, False
         self.reactor = reactor
-        self.client = HTTPClient(Agent.usingEndpointFactory(reactor, ByNumber(reactor, 1), pool))
+        self.client = HTTPClient(Agent.usingEndpointFactory(reactor, NumericEndpointFactory(reactor, 1), pool))
         self.doors, self.random, self.notes = doors, Random(seed), notes
         self.serial, self.open, self.tag, self.most = 0, 0, tag, most
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -6,8 +6,8 @@
 from frostpost.daemon.context import Context
 from frostpost.daemon.settings import Settings
 from frostpost.http_api import errors, forward
-from frostpost.http_api import stream as streams
-from frostpost.http_api.calls import SHARES, Call, filter_crowd
+from frostpost.http_api import stream as stream_module
+from frostpost.http_api.calls import IN_FLIGHT_FRACTIONS, Call, filter_overload
 from frostpost.ledger.entities import Runner
 from frostpost.ledger.operations import Settle
 from frostpost.ledger.results import Done, Reserved
@@ -17,7 +17,7 @@
 SETTINGS = Settings("e1", "edge", "a", "127.0.0.1", 1, 2, ["127.0.0.1:1"], ["s1"])
 
 
-class Request:
+class FakeRequest:
     def __init__(self):
         self.lines, self.headers, self.producer = [], {}, None
 
@@ -35,88 +35,92 @@
         self.lines += [json.decode(line) for line in data.splitlines()]
 
 
-class Asks:
+class PendingSubmits:
     def __init__(self):
-        self.ops, self.answers = [], []
+        self.operations, self.results = [], []
 
-    def __call__(self, ctx, op, wait_ms):
-        self.ops.append(op)
-        self.answers.append(Deferred())
-        return self.answers[-1]
+    def __call__(self, ctx, operation, wait_ms):
+        self.operations.append(operation)
+        self.results.append(Deferred())
+        return self.results[-1]
 
 
 @pytest.fixture
-def asks(monkeypatch):
-    asks = Asks()
-    monkeypatch.setattr(streams, "submit", asks)
-    return asks
-
-
-def stream(amount=3):
-    call = Call("q", "turns", "t", "l", 0, document={"input": "in"}, request=Request())
-    found = streams.Stream(Context(SETTINGS, None, None), call, Reserved(7, RUNNER, amount, ()))
-    found.attempt = forward.Attempt(RUNNER)
-    found.stop = lambda reason: None
-    return found
-
-
-def piece(n, units=1):
-    return json.encode({"n": n, "text": f"x{n}", "units": units}) + b"\n"
-
-
-def test_the_last_piece_waits_for_the_ledger(asks):
-    found = stream()
-    data = piece(1) + piece(2) + b'{"end": true}\n'
-    for at in range(0, len(data), 5):
-        found.hear(data[at : at + 5])
-    assert [line["piece"] for line in found.call.request.lines] == [1]
-    box = []
-    found.close(None).addCallback(box.append)
-    assert isinstance(asks.ops[0], Settle) and asks.ops[0].used == 2 and asks.ops[0].line.output == "x1x2"
-    assert len(found.call.request.lines) == 1 and box == []
-    asks.answers[0].callback(Ok(Done(9)))
-    assert box == [None]
-    assert found.call.request.lines[1]["piece"] == 2 and found.call.request.lines[2]["end"] is True
-
-
-def test_an_undecided_end_is_told_as_unknown(asks):
-    found, box = stream(), []
-    found.hear(piece(1) + b'{"end": true}\n')
-    found.close(None).addCallback(box.append)
-    asks.answers[0].callback(Error(errors.Undecided()))
-    assert box == [errors.Unknown()] and found.call.request.lines == []
+def submits(monkeypatch):
+    submits = PendingSubmits()
+    monkeypatch.setattr(stream_module, "submit", submits)
+    return submits
+
+
+def create_stream(amount=3):
+    call = Call("q", "turns", "t", "l", 0, document={"input": "in"}, request=FakeRequest())
+    stream = stream_module.Stream(Context(SETTINGS, None, None), call, Reserved(7, RUNNER, amount, ()))
+    stream.attempt = forward.Attempt(RUNNER)
+    stream.stop_attempt = lambda reason: None
+    return stream
+
+
+def encode_piece(number, units=1):
+    return json.encode({"n": number, "text": f"x{number}", "units": units}) + b"\n"
+
+
+def test_last_piece_is_sent_after_the_settlement_is_recorded(submits):
+    stream = create_stream()
+    data = encode_piece(1) + encode_piece(2) + b'{"end": true}\n'
+    for offset in range(0, len(data), 5):
+        stream.on_data(data[offset : offset + 5])
+    assert [line["piece"] for line in stream.call.request.lines] == [1]
+    outcomes = []
+    stream.close(None).addCallback(outcomes.append)
+    assert (
+        isinstance(submits.operations[0], Settle)
+        and submits.operations[0].used == 2
+        and submits.operations[0].line.output == "x1x2"
+    )
+    assert len(stream.call.request.lines) == 1 and outcomes == []
+    submits.results[0].callback(Ok(Done(9)))
+    assert outcomes == [None]
+    assert stream.call.request.lines[1]["piece"] == 2 and stream.call.request.lines[2]["end"] is True
+
+
+def test_undecided_settlement_returns_unknown(submits):
+    stream, outcomes = create_stream(), []
+    stream.on_data(encode_piece(1) + b'{"end": true}\n')
+    stream.close(None).addCallback(outcomes.append)
+    submits.results[0].callback(Error(errors.Undecided()))
+    assert outcomes == [errors.Unknown()] and stream.call.request.lines == []
 
 
 @pytest.mark.parametrize(
     "data,error",
     [
-        (piece(1) + piece(3), errors.RunnerError),
-        (piece(1) + piece(1), errors.RunnerError),
-        (piece(2), errors.RunnerError),
+        (encode_piece(1) + encode_piece(3), errors.RunnerError),
+        (encode_piece(1) + encode_piece(1), errors.RunnerError),
+        (encode_piece(2), errors.RunnerError),
         (b"nonsense\n", errors.RunnerError),
-        (piece(1, 0), errors.RunnerError),
-        (piece(1, 4), errors.OutputCut),
-        (piece(1, 2) + piece(2, 2), errors.OutputCut),
+        (encode_piece(1, 0), errors.RunnerError),
+        (encode_piece(1, 4), errors.OutputCut),
+        (encode_piece(1, 2) + encode_piece(2, 2), errors.OutputCut),
     ],
 )
-def test_a_wrong_stream_is_cut_and_only_what_was_handed_out_is_spent(asks, data, error):
-    found, box = stream(), []
-    found.hear(data)
-    assert isinstance(found.bad, error)
-    found.close(forward.Broken("bad stream")).addCallback(box.append)
-    assert isinstance(box[0], error)
-    assert asks.ops[0] == Settle(7, sum(p["units"] for p in found.call.request.lines), None)
+def test_invalid_output_is_cut_and_only_sent_units_are_spent(submits, data, error):
+    stream, outcomes = create_stream(), []
+    stream.on_data(data)
+    assert isinstance(stream.stream_error, error)
+    stream.close(forward.Broken("bad stream")).addCallback(outcomes.append)
+    assert isinstance(outcomes[0], error)
+    assert submits.operations[0] == Settle(7, sum(p["units"] for p in stream.call.request.lines), None)
 
 
-def test_a_stream_without_its_end_is_unknown(asks):
-    found, box = stream(), []
-    found.hear(piece(1) + piece(2))
-    found.close(None).addCallback(box.append)
-    assert box == [errors.Unknown()] and asks.ops[0] == Settle(7, 1, None)
+def test_output_without_end_marker_returns_unknown(submits):
+    stream, outcomes = create_stream(), []
+    stream.on_data(encode_piece(1) + encode_piece(2))
+    stream.close(None).addCallback(outcomes.append)
+    assert outcomes == [errors.Unknown()] and submits.operations[0] == Settle(7, 1, None)
 
 
 @pytest.mark.parametrize(
-    "flights,lag_ms,refused",
+    "in_flight,lag_ms,refused_urgencies",
     [
         (0, 5000, set()),
         (30, 0, set()),
@@ -128,14 +132,14 @@
         (400, 0, {"batch", "normal", "urgent"}),
     ],
 )
-def test_urgent_calls_are_shed_last(flights, lag_ms, refused):
+def test_less_urgent_calls_are_shed_first(in_flight, lag_ms, refused_urgencies):
     ctx = Context(SETTINGS, None, None)
-    ctx.requests_in_flight, ctx.lag_ms = flights, lag_ms
-    seen = set()
-    for urgency in SHARES:
+    ctx.requests_in_flight, ctx.lag_ms = in_flight, lag_ms
+    refused = set()
+    for urgency in IN_FLIGHT_FRACTIONS:
         route = Route("t", "l", "turn", ("p",), "once", urgency, 1, 1, 1, 1, 1)
-        error = filter_crowd(ctx, Call("q", "turns", "t", "l", 0, route=route))
+        error = filter_overload(ctx, Call("q", "turns", "t", "l", 0, route=route))
         if error is not None:
             assert errors.retry_after(error) == "1"
-            seen.add(urgency)
-    assert seen == refused
+            refused.add(urgency)
+    assert refused == refused_urgencies
