--- a/tests/test_sets.py
+++ b/tests/test_sets.py
@@ -5,7 +5,7 @@
 from frostpost.simulator import fleet_calls
 from frostpost.testbed.templates import TEMPLATES, TENANTS
 
-WHOLE = {"templates": TEMPLATES, "tenants": TENANTS}
+ALL_DOCUMENTS = {"templates": TEMPLATES, "tenants": TENANTS}
 
 
 @pytest.fixture(scope="module")
@@ -15,64 +15,66 @@
     return fleet
 
 
-def index(fleet):
+def config_index(fleet):
     return asked(fleet, "e1", "/v1/config")[1]["index"]
 
 
-def test_a_whole_set_is_taken_as_one_and_twice_is_nothing(fleet):
+def test_replacing_all_documents_is_atomic_and_idempotent(fleet):
     tenants = {**TENANTS, "third": {"template": "clerks"}}
-    status, said = asked(fleet, "s2", "/v1/config", "PUT", {**WHOLE, "tenants": tenants})
-    assert status == 200 and set(said["versions"]) == {"tenants/third"}
+    status, body = asked(fleet, "s2", "/v1/config", "PUT", {**ALL_DOCUMENTS, "tenants": tenants})
+    assert status == 200 and set(body["versions"]) == {"tenants/third"}
     later(fleet, 300)
-    status, again = asked(fleet, "e2", "/v1/config", "PUT", {**WHOLE, "tenants": tenants})
-    assert status == 200 and again == {"versions": {}, "index": said["index"]}
+    status, repeated = asked(fleet, "e2", "/v1/config", "PUT", {**ALL_DOCUMENTS, "tenants": tenants})
+    assert status == 200 and repeated == {"versions": {}, "index": body["index"]}
     for name in fleet.daemons:
         assert ("third", "check") in fleet.daemons[name].ctx.routes
-    status, said = asked(fleet, "c1", "/v1/config", "PUT", WHOLE)
-    assert status == 200 and set(said["versions"]) == {"tenants/third"}
+    status, body = asked(fleet, "c1", "/v1/config", "PUT", ALL_DOCUMENTS)
+    assert status == 200 and set(body["versions"]) == {"tenants/third"}
     assert asked(fleet, "e1", "/v1/config/tenants/third")[0] == 404
 
 
-def test_a_whole_set_with_one_wrong_part_changes_nothing(fleet):
-    before = index(fleet)
-    wrong = {**WHOLE, "tenants": {**TENANTS, "hlidar": {"template": "none"}, "fresh": {"template": "clerks"}}}
-    status, said = asked(fleet, "e1", "/v1/config", "PUT", wrong)
-    assert status == 422 and said["error"]["errors"][0]["path"] == "/tenants/hlidar/template"
-    assert index(fleet) == before
+def test_replacement_with_one_invalid_document_changes_nothing(fleet):
+    index_before = config_index(fleet)
+    invalid = {**ALL_DOCUMENTS, "tenants": {**TENANTS, "hlidar": {"template": "none"}, "fresh": {"template": "clerks"}}}
+    status, body = asked(fleet, "e1", "/v1/config", "PUT", invalid)
+    assert status == 422 and body["error"]["errors"][0]["path"] == "/tenants/hlidar/template"
+    assert config_index(fleet) == index_before
 
 
-def test_of_two_whole_sets_that_race_one_is_taken(fleet):
-    headers, boxes = {"if-match": f'"{index(fleet)}"'}, []
-    for n, door in enumerate(("e1", "e2")):
-        tenants = {**TENANTS, f"racer{n}": {"template": "clerks"}}
-        boxes.append(fleet_calls.call(fleet, door, "/v1/config", "PUT", {**WHOLE, "tenants": tenants}, headers))
+def test_one_of_two_concurrent_replacements_succeeds(fleet):
+    headers, responses = {"if-match": f'"{config_index(fleet)}"'}, []
+    for number, edge in enumerate(("e1", "e2")):
+        tenants = {**TENANTS, f"racer{number}": {"template": "clerks"}}
+        responses.append(
+            fleet_calls.call(fleet, edge, "/v1/config", "PUT", {**ALL_DOCUMENTS, "tenants": tenants}, headers)
+        )
     later(fleet, 4000)
-    assert sorted(b[0][0] for b in boxes) == [200, 412]
-    won = [n for n, b in enumerate(boxes) if b[0][0] == 200][0]
-    held = json.decode(json.encode(asked(fleet, "c2", "/v1/config")[1]))["configs"]
-    assert f"tenants/racer{won}" in held and f"tenants/racer{1 - won}" not in held
-    assert asked(fleet, "e1", "/v1/config", "PUT", WHOLE)[0] == 200
+    assert sorted(b[0][0] for b in responses) == [200, 412]
+    winner = [number for number, b in enumerate(responses) if b[0][0] == 200][0]
+    configs = json.decode(json.encode(asked(fleet, "c2", "/v1/config")[1]))["configs"]
+    assert f"tenants/racer{winner}" in configs and f"tenants/racer{1 - winner}" not in configs
+    assert asked(fleet, "e1", "/v1/config", "PUT", ALL_DOCUMENTS)[0] == 200
 
 
-def test_a_template_in_use_can_not_be_removed(fleet):
-    status, said = asked(fleet, "e1", "/v1/config/templates/clerks", "DELETE")
-    assert (status, said["error"]["type"]) == (409, "ConfigInUse")
+def test_template_in_use_is_not_removed(fleet):
+    status, body = asked(fleet, "e1", "/v1/config/templates/clerks", "DELETE")
+    assert (status, body["error"]["type"]) == (409, "ConfigInUse")
     assert asked(fleet, "e1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])[0] == 200
     assert asked(fleet, "e2", "/v1/config/templates/spare", "DELETE")[0] == 200
     assert asked(fleet, "e1", "/v1/config/templates/spare", "DELETE")[0] == 404
-    status, said = asked(fleet, "c1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])
-    assert (status, said["version"]) == (200, 3)
-    assert asked(fleet, "e1", "/v1/config", "PUT", WHOLE)[0] == 200
+    status, body = asked(fleet, "c1", "/v1/config/templates/spare", "PUT", TEMPLATES["clerks"])
+    assert (status, body["version"]) == (200, 3)
+    assert asked(fleet, "e1", "/v1/config", "PUT", ALL_DOCUMENTS)[0] == 200
 
 
-def test_a_rollback_is_a_new_version_with_the_old_body(fleet):
+def test_rollback_creates_a_new_version_with_the_old_body(fleet):
     path = "/v1/config/tenants/tamar"
-    first = asked(fleet, "e1", path)[1]
+    original = asked(fleet, "e1", path)[1]
     for retention_ms in (700000, 800000):
         assert asked(fleet, "e1", path, "PATCH", {"parameters": {"retention_ms": retention_ms}})[0] == 200
     versions = asked(fleet, "s1", path + "/history")[1]["versions"]
-    assert [v["version"] for v in versions][-3:] == [first["version"] + n for n in range(3)]
-    status, said = asked(fleet, "e2", path + "/rollback", "POST", {"version": first["version"]})
-    assert (status, said["version"]) == (200, first["version"] + 3)
-    assert asked(fleet, "c1", path)[1]["document"] == first["document"]
+    assert [v["version"] for v in versions][-3:] == [original["version"] + number for number in range(3)]
+    status, body = asked(fleet, "e2", path + "/rollback", "POST", {"version": original["version"]})
+    assert (status, body["version"]) == (200, original["version"] + 3)
+    assert asked(fleet, "c1", path)[1]["document"] == original["document"]
     assert asked(fleet, "e2", path + "/rollback", "POST", {"version": 99})[0] == 404
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -3,8 +3,8 @@
 from frostpost.simulator import whole
 from frostpost.simulator.doorplants import DOORS, planted
 
-SHORT = {"storm_ms": 6000, "gap_ms": 700, "factor": 0.25}
-PLANTED = {
+SHORT_RUN = {"storm_ms": 6000, "gap_ms": 700, "factor": 0.25}
+DETECTION_CASES = {
     "retry_once": ("twice", ("misbehave", "freeze_runner"), 3, {}),
     "key_freed": ("key_twice", ("misbehave",), 1, {}),
     "partial_taken": ("partial_as_whole", ("misbehave",), 1, {}),
@@ -23,38 +23,38 @@
 }
 
 
-def test_every_door_plant_has_its_never():
-    assert set(PLANTED) == set(DOORS)
+def test_every_planted_http_fault_has_a_detection_case():
+    assert set(DETECTION_CASES) == set(DOORS)
 
 
-@pytest.mark.parametrize("plant", sorted(PLANTED))
-def test_a_fault_planted_at_the_doors_is_caught(plant):
-    never, kinds, first, more = PLANTED[plant]
-    seen = set()
-    for seed in range(first, first + 5):
+@pytest.mark.parametrize("plant", sorted(DETECTION_CASES))
+def test_planted_http_fault_is_detected(plant):
+    rule, fault_kinds, first_seed, options = DETECTION_CASES[plant]
+    violated = set()
+    for seed in range(first_seed, first_seed + 5):
         with planted(plant):
-            _, report = whole.play(seed, kinds=kinds, **{**SHORT, **more})
-        seen |= {b.never for b in report.broken}
-        if never in seen:
+            _, report = whole.play(seed, kinds=fault_kinds, **{**SHORT_RUN, **options})
+        violated |= {b.never for b in report.broken}
+        if rule in violated:
             return
-    raise AssertionError(f"{plant} was not caught; seen {seen}")
+    raise AssertionError(f"{plant} was not detected; violated rules: {violated}")
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_all_faults_on_the_whole_path(seed):
+def test_no_rule_is_violated_under_all_faults(seed):
     _, report = whole.play(seed)
     assert report.broken == []
     assert report.callers["results"]["served"] > 100
 
 
 @pytest.mark.parametrize("seed", range(101, 105))
-def test_planned_work_drops_nothing(seed):
+def test_no_rule_is_violated_during_planned_maintenance(seed):
     _, report = whole.play(seed, planned=True)
     assert report.broken == []
     assert report.callers["results"]["served"] > 200
 
 
-def test_the_same_seed_tells_the_same_story():
+def test_same_seed_gives_the_same_trace():
     first, _ = whole.play(3, storm_ms=3000)
     second, _ = whole.play(3, storm_ms=3000)
     assert first.notes.lines == second.notes.lines
