--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -1,14 +1,12 @@
-"""Edges that are frozen or cut off between a check and the act that it allowed, in a simulated fleet.
+"""Tests for edge daemons that pause or lose the network between a check and the action it allowed.
 
-Whatever another edge did meanwhile, the late act starts no second run, resolves no key and ends no turn that it may
-not. The fleet's judge looks at what clients and runners saw.
+The delayed action must not start a second run, nor resolve a key or end a turn that the daemon no longer owns.
 """
 
 from collections import defaultdict
 
 import pytest
-from fleet_simulator import judge
-from fleet_simulator import stage as plays
+from fleet_simulator import judge, stage
 from fleet_simulator.crowd import MOST_TOKENS
 from twisted.internet.defer import Deferred
 
@@ -18,93 +16,94 @@
 from frostpost.proxy.exchange import Exchange
 from frostpost.proxy.wait_policy import MAX_OUTAGE_LEASES, WAIT_RATIO
 
-LEASE_LOST_MS, LONG_MS = 1500, 6000
+LEASE_LOST_MS, LONG_PAUSE_MS = 1500, 6000
 KEYED, UNSAFE, SAFE, TURN = "/keyed/c", "/unsafe/b", "/safe/a", "/chat/x"
-MORE = {KEYED: {"key": "k1", "body": b"once"}, TURN: {"most": MOST_TOKENS, "budget": 9 * MOST_TOKENS}}
+REQUEST_OPTIONS = {KEYED: {"key": "k1", "body": b"once"}, TURN: {"most": MOST_TOKENS, "budget": 9 * MOST_TOKENS}}
 
 
-class Story:
-    """A fleet with one edge that is to be stopped once, and clients of it and of the others."""
+class Scenario:
+    """A simulated fleet in which one edge daemon is paused once, with clients of it and of other daemons."""
 
     def __init__(self, seed=5):
-        self.world, _, status, took_ms = plays.open_(seed)
+        self.world, _, status, took_ms = stage.open_(seed)
         assert status == 200 and took_ms >= 0
-        self.crowd = plays.crowd_of(self.world, "c")
-        self.crowd.random.random = lambda: 0.9  # clients neither leave early nor reuse connections by chance
+        self.crowd = stage.crowd_of(self.world, "c")
+        self.crowd.random.random = lambda: 0.9  # clients neither disconnect early nor reuse connections
         self.edge = next(d for d in self.world.of("edge") if d.zone == "z0")
-        self.stopped_ms, self.acted_ms = [], []
+        self.paused_ms, self.resumed_ms = [], []
 
     def run(self, wait_ms):
         self.world.run(self.world.now_ms() + wait_ms)
 
-    def stop_between(self, patch, owner, name, due, stop_ms, act_first=True, cut=False):
-        """Freeze the edge the first time that it is about to do this; it does it once it thaws.
+    def pause_before(self, monkeypatch, owner, name, condition, pause_ms, resume_before_input=True, partition=False):
+        """Freeze the edge before its first call of a function that meets the condition; make the call after `pause_ms`.
 
-        act_first: before it hears what came meanwhile. cut: besides, nothing reaches it or leaves it until then.
+        resume_before_input: make the call before processing the input that arrived meanwhile. partition: also drop all
+        traffic from and to the edge during the pause.
         """
-        kept, host = getattr(owner, name), self.edge.host
+        original, host = getattr(owner, name), self.edge.host
 
-        def act(*args):
-            if self.stopped_ms or not due(*args):
-                return kept(*args)
-            self.stopped_ms.append(self.world.now_ms())
+        def call_or_pause(*args):
+            if self.paused_ms or not condition(*args):
+                return original(*args)
+            self.paused_ms.append(self.world.now_ms())
             host.freeze()
-            if cut:
-                self.cut(True)
-            later = Deferred()
-            self.world.later(stop_ms, go_on, args, later)
-            return later
-
-        def go_on(args, later):
-            if cut:
-                self.cut(False)
-            if not act_first:
+            if partition:
+                self.partition(True)
+            deferred = Deferred()
+            self.world.later(pause_ms, resume, args, deferred)
+            return deferred
+
+        def resume(args, deferred):
+            if partition:
+                self.partition(False)
+            if not resume_before_input:
                 host.thaw()
-            self.acted_ms.append(self.world.now_ms())
-            result = kept(*args)
+            self.resumed_ms.append(self.world.now_ms())
+            result = original(*args)
             if isinstance(result, Deferred):
-                result.chainDeferred(later)
+                result.chainDeferred(deferred)
             host.thaw()
 
-        patch.setattr(owner, name, act)
+        monkeypatch.setattr(owner, name, call_or_pause)
 
-    def cut(self, on):
-        here = self.edge.host.address
+    def partition(self, enabled):
+        edge_address = self.edge.host.address
         for daemon in self.world.of("storage", "core", "edge"):
-            for pair in ((here, daemon.host.address), (daemon.host.address, here)):
-                (self.world.net.cuts.add if on else self.world.net.cuts.discard)(pair)
+            for pair in ((edge_address, daemon.host.address), (daemon.host.address, edge_address)):
+                (self.world.net.cuts.add if enabled else self.world.net.cuts.discard)(pair)
 
-    def ours(self, agent):
+    def is_paused_edge(self, agent):
         return agent is self.edge.owner
 
-    def writes(self, path):
-        """Whether an exchange of the edge for this path is about to be written."""
-        return lambda exchange, _: self.ours(exchange.agent) and exchange.call.uri.decode().startswith(path)
+    def writes_request(self, path):
+        """Return a condition for exchanges of the edge whose path starts with `path`."""
+        return lambda exchange, _: self.is_paused_edge(exchange.agent) and exchange.call.uri.decode().startswith(path)
 
-    def hands_in(self, kind):
-        """Whether the edge is about to hand such an operation in."""
-        return lambda agent, op, *_: self.ours(agent) and isinstance(op, kind)
+    def submits_operation(self, kind):
+        """Return a condition for operations of type `kind` submitted by the edge."""
+        return lambda agent, operation, *_: self.is_paused_edge(agent) and isinstance(operation, kind)
 
-    def ask(self, path, zone="z0", **more):
-        """One try of a client."""
-        request = self.crowd.make(path, "p", **more)
+    def send_request(self, path, zone="z0", **options):
+        """Send one request of a client and return it."""
+        request = self.crowd.make(path, "p", **options)
         self.crowd.once(zone, request, True)
         return request
 
-    def repeat(self, path, every_ms, times, **more):
-        """Tries of other clients' daemons, again and again."""
+    def send_repeatedly(self, path, every_ms, times, **options):
+        """Send further requests to daemons in another zone at a fixed interval."""
         for number in range(times):
-            self.world.later(every_ms * (number + 1), lambda: self.ask(path, "z1", **more))
+            self.world.later(every_ms * (number + 1), lambda: self.send_request(path, "z1", **options))
 
     def runs(self, request=None, key=None):
-        found = self.world.notes.runs
-        return [r for r in found if (request is None or r.try_id == request.try_id) and (key is None or r.key == key)]
+        runs = self.world.notes.runs
+        return [r for r in runs if (request is None or r.try_id == request.try_id) and (key is None or r.key == key)]
 
-    def judged(self):
+    def violations(self):
         tries, runs_of = {t.try_id: t for t in self.world.notes.tries}, defaultdict(list)
         for run in self.world.notes.runs:
             runs_of[run.try_id].append(run)
-        broken = [
+        violations = [
             *judge.twice(self.world, runs_of, tries),
             *judge.promised(runs_of, tries),
             *judge.mixed(self.world, runs_of, tries),
@@ -113,128 +112,146 @@
             *judge.lost(self.world, tries),
         ]
         assert not self.edge.host.breaks
-        return [f"{b.rule} {b.text}" for b in broken]
+        return [f"{b.rule} {b.text}" for b in violations]
 
 
-EACH_STOP = pytest.mark.parametrize("stop_ms", [300, LEASE_LOST_MS, LONG_MS])
-EACH_ORDER = pytest.mark.parametrize("act_first", [True, False], ids=["act first", "news first"])
-EACH_CUT = pytest.mark.parametrize("cut", [False, True], ids=["frozen", "frozen and cut"])
+EACH_PAUSE = pytest.mark.parametrize("pause_ms", [300, LEASE_LOST_MS, LONG_PAUSE_MS])
+EACH_ORDER = pytest.mark.parametrize("resume_before_input", [True, False], ids=["call first", "input first"])
+EACH_PARTITION = pytest.mark.parametrize("partition", [False, True], ids=["paused", "paused and partitioned"])
 
 
-@EACH_STOP
+@EACH_PAUSE
 @EACH_ORDER
-@EACH_CUT
+@EACH_PARTITION
 @pytest.mark.parametrize("path", [SAFE, UNSAFE, KEYED])
-def test_a_request_written_late_runs_once_for_its_key_and_breaks_no_promise(monkeypatch, path, stop_ms, act_first, cut):
-    story = Story()
-    story.stop_between(monkeypatch, Exchange, "write_to", story.writes(path), stop_ms, act_first, cut)
-    more = MORE.get(path, {})
-    request = story.ask(path, **more)
-    story.run(100)
-    assert story.stopped_ms
-    story.repeat(path, 250, 20, **more)
-    story.run(stop_ms + 8000)
-    assert story.acted_ms and story.judged() == []
-    assert len(story.runs(request)) <= 1 and (path != KEYED or len(story.runs(key="k1")) <= 1)
-
-
-@EACH_STOP
+def test_request_written_after_a_pause_runs_at_most_once(monkeypatch, path, pause_ms, resume_before_input, partition):
+    scenario = Scenario()
+    scenario.pause_before(
+        monkeypatch, Exchange, "write_to", scenario.writes_request(path), pause_ms, resume_before_input, partition
+    )
+    options = REQUEST_OPTIONS.get(path, {})
+    request = scenario.send_request(path, **options)
+    scenario.run(100)
+    assert scenario.paused_ms
+    scenario.send_repeatedly(path, 250, 20, **options)
+    scenario.run(pause_ms + 8000)
+    assert scenario.resumed_ms and scenario.violations() == []
+    assert len(scenario.runs(request)) <= 1 and (path != KEYED or len(scenario.runs(key="k1")) <= 1)
+
+
+@EACH_PAUSE
 @EACH_ORDER
 @pytest.mark.parametrize("kind", [ClaimOperationKey, ResolveOperationKey])
-def test_a_key_is_run_and_resolved_once_though_its_daemon_stood_still(monkeypatch, kind, stop_ms, act_first):
-    story = Story()
-    story.stop_between(monkeypatch, operation_client, "submit", story.hands_in(kind), stop_ms, act_first)
-    story.ask(KEYED, **MORE[KEYED])
-    story.run(300)
-    assert story.stopped_ms
-    story.repeat(KEYED, 250, 27, **MORE[KEYED])
-    story.run(LONG_MS + 4000)
-    assert story.acted_ms and story.judged() == [] and len(story.runs(key="k1")) == 1
-    seals = {t.seal for t in story.world.notes.tries if t.whole and t.status == 200}
+def test_key_is_run_and_resolved_once_although_its_daemon_paused(monkeypatch, kind, pause_ms, resume_before_input):
+    scenario = Scenario()
+    scenario.pause_before(
+        monkeypatch, operation_client, "submit", scenario.submits_operation(kind), pause_ms, resume_before_input
+    )
+    scenario.send_request(KEYED, **REQUEST_OPTIONS[KEYED])
+    scenario.run(300)
+    assert scenario.paused_ms
+    scenario.send_repeatedly(KEYED, 250, 27, **REQUEST_OPTIONS[KEYED])
+    scenario.run(LONG_PAUSE_MS + 4000)
+    assert scenario.resumed_ms and scenario.violations() == [] and len(scenario.runs(key="k1")) == 1
+    seals = {t.seal for t in scenario.world.notes.tries if t.whole and t.status == 200}
     assert len(seals) == 1
 
 
-@EACH_STOP
+@EACH_PAUSE
 @EACH_ORDER
 @pytest.mark.parametrize("kind", [BeginAttempt, EndAttempt])
-def test_a_turn_is_begun_and_ended_by_its_own_attempt_only(monkeypatch, kind, stop_ms, act_first):
-    story = Story()
-    done = []
-    story.crowd.turn("z1", "p", 20 * MOST_TOKENS, "").addCallback(done.append)
-    story.run(3000)
-    before = done[0].try_id
-    story.stop_between(monkeypatch, operation_client, "submit", story.hands_in(kind), stop_ms, act_first)
-    turn = {"previous": before, "budget": 4 * MOST_TOKENS, "most": MOST_TOKENS}
-    request = story.ask(TURN, **turn)
-    story.run(1000)
-    assert story.stopped_ms
-    story.repeat(TURN, 400, 10, **turn)
-    story.run(stop_ms + 9000)
-    assert story.acted_ms and story.judged() == [] and len(story.runs(request)) <= 1
-    others = [t for t in story.world.notes.tries if t.previous == before and t is not request]
-    assert any(t.whole and t.status == 200 for t in others)
-
-
-@pytest.mark.parametrize("stop_ms", [LEASE_LOST_MS, LONG_MS])
+def test_turn_is_begun_and_ended_only_by_its_own_attempt(monkeypatch, kind, pause_ms, resume_before_input):
+    scenario = Scenario()
+    results = []
+    scenario.crowd.turn("z1", "p", 20 * MOST_TOKENS, "").addCallback(results.append)
+    scenario.run(3000)
+    previous = results[0].try_id
+    scenario.pause_before(
+        monkeypatch, operation_client, "submit", scenario.submits_operation(kind), pause_ms, resume_before_input
+    )
+    turn = {"previous": previous, "budget": 4 * MOST_TOKENS, "most": MOST_TOKENS}
+    request = scenario.send_request(TURN, **turn)
+    scenario.run(1000)
+    assert scenario.paused_ms
+    scenario.send_repeatedly(TURN, 400, 10, **turn)
+    scenario.run(pause_ms + 9000)
+    assert scenario.resumed_ms and scenario.violations() == [] and len(scenario.runs(request)) <= 1
+    other_turns = [t for t in scenario.world.notes.tries if t.previous == previous and t is not request]
+    assert any(t.whole and t.status == 200 for t in other_turns)
+
+
+@pytest.mark.parametrize("pause_ms", [LEASE_LOST_MS, LONG_PAUSE_MS])
 @EACH_ORDER
-@EACH_CUT
+@EACH_PARTITION
 @pytest.mark.parametrize("path", [KEYED, TURN])
-def test_a_verdict_that_is_heard_after_the_lease_starts_no_run(monkeypatch, path, stop_ms, act_first, cut):
-    story = Story()
-    story.stop_between(
-        monkeypatch, operation_client, "on_operation_reply", lambda agent, _: story.ours(agent), stop_ms, act_first, cut
+def test_decision_received_after_the_lease_expired_starts_no_run(
+    monkeypatch, path, pause_ms, resume_before_input, partition
+):
+    scenario = Scenario()
+    scenario.pause_before(
+        monkeypatch,
+        operation_client,
+        "on_operation_reply",
+        lambda agent, _: scenario.is_paused_edge(agent),
+        pause_ms,
+        resume_before_input,
+        partition,
     )
-    request = story.ask(path, **MORE[path])
+    request = scenario.send_request(path, **REQUEST_OPTIONS[path])
     request.left_ms = 20000
-    story.run(stop_ms + 100)
-    assert story.stopped_ms and story.acted_ms
-    story.run(8000)
-    assert story.runs(request) == [] and story.judged() == []
+    scenario.run(pause_ms + 100)
+    assert scenario.paused_ms and scenario.resumed_ms
+    scenario.run(8000)
+    assert scenario.runs(request) == [] and scenario.violations() == []
     assert request.status in (0, 503) and request.ended_ms > 0
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE, KEYED, TURN])
-def test_a_request_that_a_daemon_without_lease_takes_waits_its_share_and_is_then_refused(path):
-    story = Story()
-    story.cut(True)
-    story.run(LEASE_LOST_MS)
-    request = story.ask(path, **MORE.get(path, {}))
-    story.run(int(request.left_ms * WAIT_RATIO) - 200)
-    assert not request.whole and story.runs(request) == []
-    story.run(400)
-    assert request.whole and request.status == 503 and request.retry_ms > 0 and story.runs(request) == []
+def test_request_without_lease_waits_for_its_share_of_the_deadline_and_is_refused(path):
+    scenario = Scenario()
+    scenario.partition(True)
+    scenario.run(LEASE_LOST_MS)
+    request = scenario.send_request(path, **REQUEST_OPTIONS.get(path, {}))
+    scenario.run(int(request.left_ms * WAIT_RATIO) - 200)
+    assert not request.whole and scenario.runs(request) == []
+    scenario.run(400)
+    assert request.whole and request.status == 503 and request.retry_ms > 0 and scenario.runs(request) == []
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE, KEYED, TURN])
-def test_a_request_that_a_daemon_long_without_lease_takes_is_refused_at_once(path):
-    story = Story()
-    story.cut(True)
-    story.run(LEASE_LOST_MS + (MAX_OUTAGE_LEASES + 1) * 1200)
-    request = story.ask(path, **MORE.get(path, {}))
-    story.run(100)
-    assert request.whole and request.status == 503 and request.retry_ms > 0 and story.runs(request) == []
+def test_request_long_after_the_lease_expired_is_refused_at_once(path):
+    scenario = Scenario()
+    scenario.partition(True)
+    scenario.run(LEASE_LOST_MS + (MAX_OUTAGE_LEASES + 1) * 1200)
+    request = scenario.send_request(path, **REQUEST_OPTIONS.get(path, {}))
+    scenario.run(100)
+    assert request.whole and request.status == 503 and request.retry_ms > 0 and scenario.runs(request) == []
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE, KEYED, TURN])
-def test_a_request_under_way_when_the_lease_ends_gets_its_answer_without_a_promise_that_is_false(path):
+def test_request_in_flight_when_the_lease_expires_gets_a_truthful_response(path):
     for wait_ms in range(0, 60, 5):
-        story = Story()
-        story.run(50)
-        request = story.ask(path, **MORE.get(path, {}))
-        story.run(wait_ms)
-        story.cut(True)
-        story.run(9000)
-        assert request.ended_ms > 0 and story.judged() == []
+        scenario = Scenario()
+        scenario.run(50)
+        request = scenario.send_request(path, **REQUEST_OPTIONS.get(path, {}))
+        scenario.run(wait_ms)
+        scenario.partition(True)
+        scenario.run(9000)
+        assert request.ended_ms > 0 and scenario.violations() == []
 
 
-def test_a_daemon_that_ignores_its_lease_is_caught(monkeypatch):
-    story = Story()
+def test_daemon_that_ignores_its_lease_runs_the_late_request(monkeypatch):
+    scenario = Scenario()
     for owner in (pool, operation_client, lease_client):
         monkeypatch.setattr(owner, "holds_lease", lambda agent: True)
-    story.stop_between(
-        monkeypatch, operation_client, "on_operation_reply", lambda agent, _: story.ours(agent), LEASE_LOST_MS
+    scenario.pause_before(
+        monkeypatch,
+        operation_client,
+        "on_operation_reply",
+        lambda agent, _: scenario.is_paused_edge(agent),
+        LEASE_LOST_MS,
     )
-    request = story.ask(KEYED, **MORE[KEYED])
+    request = scenario.send_request(KEYED, **REQUEST_OPTIONS[KEYED])
     request.left_ms = 20000
-    story.run(LEASE_LOST_MS + 8000)
-    assert len(story.runs(request)) == 1
+    scenario.run(LEASE_LOST_MS + 8000)
+    assert len(scenario.runs(request)) == 1
