--- a/frostpost/testbed/callers.py
+++ b/frostpost/testbed/callers.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import Cooperator
 from twisted.web.client import Agent, FileBodyProducer, HTTPConnectionPool, ResponseDone
 
-from frostpost.http_api.http_client import ByNumber
+from frostpost.http_api.http_client import NumericEndpointFactory
 
 from .event_log import EventLog
 from .templates import DEPLOYMENTS
@@ -55,7 +55,7 @@
         pool = HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost, pool.retryAutomatically = 40, False
         self.reactor = reactor
-        self.client = HTTPClient(Agent.usingEndpointFactory(reactor, ByNumber(reactor, 1), pool))
+        self.client = HTTPClient(Agent.usingEndpointFactory(reactor, NumericEndpointFactory(reactor, 1), pool))
         self.addresses, self.random, self.events = addresses, Random(seed), events
         self.serial, self.active_programs, self.tag, self.max_active = 0, 0, tag, max_active
 
