--- a/frostpost/simulator/explore.py
+++ b/frostpost/simulator/explore.py
@@ -12,7 +12,7 @@
 from msgspec import Struct, json
 
 from .explore_context import exploring
-from .explore_options import KINDS
+from .explore_enabled_moves import KINDS
 from .explore_plants import PLANTS
 from .explore_search import Figures, Found, breadth_first
 from .explore_state import Scenario
--- a/frostpost/simulator/explore_options.py
+++ b/frostpost/simulator/explore_enabled_moves.py
@@ -5,7 +5,7 @@
 from frostpost.virtual_synchrony.members import member_names
 from frostpost.virtual_synchrony.quorum import is_majority
 
-from .explore_kinds import (
+from .explore_move_types import (
     Ask,
     Crash,
     Cut,
--- a/frostpost/simulator/explore_search.py
+++ b/frostpost/simulator/explore_search.py
@@ -9,12 +9,12 @@
 from msgspec import Struct
 
 from . import explore_checks as checks
+from .explore_enabled_moves import QUIET, options
 from .explore_hash import OLD_MS, fingerprint
-from .explore_kinds import Ask, Heal, Move, Next, Propose, Restart, Thaw
-from .explore_moves import make
-from .explore_options import QUIET, options
+from .explore_move_types import Ask, Heal, Move, Next, Propose, Restart, Thaw
 from .explore_state import Replica, Scenario, World, replica_names
 from .explore_steps import BOUNDS, greet, start
+from .explore_transitions import make
 
 CALM_ROUNDS = 24
 CALM_TICKS = 150
--- a/frostpost/simulator/explore_moves.py
+++ b/frostpost/simulator/explore_transitions.py
@@ -9,7 +9,7 @@
 
 from . import explore_checks as checks
 from .explore_hash import encode
-from .explore_kinds import (
+from .explore_move_types import (
     Ask,
     Crash,
     Cut,
--- a/frostpost/simulator/explore_walks.py
+++ b/frostpost/simulator/explore_walks.py
@@ -5,10 +5,10 @@
 
 from msgspec import structs
 
-from .explore_kinds import Next
-from .explore_moves import kind_of, make
-from .explore_options import KINDS, OPTIONS, options
+from .explore_enabled_moves import KINDS, OPTIONS, options
+from .explore_move_types import Next
 from .explore_search import Figures, Found, begin, compact, notable, progresses
+from .explore_transitions import kind_of, make
 
 RATES = (0.03, 0.1, 0.3)
 KIND_RATIO = 0.6
--- a/frostpost/simulator/ledger.py
+++ b/frostpost/simulator/ledger_checks.py
@@ -10,7 +10,7 @@
 from frostpost.virtual_synchrony.events import EntryApplied
 from frostpost.virtual_synchrony.quorum import is_majority
 
-from .checks import Broken
+from .evs_checks import Broken
 
 
 def one_order(history):
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -7,9 +7,9 @@
 from frostpost.virtual_synchrony.bounds import Bounds
 
 from . import world as worlds
-from .checks import Broken, evs
 from .core_faults import FAULTS, heal
-from .ledger import ledger
+from .evs_checks import Broken, evs
+from .ledger_checks import ledger
 from .storm import BUDGET, Work, serves, storm, tap, watch, work
 
 STORM_MS = 14000
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -26,8 +26,8 @@
 from frostpost.virtual_synchrony.quorum import is_majority
 
 from . import world as worlds
-from .checks import Broken
 from .core_faults import FAULTS, voters_down
+from .evs_checks import Broken
 
 encode = msgpack.Encoder().encode
 BUDGET = 60
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -21,7 +21,7 @@
 from frostpost.virtual_synchrony.messages import BatchAck, RecoveryComplete
 
 from . import world as worlds
-from .checks import Broken
+from .evs_checks import Broken
 
 
 class Trace(Struct, rename={"endpoint": "place"}):
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.operations import SetConfig
 from frostpost.simulator import world as worlds
-from frostpost.simulator.ledger import ledger as ledger_violations
+from frostpost.simulator.ledger_checks import ledger as ledger_violations
 from frostpost.simulator.storm import ask, serves
 from frostpost.virtual_synchrony.bounds import Bounds
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -7,10 +7,10 @@
 
 from frostpost.simulator.explore import TIMED, UNTIMED
 from frostpost.simulator.explore_context import exploring
-from frostpost.simulator.explore_kinds import Ask, Crash, Next, Propose, Restart
-from frostpost.simulator.explore_moves import make
+from frostpost.simulator.explore_move_types import Ask, Crash, Next, Propose, Restart
 from frostpost.simulator.explore_search import Found, begin, breadth_first
 from frostpost.simulator.explore_state import Scenario
+from frostpost.simulator.explore_transitions import make
 from frostpost.simulator.explore_walks import replayed, rules, shortened, walk_at_random
 
 RUNS = sorted((Path(__file__).parent / "explorations").glob("*.json"))
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -10,8 +10,8 @@
 from frostpost.ledger.operations import SetConfig
 from frostpost.ledger.results import ConfigSet, StaleConfig
 from frostpost.simulator import world as worlds
-from frostpost.simulator.checks import evs
-from frostpost.simulator.ledger import ledger as ledger_faults
+from frostpost.simulator.evs_checks import evs
+from frostpost.simulator.ledger_checks import ledger as ledger_faults
 from frostpost.simulator.storm import Work, ask, serves, watch
 from frostpost.virtual_synchrony import catch_up
 from frostpost.virtual_synchrony import leases as protocol_leases
