--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -16,7 +16,7 @@
 from frostpost.virtual_synchrony.members import member_names
 from frostpost.virtual_synchrony.messages import ProposeRejection, SafeUpdate
 
-from .plants import any_voter, eager_deliver, old_length
+from .plants import any_voter, deliver_unsafe, length_before_recovery
 
 ORIGINAL = {
     "settle": recovery.complete_if_ready,
@@ -172,8 +172,8 @@
         (recovery, "advance_received_watermark", acknowledge_unsynced),
     ],
     "minority_primary": [(primary_component, "has_quorums", any_voter), (recovery, "has_quorums", any_voter)],
-    "base_before_rebroadcast": [(primary_component, "recovered_length", old_length)],
-    "deliver_unsafe": [(ordering, "deliver_safe_entries", eager_deliver)],
+    "base_before_rebroadcast": [(primary_component, "recovered_length", length_before_recovery)],
+    "deliver_unsafe": [(ordering, "deliver_safe_entries", deliver_unsafe)],
     "one_acknowledgement": [(acknowledgements, "on_batch_ack", one_acknowledgement)],
     "receipts_are_enough": [(acknowledgements, "majority_watermark", receipts_are_enough)],
     "unbound_logs_count": [(acknowledgements, "keeps_log", unbound_logs_count)],
--- a/frostpost/simulator/ledger_checks.py
+++ b/frostpost/simulator/ledger_checks.py
@@ -1,4 +1,4 @@
-"""Check a history against the ledger's rules."""
+"""Checks a history against the ledger's rules."""
 
 from collections import defaultdict
 
@@ -10,137 +10,137 @@
 from frostpost.virtual_synchrony.events import EntryApplied
 from frostpost.virtual_synchrony.quorum import is_majority
 
-from .evs_checks import Broken
+from .evs_checks import Violation
 
 
-def one_order(history):
-    """Return (entries by index, violations): all members applied the same entries."""
-    order = {}
-    for _, member, answer in history:
-        if isinstance(answer, EntryApplied):
-            entry = answer.entry
-            if order.setdefault(entry.index, entry) != entry:
-                return order, [Broken("ledger.order", f"index {entry.index} differs at {member}")]
-    return order, []
+def collect_entries(history):
+    """Return (applied entries by index, violations), after checking that all members applied the same entries."""
+    entries = {}
+    for _, member, notification in history:
+        if isinstance(notification, EntryApplied):
+            entry = notification.entry
+            if entries.setdefault(entry.index, entry) != entry:
+                return entries, [Violation("ledger.order", f"index {entry.index} differs at {member}")]
+    return entries, []
 
 
-def kept(history, order):
-    """Check that nothing decided was lost."""
-    mine = {(e.sender, e.number): i for i, e in order.items() if e.number}
-    for _, member, answer in history:
-        decided = isinstance(answer, OperationDecided) and answer.result is not None
-        if decided and (member, answer.number) not in mine:
-            yield Broken("ledger.kept", f"{member}'s {answer.number} was decided and is lost")
+def check_decided_entries_present(history, entries):
+    """Check that every operation decided with a result is among the entries."""
+    submitted = {(e.sender, e.number): i for i, e in entries.items() if e.number}
+    for _, member, notification in history:
+        has_result = isinstance(notification, OperationDecided) and notification.result is not None
+        if has_result and (member, notification.number) not in submitted:
+            yield Violation("ledger.kept", f"{member}'s {notification.number} was decided and is lost")
 
 
-def agreed(world):
-    """Check that members at the same index have the same state."""
+def check_states_agree(world):
+    """Check that nodes that have applied the same index have the same state."""
     states = {}
     for node in world.nodes.values():
         if node.core is None:
             continue
         ledger = node.core.ledger
-        known = states.setdefault(ledger.index, (node.name, encode(ledger)))
-        if known[1] != encode(ledger):
-            yield Broken("ledger.state", f"{node.name} and {known[0]} differ at {ledger.index}")
+        first = states.setdefault(ledger.index, (node.name, encode(ledger)))
+        if first[1] != encode(ledger):
+            yield Violation("ledger.state", f"{node.name} and {first[0]} differ at {ledger.index}")
 
 
-def primaries(order):
-    """Check that primary configurations have majorities and follow each other."""
-    last = None
-    for index in sorted(order):
-        op = decode_operation(order[index].payload)
-        if not isinstance(op, OpenPrimary):
+def check_primaries(entries):
+    """Check that primaries have a majority, increasing ids and a member in common with their predecessor."""
+    previous = None
+    for index in sorted(entries):
+        operation = decode_operation(entries[index].payload)
+        if not isinstance(operation, OpenPrimary):
             continue
-        id = order[index].configuration
-        if not is_majority(op.voters, {m.name for m in op.members}):
-            yield Broken("primary.majority", f"{id} opened without a majority")
-        if last is not None:
-            if id <= last[0]:
-                yield Broken("primary.order", f"{id} opened after {last[0]}")
-            if not {m.name for m in op.members} & last[1]:
-                yield Broken("primary.continuity", f"{id} shares nobody with {last[0]}")
-        last = (id, {m.name for m in op.members})
-
-
-def budgets(order, results, budget_of):
-    """Check that no program spent more than its budget."""
+        configuration_id = entries[index].configuration
+        if not is_majority(operation.voters, {m.name for m in operation.members}):
+            yield Violation("primary.majority", f"{configuration_id} opened without a majority")
+        if previous is not None:
+            if configuration_id <= previous[0]:
+                yield Violation("primary.order", f"{configuration_id} opened after {previous[0]}")
+            if not {m.name for m in operation.members} & previous[1]:
+                yield Violation("primary.continuity", f"{configuration_id} shares nobody with {previous[0]}")
+        previous = (configuration_id, {m.name for m in operation.members})
+
+
+def check_budgets(entries, results, budget):
+    """Check that no reservation is settled above its amount and that no program spends more than its budget."""
     spent = defaultdict(int)
-    for entry in order.values():
-        op = decode_operation(entry.payload)
-        if isinstance(op, Settle):
-            entry_of = order[op.reservation]
-            granted = results.get((entry_of.sender, entry_of.number))
-            if not isinstance(granted, Reserved) or op.used > granted.amount:
-                yield Broken("budget", f"{op.used} handed out against {granted}")
-            spent[decode_operation(entry_of.payload).program] += op.used
+    for entry in entries.values():
+        operation = decode_operation(entry.payload)
+        if isinstance(operation, Settle):
+            reservation = entries[operation.reservation]
+            granted = results.get((reservation.sender, reservation.number))
+            if not isinstance(granted, Reserved) or operation.used > granted.amount:
+                yield Violation("budget", f"{operation.used} handed out against {granted}")
+            spent[decode_operation(reservation.payload).program] += operation.used
     for program, units in spent.items():
-        if units > budget_of:
-            yield Broken("budget", f"{program} was handed {units} of {budget_of}")
-
-
-def keys(order, results):
-    """Check that no key was won twice."""
-    held = {}
-    for index in sorted(order):
-        entry = order[index]
-        op = decode_operation(entry.payload)
-        said = results.get((entry.sender, entry.number))
-        if isinstance(op, ClaimKey) and said and isinstance(said, Won):
-            if op.key in held:
-                yield Broken("key", f"{op.key} was won at {held[op.key]} and at {index}")
-            held[op.key] = index
-        if isinstance(op, Unclaim) and said and isinstance(said, Done):
-            held.pop(op.key, None)
-
-
-def configs(order, results):
-    """Check that no configuration version was acknowledged twice."""
-    acked = {}
-    for index in sorted(order):
-        entry = order[index]
-        op = decode_operation(entry.payload)
-        said = results.get((entry.sender, entry.number))
-        if isinstance(op, SetConfig) and said and isinstance(said, ConfigSet):
-            key = (op.path, said.version)
-            if key in acked:
-                yield Broken("config", f"{key} was acknowledged twice")
-            acked[key] = index
-
-
-def replayed(order):
-    """Apply the entries again; return (results, violations)."""
+        if units > budget:
+            yield Violation("budget", f"{program} was handed {units} of {budget}")
+
+
+def check_keys(entries, results):
+    """Check that no key is won again before it is unclaimed."""
+    claimed_at = {}
+    for index in sorted(entries):
+        entry = entries[index]
+        operation = decode_operation(entry.payload)
+        result = results.get((entry.sender, entry.number))
+        if isinstance(operation, ClaimKey) and result and isinstance(result, Won):
+            if operation.key in claimed_at:
+                yield Violation("key", f"{operation.key} was won at {claimed_at[operation.key]} and at {index}")
+            claimed_at[operation.key] = index
+        if isinstance(operation, Unclaim) and result and isinstance(result, Done):
+            claimed_at.pop(operation.key, None)
+
+
+def check_configs(entries, results):
+    """Check that no configuration version is acknowledged twice."""
+    acknowledged_at = {}
+    for index in sorted(entries):
+        entry = entries[index]
+        operation = decode_operation(entry.payload)
+        result = results.get((entry.sender, entry.number))
+        if isinstance(operation, SetConfig) and result and isinstance(result, ConfigSet):
+            key = (operation.path, result.version)
+            if key in acknowledged_at:
+                yield Violation("config", f"{key} was acknowledged twice")
+            acknowledged_at[key] = index
+
+
+def replay_entries(entries):
+    """Apply the entries to a new ledger; return (results by sender and number, violations)."""
     ledger, results = Ledger(), {}
-    for index in range(1, max(order, default=0) + 1):
-        entry = order.get(index)
+    for index in range(1, max(entries, default=0) + 1):
+        entry = entries.get(index)
         if entry is None:
-            return results, [Broken("ledger.order", f"nobody applied {index}")]
+            return results, [Violation("ledger.order", f"nobody applied {index}")]
         ledger, result = apply(ledger, entry)
         if result is not None:
             results[(entry.sender, entry.number)] = result
     return results, []
 
 
-def told(history, results):
-    """Check that members were told the results that the order gives."""
-    for _, member, answer in history:
-        decided = isinstance(answer, OperationDecided) and answer.result is not None
-        if decided and results.get((member, answer.number)) != answer.result:
-            yield Broken("ledger.told", f"{member} was told otherwise of {answer.number}")
+def check_reported_results(history, results):
+    """Check that members reported the results that a replay of the entries gives."""
+    for _, member, notification in history:
+        has_result = isinstance(notification, OperationDecided) and notification.result is not None
+        if has_result and results.get((member, notification.number)) != notification.result:
+            yield Violation("ledger.told", f"{member} was told otherwise of {notification.number}")
 
 
-def ledger(world, budget_of):
-    """Return all violations of the ledger's rules."""
-    order, broken = one_order(world.history)
-    results, gaps = replayed(order)
+def find_ledger_violations(world, budget):
+    """Return all violations of the ledger's rules. budget: every program's budget."""
+    entries, order_violations = collect_entries(world.history)
+    results, replay_violations = replay_entries(entries)
     return [
-        *broken,
-        *gaps,
-        *kept(world.history, order),
-        *told(world.history, results),
-        *agreed(world),
-        *primaries(order),
-        *budgets(order, results, budget_of),
-        *keys(order, results),
-        *configs(order, results),
+        *order_violations,
+        *replay_violations,
+        *check_decided_entries_present(world.history, entries),
+        *check_reported_results(world.history, results),
+        *check_states_agree(world),
+        *check_primaries(entries),
+        *check_budgets(entries, results, budget),
+        *check_keys(entries, results),
+        *check_configs(entries, results),
     ]
--- a/frostpost/simulator/plants.py
+++ b/frostpost/simulator/plants.py
@@ -1,4 +1,4 @@
-"""Planted faults of membership, order and ledger, for tests of the checkers."""
+"""Planted faults in membership, ordering and the ledger, with which tests verify that the checks detect violations."""
 
 from contextlib import contextmanager
 
@@ -20,8 +20,8 @@
 from frostpost.virtual_synchrony.events import EntryDelivered
 
 
-def ack_unsynced(synchrony, out):
-    """Plant: acknowledge entries before they are synced."""
+def acknowledge_unsynced(synchrony, out):
+    """Acknowledge entries before they are synced."""
     order = synchrony.order
     while order.received_watermark + 1 in order.pending:
         order.received_watermark += 1
@@ -33,17 +33,17 @@
 
 
 def any_voter(primary, present):
-    """Plant: one voter is enough for a primary."""
+    """Accept a single voter as a quorum of a primary."""
     return any(v in present for v in primary.voters)
 
 
-def old_length(plan, name):
-    """Plant: compute the new base from the length before the recovery."""
+def length_before_recovery(plan, name):
+    """Compute the new base from a member's log length before the recovery."""
     return plan[name].durable_state.length
 
 
-def eager_deliver(synchrony, out):
-    """Plant: deliver what is not yet safe."""
+def deliver_unsafe(synchrony, out):
+    """Deliver entries that are received and not yet safe."""
     synchrony.order.safe_watermark = max(synchrony.order.safe_watermark, synchrony.order.received_watermark)
     order = synchrony.order
     while order.delivered_watermark < order.safe_watermark and order.delivered_watermark < order.received_watermark:
@@ -54,100 +54,100 @@
             delivery.queue_for_apply(synchrony, out, entry)
 
 
-def ever_leased(synchrony, now_ms):
-    """Plant: a lease never ends."""
+def never_expiring_lease(synchrony, now_ms):
+    """Hold a lease as long as the primary is open, without expiry."""
     return synchrony.primary.opened
 
 
-def free_claim(ledger, entry, op):
-    """Plant: everybody wins a key."""
+def claim_always_wins(ledger, entry, op):
+    """Let every claim of a key win."""
     return Won(entry.index)
 
 
-def no_compare(ledger, entry, op):
-    """Plant: take a configuration without comparing its version."""
-    mark = ledger.configs.get(op.path)
+def set_config_unchecked(ledger, entry, op):
+    """Set a configuration without comparing its version."""
+    previous = ledger.configs.get(op.path)
     version = op.if_version + 1
     ledger.configs[op.path] = ConfigVersion(version, op.digest, op.size, op.source, op.number, entry.index)
-    return ConfigSet(version, entry.index) if mark is None or version else None
+    return ConfigSet(version, entry.index) if previous is None or version else None
 
 
-def loose_reserve(ledger, entry, op):
-    """Plant: forget what a program spent."""
+def reserve_without_spent(ledger, entry, op):
+    """Reset what a program has spent before each reservation."""
     program = ledger.programs.get(op.program)
     if program is not None:
         program.spent = 0
-    return KEPT["reserve"](ledger, entry, op)
+    return ORIGINALS["reserve"](ledger, entry, op)
 
 
-def eager_drain(synchrony, out):
-    """Plant: apply entries before the configuration opens."""
+def apply_before_open(synchrony, out):
+    """Apply entries before the primary's first entry is delivered."""
     synchrony.primary.open_committed = True
-    KEPT["drain"](synchrony, out)
+    ORIGINALS["apply_pending"](synchrony, out)
 
 
-def forget(synchrony, out, record):
-    """Plant: do not write a promise."""
+def skip_record(synchrony, out, record):
+    """Do not write a promise to the log."""
     return synchrony.written_count
 
 
-def no_unlatch(synchrony, out, index, state):
-    """Plant: wait for an open configuration after a refill."""
+def install_snapshot_unopened(synchrony, out, index, state):
+    """Do not open the primary when a snapshot past its first entry is installed."""
     opened = synchrony.primary.opened
-    KEPT["refill"](synchrony, out, index, state)
+    ORIGINALS["install_snapshot"](synchrony, out, index, state)
     synchrony.primary.opened = opened
 
 
-def no_union(synchrony, out):
-    """Plant: do not send again what others lack."""
+def skip_rebroadcast(synchrony, out):
+    """Do not rebroadcast the entries that other members lack."""
     synchrony.recovery.ordinals_to_rebroadcast = {}
 
 
-def late_self(synchrony, out, entries):
-    """Plant: drop own entries."""
+def drop_entries(synchrony, out, entries):
+    """Drop all entries, own and received."""
     return None
 
 
-KEPT = {
+ORIGINALS = {
     "reserve": programs.reserve,
-    "drain": delivery.apply_pending,
-    "refill": catch_up.install_snapshot,
+    "apply_pending": delivery.apply_pending,
+    "install_snapshot": catch_up.install_snapshot,
 }
 PLANTS = {
     "ack_unsynced": [
-        (ordering, "advance_received_watermark", ack_unsynced),
-        (recovery, "advance_received_watermark", ack_unsynced),
+        (ordering, "advance_received_watermark", acknowledge_unsynced),
+        (recovery, "advance_received_watermark", acknowledge_unsynced),
     ],
     "commit_on_receipt": [(acknowledgements, "majority_watermark", lambda voters, watermarks: 1 << 40)],
     "minority_primary": [(primary_component, "has_quorums", any_voter), (recovery, "has_quorums", any_voter)],
-    "base_before_rebroadcast": [(primary_component, "recovered_length", old_length)],
-    "deliver_unsafe": [(ordering, "deliver_safe_entries", eager_deliver)],
-    "no_lease": [(leases, "holds_lease", ever_leased)],
-    "free_claim": [(keys, "claim", free_claim)],
-    "no_compare": [(applying, "set_config", no_compare)],
-    "budget_forgotten": [(programs, "reserve", loose_reserve)],
-    "no_rebroadcast": [(recovery, "send_rebroadcasts", no_union)],
-    "apply_before_open": [(delivery, "apply_pending", eager_drain)],
-    "forget_promise": [(membership, "write_record", forget)],
-    "wait_for_open": [(catch_up, "install_snapshot", no_unlatch)],
-    "drop_own": [(ordering, "take_entries", late_self)],
+    "base_before_rebroadcast": [(primary_component, "recovered_length", length_before_recovery)],
+    "deliver_unsafe": [(ordering, "deliver_safe_entries", deliver_unsafe)],
+    "no_lease": [(leases, "holds_lease", never_expiring_lease)],
+    "free_claim": [(keys, "claim", claim_always_wins)],
+    "no_compare": [(applying, "set_config", set_config_unchecked)],
+    "budget_forgotten": [(programs, "reserve", reserve_without_spent)],
+    "no_rebroadcast": [(recovery, "send_rebroadcasts", skip_rebroadcast)],
+    "apply_before_open": [(delivery, "apply_pending", apply_before_open)],
+    "forget_promise": [(membership, "write_record", skip_record)],
+    "wait_for_open": [(catch_up, "install_snapshot", install_snapshot_unopened)],
+    "drop_own": [(ordering, "take_entries", drop_entries)],
 }
 
 
 def planted(name, table=PLANTS):
-    """Context manager: put a planted fault into the code; nothing for an unknown name."""
-    return changed(table.get(name, []))
+    """Context manager: plant the named fault; does nothing if the table has no such name."""
+    return patched_attributes(table.get(name, []))
 
 
 @contextmanager
-def changed(changes):
-    """Context manager: set module attributes, given as (module, attribute, value), and set them back at the end.
+def patched_attributes(patches):
+    """Context manager: set module attributes, given as (module, attribute, value), and restore them at the end.
 
-    A function that handles a type of message is replaced in the table of handlers too.
+    A replaced message handler is replaced in the protocol's table of handlers too.
     """
-    originals = [(module, name, getattr(module, name)) for module, name, _ in changes]
+    originals = [(module, name, getattr(module, name)) for module, name, _ in patches]
     handlers = dict(step.HANDLERS)
-    for (module, name, replacement), (_, _, original) in zip(changes, originals, strict=True):
+    for (module, name, replacement), (_, _, original) in zip(patches, originals, strict=True):
         setattr(module, name, replacement)
         step.HANDLERS.update({kind: replacement for kind, handler in handlers.items() if handler is original})
     try:
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -1,4 +1,4 @@
-"""Play one storm of the core simulation and judge it."""
+"""Simulates the daemons' cores under load and random faults, and checks the history."""
 
 from random import Random
 
@@ -7,17 +7,21 @@
 from frostpost.virtual_synchrony.bounds import Bounds
 
 from . import world as worlds
-from .core_faults import FAULTS, heal
-from .evs_checks import Broken, evs
-from .ledger_checks import ledger
+from .core_faults import FAULTS, end_all_faults
+from .evs_checks import Violation, find_evs_violations
+from .ledger_checks import find_ledger_violations
 from .storm import BUDGET, Work, serves, storm, tap, watch, work
 
 STORM_MS = 14000
-BACK_MS = 12000
+RECOVERY_TIMEOUT_MS = 12000
 
 
 class Report(Struct):
-    """What a storm showed."""
+    """The results of one simulation.
+
+    broken: violations. back_ms: time from the end of all faults until all nodes served, or -1. asked, decided: numbers
+    of operations. sent: number of messages. installs: number of installed configurations. trace: faults by time.
+    """
 
     seed: int
     broken: list
@@ -29,40 +33,45 @@
     trace: list
 
 
-def back(world):
-    """Tell whether all nodes are in one configuration and serve."""
+def all_nodes_serve(world):
+    """Return whether all nodes are in one configuration and serve."""
     nodes = list(world.nodes.values())
-    ids = {n.core.synchrony.configuration.id for n in nodes if n.core}
-    return len(ids) == 1 and all(serves(world, n) for n in nodes)
+    configuration_ids = {n.core.synchrony.configuration.id for n in nodes if n.core}
+    return len(configuration_ids) == 1 and all(serves(world, n) for n in nodes)
 
 
-TIGHT = Bounds(rewrite_entries=60, piece_bytes=1500, batch=16)
+# Small bounds make log rewrites, chunked snapshot transfers and full batches frequent.
+SMALL_BOUNDS = Bounds(rewrite_entries=60, piece_bytes=1500, batch=16)
 
 
 def play(
     seed, edges=2, storages=3, cores=2, kinds=None, storm_ms=STORM_MS, bounds=None, prepare=None, gap_ms=2500, voters=0
 ):
-    """Play one seeded storm; return (world, report)."""
-    world = worlds.make(seed, edges, storages, cores, bounds or (TIGHT if seed % 2 else None), voters)
+    """Simulate one seeded run with faults for `storm_ms`, then without; return (world, Report)."""
+    world = worlds.make(seed, edges, storages, cores, bounds or (SMALL_BOUNDS if seed % 2 else None), voters)
     random = Random(seed * 7919 + 1)
-    state = Work(random, until_ms=storm_ms + 3000)
-    world.tap = tap(state)
+    load = Work(random, until_ms=storm_ms + 3000)
+    world.tap = tap(load)
     if prepare:
         prepare(world)
-    worlds.at(world, 1500, "call", work, state)
-    worlds.at(world, 1500, "call", watch, state)
+    worlds.at(world, 1500, "call", work, load)
+    worlds.at(world, 1500, "call", watch, load)
     storm(world, random, storm_ms, sorted(kinds or FAULTS), gap_ms)
     worlds.run(world, storm_ms)
-    heal(world)
-    healed_ms, back_ms = world.now_ms, -1.0
-    while world.now_ms < healed_ms + BACK_MS:
+    end_all_faults(world)
+    healed_ms, recovery_ms = world.now_ms, -1.0
+    while world.now_ms < healed_ms + RECOVERY_TIMEOUT_MS:
         worlds.run(world, world.now_ms + 100)
-        if back(world):
-            back_ms = world.now_ms - healed_ms
+        if all_nodes_serve(world):
+            recovery_ms = world.now_ms - healed_ms
             break
-    worlds.run(world, max(world.now_ms, state.until_ms) + 1500)
-    broken = [*state.breaks[:3], *evs(world.history, world.ordered), *ledger(world, BUDGET)]
-    if back_ms < 0:
-        broken.append(Broken("back", f"not served again {BACK_MS} ms after the healing"))
+    worlds.run(world, max(world.now_ms, load.until_ms) + 1500)
+    violations = [
+        *load.breaks[:3],
+        *find_evs_violations(world.history, world.ordered),
+        *find_ledger_violations(world, BUDGET),
+    ]
+    if recovery_ms < 0:
+        violations.append(Violation("back", f"not served again {RECOVERY_TIMEOUT_MS} ms after the healing"))
     installs = sum(n.core.synchrony.counts.get("installs", 0) for n in world.nodes.values() if n.core)
-    return world, Report(seed, broken, back_ms, state.asked, state.decided, world.sent, installs, world.trace)
+    return world, Report(seed, violations, recovery_ms, load.asked, load.decided, world.sent, installs, world.trace)
--- a/frostpost/simulator/storm.py
+++ b/frostpost/simulator/storm.py
@@ -26,8 +26,8 @@
 from frostpost.virtual_synchrony.quorum import is_majority
 
 from . import world as worlds
-from .core_faults import FAULTS, voters_down
-from .evs_checks import Broken
+from .core_faults import FAULTS, power_off_storage
+from .evs_checks import Violation
 
 encode = msgpack.Encoder().encode
 BUDGET = 60
@@ -146,7 +146,7 @@
         state.decided += 1
         if world.trap:
             world.trap = False
-            worlds.at(world, 0, "call", voters_down)
+            worlds.at(world, 0, "call", power_off_storage)
         op = world.ops.get((node.endpoint.member, answer.number))
         follow(world, node, state.random, op, answer.result)
 
@@ -197,7 +197,7 @@
     for name, id in leased:
         for other, since_ms in state.first_ms.items():
             if other > id and world.now_ms > since_ms + world.bounds.lease_ms + 1:
-                state.breaks.append(Broken("lease", f"{name} serves under {id} after {other}"))
+                state.breaks.append(Violation("lease", f"{name} serves under {id} after {other}"))
 
 
 def storm(world, random, until_ms, kinds, gap_ms=2500):
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -1,4 +1,4 @@
-"""Recorded lives of one node: inputs that are played again, and checks of what the node does."""
+"""Recorded runs of one node: its inputs, which can be replayed, and checks of its outputs."""
 
 import zlib
 
@@ -21,11 +21,11 @@
 from frostpost.virtual_synchrony.messages import BatchAck, RecoveryComplete
 
 from . import world as worlds
-from .evs_checks import Broken
+from .evs_checks import Violation
 
 
 class Trace(Struct, rename={"endpoint": "place"}):
-    """A recorded life: how the node started and all its inputs; `place` is the name of its endpoint in recordings."""
+    """A recorded run of a node from one start: its initial state and all inputs. `endpoint` is stored as `place`."""
 
     note: str
     endpoint: Endpoint
@@ -37,35 +37,39 @@
     inputs: list[Input] = []
 
 
-class Life(Struct):
-    """What a played node has synced, applied and acknowledged."""
+class ReplayState(Struct):
+    """What a replayed node has done so far.
+
+    log: the synced log. unsynced: (number, record) pairs not yet synced. applied: index of the last applied entry.
+    acknowledged: the configuration and watermark of the last acknowledgement.
+    """
 
     log: DurableLog = field(default_factory=DurableLog)
     unsynced: list = []
     applied: int = 0
     opened: bool = False
-    acked: tuple = (None, 0)
+    acknowledged: tuple = (None, 0)
 
 
-def recorder(name, traces):
-    """Return (start, feed) functions that record one node's lives."""
+def recorders(name, runs):
+    """Return replacements for `world.start` and `world.feed` that append each run of a node to `runs`."""
     start, feed = worlds.start, worlds.feed
 
-    def start_one(world, node):
-        if node == name:
-            traces.append([list(world.nodes[node].disk.lasting), []])
-        start(world, node)
-        if node == name:
-            held = world.nodes[node]
-            traces[-1].insert(0, (held.endpoint, worlds.clock(world, held)))
+    def record_start(world, node_name):
+        if node_name == name:
+            runs.append([list(world.nodes[node_name].disk.lasting), []])
+        start(world, node_name)
+        if node_name == name:
+            node = world.nodes[node_name]
+            runs[-1].insert(0, (node.endpoint, worlds.clock(world, node)))
 
-    def feed_one(world, node, input):
-        held = world.nodes[node]
-        if node == name and held.core is not None and not held.frozen:
-            traces[-1][-1].append(input)
-        feed(world, node, input)
+    def record_feed(world, node_name, input):
+        node = world.nodes[node_name]
+        if node_name == name and node.core is not None and not node.frozen:
+            runs[-1][-1].append(input)
+        feed(world, node_name, input)
 
-    return start_one, feed_one
+    return record_start, record_feed
 
 
 def save(trace, path):
@@ -80,79 +84,79 @@
         return msgpack.decode(zlib.decompress(file.read()), type=Trace)
 
 
-def last(life, record):
-    """Apply a record to the log that is on disk."""
+def apply_synced_record(state, record):
+    """Apply a record to the synced log."""
     if isinstance(record, RewriteLog):
-        life.log = replay(record.records)
+        state.log = replay(record.records)
     else:
-        replay_record(life.log, record)
+        replay_record(state.log, record)
 
 
-def play(trace):
-    """Play a trace; yield its violations."""
+def replay_violations(trace):
+    """Replay a trace; yield the violations in the node's outputs."""
     core, out = cores.create_core(
         trace.endpoint, trace.bounds, trace.seeds, trace.voters, replay(trace.records), trace.now_ms
     )
-    life, wrote = Life(replay(trace.records)), 0
-    life.applied = core.synchrony.applied
+    state, written_count = ReplayState(replay(trace.records)), 0
+    state.applied = core.synchrony.applied
     for input in (None, *trace.inputs):
         if input is not None:
-            if isinstance(input, LogSynced) and input.up_to > wrote:
-                input = LogSynced(input.now_ms, wrote)
+            if isinstance(input, LogSynced) and input.up_to > written_count:
+                input = LogSynced(input.now_ms, written_count)
             if isinstance(input, LogSynced):
-                done = [w for n, w in life.unsynced if n <= input.up_to]
-                life.unsynced = [(n, w) for n, w in life.unsynced if n > input.up_to]
-                for record in done:
-                    last(life, record)
+                synced = [r for n, r in state.unsynced if n <= input.up_to]
+                state.unsynced = [(n, r) for n, r in state.unsynced if n > input.up_to]
+                for record in synced:
+                    apply_synced_record(state, record)
             core, out = cores.step(core, input)
         for record in out.writes:
-            wrote += 1
-            life.unsynced.append((wrote, record))
-        yield from manners(core, life, out)
+            written_count += 1
+            state.unsynced.append((written_count, record))
+        yield from output_violations(core, state, out)
 
 
-def manners(core, life, out):
-    """Yield the violations that one output shows."""
-    storage = core.synchrony.has_log
+def output_violations(core, state, out):
+    """Yield the violations in one output: unsynced promises and acknowledgements, lost or misordered entries."""
+    has_log = core.synchrony.has_log
     for _, body in out.sends:
-        if isinstance(body, RecoveryComplete) and storage and life.log.epoch < body.id.epoch:
-            yield Broken("promise", f"{body.id} was completed before its promise was synced")
-        if isinstance(body, BatchAck) and storage and core.synchrony.primary.ready_record_number >= 0:
-            top = max(body.acknowledged_watermark, body.synced_watermark)
-            if life.log.primary == body.id and life.log.length < life.log.base + top:
-                yield Broken("ack", f"{top} of {body.id} was acknowledged and not synced")
-            life.acked = (body.id, top)
-    id, top = life.acked
-    for log in (life.log, core.synchrony.log):
-        if log.primary == id and log.length < log.base + top:
-            yield Broken("cut", f"{top} of {id} was acknowledged and cut off")
-    for answer in out.notifications:
-        match answer:
+        if isinstance(body, RecoveryComplete) and has_log and state.log.epoch < body.id.epoch:
+            yield Violation("promise", f"{body.id} was completed before its promise was synced")
+        if isinstance(body, BatchAck) and has_log and core.synchrony.primary.ready_record_number >= 0:
+            watermark = max(body.acknowledged_watermark, body.synced_watermark)
+            if state.log.primary == body.id and state.log.length < state.log.base + watermark:
+                yield Violation("ack", f"{watermark} of {body.id} was acknowledged and not synced")
+            state.acknowledged = (body.id, watermark)
+    configuration_id, watermark = state.acknowledged
+    for log in (state.log, core.synchrony.log):
+        if log.primary == configuration_id and log.length < log.base + watermark:
+            yield Violation("cut", f"{watermark} of {configuration_id} was acknowledged and cut off")
+    for notification in out.notifications:
+        match notification:
             case ConfigurationChanged(_, False):
-                life.opened = False
+                state.opened = False
             case EntryDelivered(entry, _, True) if entry.ordinal == 1:
-                life.opened = True
+                state.opened = True
             case SnapshotInstalled(index, _):
-                life.applied, life.opened = index, core.synchrony.primary.open_committed
+                state.applied, state.opened = index, core.synchrony.primary.open_committed
             case EntryApplied(entry):
-                if not life.opened:
-                    yield Broken("open", f"{entry.index} was applied before its Open")
-                if entry.index != life.applied + 1:
-                    yield Broken("order", f"{entry.index} was applied after {life.applied}")
-                life.applied = entry.index
-
-
-def record(note, name, run):
-    """Run a simulation and return the traces of one node's lives."""
-    lives = []
-    kept = worlds.start, worlds.feed
-    worlds.start, worlds.feed = recorder(name, lives)
+                if not state.opened:
+                    yield Violation("open", f"{entry.index} was applied before its Open")
+                if entry.index != state.applied + 1:
+                    yield Violation("order", f"{entry.index} was applied after {state.applied}")
+                state.applied = entry.index
+
+
+def record_traces(note, name, simulate):
+    """Run a simulation and return the traces of one node's runs."""
+    runs = []
+    originals = worlds.start, worlds.feed
+    worlds.start, worlds.feed = recorders(name, runs)
     try:
-        world, _ = run()
+        world, _ = simulate()
     finally:
-        worlds.start, worlds.feed = kept
+        worlds.start, worlds.feed = originals
     traces = []
-    for (endpoint, now_ms), records, inputs in lives:
+    for (endpoint, now_ms), records, inputs in runs:
         seeds = tuple(f"@{n}:1" for n in list(world.nodes)[:3])
         traces.append(Trace(note, endpoint, world.bounds, seeds, world.voters, records, now_ms, inputs))
     return traces
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -20,7 +20,7 @@
 from frostpost.proxy.attempts import Attempts
 from frostpost.proxy.failures import TimedOut, Unknown
 from frostpost.proxy.outcomes import Broken
-from frostpost.simulator.plants import changed
+from frostpost.simulator.plants import patched_attributes
 from frostpost.turn_store import repair
 from frostpost.virtual_synchrony import catch_up, primary_component, recovery
 from frostpost.virtual_synchrony.agent_messages import OperationReply
@@ -257,4 +257,4 @@
 
 def planted(name):
     """Context manager: put a planted error into the code; nothing for the empty name."""
-    return changed((PLANTS | COPY_PLANTS | LEASE_PLANTS)[name]() if name else [])
+    return patched_attributes((PLANTS | COPY_PLANTS | LEASE_PLANTS)[name]() if name else [])
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -6,7 +6,7 @@
 from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.operations import SetConfig
 from frostpost.simulator import world as worlds
-from frostpost.simulator.ledger_checks import ledger as ledger_violations
+from frostpost.simulator.ledger_checks import find_ledger_violations
 from frostpost.simulator.storm import ask, serves
 from frostpost.virtual_synchrony.bounds import Bounds
 
@@ -68,7 +68,7 @@
         worlds.start(world, name)
     assert complete_after_ms(world, names, 3000) is not None
     assert decided_ms[-1] > world.now_ms - 100
-    assert ledger_violations(world, 0) == []
+    assert find_ledger_violations(world, 0) == []
 
 
 def test_leases_hold_while_all_members_encode_snapshots_longer_than_detection_and_lease():
@@ -87,7 +87,7 @@
         longest_ms = max(longest_ms, world.now_ms - all_since_ms) if all_since_ms is not None else longest_ms
     assert longest_ms > world.bounds.lease_ms > world.bounds.detect_ms
     assert installs == {node.name: node.core.synchrony.counts["installs"] for node in world.nodes.values()}
-    assert ledger_violations(world, 0) == []
+    assert find_ledger_violations(world, 0) == []
 
 
 def test_member_loading_a_snapshot_in_slices_serves_only_once_it_is_complete():
@@ -105,7 +105,7 @@
         assert core.snapshots.loading is None or not serves(world, world.nodes["s3"])
     assert loading_steps > 10 and serves(world, world.nodes["s3"]) and synchrony.primary.ready
     assert max_pending < 4000 / CHANGE_INTERVAL_MS
-    assert ledger_violations(world, 0) == []
+    assert find_ledger_violations(world, 0) == []
 
 
 def test_snapshot_that_is_no_longer_fetched_is_released():
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -10,8 +10,8 @@
 from frostpost.ledger.operations import SetConfig
 from frostpost.ledger.results import ConfigSet, StaleConfig
 from frostpost.simulator import world as worlds
-from frostpost.simulator.evs_checks import evs
-from frostpost.simulator.ledger_checks import ledger as ledger_faults
+from frostpost.simulator.evs_checks import find_evs_violations
+from frostpost.simulator.ledger_checks import find_ledger_violations
 from frostpost.simulator.storm import Work, ask, serves, watch
 from frostpost.virtual_synchrony import catch_up
 from frostpost.virtual_synchrony import leases as protocol_leases
@@ -157,7 +157,12 @@
 
 
 def faults(world, operator, state):
-    return [*operator.stale, *state.breaks, *evs(world.history, world.ordered), *ledger_faults(world, 0)]
+    return [
+        *operator.stale,
+        *state.breaks,
+        *find_evs_violations(world.history, world.ordered),
+        *find_ledger_violations(world, 0),
+    ]
 
 
 @pytest.mark.parametrize("rewrite_entries", (1, 2, 9, 60))
--- a/tests/test_plants.py
+++ b/tests/test_plants.py
@@ -3,7 +3,7 @@
 from frostpost.simulator.plants import PLANTS, planted
 from frostpost.simulator.play import play
 
-CAUGHT = {
+RULES_BY_PLANT = {
     "ack_unsynced": {"ledger.kept", "ledger.order"},
     "commit_on_receipt": {"ledger.kept", "ledger.order"},
     "minority_primary": {"primary.majority", "ledger.order"},
@@ -17,20 +17,20 @@
     "drop_own": {"3"},
     "wait_for_open": {"back"},
 }
-TRACED = {"apply_before_open", "forget_promise"}
+RECORDED = {"apply_before_open", "forget_promise"}
 
 
-def test_every_plant_has_its_checker():
-    assert set(CAUGHT) | TRACED == set(PLANTS)
+def test_every_plant_has_a_check_or_a_recorded_trace():
+    assert set(RULES_BY_PLANT) | RECORDED == set(PLANTS)
 
 
-@pytest.mark.parametrize("plant", sorted(CAUGHT))
-def test_planted_fault_is_caught(plant):
-    seen = set()
+@pytest.mark.parametrize("plant", sorted(RULES_BY_PLANT))
+def test_planted_fault_is_detected(plant):
+    violated = set()
     for seed in range(1, 41):
         with planted(plant):
             _, report = play(seed, gap_ms=1200)
-        seen |= {b.spec for b in report.broken}
-        if seen & CAUGHT[plant]:
+        violated |= {violation.spec for violation in report.broken}
+        if violated & RULES_BY_PLANT[plant]:
             return
-    raise AssertionError(f"{plant} was not caught; seen {seen}")
+    raise AssertionError(f"{plant} was not detected; violated rules: {violated}")
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -1,5 +1,5 @@
 from frostpost.simulator import world as worlds
-from frostpost.simulator.play import back
+from frostpost.simulator.play import all_nodes_serve
 from frostpost.virtual_synchrony.events import Output
 from frostpost.virtual_synchrony.members import sequencer_of
 from frostpost.virtual_synchrony.messages import SubmitRequest
@@ -26,7 +26,7 @@
         worlds.run(world, 4000)
     finally:
         worlds.send = send
-    assert back(world)
+    assert all_nodes_serve(world)
     assert {sequencer_of(n.core.synchrony) for n in world.nodes.values()} == {"c1"}
 
 
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -8,7 +8,7 @@
 from frostpost.daemon.ticker import Ticker
 from frostpost.simulator import play as plays
 from frostpost.simulator import world as worlds
-from frostpost.simulator.plants import changed
+from frostpost.simulator.plants import patched_attributes
 from frostpost.virtual_synchrony import failure_detector, timers
 from frostpost.virtual_synchrony.events import TimerTick
 
@@ -144,7 +144,7 @@
         on_heartbeat(synchrony, out, sender_name, message)
         synchrony.peers_changed = before
 
-    with changed([(failure_detector, "on_heartbeat", heartbeat_without_change)]):
+    with patched_attributes([(failure_detector, "on_heartbeat", heartbeat_without_change)]):
         for seed in range(11, 17):
             plays.play(seed, 0, 5, 0, gap_ms=1500)
     assert omitted.effects
