--- a/frostpost/simulator/explore_context.py
+++ b/frostpost/simulator/explore_context.py
@@ -1,7 +1,7 @@
-"""Where the model checker stands in for parts of the product, and the safety rules that it can switch off.
+"""Replaces parts of the product during an exploration, and switches off a safety rule if requested.
 
-Only what isn't explored is stood in for: elections of duty holders (they add entries and no rule of their own), and,
-in the untimed mode, the failure detector, in whose place any member may propose any set of members at any moment.
+Only what is not explored is replaced: elections of singleton roles, which add entries but no rules, and in untimed
+scenarios the failure detector, since any member may then propose any set of members at any time.
 """
 
 from contextlib import ExitStack, contextmanager
@@ -16,53 +16,53 @@
 from .explore_state import clone
 from .plants import planted
 
-APPLY = applying.apply
-TAKE, LOAD = snapshot_state.encode_snapshot, snapshot_state.decode_snapshot
+ORIGINAL_APPLY = applying.apply
+ORIGINAL_ENCODE, ORIGINAL_DECODE = snapshot_state.encode_snapshot, snapshot_state.decode_snapshot
 
 
 def apply_to_copy(ledger, entry):
-    """Ledgers are shared between worlds, so an entry is applied to a copy."""
-    return APPLY(clone(ledger), entry)
+    """Apply an entry to a copy of the ledger, since worlds share ledgers."""
+    return ORIGINAL_APPLY(clone(ledger), entry)
 
 
 def no_ballots(core):
-    """No duty is voted on."""
+    """Cast no ballots for singleton roles."""
     return []
 
 
-def no_detector(synchrony, out):
-    """Proposals are moves of their own."""
+def no_proposal(synchrony, out):
+    """Propose nothing: proposals are moves of the model checker."""
 
 
-def take_at_once(ledger, slice_records):
-    """A snapshot is taken in one slice, since work under way can't be copied with its world."""
-    return (yield from finished(TAKE(ledger, slice_records)))
+def encode_in_one_slice(ledger, slice_records):
+    """Encode a snapshot in one slice, since a running generator cannot be copied with its world."""
+    return (yield from run_in_one_slice(ORIGINAL_ENCODE(ledger, slice_records)))
 
 
-def load_at_once(received):
-    """A snapshot is loaded in one slice."""
-    return (yield from finished(LOAD(received)))
+def decode_in_one_slice(received):
+    """Decode a snapshot in one slice, since a running generator cannot be copied with its world."""
+    return (yield from run_in_one_slice(ORIGINAL_DECODE(received)))
 
 
-def finished(work):
-    """Work without pauses."""
+def run_in_one_slice(work):
+    """Run a generator to completion without yielding."""
     yield from ()
     return snapshots.run_to_completion(work)
 
 
-SHARED = [
+REPLACEMENTS = [
     (cores, "apply", apply_to_copy),
     (cores, "pending_ballots", no_ballots),
-    (snapshotting, "encode_snapshot", take_at_once),
-    (snapshotting, "decode_snapshot", load_at_once),
+    (snapshotting, "encode_snapshot", encode_in_one_slice),
+    (snapshotting, "decode_snapshot", decode_in_one_slice),
 ]
-STAND_INS = {False: [*SHARED, (membership, "propose_if_due", no_detector)], True: SHARED}
+REPLACEMENTS_BY_TIMED = {False: [*REPLACEMENTS, (membership, "propose_if_due", no_proposal)], True: REPLACEMENTS}
 
 
 @contextmanager
 def exploring(scenario, plant=""):
-    """Within it, steps are explored, with one safety rule switched off if `plant` names one."""
+    """Context manager: replace what is not explored, and switch off the safety rule that `plant` names, if any."""
     with ExitStack() as stack:
-        stack.enter_context(planted(scenario.timed, STAND_INS))
+        stack.enter_context(planted(scenario.timed, REPLACEMENTS_BY_TIMED))
         stack.enter_context(planted(plant, PLANTS))
         yield
--- a/frostpost/simulator/explore_enabled_moves.py
+++ b/frostpost/simulator/explore_enabled_moves.py
@@ -1,4 +1,4 @@
-"""Which moves beside `Next` a world allows, within its scenario's budget."""
+"""The moves, other than `Next`, that are enabled in a world within its scenario's budget."""
 
 from itertools import combinations
 
@@ -6,184 +6,192 @@
 from frostpost.virtual_synchrony.quorum import is_majority
 
 from .explore_move_types import (
-    Ask,
+    BlockLinks,
+    ChangeVoters,
     Crash,
-    Cut,
     Delay,
     Deliver,
     Drop,
+    FireTimers,
     Freeze,
-    Heal,
     Propose,
-    Remind,
     Restart,
-    Revote,
+    RestoreLinks,
+    Submit,
     TakeSnapshot,
     Thaw,
     Wipe,
 )
 
-LEAST_VOTERS = 3
-QUIET = ("Heartbeat", "DiscoveryUpdate")
+MIN_VOTERS = 3
+HEARTBEAT_KINDS = ("Heartbeat", "DiscoveryUpdate")
 
 
-def up(world):
-    """Replicas that run."""
+def running_replicas(world):
+    """Return the replicas that are up and not frozen."""
     return [r for r in world.replicas.values() if r.core is not None and not r.frozen]
 
 
-def labels(world):
-    """Labels of what is in flight, but for what only the failure detector reads."""
-    return list(dict.fromkeys(item.label for item in world.queue if item.label[2] not in QUIET))
+def queued_labels(world):
+    """Return the labels of queued items, without messages that only the failure detector reads."""
+    return list(dict.fromkeys(item.label for item in world.queue if item.label[2] not in HEARTBEAT_KINDS))
 
 
-def delivers(world):
-    """Anything may overtake the head of the queue."""
+def deliver_moves(world):
+    """Any queued item may overtake the head of the queue."""
     head = world.queue[0].label if world.queue else None
-    return [Deliver(*label) for label in labels(world) if label != head]
+    return [Deliver(*label) for label in queued_labels(world) if label != head]
 
 
-def drops(world):
+def drop_moves(world):
     """Any message may be lost."""
-    return [Drop(*label) for label in labels(world) if label[0] != "disk"]
+    return [Drop(*label) for label in queued_labels(world) if label[0] != "disk"]
 
 
-def delays(world):
-    """Anything may be late."""
-    return [Delay(*label) for label in labels(world)]
+def delay_moves(world):
+    """Any queued item may be delayed."""
+    return [Delay(*label) for label in queued_labels(world)]
 
 
-def proposes(world):
-    """Any member may propose any set that it is in."""
-    found = []
-    for replica in up(world):
+def propose_moves(world):
+    """Any running replica may propose any set of members that includes itself."""
+    moves = []
+    for replica in running_replicas(world):
         others = [n for n in world.replicas if n != replica.name]
-        for many in range(len(others), -1, -1):
-            for chosen in combinations(others, many):
-                found.append(Propose(replica.name, tuple(sorted((replica.name, *chosen)))))
-    return found
+        for count in range(len(others), -1, -1):
+            for chosen in combinations(others, count):
+                moves.append(Propose(replica.name, tuple(sorted((replica.name, *chosen)))))
+    return moves
 
 
-def reminds(world):
-    """Anyone may send again what it waits for."""
-    return [Remind(r.name) for r in up(world)]
+def fire_timers_moves(world):
+    """The timers of any running replica may fire."""
+    return [FireTimers(r.name) for r in running_replicas(world)]
 
 
-def crashes(world):
-    """Any machine may lose power, with all of what wasn't synced or without it."""
-    found = []
+def crash_moves(world):
+    """Any machine may lose power, with all of its unsynced records surviving or none."""
+    moves = []
     for replica in world.replicas.values():
         if replica.core is not None:
-            kept = {0, len(replica.disk.pending)}
-            found += [Crash(replica.name, many) for many in sorted(kept)]
-    return found
+            surviving_counts = {0, len(replica.disk.pending)}
+            moves += [Crash(replica.name, count) for count in sorted(surviving_counts)]
+    return moves
 
 
-def wipes(world):
-    """A disk may be lost while all others are whole together and hold a majority of all voters that were asked for."""
-    found = []
+def wipe_moves(world):
+    """A disk may be lost while all other replicas are complete, in one configuration and a sufficient majority.
+
+    They must hold a majority of their current voters and of every set of voters that was requested.
+    """
+    moves = []
     for replica in world.replicas.values():
         others = [r for r in world.replicas.values() if r.name != replica.name]
-        if replica.core is None or not all(whole(r) for r in others):
+        if replica.core is None or not all(is_complete(r) for r in others):
             continue
         if len({r.synchrony.configuration.id for r in others}) > 1:
             continue
         present = [r.name for r in others]
-        sets = [r.core.ledger.voters for r in others] + list(world.history.requested_voters)
-        if all(is_majority(voters, present) for voters in sets):
-            found.append(Wipe(replica.name))
-    return found
+        voter_sets = [r.core.ledger.voters for r in others] + list(world.history.requested_voters)
+        if all(is_majority(voters, present) for voters in voter_sets):
+            moves.append(Wipe(replica.name))
+    return moves
 
 
-def whole(replica):
-    """Whether a replica holds all that the open primary has committed, synced."""
+def is_complete(replica):
+    """Return whether a replica has synced everything that the open primary has committed."""
     if replica.core is None:
         return False
     primary = replica.synchrony.primary
     return primary.opened and primary.ready and not replica.synchrony.recovery
 
 
-def restarts(world):
-    """Whoever is down may start again."""
+def restart_moves(world):
+    """Any stopped replica may restart."""
     return [Restart(r.name) for r in world.replicas.values() if r.core is None]
 
 
-def asks(world):
-    """Anyone may ask for an operation."""
-    return [Ask(r.name) for r in up(world)]
+def submit_moves(world):
+    """Any running replica may submit an operation."""
+    return [Submit(r.name) for r in running_replicas(world)]
 
 
-def revotes(world):
-    """An opened replica may ask for the changes of voters that daemons make by themselves, one voter at a time.
+def change_voters_moves(world):
+    """A replica in an opened primary may request the changes that daemons request themselves, one voter at a time.
 
-    One more, if it is whole and all voters are members; one less, if enough are left, or if that voter is no member and
-    another replica is there to take its place. A majority of the voters after the change must be whole members.
+    A complete member may be added if all voters are members. A voter may be removed if at least `MIN_VOTERS` remain, or
+    if it is not a member and another replica can replace it. A majority of the resulting voters must be complete
+    members.
     """
-    found = []
-    for replica in up(world):
+    moves = []
+    for replica in running_replicas(world):
         voters, present = replica.core.ledger.voters, member_names(replica.synchrony.configuration)
         if not replica.synchrony.primary.opened or not voters:
             continue
-        members = [r.name for r in world.replicas.values() if whole(r) and r.name in present]
-        fresh = [name for name in members if name not in voters]
-        away = [v for v in voters if v not in present]
-        gone = voters if len(voters) > LEAST_VOTERS else away if fresh else ()
-        wanted = [tuple(v for v in voters if v != one) for one in gone]
-        wanted += [tuple(sorted((*voters, one))) for one in fresh if not away]
-        found += [Revote(replica.name, after) for after in wanted if is_majority(after, members)]
-    return found
-
-
-def snapshots(world):
-    """Anyone may rewrite its log."""
-    return [TakeSnapshot(r.name) for r in up(world) if r.synchrony.applied > r.synchrony.log.snapshot_index]
-
-
-def cuts(world):
-    """Anyone may be cut off from all others, in both directions or in one."""
-    found = []
+        members = [r.name for r in world.replicas.values() if is_complete(r) and r.name in present]
+        candidates = [name for name in members if name not in voters]
+        absent = [v for v in voters if v not in present]
+        removable = voters if len(voters) > MIN_VOTERS else absent if candidates else ()
+        voter_sets = [tuple(v for v in voters if v != removed) for removed in removable]
+        voter_sets += [tuple(sorted((*voters, added))) for added in candidates if not absent]
+        moves += [ChangeVoters(replica.name, after) for after in voter_sets if is_majority(after, members)]
+    return moves
+
+
+def snapshot_moves(world):
+    """Any running replica that has applied entries since its last snapshot may rewrite its log."""
+    return [
+        TakeSnapshot(r.name) for r in running_replicas(world) if r.synchrony.applied > r.synchrony.log.snapshot_index
+    ]
+
+
+def block_moves(world):
+    """The links between any replica and all others may be blocked, in both directions or in one."""
+    moves = []
     for name in world.replicas:
         others = tuple(n for n in world.replicas if n != name)
-        found += [Cut(name, others, others), Cut(name, others, ()), Cut(name, (), others)]
-    return found
+        moves += [BlockLinks(name, others, others), BlockLinks(name, others, ()), BlockLinks(name, (), others)]
+    return moves
 
 
-def heals(world):
-    """Cuts may end."""
-    return [Heal()] if world.cuts else []
+def restore_link_moves(world):
+    """Blocked links may be restored."""
+    return [RestoreLinks()] if world.blocked_links else []
 
 
-def freezes(world):
-    """A process may stand still."""
-    return [Freeze(r.name) for r in up(world)]
+def freeze_moves(world):
+    """Any running process may be suspended."""
+    return [Freeze(r.name) for r in running_replicas(world)]
 
 
-def thaws(world):
-    """A process that stands still may run on."""
+def thaw_moves(world):
+    """Any suspended process may be resumed."""
     return [Thaw(r.name) for r in world.replicas.values() if r.frozen]
 
 
-OPTIONS = {
-    "deliver": delivers,
-    "drop": drops,
-    "delay": delays,
-    "propose": proposes,
-    "remind": reminds,
-    "crash": crashes,
-    "wipe": wipes,
-    "restart": restarts,
-    "ask": asks,
-    "revote": revotes,
-    "snapshot": snapshots,
-    "cut": cuts,
-    "heal": heals,
-    "freeze": freezes,
-    "thaw": thaws,
+MOVES_BY_KIND = {
+    "deliver": deliver_moves,
+    "drop": drop_moves,
+    "delay": delay_moves,
+    "propose": propose_moves,
+    "remind": fire_timers_moves,
+    "crash": crash_moves,
+    "wipe": wipe_moves,
+    "restart": restart_moves,
+    "ask": submit_moves,
+    "revote": change_voters_moves,
+    "snapshot": snapshot_moves,
+    "cut": block_moves,
+    "heal": restore_link_moves,
+    "freeze": freeze_moves,
+    "thaw": thaw_moves,
 }
-KINDS = tuple(OPTIONS)
+KINDS = tuple(MOVES_BY_KIND)
 
 
-def options(world, kinds=KINDS):
-    """All moves that the budget still allows."""
+def enabled_moves(world, kinds=KINDS):
+    """Return all moves of these kinds that the remaining budget allows."""
     budget = world.scenario.budget
-    return [m for kind in kinds if world.spent.get(kind, 0) < budget.get(kind, 0) for m in OPTIONS[kind](world)]
+    return [
+        m for kind in kinds if world.used_budget.get(kind, 0) < budget.get(kind, 0) for m in MOVES_BY_KIND[kind](world)
+    ]
--- a/frostpost/simulator/explore_move_types.py
+++ b/frostpost/simulator/explore_move_types.py
@@ -1,16 +1,16 @@
-"""The kinds of moves that the model checker makes, as traces hold them."""
+"""The types of moves that the model checker makes, in the form in which traces store them."""
 
 from msgspec import Struct
 
 
 class Next(Struct, frozen=True, tag="next"):
-    """The head of the queue is handled; if there is none, all timers fire. times: how often in a row."""
+    """Handle the head of the queue, or run all timers if the queue is empty; repeated `times` times."""
 
     times: int = 1
 
 
 class Deliver(Struct, frozen=True, tag="deliver"):
-    """A message or a disk's answer overtakes what is before it in the queue."""
+    """Handle a message or sync completion ahead of those before it in the queue."""
 
     sender: str
     target: str
@@ -18,7 +18,7 @@
 
 
 class Drop(Struct, frozen=True, tag="drop"):
-    """A message is lost."""
+    """Lose a message."""
 
     sender: str
     target: str
@@ -26,7 +26,7 @@
 
 
 class Delay(Struct, frozen=True, tag="delay"):
-    """A message or a disk's answer waits until the rest of the queue is handled and, if there is a clock, a tick on."""
+    """Delay a message or sync completion until the rest of the queue is handled and, with a clock, one tick more."""
 
     sender: str
     target: str
@@ -34,76 +34,76 @@
 
 
 class Propose(Struct, frozen=True, tag="propose"):
-    """A member proposes a configuration."""
+    """Let a member propose a configuration."""
 
     name: str
     members: tuple[str, ...]
 
 
-class Remind(Struct, frozen=True, tag="remind"):
-    """All timers of one replica fire: what it waits for is sent again."""
+class FireTimers(Struct, frozen=True, tag="remind"):
+    """Run all timers of one replica, which resends unanswered messages."""
 
     name: str
 
 
 class Crash(Struct, frozen=True, tag="crash"):
-    """A replica's machine loses power; `kept` of the records that weren't synced last all the same."""
+    """Cut the power of a replica's machine; the first `kept` unsynced records survive."""
 
     name: str
     kept: int = 0
 
 
 class Wipe(Struct, frozen=True, tag="wipe"):
-    """A replica's machine and disk are lost."""
+    """Lose a replica's machine together with its disk."""
 
     name: str
 
 
 class Restart(Struct, frozen=True, tag="restart"):
-    """A replica that is down starts again on its disk."""
+    """Restart a stopped replica from its disk."""
 
     name: str
 
 
-class Ask(Struct, frozen=True, tag="ask"):
-    """A replica asks for an operation to be ordered."""
+class Submit(Struct, frozen=True, tag="ask"):
+    """Let a replica submit an operation."""
 
     name: str
 
 
-class Revote(Struct, frozen=True, tag="revote"):
-    """A replica asks for other voters."""
+class ChangeVoters(Struct, frozen=True, tag="revote"):
+    """Let a replica submit a change of voters."""
 
     name: str
     after: tuple[str, ...]
 
 
 class TakeSnapshot(Struct, frozen=True, tag="snapshot"):
-    """A replica rewrites its log as a snapshot and what follows it."""
+    """Let a replica rewrite its log as a snapshot and the entries after it."""
 
     name: str
 
 
-class Cut(Struct, frozen=True, tag="cut"):
-    """From now on messages of a replica to `to` and those of `from_` to it are lost."""
+class BlockLinks(Struct, frozen=True, tag="cut"):
+    """Lose all messages from a replica to those in `to`, and to it from those in `from_`, until `RestoreLinks`."""
 
     name: str
     to: tuple[str, ...]
     from_: tuple[str, ...]
 
 
-class Heal(Struct, frozen=True, tag="heal"):
-    """All cuts end."""
+class RestoreLinks(Struct, frozen=True, tag="heal"):
+    """Restore all blocked links."""
 
 
 class Freeze(Struct, frozen=True, tag="freeze"):
-    """A replica's process stands still; what reaches it waits."""
+    """Suspend a replica's process; messages to it are delayed."""
 
     name: str
 
 
 class Thaw(Struct, frozen=True, tag="thaw"):
-    """A process that stood still runs on."""
+    """Resume a suspended process."""
 
     name: str
 
@@ -114,15 +114,15 @@
     | Drop
     | Delay
     | Propose
-    | Remind
+    | FireTimers
     | Crash
     | Wipe
     | Restart
-    | Ask
-    | Revote
+    | Submit
+    | ChangeVoters
     | TakeSnapshot
-    | Cut
-    | Heal
+    | BlockLinks
+    | RestoreLinks
     | Freeze
     | Thaw
 )
--- a/frostpost/simulator/explore_plants.py
+++ b/frostpost/simulator/explore_plants.py
@@ -1,4 +1,4 @@
-"""Safety rules of the ordering protocol that the model checker can switch off, each by substituting one function."""
+"""Safety rules of the ordering protocol that the model checker can switch off, each by replacing a function."""
 
 from frostpost.ledger import apply as applying
 from frostpost.ledger.results import VotersSet
@@ -18,17 +18,17 @@
 
 from .plants import any_voter, deliver_unsafe, length_before_recovery
 
-ORIGINAL = {
-    "settle": recovery.complete_if_ready,
+ORIGINALS = {
+    "complete_if_ready": recovery.complete_if_ready,
     "become_ready": primary_component.become_ready,
-    "drain": delivery.apply_pending,
-    "beaten": failure_detector.on_heartbeat,
-    "refill": catch_up.install_snapshot,
+    "apply_pending": delivery.apply_pending,
+    "on_heartbeat": failure_detector.on_heartbeat,
+    "install_snapshot": catch_up.install_snapshot,
 }
 
 
 def acknowledge_unsynced(synchrony, out):
-    """A replica acknowledges what it has written and not synced."""
+    """Acknowledge entries that are written and not yet synced."""
     order = synchrony.order
     while order.received_watermark + 1 in order.pending:
         order.received_watermark += 1
@@ -38,28 +38,31 @@
     acknowledgements.send_ack(synchrony, out, order.received_watermark)
 
 
-def promise_anything(synchrony, out, sender_name, message):
-    """A member forgets that it promised a higher configuration."""
+def promise_any_configuration(synchrony, out, sender_name, message):
+    """Promise a configuration even if a higher one was promised before."""
     if synchrony.local_member not in message.members:
         out.sends.append((sender_name, ProposeRejection(message.id, synchrony.promised)))
         return
     membership.promise(synchrony, out, sender_name, message)
 
 
-def never_bound(synchrony, id):
-    """A member that confirmed a configuration takes part in another of the same epoch."""
+def never_bound(synchrony, configuration_id):
+    """Let a member that confirmed a configuration join another one of the same epoch."""
     return False
 
 
 def confirm_unsynced(synchrony, out):
-    """A member confirms a recovery before its disk has synced what it was handed."""
-    synced, synchrony.synced_count = synchrony.synced_count, synchrony.written_count + len(synchrony.order.pending)
-    ORIGINAL["settle"](synchrony, out)
-    synchrony.synced_count = synced
+    """Confirm a recovery before the entries received in it are synced."""
+    synced_count, synchrony.synced_count = (
+        synchrony.synced_count,
+        synchrony.written_count + len(synchrony.order.pending),
+    )
+    ORIGINALS["complete_if_ready"](synchrony, out)
+    synchrony.synced_count = synced_count
 
 
 def one_acknowledgement(synchrony, out, sender_name, message):
-    """What one member has acknowledged counts as held by all."""
+    """Treat entries that one member has acknowledged as acknowledged by all."""
     order = synchrony.order
     if (
         message.id == synchrony.configuration.id
@@ -72,97 +75,97 @@
 
 
 def receipts_are_enough(voters, watermarks):
-    """A slow member's receipt counts as a sync: what all have received is safe."""
+    """Treat receipts as syncs, so that entries received by all members are safe."""
     return 1 << 40
 
 
 def unbound_logs_count(synchrony):
-    """A member whose log isn't bound to the primary tells its receipts as synced."""
+    """Let a member whose log is not bound to the primary report received entries as synced."""
     return synchrony.has_log
 
 
 def old_voters_commit(synchrony):
-    """A majority of the voters at the beginning of the primary is enough, whatever changes are under way."""
+    """Commit with a majority of the primary's first voters, ignoring pending changes of voters."""
     return (synchrony.primary.voters,)
 
 
-def own_changes_only(plan, best):
-    """Changes of voters that other members hold aren't counted."""
-    return best.pending_voters
+def own_changes_only(plan, donor_state):
+    """Ignore pending changes of voters that only other members report."""
+    return donor_state.pending_voters
 
 
-def no_changes(plan, best):
-    """Changes of voters that aren't settled aren't counted."""
+def no_changes(plan, donor_state):
+    """Ignore all pending changes of voters."""
     return ()
 
 
 def apply_before_ready(synchrony, out):
-    """A replica applies entries before its log reaches them, and so may never log them."""
+    """Apply entries before the log reaches them, so that they may never be logged."""
     primary = synchrony.primary
     if not synchrony.has_log or primary.ready_record_number >= 0:
-        ORIGINAL["drain"](synchrony, out)
+        ORIGINALS["apply_pending"](synchrony, out)
         return
     while primary.open_committed and not synchrony.apply_paused and synchrony.applied + 1 in synchrony.pending_entries:
         delivery.apply_entry(synchrony, out, synchrony.pending_entries.pop(synchrony.applied + 1))
 
 
 def stale_voters(synchrony, out):
-    """A replica records the voters that the donor told, though it has applied later changes."""
+    """Record the voters reported by the donor, although later changes have been applied."""
     voters, synchrony.voters = synchrony.voters, ()
-    ORIGINAL["become_ready"](synchrony, out)
+    ORIGINALS["become_ready"](synchrony, out)
     synchrony.voters = voters
 
 
-def old_voters_keep(entries):
-    """In a recovery, what follows a change of voters is kept by a majority of the old voters alone."""
+def no_pending_voter_sets(entries):
+    """In a recovery, count only the old voters for entries after a change of voters."""
     return ()
 
 
-def confirmed_keeps(synchrony, group):
-    """A member that has confirmed a recovery helps to keep entries in another one from the same configuration."""
-    plan, last = synchrony.recovery.plan, synchrony.configuration.id
-    return [n for n in group if plan[n].durable_state and plan[n].durable_state.primary == last]
+def confirmed_keeps(synchrony, names):
+    """Count members that have confirmed a recovery in another recovery from the same configuration."""
+    plan, previous_id = synchrony.recovery.plan, synchrony.configuration.id
+    return [n for n in names if plan[n].durable_state and plan[n].durable_state.primary == previous_id]
 
 
 def any_voters(ledger, entry, op):
-    """Voters are replaced without a check of what they were before."""
+    """Replace the voters without comparing the previous ones."""
     ledger.voters = op.after
     return VotersSet(op.after)
 
 
 def always_leased(synchrony, now_ms):
-    """A replica that has opened a primary once holds a lease for good."""
+    """Hold a lease as long as the primary is open, without expiry."""
     return synchrony.primary.opened
 
 
 def echo_for_all(synchrony, out, sender_name, message):
-    """A voter's heartbeat extends a lease though it has promised another configuration."""
-    ORIGINAL["beaten"](synchrony, out, sender_name, message)
+    """Extend a lease on a voter's heartbeat although it has promised another configuration."""
+    ORIGINALS["on_heartbeat"](synchrony, out, sender_name, message)
     peer = synchrony.peers[sender_name]
     peer.granted_ms = max(peer.granted_ms, message.echo_ms)
 
 
 def lease_from_receipt(synchrony, out, sender_name, message):
-    """A lease counts from when the heartbeat came back."""
-    ORIGINAL["beaten"](synchrony, out, sender_name, message)
+    """Start a lease when the echoed heartbeat arrives, not when it was sent."""
+    ORIGINALS["on_heartbeat"](synchrony, out, sender_name, message)
     peer = synchrony.peers[sender_name]
     if peer.granted_ms == message.echo_ms:
         peer.granted_ms = synchrony.now_ms
 
 
 def no_rebroadcast(synchrony, out):
-    """Members hand nothing on in a recovery."""
+    """Rebroadcast no entries in a recovery."""
     synchrony.recovery.ordinals_to_rebroadcast = {}
 
 
 def no_resend(synchrony, out):
-    """Nothing is sent again."""
+    """Resend nothing."""
 
 
 def never_opened(synchrony, out, index, state):
-    """A replica that was refilled past the opening never counts its primary as open."""
+    """Do not open the primary when a snapshot past its first entry is installed."""
     opened = synchrony.primary.opened
-    ORIGINAL["refill"](synchrony, out, index, state)
+    ORIGINALS["install_snapshot"](synchrony, out, index, state)
     synchrony.primary.opened = opened
 
 
@@ -178,14 +181,14 @@
     "receipts_are_enough": [(acknowledgements, "majority_watermark", receipts_are_enough)],
     "unbound_logs_count": [(acknowledgements, "keeps_log", unbound_logs_count)],
     "old_voters_commit": [(acknowledgements, "voter_sets", old_voters_commit)],
-    "promise_anything": [(membership, "on_propose_request", promise_anything)],
+    "promise_anything": [(membership, "on_propose_request", promise_any_configuration)],
     "never_bound": [(membership, "has_confirmed_in_epoch", never_bound)],
     "confirm_unsynced": [(recovery, "complete_if_ready", confirm_unsynced)],
     "own_changes_only": [(primary_component, "pending_voters", own_changes_only)],
     "no_changes": [(primary_component, "pending_voters", no_changes)],
     "apply_before_ready": [(delivery, "apply_pending", apply_before_ready)],
     "stale_voters": [(primary_component, "become_ready", stale_voters)],
-    "old_voters_keep": [(recovery, "voters_in", old_voters_keep)],
+    "old_voters_keep": [(recovery, "voters_in", no_pending_voter_sets)],
     "confirmed_keeps": [(recovery, "full_voters", confirmed_keeps)],
     "any_voters": [(applying, "change_voters", any_voters)],
     "always_leased": [(leases, "holds_lease", always_leased)],
--- a/frostpost/simulator/explore_search.py
+++ b/frostpost/simulator/explore_search.py
@@ -1,7 +1,7 @@
-"""Walks of the model checker: breadth-first by the number of deviations, and at random.
+"""Breadth-first search of the model checker, by the number of deviations from the default schedule.
 
-By default the queue is handled in order (`Next`). Everything else that may happen is a deviation. All runs with few
-deviations are walked before any with more, so the first run found that breaks a rule has the fewest.
+The default schedule handles the queue in order (`Next`); every other move is a deviation. All runs with fewer
+deviations are searched before any with more, so the first counterexample found has the fewest.
 """
 
 import time
@@ -9,30 +9,34 @@
 from msgspec import Struct
 
 from . import explore_checks as checks
-from .explore_enabled_moves import QUIET, options
-from .explore_hash import OLD_MS, fingerprint
-from .explore_move_types import Ask, Heal, Move, Next, Propose, Restart, Thaw
+from .explore_enabled_moves import HEARTBEAT_KINDS, enabled_moves
+from .explore_hash import MAX_AGE_MS, fingerprint
+from .explore_move_types import Move, Next, Propose, Restart, RestoreLinks, Submit, Thaw
 from .explore_state import Replica, Scenario, World, replica_names
-from .explore_steps import BOUNDS, greet, start
-from .explore_transitions import make
+from .explore_steps import BOUNDS, exchange_discovery, start_replica
+from .explore_transitions import apply_move
 
-CALM_ROUNDS = 24
-CALM_TICKS = 150
-CHECK_MS = 500
+MAX_RECOVERY_ROUNDS = 24
+MAX_RECOVERY_TICKS = 150
+PROGRESS_CHECK_INTERVAL_MS = 500
 HORIZON_MS = 5000
-LONGEST_RUN = 3000
+MAX_OPENING_MOVES = 3000
 
 
-class Found(Struct, frozen=True):
-    """A run that broke rules, for a replay: scenario, the moves from its first world on, and what they break."""
+class Counterexample(Struct, frozen=True):
+    """A run that violates invariants, for replay. moves: from the scenario's initial world on."""
 
     scenario: Scenario
     moves: tuple[Move, ...]
-    broken: tuple[checks.Broken, ...]
+    broken: tuple[checks.Violation, ...]
 
 
-class Figures(Struct):
-    """What a walk covered. depth: most moves in one run, `Next` counted each. deviations: most in one run."""
+class Statistics(Struct):
+    """Statistics of a search.
+
+    depth: most moves in one run, each repetition of `Next` counted. deviations: most in one run. quiet: number of
+    progress checks. complete: whether the search ended within its limits. layers: new states by number of deviations.
+    """
 
     states: int = 0
     steps: int = 0
@@ -44,197 +48,203 @@
     layers: list[int] = []
 
 
-def begin(scenario):
-    """The first world of a scenario."""
+def initial_world(scenario):
+    """Return the first world of a scenario."""
     names = replica_names(scenario)
     world = World(scenario, {name: Replica(name) for name in names})
     for name in names:
-        world.owned.add(name)
-        start(world, world.replicas[name])
+        world.copied_replicas.add(name)
+        start_replica(world, world.replicas[name])
     for name in names:
-        greet(world, name)
+        exchange_discovery(world, name)
     if scenario.founded:
         world = open_primary(world)
-    world.spent, world.owned, world.broken = {}, set(), list(world.broken)
+    world.used_budget, world.copied_replicas, world.violations = {}, set(), list(world.violations)
     return world
 
 
 def open_primary(world):
-    """Let the replicas open their first primary without any trouble."""
+    """Return the world after the replicas have opened their first primary on the default schedule."""
     if not world.scenario.timed:
-        world = make(world, Propose("s1", tuple(world.replicas)))
-    for _ in range(LONGEST_RUN):
-        if checks.serves(world) and not world.queue:
+        world = apply_move(world, Propose("s1", tuple(world.replicas)))
+    for _ in range(MAX_OPENING_MOVES):
+        if checks.all_replicas_serve(world) and not world.queue:
             break
-        world = make(world, Next())
-    aged_ms = world.now_ms + OLD_MS + BOUNDS.lease_ms
-    while world.scenario.timed and (world.now_ms < aged_ms or world.queue):
-        world = make(world, Next())
-    if not checks.serves(world):
-        checks.say(world, "progress", "the first primary was not opened")
+        world = apply_move(world, Next())
+    start_ms = world.now_ms + MAX_AGE_MS + BOUNDS.lease_ms
+    while world.scenario.timed and (world.now_ms < start_ms or world.queue):
+        world = apply_move(world, Next())
+    if not checks.all_replicas_serve(world):
+        checks.add_violation(world, "progress", "the first primary was not opened")
     return world
 
 
-def calm(world):
-    """End all faults. -> worlds one after another until all serve; none serves at the end if that takes too long."""
-    world = make(world, Heal())
+def recovery_worlds(world):
+    """End all faults and yield the following worlds until all replicas serve or the limit of rounds is reached."""
+    world = apply_move(world, RestoreLinks())
     for replica in list(world.replicas.values()):
         if replica.frozen:
-            world = make(world, Thaw(replica.name))
+            world = apply_move(world, Thaw(replica.name))
         if replica.core is None:
-            world = make(world, Restart(replica.name))
+            world = apply_move(world, Restart(replica.name))
     yield world
     rounds = 0
     while (
-        not checks.serves(world) and not world.broken and rounds < (CALM_TICKS if world.scenario.timed else CALM_ROUNDS)
+        not checks.all_replicas_serve(world)
+        and not world.violations
+        and rounds < (MAX_RECOVERY_TICKS if world.scenario.timed else MAX_RECOVERY_ROUNDS)
     ):
         if not world.queue:
             rounds += 1
-            world = helped(world, rounds)
-        world = make(world, Next())
+            world = apply_recovery_action(world, rounds)
+        world = apply_move(world, Next())
         yield world
 
 
-def helped(world, rounds):
-    """What a failure detector and the ledger's ticks do; in rounds in which nothing is done the timers fire."""
-    if rounds % 4 == 1 and not world.scenario.timed and not agreed(world):
-        return make(world, Propose(min(world.replicas), tuple(sorted(world.replicas))))
+def apply_recovery_action(world, rounds):
+    """Act for the failure detector and the ledger's ticks in alternate odd rounds; even rounds only run the timers."""
+    if rounds % 4 == 1 and not world.scenario.timed and not is_membership_complete(world):
+        return apply_move(world, Propose(min(world.replicas), tuple(sorted(world.replicas))))
     if rounds % 4 == 3:
-        return ledger_tick(world)
+        return submit_at_sequencer(world)
     return world
 
 
-def ledger_tick(world):
-    """An operation asked for by the sequencer, as the holder of the ledger's ticks does every half second."""
+def submit_at_sequencer(world):
+    """Submit an operation at the sequencer, in place of the ledger's periodic ticks."""
     for replica in world.replicas.values():
         synchrony = replica.synchrony
         if synchrony.configuration.sequencer == replica.name and synchrony.primary.opened and not synchrony.outbox:
-            return make(world, Ask(replica.name))
+            return apply_move(world, Submit(replica.name))
     return world
 
 
-def agreed(world):
-    """Whether all replicas stand in one configuration of all, with no other under way."""
-    ids = {r.synchrony.configuration for r in world.replicas.values()}
-    busy = any(r.synchrony.recovery or r.synchrony.proposal for r in world.replicas.values())
-    return len(ids) == 1 and len(next(iter(ids)).members) == len(world.replicas) and not busy
+def is_membership_complete(world):
+    """Return whether all replicas are in one configuration of all replicas, with no change in progress."""
+    configurations = {r.synchrony.configuration for r in world.replicas.values()}
+    changing = any(r.synchrony.recovery or r.synchrony.proposal for r in world.replicas.values())
+    return len(configurations) == 1 and len(next(iter(configurations)).members) == len(world.replicas) and not changing
 
 
-def progresses(world, known):
-    """Whether all serve after the end of all faults; `known` holds hashes of worlds after which they do."""
-    passed = []
-    for later in calm(world):
-        world = later
-        mark = fingerprint(world, False)
-        if mark in known:
+def progress_violations(world, progressing):
+    """Return a violation unless all replicas serve once faults have ended. progressing: hashes of worlds that pass."""
+    visited = []
+    for later_world in recovery_worlds(world):
+        world = later_world
+        digest = fingerprint(world, False)
+        if digest in progressing:
             break
-        passed.append(mark)
+        visited.append(digest)
     else:
-        if world.broken:
-            return list(world.broken)
-        if not checks.serves(world):
-            return [checks.Broken("progress", "not all replicas serve though faults have ended")]
-    known.update(passed)
+        if world.violations:
+            return list(world.violations)
+        if not checks.all_replicas_serve(world):
+            return [checks.Violation("progress", "not all replicas serve though faults have ended")]
+    progressing.update(visited)
     return []
 
 
-class Walk(Struct):
-    """seen: hashes of worlds with what was spent; bare: without. came: hash -> (the one before, the move)."""
+class Search(Struct):
+    """State of a breadth-first search.
+
+    visited_with_budget, visited: hashes of worlds reached, with and without the budget used. progressing: hashes of
+    worlds that pass the progress check.
+    """
 
-    figures: Figures
-    most: int
-    seen: set[bytes] = set()
-    bare: set[bytes] = set()
-    came: dict = {}
-    known: set[bytes] = set()
-    found: Found | None = None
+    statistics: Statistics
+    max_deviations: int
+    visited_with_budget: set[bytes] = set()
+    visited: set[bytes] = set()
+    predecessors: dict = {}
+    progressing: set[bytes] = set()
+    counterexample: Counterexample | None = None
 
 
 def breadth_first(scenario, deviations, most_states=10_000_000, most_seconds=1e9, check_progress=True):
-    """Walk all runs with up to so many deviations. -> (Found or None, Figures)."""
+    """Search all runs with at most this many deviations; return (Counterexample or None, Statistics)."""
     started_s = time.monotonic()
-    walk = Walk(Figures(), deviations)
-    starts = iter([(begin(scenario), ())])
-    for spent in range(deviations + 1):
-        reached, before = [], walk.figures.states
-        walk.figures.deviations = spent
-        for world, trail in starts:
-            run(walk, world, trail, spent, reached, check_progress)
-            late = time.monotonic() - started_s > most_seconds
-            if walk.found or walk.figures.states > most_states or late:
-                walk.figures.complete = walk.found is not None
+    search = Search(Statistics(), deviations)
+    starts = iter([(initial_world(scenario), ())])
+    for layer in range(deviations + 1):
+        branch_points, before = [], search.statistics.states
+        search.statistics.deviations = layer
+        for world, moves in starts:
+            search_run(search, world, moves, layer, branch_points, check_progress)
+            timed_out = time.monotonic() - started_s > most_seconds
+            if search.counterexample or search.statistics.states > most_states or timed_out:
+                search.statistics.complete = search.counterexample is not None
                 break
-        walk.figures.layers.append(walk.figures.states - before)
-        if walk.found or not walk.figures.complete:
+        search.statistics.layers.append(search.statistics.states - before)
+        if search.counterexample or not search.statistics.complete:
             break
-        starts = deviated(walk, reached)
-    walk.figures.seconds = round(time.monotonic() - started_s, 1)
-    return walk.found, walk.figures
+        starts = deviating_worlds(search, branch_points)
+    search.statistics.seconds = round(time.monotonic() - started_s, 1)
+    return search.counterexample, search.statistics
 
 
-def deviated(walk, reached):
-    """All worlds that one more deviation leads to, made as they are asked for, since they are many."""
-    for world, trail in reached:
-        for move in options(world):
-            walk.figures.steps += 1
-            yield make(world, move), (*trail, move)
+def deviating_worlds(search, branch_points):
+    """Yield the worlds that one more deviation leads to; generated lazily to bound memory use."""
+    for world, moves in branch_points:
+        for move in enabled_moves(world):
+            search.statistics.steps += 1
+            yield apply_move(world, move), (*moves, move)
 
 
-def run(walk, world, trail, spent, reached, check_progress):
-    """Handle the queue to its end and on until nothing changes, noting each world from which the next layer deviates.
+def search_run(search, world, moves, layer, branch_points, check_progress):
+    """Follow the default schedule until it reaches a known world, collecting the worlds from which to deviate.
 
-    With a clock it ends at a horizon: what waits for a process that stands still grows with each heartbeat.
+    With a clock the run ends at a horizon, since heartbeats delayed for a frozen process make each world a new one.
     """
-    last, until_ms = spent == walk.most, world.now_ms + HORIZON_MS
-    nexts = 0
+    is_last_layer, end_ms = layer == search.max_deviations, world.now_ms + HORIZON_MS
+    next_count = 0
     while True:
-        if not fresh(walk, world, last):
+        if not add_if_unvisited(search, world, is_last_layer):
             return
-        walk.figures.states += 1
-        walk.figures.depth = max(walk.figures.depth, length(trail) + nexts)
-        if world.broken:
-            walk.found = Found(world.scenario, compact(trail, nexts), tuple(world.broken))
+        search.statistics.states += 1
+        search.statistics.depth = max(search.statistics.depth, move_count(moves) + next_count)
+        if world.violations:
+            search.counterexample = Counterexample(world.scenario, add_next(moves, next_count), tuple(world.violations))
             return
-        if not last and notable(world):
-            reached.append((world, compact(trail, nexts)))
-        if not world.queue and not world.late and world.now_ms % CHECK_MS == 0:
-            walk.figures.quiet += 1
-            broken = progresses(world, walk.known) if check_progress else []
-            if broken:
-                walk.found = Found(world.scenario, compact(trail, nexts), tuple(broken))
+        if not is_last_layer and is_branch_point(world):
+            branch_points.append((world, add_next(moves, next_count)))
+        if not world.queue and not world.delayed and world.now_ms % PROGRESS_CHECK_INTERVAL_MS == 0:
+            search.statistics.quiet += 1
+            violations = progress_violations(world, search.progressing) if check_progress else []
+            if violations:
+                search.counterexample = Counterexample(world.scenario, add_next(moves, next_count), tuple(violations))
                 return
-        if world.now_ms >= until_ms:
+        if world.now_ms >= end_ms:
             return
-        world = make(world, Next())
-        walk.figures.steps += 1
-        nexts += 1
+        world = apply_move(world, Next())
+        search.statistics.steps += 1
+        next_count += 1
 
 
-def notable(world):
-    """Whether moves are tried here: not between two heartbeats."""
-    return not world.queue or world.queue[0].label[2] not in QUIET
+def is_branch_point(world):
+    """Return whether deviations are tried in this world: not ahead of a heartbeat."""
+    return not world.queue or world.queue[0].label[2] not in HEARTBEAT_KINDS
 
 
-def fresh(walk, world, last):
-    """Whether a world wasn't reached before with as many moves left."""
-    bare = fingerprint(world, False)
-    if last:
-        if bare in walk.bare:
+def add_if_unvisited(search, world, is_last_layer):
+    """Return whether a world was not reached before with as many moves left, and record it."""
+    digest = fingerprint(world, False)
+    if is_last_layer:
+        if digest in search.visited:
             return False
     else:
-        mark = fingerprint(world)
-        if mark in walk.seen:
+        digest_with_budget = fingerprint(world)
+        if digest_with_budget in search.visited_with_budget:
             return False
-        walk.seen.add(mark)
-    walk.bare.add(bare)
+        search.visited_with_budget.add(digest_with_budget)
+    search.visited.add(digest)
     return True
 
 
-def compact(trail, nexts):
-    """A trail with that many `Next` at its end."""
-    return (*trail, Next(nexts)) if nexts else trail
+def add_next(moves, next_count):
+    """Return moves followed by `Next` repeated that many times."""
+    return (*moves, Next(next_count)) if next_count else moves
 
 
-def length(trail):
-    """Moves of a trail, `Next` counted each."""
-    return sum(move.times if isinstance(move, Next) else 1 for move in trail)
+def move_count(moves):
+    """Return the number of moves, each repetition of `Next` counted."""
+    return sum(move.times if isinstance(move, Next) else 1 for move in moves)
--- a/frostpost/simulator/explore_state.py
+++ b/frostpost/simulator/explore_state.py
@@ -1,6 +1,7 @@
-"""State of the model checker: replicas that run the product's step functions, their disks, and what is in flight.
+"""State of the model checker: replicas that run the product's step functions, their disks and messages in flight.
 
-A `World` is never changed once a move has made it. Moves copy the replicas that they touch and share the rest.
+A `World` is immutable once the move that created it has been applied. A move copies the replicas that it changes and
+shares the others.
 """
 
 from copy import copy
@@ -12,19 +13,19 @@
 from frostpost.virtual_synchrony.configuration import ConfigurationId, Entry
 from frostpost.virtual_synchrony.endpoints import Endpoint
 
-ATOMS = {int, str, bytes, bool, float, tuple, frozenset, type(None)}
+IMMUTABLE_TYPES = {int, str, bytes, bool, float, tuple, frozenset, type(None)}
 
 
 class Scenario(Struct, frozen=True):
-    """What is explored.
-
-    replicas: how many there are.
-    voters: how many of them vote at first, from the one numbered `first_voter` on.
-    timed: with the failure detector, leases and a clock, else any proposal may be made at any moment.
-    founded: from an opened primary, else from empty disks.
-    slow_syncs: replicas acknowledge receipts apart, as on disks that are slow to sync.
-    slow_heartbeats: heartbeats stand in the queue like other messages, else they arrive at once.
-    budget: the most moves of each kind in one run; moves of kinds that it doesn't name aren't made.
+    """The initial state of an exploration and the moves that it allows.
+
+    replicas: number of replicas.
+    voters: number of initial voters, counted from the replica with index `first_voter`.
+    timed: run the failure detector and leases on a virtual clock; otherwise any proposal may be made at any time.
+    founded: start from an opened primary; otherwise from empty disks.
+    slow_syncs: replicas acknowledge receipt and sync separately, as with disks that are slow to sync.
+    slow_heartbeats: queue heartbeats like other messages; otherwise deliver them immediately.
+    budget: maximum number of moves of each kind in one run; kinds that are absent are disabled.
     """
 
     replicas: int = 3
@@ -38,27 +39,31 @@
 
 
 def replica_names(scenario):
-    """The replicas' names."""
+    """Return the names of all replicas."""
     return tuple(f"s{n + 1}" for n in range(scenario.replicas))
 
 
-def first_voters(scenario):
-    """The founding voters' names."""
+def bootstrap_voters(scenario):
+    """Return the names of the initial voters."""
     return replica_names(scenario)[scenario.first_voter : scenario.first_voter + scenario.voters]
 
 
 class Disk(Struct, frozen=True):
-    """synced: records that outlast a loss of power. pending: later ones; the first `syncing` are being synced."""
+    """A replica's log on disk.
+
+    synced: records that survive a power loss. pending: records written later, of which the first `syncing_count` are
+    being synced. synced_count: number of records synced since the process started.
+    """
 
     synced: tuple = ()
     pending: tuple = ()
-    syncing: int = 0
-    done: int = 0
-    boots: int = 0
+    syncing_count: int = 0
+    synced_count: int = 0
+    boot_count: int = 0
 
 
 class Replica(Struct):
-    """core is None while it is down. digest: of what it holds, kept until it changes."""
+    """A replica. core: None while it is down. digest: cached hash of its state, empty once the state has changed."""
 
     name: str
     disk: Disk = Disk()
@@ -68,7 +73,7 @@
 
     @property
     def synchrony(self):
-        """The replica's protocol state; only while it is up."""
+        """The protocol state; defined only while the replica is up."""
         return self.core.synchrony
 
 
@@ -82,12 +87,12 @@
 
     @property
     def label(self):
-        """How moves name it: sender, target, type of the message."""
+        """The sender, target and type by which moves select this message."""
         return self.sender.member.name, self.target, type(self.body).__name__
 
 
-class SyncDone(Struct):
-    """The disk's answer that is still to come."""
+class SyncCompletion(Struct):
+    """The pending completion of a disk sync."""
 
     target: str
     incarnation: int
@@ -95,68 +100,71 @@
 
     @property
     def label(self):
-        """How moves name it, as for messages."""
+        """The label by which moves select this completion, in the form used for messages."""
         return "disk", self.target, "Sync"
 
 
-class Opened(Struct, frozen=True):
-    """A primary that was opened: its configuration, and when the sequencer had installed that."""
+class OpenedPrimary(Struct, frozen=True):
+    """The configuration of an opened primary, and the time at which its sequencer installed it."""
 
     id: ConfigurationId
     installed_ms: int
 
 
 class History(Struct, frozen=True):
-    """What invariants need to know of the past.
+    """Past events that the invariants refer to.
 
-    committed: the entries in the order in which the first replica applied them. wiped: replicas that have lost a disk.
-    requested_voters: sets of voters that were asked for.
+    committed: entries in the order in which they were first applied by any replica. wiped_replicas: replicas that have
+    lost a disk. requested_voters: sets of voters that were requested.
     """
 
     committed: tuple[Entry, ...] = ()
-    opened: tuple[Opened, ...] = ()
-    wiped: frozenset[str] = frozenset()
+    opened_primaries: tuple[OpenedPrimary, ...] = ()
+    wiped_replicas: frozenset[str] = frozenset()
     requested_voters: tuple[tuple[str, ...], ...] = ()
 
 
 class World(Struct):
-    """queue: in the order in which it is handled unless a move says otherwise. late: put back once the queue is empty.
+    """The global state.
 
-    cuts: pairs (sender, target) whose messages are lost. heartbeats: those to be handed over within the same move.
+    queue: messages and sync completions in the default order of delivery. delayed: items that are queued again once
+    the queue is empty. blocked_links: (sender, target) pairs whose messages are lost. used_budget: past moves by kind.
+    copied_replicas: replicas that this world does not share with its predecessor. pending_heartbeats: heartbeats to be
+    delivered within the same move.
     """
 
     scenario: Scenario
     replicas: dict[str, Replica]
     queue: tuple = ()
-    late: tuple = ()
-    cuts: frozenset[tuple[str, str]] = frozenset()
+    delayed: tuple = ()
+    blocked_links: frozenset[tuple[str, str]] = frozenset()
     now_ms: int = 0
     history: History = History()
-    spent: dict[str, int] = {}
-    broken: list = []
-    owned: set[str] = set()
-    heartbeats: list = field(default_factory=list)
+    used_budget: dict[str, int] = {}
+    violations: list = []
+    copied_replicas: set[str] = set()
+    pending_heartbeats: list = field(default_factory=list)
 
 
 def copy_world(world):
-    """A world for the next move; the replicas are shared until `own` copies one."""
+    """Return a world for the next move. It shares its replicas until `mutable_replica` copies them."""
     return World(
         world.scenario,
         dict(world.replicas),
         world.queue,
-        world.late,
-        world.cuts,
+        world.delayed,
+        world.blocked_links,
         world.now_ms,
         world.history,
-        dict(world.spent),
+        dict(world.used_budget),
     )
 
 
-def own(world, name):
-    """The replica as this move may change it."""
+def mutable_replica(world, name):
+    """Return a replica that the current move may change, copied on first use."""
     replica = world.replicas[name]
-    if name not in world.owned:
-        world.owned.add(name)
+    if name not in world.copied_replicas:
+        world.copied_replicas.add(name)
         core = copy(replica.core)
         if core is not None:
             core.synchrony, core.snapshots = clone(core.synchrony), clone(core.snapshots)
@@ -167,20 +175,20 @@
 
 @cache
 def mutable_fields(kind):
-    """Fields of a record type that steps change in place; None for frozen types."""
+    """Return the fields of a struct type that steps modify in place; None for frozen types."""
     return None if kind.__struct_config__.frozen else kind.__struct_fields__
 
 
 def clone(value):
-    """A copy of everything that steps change in place; frozen records are shared."""
+    """Return a deep copy of everything that steps modify in place; frozen structs are shared."""
     kind = type(value)
-    if kind in ATOMS:
+    if kind in IMMUTABLE_TYPES:
         return value
     if kind is dict:
-        return {k: v if type(v) in ATOMS else clone(v) for k, v in value.items()}
+        return {k: v if type(v) in IMMUTABLE_TYPES else clone(v) for k, v in value.items()}
     if kind in (list, set, bytearray):
         return kind(value)
     fields = mutable_fields(kind)
     if fields is None:
         return value
-    return kind(*[v if type(v := getattr(value, name)) in ATOMS else clone(v) for name in fields])
+    return kind(*[v if type(v := getattr(value, name)) in IMMUTABLE_TYPES else clone(v) for name in fields])
--- a/frostpost/simulator/explore_transitions.py
+++ b/frostpost/simulator/explore_transitions.py
@@ -1,4 +1,4 @@
-"""Moves of the model checker: what may happen next in a world, each made by the product's own steps."""
+"""Transitions of the model checker: the effect of each move, made by the product's own step functions."""
 
 from msgspec import structs
 
@@ -10,169 +10,178 @@
 from . import explore_checks as checks
 from .explore_hash import encode
 from .explore_move_types import (
-    Ask,
+    BlockLinks,
+    ChangeVoters,
     Crash,
-    Cut,
     Delay,
     Deliver,
     Drop,
+    FireTimers,
     Freeze,
-    Heal,
     Next,
     Propose,
-    Remind,
     Restart,
-    Revote,
+    RestoreLinks,
+    Submit,
     TakeSnapshot,
     Thaw,
     Wipe,
 )
-from .explore_state import Disk, copy_world, own
-from .explore_steps import BOUNDS, effects, greet, handle, start, step_replica, stop, tick
+from .explore_state import Disk, copy_world, mutable_replica
+from .explore_steps import (
+    BOUNDS,
+    apply_output,
+    exchange_discovery,
+    handle_item,
+    start_replica,
+    step_replica,
+    stop_replica,
+    tick_replica,
+)
 
 TICK_MS = BOUNDS.heartbeat_ms
 PAYLOAD = encode(Look())
 
 
 def kind_of(move):
-    """The word under which a budget counts a move."""
+    """Return the kind by which budgets count a move."""
     return type(move).__struct_config__.tag
 
 
-def make(world, move):
-    """The world after a move; what it broke stands in `broken`. Raises nothing: a step that fails breaks `failure`."""
+def apply_move(world, move):
+    """Return the world after a move, with the invariants that it violates; an exception violates `failure`."""
     world = copy_world(world)
     kind = kind_of(move)
     if kind != "next":
-        world.spent[kind] = world.spent.get(kind, 0) + 1
+        world.used_budget[kind] = world.used_budget.get(kind, 0) + 1
     try:
-        MAKERS[type(move)](world, move)
-        world.queue = tuple(item for item in world.queue if not checks.without_effect(world, item))
+        TRANSITIONS[type(move)](world, move)
+        world.queue = tuple(item for item in world.queue if not checks.is_obsolete(world, item))
     except (KeyError, IndexError, AttributeError, TypeError, ValueError, AssertionError) as error:
-        world.broken.append(checks.Broken("failure", f"{type(error).__name__}: {error}"))
+        world.violations.append(checks.Violation("failure", f"{type(error).__name__}: {error}"))
     if world.scenario.timed:
-        checks.leases(world)
+        checks.check_leases(world)
     return world
 
 
-def next_once(world):
-    """The head of the queue is handled, or all timers fire."""
+def advance(world):
+    """Handle the head of the queue, or run all timers if the queue is empty."""
     if world.queue:
         item, world.queue = world.queue[0], world.queue[1:]
         if world.replicas[item.target].frozen:
-            world.late += (item,)
+            world.delayed += (item,)
         else:
-            handle(world, item)
+            handle_item(world, item)
         return
     frozen = {r.name for r in world.replicas.values() if r.frozen}
-    world.queue = tuple(item for item in world.late if item.target not in frozen)
-    world.late = tuple(item for item in world.late if item.target in frozen)
+    world.queue = tuple(item for item in world.delayed if item.target not in frozen)
+    world.delayed = tuple(item for item in world.delayed if item.target in frozen)
     running = [r.name for r in world.replicas.values() if r.core is not None and not r.frozen]
     if world.scenario.timed:
         world.now_ms += TICK_MS
     for name in running:
-        tick(world, name)
+        tick_replica(world, name)
 
 
-def next_(world, move):
-    """See `Next`."""
+def advance_repeatedly(world, move):
+    """Apply `Next`."""
     for _ in range(move.times):
-        next_once(world)
+        advance(world)
 
 
-def found(world, move):
-    """The first item in flight with a move's label, and the rest; nothing if there is none."""
+def take_from_queue(world, move):
+    """Return the first queued item that has a move's label, or None, and the rest of the queue."""
     label = (move.sender, move.target, move.kind)
-    for at, item in enumerate(world.queue):
+    for position, item in enumerate(world.queue):
         if item.label == label:
-            return item, world.queue[:at] + world.queue[at + 1 :]
+            return item, world.queue[:position] + world.queue[position + 1 :]
     return None, world.queue
 
 
 def deliver(world, move):
-    """See `Deliver`."""
+    """Apply `Deliver`."""
     if world.replicas[move.target].frozen:
         return
-    item, world.queue = found(world, move)
+    item, world.queue = take_from_queue(world, move)
     if item is not None:
-        handle(world, item)
+        handle_item(world, item)
 
 
 def drop(world, move):
-    """See `Drop`."""
+    """Apply `Drop`."""
     if move.kind != "Sync":
-        _, world.queue = found(world, move)
+        _, world.queue = take_from_queue(world, move)
 
 
 def delay(world, move):
-    """See `Delay`."""
-    item, world.queue = found(world, move)
+    """Apply `Delay`."""
+    item, world.queue = take_from_queue(world, move)
     if item is not None:
-        world.late += (item,)
+        world.delayed += (item,)
 
 
 def propose(world, move):
-    """See `Propose`; a proposal of its own that is under way is given up, as a member does that gets no answer."""
-    replica = own(world, move.name)
+    """Apply `Propose`; an earlier proposal of this member is abandoned, as after a timeout."""
+    replica = mutable_replica(world, move.name)
     if replica.core is None:
         return
     synchrony = replica.core.synchrony
-    known = {p.endpoint.member.name: p.endpoint.member for p in synchrony.peers.values()} | {
+    known_members = {p.endpoint.member.name: p.endpoint.member for p in synchrony.peers.values()} | {
         synchrony.name: synchrony.local_member
     }
     out = Output()
     synchrony.proposal = None
-    membership.propose(synchrony, out, tuple(known[n] for n in move.members if n in known))
+    membership.propose(synchrony, out, tuple(known_members[n] for n in move.members if n in known_members))
     step.deliver_to_self(synchrony, out)
-    effects(world, replica, out)
-    checks.answers(world, replica, out.notifications)
+    apply_output(world, replica, out)
+    checks.check_notifications(world, replica, out.notifications)
 
 
-def remind(world, move):
-    """See `Remind`."""
+def fire_timers(world, move):
+    """Apply `FireTimers`."""
     if world.replicas[move.name].core is not None:
-        tick(world, move.name)
+        tick_replica(world, move.name)
 
 
 def crash(world, move):
-    """See `Crash`."""
-    replica = own(world, move.name)
+    """Apply `Crash`."""
+    replica = mutable_replica(world, move.name)
     if replica.core is None:
         return
     disk = replica.disk
     synced = disk.synced
     for record in disk.pending[: move.kept]:
         synced = tuple(record.records) if isinstance(record, RewriteLog) else (*synced, record)
-    replica.disk = Disk(synced, boots=disk.boots)
-    stop(world, replica)
+    replica.disk = Disk(synced, boot_count=disk.boot_count)
+    stop_replica(world, replica)
 
 
 def wipe(world, move):
-    """See `Wipe`."""
-    replica = own(world, move.name)
+    """Apply `Wipe`."""
+    replica = mutable_replica(world, move.name)
     if replica.core is None:
         return
-    replica.disk = Disk(boots=replica.disk.boots)
-    world.history = structs.replace(world.history, wiped=world.history.wiped | {move.name})
-    stop(world, replica)
+    replica.disk = Disk(boot_count=replica.disk.boot_count)
+    world.history = structs.replace(world.history, wiped_replicas=world.history.wiped_replicas | {move.name})
+    stop_replica(world, replica)
 
 
 def restart(world, move):
-    """See `Restart`."""
-    replica = own(world, move.name)
+    """Apply `Restart`."""
+    replica = mutable_replica(world, move.name)
     if replica.core is None:
-        start(world, replica)
-        greet(world, move.name)
+        start_replica(world, replica)
+        exchange_discovery(world, move.name)
 
 
-def ask(world, move):
-    """See `Ask`."""
+def submit(world, move):
+    """Apply `Submit`."""
     if world.replicas[move.name].core is not None:
         step_replica(world, move.name, OperationSubmitted(world.now_ms, PAYLOAD))
 
 
-def revote(world, move):
-    """See `Revote`."""
+def change_voters(world, move):
+    """Apply `ChangeVoters`."""
     replica = world.replicas[move.name]
     if replica.core is None:
         return
@@ -183,8 +192,8 @@
 
 
 def take_snapshot(world, move):
-    """See `TakeSnapshot`."""
-    replica = own(world, move.name)
+    """Apply `TakeSnapshot`."""
+    replica = mutable_replica(world, move.name)
     if replica.core is None:
         return
     synchrony, out = replica.core.synchrony, Output()
@@ -192,49 +201,49 @@
     synchrony.bounds = structs.replace(bounds, rewrite_entries=1)
     snapshotting.compact_log(replica.core, out)
     synchrony.bounds = bounds
-    effects(world, replica, out)
+    apply_output(world, replica, out)
 
 
-def cut(world, move):
-    """See `Cut`; what is already on its way over a cut link is lost too."""
-    world.cuts |= {(move.name, n) for n in move.to} | {(n, move.name) for n in move.from_}
-    world.queue = tuple(item for item in world.queue if item.label[:2] not in world.cuts)
-    world.late = tuple(item for item in world.late if item.label[:2] not in world.cuts)
+def block_links(world, move):
+    """Apply `BlockLinks`; messages in flight on the blocked links are lost too."""
+    world.blocked_links |= {(move.name, n) for n in move.to} | {(n, move.name) for n in move.from_}
+    world.queue = tuple(item for item in world.queue if item.label[:2] not in world.blocked_links)
+    world.delayed = tuple(item for item in world.delayed if item.label[:2] not in world.blocked_links)
 
 
-def heal(world, move):
-    """See `Heal`; without a clock all hear of each other at once, as after a start."""
-    world.cuts = frozenset()
+def restore_links(world, move):
+    """Apply `RestoreLinks`; in an untimed scenario all replicas discover each other immediately, as after a start."""
+    world.blocked_links = frozenset()
     for name in [r.name for r in world.replicas.values() if r.core is not None]:
-        greet(world, name)
+        exchange_discovery(world, name)
 
 
 def freeze(world, move):
-    """See `Freeze`."""
+    """Apply `Freeze`."""
     if world.replicas[move.name].core is not None:
-        own(world, move.name).frozen = True
+        mutable_replica(world, move.name).frozen = True
 
 
 def thaw(world, move):
-    """See `Thaw`."""
-    own(world, move.name).frozen = False
+    """Apply `Thaw`."""
+    mutable_replica(world, move.name).frozen = False
 
 
-MAKERS = {
-    Next: next_,
+TRANSITIONS = {
+    Next: advance_repeatedly,
     Deliver: deliver,
     Drop: drop,
     Delay: delay,
     Propose: propose,
-    Remind: remind,
+    FireTimers: fire_timers,
     Crash: crash,
     Wipe: wipe,
     Restart: restart,
-    Ask: ask,
-    Revote: revote,
+    Submit: submit,
+    ChangeVoters: change_voters,
     TakeSnapshot: take_snapshot,
-    Cut: cut,
-    Heal: heal,
+    BlockLinks: block_links,
+    RestoreLinks: restore_links,
     Freeze: freeze,
     Thaw: thaw,
 }
