--- a/frostpost/simulator/explore_enabled_moves.py
+++ b/frostpost/simulator/explore_enabled_moves.py
@@ -64,7 +64,7 @@
     return moves
 
 
-def fire_timers_moves(world):
+def fire_timer_moves(world):
     """The timers of any running replica may fire."""
     return [FireTimers(r.name) for r in running_replicas(world)]
 
@@ -145,7 +145,7 @@
     ]
 
 
-def block_moves(world):
+def block_link_moves(world):
     """The links between any replica and all others may be blocked, in both directions or in one."""
     moves = []
     for name in world.replicas:
@@ -174,14 +174,14 @@
     "drop": drop_moves,
     "delay": delay_moves,
     "propose": propose_moves,
-    "remind": fire_timers_moves,
+    "remind": fire_timer_moves,
     "crash": crash_moves,
     "wipe": wipe_moves,
     "restart": restart_moves,
     "ask": submit_moves,
     "revote": change_voters_moves,
     "snapshot": snapshot_moves,
-    "cut": block_moves,
+    "cut": block_link_moves,
     "heal": restore_link_moves,
     "freeze": freeze_moves,
     "thaw": thaw_moves,
