--- a/tests/fleet_simulator/judge.py
+++ b/tests/fleet_simulator/judge.py
@@ -1,4 +1,4 @@
-"""The rules, judged from what was seen on sockets."""
+"""Invariants of a simulated day, checked against the traffic recorded on its sockets."""
 
 from collections import defaultdict
 from itertools import pairwise
@@ -8,180 +8,192 @@
 from .routes import MOST_ATTEMPTS
 from .runners import EVENT_TOKENS
 
-PROMISES = (408, 421, 429, 503)
-RESUMABLE = "/free/"
-STEADY = ("after ack", "core cut", "cut", "freeze", "kill", "wipe")
+UNEXECUTED_STATUSES = (408, 421, 429, 503)
+RESUMABLE_PREFIX = "/free/"
+STABLE_WHILE_ACTIVE = ("after ack", "core cut", "cut", "freeze", "kill", "wipe")
 
 
 def prefix_of(uri):
     return uri[: uri.find("/", 1) + 1]
 
 
-def repeatable(request):
-    return request.kind == "safe" or request.uri.startswith(RESUMABLE)
+def is_repeatable(request):
+    return request.kind == "safe" or request.uri.startswith(RESUMABLE_PREFIX)
 
 
-def touches(world, trouble, edge, since_ms, at_ms):
-    """Whether a trouble keeps an edge from being in touch, by itself or by unsettling the core.
+def disrupts(world, fault, edge, since_ms, at_ms):
+    """Whether a fault disrupts an edge's contact with the core, directly or through a reconfiguration.
 
-    A loss inside the tolerance unsettles the core when it begins and when it ends; in between the others go on.
+    A loss within the tolerance reconfigures the core when it begins and when it ends; in between the remaining
+    daemons continue.
     """
-    if trouble.from_ms > at_ms or trouble.until_ms < since_ms or not trouble.names:
+    if fault.from_ms > at_ms or fault.until_ms < since_ms or not fault.names:
         return False
-    daemons = [world.daemons[n] for n in trouble.names if n in world.daemons]
+    daemons = [world.daemons[name] for name in fault.names if name in world.daemons]
     if any(d.host.address == edge for d in daemons):
         return True
     if all(d.role == "edge" for d in daemons):
         return False
-    begins, ends = trouble.from_ms >= since_ms, trouble.until_ms <= at_ms
-    return begins or ends or trouble.kind not in STEADY
+    begins, ends = fault.from_ms >= since_ms, fault.until_ms <= at_ms
+    return begins or ends or fault.kind not in STABLE_WHILE_ACTIVE
 
 
 def in_touch(world, edge, at_ms):
-    """Whether an edge met no trouble and the core was settled for the whole contact time before."""
+    """Whether neither the edge nor the core was disrupted during the contact time before `at_ms`."""
     since_ms = at_ms - world.notes.sheet["contact"]
-    return not any(touches(world, t, edge, since_ms, at_ms) for t in world.notes.troubles)
+    return not any(disrupts(world, fault, edge, since_ms, at_ms) for fault in world.notes.troubles)
 
 
-def twice(world, runs_of, tries):
+def duplicate_executions(world, runs_of, tries):
+    """TWICE: a request that must not be repeated, or an operation key within its window, ran more than once."""
     window_ms = world.notes.sheet["window"]
     for name, runs in runs_of.items():
         request = tries.get(name)
-        if request is not None and not repeatable(request) and len(runs) > 1:
-            yield Broken("TWICE", f"{name} {request.uri} ran {[(r.runner, round(r.at_ms)) for r in runs]}")
-    keyed = defaultdict(list)
+        if request is not None and not is_repeatable(request) and len(runs) > 1:
+            yield Broken(
+                "TWICE",
+                f"{name} {request.uri} was executed more than once: {[(r.runner, round(r.at_ms)) for r in runs]}",
+            )
+    runs_by_key = defaultdict(list)
     for run in world.notes.runs:
         if run.key:
-            keyed[run.key].append(run)
-    for key, runs in keyed.items():
+            runs_by_key[run.key].append(run)
+    for key, runs in runs_by_key.items():
         for first, second in pairwise(runs):
-            sent = tries.get(first.try_id)
-            if sent is not None and first.try_id != second.try_id and second.at_ms < sent.sent_ms + window_ms:
+            original = tries.get(first.try_id)
+            if original is not None and first.try_id != second.try_id and second.at_ms < original.sent_ms + window_ms:
                 yield Broken(
                     "TWICE",
-                    f"key {key} ran at {round(first.at_ms)} ({first.try_id}) and {round(second.at_ms)} "
+                    f"key {key} was executed at {round(first.at_ms)} ({first.try_id}) and {round(second.at_ms)} "
                     f"({second.try_id})",
                 )
 
 
-def promised(runs_of, tries):
+def executions_after_refusal(runs_of, tries):
+    """REFUSED: a request that was answered as not executed reached a runner."""
     for name, request in tries.items():
-        promise = request.status in PROMISES or request.status == 402 and request.uri.startswith("/chat/")
-        if promise and not repeatable(request) and runs_of.get(name):
+        refused = request.status in UNEXECUTED_STATUSES or request.status == 402 and request.uri.startswith("/chat/")
+        if refused and not is_repeatable(request) and runs_of.get(name):
             run = runs_of[name][0]
             yield Broken(
                 "REFUSED",
                 f"{name} {request.uri} got {request.status} {request.got[:60]!r} at "
-                f"{round(request.ended_ms)} and ran at {round(run.at_ms)}",
+                f"{round(request.ended_ms)} and was executed at {round(run.at_ms)}",
             )
 
 
-def events(request, runs):
-    """ORDER and MIXED of one stream."""
-    pairs, rest = events_of(request.got)
-    expected, used = int(request.last_event or 0), []
-    for name, data in pairs:
+def stream_events(request, runs):
+    """ORDER and MIXED: the events of one stream are in sequence, complete and from one run."""
+    pairs, remainder = events_of(request.got)
+    expected, sources = int(request.last_event or 0), []
+    for event_id, data in pairs:
         expected += 1
-        if name != str(expected):
-            yield Broken("ORDER", f"{request.try_id} got event {name} where {expected} was due")
+        if event_id != str(expected):
+            yield Broken("ORDER", f"{request.try_id} got event {event_id}, expected {expected}")
             return
         run = next(
             (r for r in runs if r.first <= expected < r.first + len(r.pieces) and r.pieces[expected - r.first] == data),
             None,
         )
         if run is None:
-            yield Broken("MIXED", f"{request.try_id} got {data!r}, which no run of it made")
+            yield Broken("MIXED", f"{request.try_id} got {data!r}, which none of its runs produced")
             return
-        if run not in used:
-            used.append(run)
-    if len(used) > 1 and not request.uri.startswith(RESUMABLE):
-        yield Broken("ORDER", f"{request.try_id} joins pieces of two runs")
-    if request.whole and (rest or not runs or expected != runs[0].total):
-        yield Broken("ORDER", f"{request.try_id} ended whole after {expected} of {runs and runs[0].total}")
+        if run not in sources:
+            sources.append(run)
+    if len(sources) > 1 and not request.uri.startswith(RESUMABLE_PREFIX):
+        yield Broken("ORDER", f"{request.try_id} combines events of more than one run")
+    if request.whole and (remainder or not runs or expected != runs[0].total):
+        yield Broken("ORDER", f"{request.try_id} completed after {expected} of {runs and runs[0].total} events")
 
 
-def mixed(world, runs_of, tries):
-    seals = {run.seal: run for run in world.notes.runs}
+def mismatched_responses(world, runs_of, tries):
+    """MIXED: a response that no run of its request produced."""
+    runs_by_seal = {run.seal: run for run in world.notes.runs}
     for request in tries.values():
         if not request.status:
             continue
         runs = runs_of.get(request.try_id, [])
         if request.status == 200 and not request.seal:
-            yield Broken("MIXED", f"{request.try_id} got 200 without a seal")
+            yield Broken("MIXED", f"{request.try_id} got status 200 without a seal")
         if not request.seal:
             continue
-        run = seals.get(request.seal)
-        own = run is not None and (run.try_id == request.try_id or request.key and run.key == request.key)
-        if not own or run.status != request.status:
+        run = runs_by_seal.get(request.seal)
+        matches = run is not None and (run.try_id == request.try_id or request.key and run.key == request.key)
+        if not matches or run.status != request.status:
             yield Broken(
                 "MIXED",
-                f"{request.try_id} {request.uri} got {request.status} of {run and run.try_id} {run and run.status}",
+                f"{request.try_id} {request.uri} got {request.status}, "
+                f"its seal belongs to {run and run.try_id} {run and run.status}",
             )
         elif request.kind == "streaming" and request.status == 200:
-            yield from events(request, runs)
+            yield from stream_events(request, runs)
         elif request.whole and (request.got != run.answer or not run.done) and request.kind != "streaming":
             yield Broken(
-                "MIXED", f"{request.try_id} got {request.got!r}, its runner sent {run.answer!r} done {run.done}"
+                "MIXED", f"{request.try_id} got {request.got!r}, its runner sent {run.answer!r}, done: {run.done}"
             )
     for stray in world.notes.strays:
-        yield Broken("MIXED", f"stray {stray}")
+        yield Broken("MIXED", f"unexpected response {stray}")
 
 
-def budgets(tries):
-    spent, bounds = defaultdict(int), {}
+def budget_overruns(tries):
+    """BUDGET: a program received more tokens than its budget and one request allow."""
+    spent, limits = defaultdict(int), {}
     for request in tries.values():
         if request.budget:
             spent[request.program] += len(events_of(request.got)[0]) * EVENT_TOKENS if request.status == 200 else 0
-            bounds[request.program] = request.budget + request.most
+            limits[request.program] = request.budget + request.most
     for program, tokens in spent.items():
-        if tokens > bounds[program]:
-            yield Broken("BUDGET", f"{program} was handed {tokens}, bound {bounds[program]}")
+        if tokens > limits[program]:
+            yield Broken("BUDGET", f"{program} received {tokens} tokens, limit {limits[program]}")
 
 
-def chain(tries, name):
-    data = []
+def session_transcript(tries, name):
+    """The requests and events of a session up to the named request, or None if one of them is missing."""
+    turns = []
     while name:
         request = tries.get(name)
         if request is None:
             return None
-        data.append(request.body + b"".join(piece + b"\n" for _, piece in events_of(request.got)[0]))
+        turns.append(request.body + b"".join(piece + b"\n" for _, piece in events_of(request.got)[0]))
         name = request.previous
-    return b"".join(reversed(data))
+    return b"".join(reversed(turns))
 
 
-def unasked(world, tries):
+def unsolicited_executions(world, tries):
+    """UNASKED: a run whose request differs from what the client sent."""
     for run in world.notes.runs:
         request = tries.get(run.try_id)
         if request is None or (run.method, run.uri) != (request.method, request.uri):
             yield Broken("UNASKED", f"{run.try_id} {run.uri} at {run.runner}")
             continue
-        before = chain(tries, request.previous)
-        if before is None or run.body != before + request.body or run.previous != request.previous:
+        history = session_transcript(tries, request.previous)
+        if history is None or run.body != history + request.body or run.previous != request.previous:
             yield Broken(
                 "UNASKED",
-                f"{run.try_id} got a body of {len(run.body)} bytes, {before and len(before)} + "
-                f"{len(request.body)} were due",
+                f"{run.try_id} got a body of {len(run.body)} bytes, expected {history and len(history)} + "
+                f"{len(request.body)}",
             )
 
 
-def lost(world, tries):
-    keep_ms = world.notes.sheet["keep"]
+def lost_sessions(world, tries):
+    """LOST and DENIED: a session was not found within its retention period, or without a previous turn."""
+    retention_ms = world.notes.sheet["keep"]
     for request in tries.values():
         if request.status not in (404, 410) or not request.uri.startswith("/chat/"):
             continue
-        before = tries.get(request.previous)
-        if before is None:
+        predecessor = tries.get(request.previous)
+        if predecessor is None:
             yield Broken("DENIED", f"{request.try_id} {request.uri} got {request.status} {request.got[:80]!r}")
-        elif request.ended_ms - before.ended_ms < keep_ms:
+        elif request.ended_ms - predecessor.ended_ms < retention_ms:
             yield Broken(
                 "LOST",
-                f"{request.try_id} got {request.status} at {round(request.ended_ms)} for {before.try_id}, "
-                f"whole at {round(before.ended_ms)}, by {request.edge}",
+                f"{request.try_id} got {request.status} at {round(request.ended_ms)} for {predecessor.try_id}, "
+                f"completed at {round(predecessor.ended_ms)}, by {request.edge}",
             )
 
 
-def cut_off(world, runs_of, tries):
-    """Requests that ended without a whole answer though there was nothing but planned work."""
+def interrupted_requests(world, runs_of, tries):
+    """LOST: a request ended without a complete response while only planned work was under way."""
     for request in tries.values():
         if (
             request.whole
@@ -191,38 +203,44 @@
             and request.status != 200
         ):
             continue
-        if any(name == request.edge and at_ms > request.dialled_ms for name, at_ms in world.starts):
+        if any(edge == request.edge and at_ms > request.dialled_ms for edge, at_ms in world.starts):
             continue
         since_ms, runs = request.sent_ms - world.notes.sheet["contact"], runs_of.get(request.try_id, [])
-        calm = not any(
-            t.from_ms <= request.ended_ms and t.until_ms >= since_ms and t.kind not in ("roll", "add")
-            for t in [*world.notes.troubles, *world.notes.list_troubles]
+        undisturbed = not any(
+            fault.from_ms <= request.ended_ms and fault.until_ms >= since_ms and fault.kind not in ("roll", "add")
+            for fault in [*world.notes.troubles, *world.notes.list_troubles]
         )
-        if calm and not any(r.broke for r in runs) and request.ended_ms < request.sent_ms + request.left_ms:
+        if undisturbed and not any(r.broke for r in runs) and request.ended_ms < request.sent_ms + request.left_ms:
             yield Broken(
                 "LOST",
-                f"{request.try_id} {request.uri} was cut at {round(request.ended_ms)} by {request.edge}: "
+                f"{request.try_id} {request.uri} was interrupted at {round(request.ended_ms)} by {request.edge}: "
                 f"{request.why}, {len(request.got)} bytes, runs {[(r.runner, r.done) for r in runs]}",
             )
 
 
-def drains(world, tries):
-    shown, drain_ms = {}, world.notes.sheet["drain"]
-    for at_ms, runner, state in world.notes.shown:
+def dispatches_after_drain(world, tries):
+    """DRAIN: a request reached a runner after the drain period that follows its listing as unavailable."""
+    unavailable_since, drain_ms = {}, world.notes.sheet["drain"]
+    for listed_ms, runner, state in world.notes.shown:
         if state != "available":
-            shown.setdefault(runner, at_ms)
+            unavailable_since.setdefault(runner, listed_ms)
     for run in world.notes.runs:
-        at_ms, request = shown.get(run.runner), tries.get(run.try_id)
-        if at_ms is None or request is None or run.at_ms <= at_ms + drain_ms:
+        listed_ms, request = unavailable_since.get(run.runner), tries.get(run.try_id)
+        if listed_ms is None or request is None or run.at_ms <= listed_ms + drain_ms:
             continue
-        listless = any(t.from_ms <= run.at_ms and t.until_ms >= at_ms for t in world.notes.list_troubles)
-        if not listless and in_touch(world, request.edge, run.at_ms):
-            yield Broken("DRAIN", f"{run.try_id} reached {run.runner} {round(run.at_ms - at_ms)} ms after it was shown")
+        list_unavailable = any(
+            fault.from_ms <= run.at_ms and fault.until_ms >= listed_ms for fault in world.notes.list_troubles
+        )
+        if not list_unavailable and in_touch(world, request.edge, run.at_ms):
+            yield Broken(
+                "DRAIN",
+                f"{run.try_id} reached {run.runner} {round(run.at_ms - listed_ms)} ms after its drain was listed",
+            )
 
 
-def overrun(runs_of, tries):
-    """BUDGET: a try that ran at more runners than its route allows."""
+def excess_attempts(runs_of, tries):
+    """BUDGET: a request was executed by more runners than its route allows."""
     for name, runs in runs_of.items():
         runners = {run.runner for run in runs}
         if name in tries and len(runners) > MOST_ATTEMPTS:
-            yield Broken("BUDGET", f"{name} {tries[name].uri} ran at {sorted(runners)}")
+            yield Broken("BUDGET", f"{name} {tries[name].uri} was executed by {sorted(runners)}")
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -104,12 +104,12 @@
         for run in self.world.notes.runs:
             runs_of[run.try_id].append(run)
         violations = [
-            *judge.twice(self.world, runs_of, tries),
-            *judge.promised(runs_of, tries),
-            *judge.mixed(self.world, runs_of, tries),
-            *judge.budgets(tries),
-            *judge.unasked(self.world, tries),
-            *judge.lost(self.world, tries),
+            *judge.duplicate_executions(self.world, runs_of, tries),
+            *judge.executions_after_refusal(runs_of, tries),
+            *judge.mismatched_responses(self.world, runs_of, tries),
+            *judge.budget_overruns(tries),
+            *judge.unsolicited_executions(self.world, tries),
+            *judge.lost_sessions(self.world, tries),
         ]
         assert not self.edge.host.breaks
         return [f"{b.rule} {b.text}" for b in violations]
--- a/tests/test_fleet_simulator_edges.py
+++ b/tests/test_fleet_simulator_edges.py
@@ -48,7 +48,7 @@
             world.later(1000 * number + phase_ms + wait_ms, ask)
     world.run(world.now_ms() + 6000 + world.notes.sheet["window"] + 2000)
     assert len(world.notes.runs) >= len(PHASES_MS)
-    assert [b.text for b in judge.twice(world, runs_of(world), tries_of(world))] == []
+    assert [b.text for b in judge.duplicate_executions(world, runs_of(world), tries_of(world))] == []
 
 
 def test_a_turn_may_be_followed_until_its_retention_ends(opened):
@@ -61,7 +61,7 @@
         world.later(700 * number + phase_ms, lambda: crowd.turn("z0", "p", 20 * MOST_TOKENS, "").addCallback(follow))
     world.run(world.now_ms() + 6000 + world.notes.sheet["keep"] + 2000)
     assert len(crowd.turns) >= len(PHASES_MS)
-    assert [b.text for b in judge.lost(world, tries_of(world))] == []
+    assert [b.text for b in judge.lost_sessions(world, tries_of(world))] == []
 
 
 @pytest.mark.parametrize("outage_ms", [2000, 5000, 12000, 13500])
@@ -76,7 +76,7 @@
     works.drain_runner(world, Random(2))
     crowd.arrive(world.now_ms() + 8000, 80)
     world.run(world.now_ms() + 13000)
-    assert [b.text for b in judge.drains(world, tries_of(world))] == []
+    assert [b.text for b in judge.dispatches_after_drain(world, tries_of(world))] == []
 
 
 def replace(world, daemon):
--- a/tests/test_fleet_simulator_list_turns.py
+++ b/tests/test_fleet_simulator_list_turns.py
@@ -35,4 +35,4 @@
     world.run(world.now_ms() + 2500)
     served = [run for run in world.notes.runs if run.at_ms > from_ms + contact_ms]
     assert len(served) > 200
-    assert [b.text for b in judge.drains(world, {t.try_id: t for t in world.notes.tries})] == []
+    assert [b.text for b in judge.dispatches_after_drain(world, {t.try_id: t for t in world.notes.tries})] == []
