--- a/tests/fleet_simulator/config.py
+++ b/tests/fleet_simulator/config.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 
 from .judge import in_touch, prefix_of
-from .notes import Broken
+from .notes import Violation
 
 
 def may_hold(world, sent_ms, at_ms):
@@ -17,10 +17,10 @@
     bases = Counter(v.base for v in world.notes.versions if v.acked_ms >= 0)
     for base, count in bases.items():
         if count > 1:
-            yield Broken("CONFIG", f"{count} changes on top of {base} were acknowledged")
+            yield Violation("CONFIG", f"{count} changes on top of {base} were acknowledged")
     for version in world.notes.versions:
         if version.acked_ms >= 0 and not version.valid:
-            yield Broken("CONFIG", f"{version.issue} is invalid and was acknowledged")
+            yield Violation("CONFIG", f"{version.issue} is invalid and was acknowledged")
 
 
 def handled(world, tries):
@@ -32,7 +32,7 @@
         held = may_hold(world, request.sent_ms, run.at_ms)
         if not any(run.service in v.paths.get(path, ()) for v in held):
             touch = "in touch" if in_touch(world, request.edge, run.at_ms) else "out of touch"
-            yield Broken(
+            yield Violation(
                 "CONFIG",
                 f"{run.try_id} {path} ran at {run.service} at {round(run.at_ms)}, sent {round(request.sent_ms)} "
                 f"by {request.edge}, {touch}; versions {[(v.issue, v.paths.get(path)) for v in held]}",
@@ -43,7 +43,7 @@
             continue
         held = may_hold(world, request.sent_ms, request.ended_ms)
         if held and all(path in v.paths for v in held):
-            yield Broken(
+            yield Violation(
                 "CONFIG",
                 f"{request.try_id} {path} got 404 from {request.edge} at {round(request.ended_ms)}; versions "
                 f"{[v.issue for v in held]}",
@@ -64,7 +64,9 @@
         for at_ms, least in seen[request.edge]:
             life = max((m for m in lives(world, request.edge) if m <= run.at_ms), default=0)
             if at_ms >= life and request.sent_ms > at_ms + 250 and max(fits) < least:
-                yield Broken("CONFIG", f"{request.edge} went back: {run.try_id} {path} at {run.service} after {least}")
+                yield Violation(
+                    "CONFIG", f"{request.edge} went back: {run.try_id} {path} at {run.service} after {least}"
+                )
                 break
         seen[request.edge].append((run.at_ms, min(fits)))
         seen[request.edge] = sorted(seen[request.edge], key=lambda s: -s[1])[:3]
@@ -78,12 +80,12 @@
     """What the operator reads at the end."""
     acked = [v for v in world.notes.versions if v.acked_ms >= 0]
     if document is None:
-        yield Broken("LOST", "the configuration doesn't come")
+        yield Violation("LOST", "the configuration doesn't come")
         return
     newest = max((v.issue for v in acked), default=0)
     if document["issue"] < newest:
-        yield Broken("LOST", f"version {newest} was acknowledged, {document['issue']} is read")
+        yield Violation("LOST", f"version {newest} was acknowledged, {document['issue']} is read")
     sent = [v for v in world.notes.versions if v.issue == document["issue"] and v.valid and not v.no]
     tables = [{r["name"]: r for r in v.document["route-table"]} for v in sent]
     if {r["name"]: r for r in document["route-table"]} not in tables:
-        yield Broken("CONFIG", f"version {document['issue']} is not what was sent under its number")
+        yield Violation("CONFIG", f"version {document['issue']} is not what was sent under its number")
--- a/tests/fleet_simulator/jobs.py
+++ b/tests/fleet_simulator/jobs.py
@@ -1,9 +1,9 @@
-"""One request at a runner, and the ways in which its answer goes wrong."""
+"""Handling of one request by a simulated runner, with injected response faults."""
 
 from .http import chunk, write
 from .notes import Run
 
-TROUBLES = ("lose", "cut", "surplus", "noise", "fail", "silent")
+RESPONSE_FAULTS = ("lose", "cut", "surplus", "noise", "fail", "silent")
 
 
 def now_ms(runner):
@@ -11,37 +11,37 @@
 
 
 class Job:
-    """One request at a runner."""
+    """One request received by a runner; `line` is its connection."""
 
     def __init__(self, line, message):
         self.line, self.runner, self.message = line, line.runner, message
-        self.fields, self.run, self.trouble, self.over = message.fields, None, "", False
+        self.fields, self.run, self.fault, self.over = message.fields, None, "", False
         self.came_ms = now_ms(self.runner)
 
     def field(self, name):
         return self.fields.get(name, b"").decode()
 
     def arrive(self):
-        runner, names = self.runner, self.field(b"x-target-instance")
-        if names and names != runner.id:
-            return self.turn_away(421)
+        runner, target = self.runner, self.field(b"x-target-instance")
+        if target and target != runner.id:
+            return self.reject(421)
         if not self.field(b"x-attempt-id"):
-            return self.turn_away(400)
+            return self.reject(400)
         if "shed" in runner.odds and runner.random.random() < runner.odds["shed"]:
-            return self.turn_away(503)
+            return self.reject(503)
         if len(runner.working) < runner.slots:
             return self.begin()
         if len(runner.queue) >= runner.slots // 2:
-            return self.turn_away(503)
+            return self.reject(503)
         runner.queue.append(self)
-        runner.host.callLater(float(self.field(b"x-time-remaining") or 1000) / 1000, self.waited)
+        runner.host.callLater(float(self.field(b"x-time-remaining") or 1000) / 1000, self.queue_timeout)
 
-    def waited(self):
+    def queue_timeout(self):
         if self in self.runner.queue:
             self.runner.queue.remove(self)
-            self.turn_away(503)
+            self.reject(503)
 
-    def head(self, status, more=(), executed=True):
+    def response_head(self, status, more=(), executed=True):
         runner = self.runner
         fields = [(b"X-Attempt-Id", self.field(b"x-attempt-id").encode()), *more]
         if not executed:
@@ -52,10 +52,10 @@
             fields.append((b"Connection", b"close"))
         return b"HTTP/1.1 %d X" % status, fields
 
-    def turn_away(self, status):
-        start, fields = self.head(status, executed=False)
+    def reject(self, status):
+        start_line, fields = self.response_head(status, executed=False)
         self.over = True
-        self.send(write(start, [*fields, (b"Content-Length", b"0")]))
+        self.send(write(start_line, [*fields, (b"Content-Length", b"0")]))
         self.finish(fields)
 
     def send(self, data):
@@ -68,23 +68,23 @@
             self.line.transport.loseConnection()
 
     def begin(self):
-        runner, line = self.runner, self.message.start.decode().split(" ")
+        runner, request_line = self.runner, self.message.start.decode().split(" ")
         runner.working.append(self)
         runner.serial += 1
         seal = f"{runner.id}.{runner.serial}"
-        odds = runner.random.random()
-        for trouble in TROUBLES:
-            odds -= runner.odds.get(trouble, 0.0)
-            if odds < 0:
-                self.trouble = trouble
+        draw = runner.random.random()
+        for fault in RESPONSE_FAULTS:
+            draw -= runner.odds.get(fault, 0.0)
+            if draw < 0:
+                self.fault = fault
                 break
         self.run = Run(
             self.field(b"x-attempt-id"),
             runner.id,
             runner.service,
             now_ms(runner),
-            line[0],
-            line[1],
+            request_line[0],
+            request_line[1],
             bytes(self.message.body),
             seal,
             self.field(b"x-operation-key"),
@@ -96,59 +96,61 @@
         if self.fields.get(b"x-token-count"):
             return self.stream()
         self.run.answer = f"{seal}|{self.run.try_id}|".encode() * 3
-        self.after(runner.random.uniform(0.3, 3) * runner.pace_ms, self.answer)
+        self.call_later(runner.random.uniform(0.3, 3) * runner.pace_ms, self.respond)
 
-    def after(self, wait_ms, call, *args):
-        self.runner.host.callLater(wait_ms / 1000, lambda: None if self.over else call(*args))
+    def call_later(self, wait_ms, callback, *args):
+        self.runner.host.callLater(wait_ms / 1000, lambda: None if self.over else callback(*args))
 
-    def answer(self):
+    def respond(self):
         run = self.run
-        if self.trouble == "silent":
+        if self.fault == "silent":
             return None
-        if self.trouble == "lose":
-            return self.break_off()
-        if self.trouble == "noise":
+        if self.fault == "lose":
+            return self.abort()
+        if self.fault == "noise":
             self.send(b"\x00\x01 what is this\r\n\r\n")
-            return self.break_off()
-        if self.trouble == "fail":
+            return self.abort()
+        if self.fault == "fail":
             run.status = 500
-        start, fields = self.head(run.status, [(b"X-Server-Seal", run.seal.encode())])
-        whole = write(start, [*fields, (b"Content-Length", b"%d" % len(run.answer))], run.answer)
-        if self.trouble == "cut":
-            self.send(whole[: -len(run.answer) // 2])
-            return self.break_off()
+        start_line, fields = self.response_head(run.status, [(b"X-Server-Seal", run.seal.encode())])
+        response = write(start_line, [*fields, (b"Content-Length", b"%d" % len(run.answer))], run.answer)
+        if self.fault == "cut":
+            self.send(response[: -len(run.answer) // 2])
+            return self.abort()
         run.done = True
-        self.send(whole)
-        self.surplus(whole)
+        self.send(response)
+        self.send_surplus(response)
         return self.end(fields)
 
-    def surplus(self, whole):
-        if self.trouble != "surplus":
+    def send_surplus(self, response):
+        if self.fault != "surplus":
             return
         if self.runner.random.random() < 0.5:
-            self.line.late = whole
+            self.line.late = response
         else:
-            self.send(whole)
+            self.send(response)
 
     def stream(self):
         run = self.run
         first = int(run.last_event) + 1 if run.last_event else 1
         run.first, run.total = first, 1 + sum(run.try_id.encode()) % 7
-        if self.trouble == "fail":
+        if self.fault == "fail":
             run.status = 500
-            return self.after(30, self.answer_failed)
-        self.after(self.runner.random.uniform(0.5, 3) * self.runner.pace_ms, self.open, first)
+            return self.call_later(30, self.send_failure)
+        self.call_later(self.runner.random.uniform(0.5, 3) * self.runner.pace_ms, self.start_stream, first)
         return None
 
-    def answer_failed(self):
-        start, fields = self.head(500, [(b"X-Server-Seal", self.run.seal.encode()), (b"Content-Length", b"0")])
-        self.send(write(start, fields))
+    def send_failure(self):
+        start_line, fields = self.response_head(
+            500, [(b"X-Server-Seal", self.run.seal.encode()), (b"Content-Length", b"0")]
+        )
+        self.send(write(start_line, fields))
         self.end(fields)
 
-    def open(self, first):
-        if self.trouble in ("silent", "lose", "noise"):
-            return self.answer()
-        start, self.stream_fields = self.head(
+    def start_stream(self, first):
+        if self.fault in ("silent", "lose", "noise"):
+            return self.respond()
+        start_line, self.stream_fields = self.response_head(
             200,
             [
                 (b"X-Server-Seal", self.run.seal.encode()),
@@ -156,37 +158,39 @@
                 (b"Transfer-Encoding", b"chunked"),
             ],
         )
-        self.send(write(start, self.stream_fields))
-        return self.event(first)
+        self.send(write(start_line, self.stream_fields))
+        return self.send_event(first)
 
-    def event(self, number):
+    def send_event(self, number):
         run, random = self.run, self.runner.random
         if number > run.total:
             run.done = True
             self.send(b"0\r\n\r\n")
-            self.surplus(b"HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 1\r\n\r\nx")
+            self.send_surplus(
+                b"HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 1\r\n\r\nx"
+            )
             return self.end(self.stream_fields)
-        if self.trouble == "cut" and random.random() < 0.4:
-            return self.break_off()
+        if self.fault == "cut" and random.random() < 0.4:
+            return self.abort()
         data = f"{run.seal}/{number}".encode()
         run.pieces.append(data)
         raw = chunk(b"id: %d\ndata: %s\n\n" % (number, data))
         if random.random() < 0.2:
-            at = random.randrange(1, len(raw))
-            self.send(raw[:at])
-            self.after(5, self.send, raw[at:])
-            return self.after(self.runner.pace_ms * 0.5 + 6, self.event, number + 1)
+            split = random.randrange(1, len(raw))
+            self.send(raw[:split])
+            self.call_later(5, self.send, raw[split:])
+            return self.call_later(self.runner.pace_ms * 0.5 + 6, self.send_event, number + 1)
         self.send(raw)
-        return self.after(random.uniform(0.2, 1) * self.runner.pace_ms, self.event, number + 1)
+        return self.call_later(random.uniform(0.2, 1) * self.runner.pace_ms, self.send_event, number + 1)
 
-    def break_off(self):
+    def abort(self):
         self.run.broke = True
         if not self.line.gone:
             self.line.transport.abortConnection()
         self.dropped()
 
     def end(self, fields):
-        self.free()
+        self.release()
         self.finish(fields)
 
     def dropped(self):
@@ -194,9 +198,9 @@
             self.runner.queue.remove(self)
         self.line.job = None
         if not self.over and self.run is not None:
-            self.free()
+            self.release()
 
-    def free(self):
+    def release(self):
         self.over = True
         if self.run is not None:
             self.run.over = True
--- a/tests/fleet_simulator/judge.py
+++ b/tests/fleet_simulator/judge.py
@@ -4,7 +4,7 @@
 from itertools import pairwise
 
 from .http import events_of
-from .notes import Broken
+from .notes import Violation
 from .routes import MOST_ATTEMPTS
 from .runners import EVENT_TOKENS
 
@@ -50,7 +50,7 @@
     for name, runs in runs_of.items():
         request = tries.get(name)
         if request is not None and not is_repeatable(request) and len(runs) > 1:
-            yield Broken(
+            yield Violation(
                 "TWICE",
                 f"{name} {request.uri} was executed more than once: {[(r.runner, round(r.at_ms)) for r in runs]}",
             )
@@ -62,7 +62,7 @@
         for first, second in pairwise(runs):
             original = tries.get(first.try_id)
             if original is not None and first.try_id != second.try_id and second.at_ms < original.sent_ms + window_ms:
-                yield Broken(
+                yield Violation(
                     "TWICE",
                     f"key {key} was executed at {round(first.at_ms)} ({first.try_id}) and {round(second.at_ms)} "
                     f"({second.try_id})",
@@ -75,7 +75,7 @@
         refused = request.status in UNEXECUTED_STATUSES or request.status == 402 and request.uri.startswith("/chat/")
         if refused and not is_repeatable(request) and runs_of.get(name):
             run = runs_of[name][0]
-            yield Broken(
+            yield Violation(
                 "REFUSED",
                 f"{name} {request.uri} got {request.status} {request.got[:60]!r} at "
                 f"{round(request.ended_ms)} and was executed at {round(run.at_ms)}",
@@ -89,21 +89,21 @@
     for event_id, data in pairs:
         expected += 1
         if event_id != str(expected):
-            yield Broken("ORDER", f"{request.try_id} got event {event_id}, expected {expected}")
+            yield Violation("ORDER", f"{request.try_id} got event {event_id}, expected {expected}")
             return
         run = next(
             (r for r in runs if r.first <= expected < r.first + len(r.pieces) and r.pieces[expected - r.first] == data),
             None,
         )
         if run is None:
-            yield Broken("MIXED", f"{request.try_id} got {data!r}, which none of its runs produced")
+            yield Violation("MIXED", f"{request.try_id} got {data!r}, which none of its runs produced")
             return
         if run not in sources:
             sources.append(run)
     if len(sources) > 1 and not request.uri.startswith(RESUMABLE_PREFIX):
-        yield Broken("ORDER", f"{request.try_id} combines events of more than one run")
+        yield Violation("ORDER", f"{request.try_id} combines events of more than one run")
     if request.whole and (remainder or not runs or expected != runs[0].total):
-        yield Broken("ORDER", f"{request.try_id} completed after {expected} of {runs and runs[0].total} events")
+        yield Violation("ORDER", f"{request.try_id} completed after {expected} of {runs and runs[0].total} events")
 
 
 def mismatched_responses(world, runs_of, tries):
@@ -114,13 +114,13 @@
             continue
         runs = runs_of.get(request.try_id, [])
         if request.status == 200 and not request.seal:
-            yield Broken("MIXED", f"{request.try_id} got status 200 without a seal")
+            yield Violation("MIXED", f"{request.try_id} got status 200 without a seal")
         if not request.seal:
             continue
         run = runs_by_seal.get(request.seal)
         matches = run is not None and (run.try_id == request.try_id or request.key and run.key == request.key)
         if not matches or run.status != request.status:
-            yield Broken(
+            yield Violation(
                 "MIXED",
                 f"{request.try_id} {request.uri} got {request.status}, "
                 f"its seal belongs to {run and run.try_id} {run and run.status}",
@@ -128,11 +128,11 @@
         elif request.kind == "streaming" and request.status == 200:
             yield from stream_events(request, runs)
         elif request.whole and (request.got != run.answer or not run.done) and request.kind != "streaming":
-            yield Broken(
+            yield Violation(
                 "MIXED", f"{request.try_id} got {request.got!r}, its runner sent {run.answer!r}, done: {run.done}"
             )
     for stray in world.notes.strays:
-        yield Broken("MIXED", f"unexpected response {stray}")
+        yield Violation("MIXED", f"unexpected response {stray}")
 
 
 def budget_overruns(tries):
@@ -144,7 +144,7 @@
             limits[request.program] = request.budget + request.most
     for program, tokens in spent.items():
         if tokens > limits[program]:
-            yield Broken("BUDGET", f"{program} received {tokens} tokens, limit {limits[program]}")
+            yield Violation("BUDGET", f"{program} received {tokens} tokens, limit {limits[program]}")
 
 
 def session_transcript(tries, name):
@@ -164,11 +164,11 @@
     for run in world.notes.runs:
         request = tries.get(run.try_id)
         if request is None or (run.method, run.uri) != (request.method, request.uri):
-            yield Broken("UNASKED", f"{run.try_id} {run.uri} at {run.runner}")
+            yield Violation("UNASKED", f"{run.try_id} {run.uri} at {run.runner}")
             continue
         history = session_transcript(tries, request.previous)
         if history is None or run.body != history + request.body or run.previous != request.previous:
-            yield Broken(
+            yield Violation(
                 "UNASKED",
                 f"{run.try_id} got a body of {len(run.body)} bytes, expected {history and len(history)} + "
                 f"{len(request.body)}",
@@ -183,9 +183,9 @@
             continue
         predecessor = tries.get(request.previous)
         if predecessor is None:
-            yield Broken("DENIED", f"{request.try_id} {request.uri} got {request.status} {request.got[:80]!r}")
+            yield Violation("DENIED", f"{request.try_id} {request.uri} got {request.status} {request.got[:80]!r}")
         elif request.ended_ms - predecessor.ended_ms < retention_ms:
-            yield Broken(
+            yield Violation(
                 "LOST",
                 f"{request.try_id} got {request.status} at {round(request.ended_ms)} for {predecessor.try_id}, "
                 f"completed at {round(predecessor.ended_ms)}, by {request.edge}",
@@ -211,7 +211,7 @@
             for fault in [*world.notes.troubles, *world.notes.list_troubles]
         )
         if undisturbed and not any(r.broke for r in runs) and request.ended_ms < request.sent_ms + request.left_ms:
-            yield Broken(
+            yield Violation(
                 "LOST",
                 f"{request.try_id} {request.uri} was interrupted at {round(request.ended_ms)} by {request.edge}: "
                 f"{request.why}, {len(request.got)} bytes, runs {[(r.runner, r.done) for r in runs]}",
@@ -232,7 +232,7 @@
             fault.from_ms <= run.at_ms and fault.until_ms >= listed_ms for fault in world.notes.list_troubles
         )
         if not list_unavailable and in_touch(world, request.edge, run.at_ms):
-            yield Broken(
+            yield Violation(
                 "DRAIN",
                 f"{run.try_id} reached {run.runner} {round(run.at_ms - listed_ms)} ms after its drain was listed",
             )
@@ -243,4 +243,4 @@
     for name, runs in runs_of.items():
         runners = {run.runner for run in runs}
         if name in tries and len(runners) > MOST_ATTEMPTS:
-            yield Broken("BUDGET", f"{name} {tries[name].uri} was executed by {sorted(runners)}")
+            yield Violation("BUDGET", f"{name} {tries[name].uri} was executed by {sorted(runners)}")
--- a/tests/fleet_simulator/leases.py
+++ b/tests/fleet_simulator/leases.py
@@ -5,7 +5,7 @@
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
 
 from .judge import in_touch
-from .notes import Broken
+from .notes import Violation
 from .stage import ready
 
 STEP_MS, READY_STEPS, SLACK_MS = 20, 25, 60
@@ -41,7 +41,7 @@
         for daemon in self.agents():
             held = leases.session_of(daemon.owner)
             if leases.holds_lease(daemon.owner) and held.routing_version < self.honoured:
-                yield Broken(
+                yield Violation(
                     "LEASE",
                     f"{daemon.name} serves by {held.routing_version} at {round(self.world.now_ms())}, "
                     f"{self.honoured} is honoured",
@@ -58,7 +58,7 @@
                 and lease_remaining_ms(ctx.core.synchrony, int(self.world.now_ms()))
                 and version < self.honoured
             ):
-                yield Broken(
+                yield Violation(
                     "LEASE",
                     f"{daemon.name} leads with {version} at {round(self.world.now_ms())}, {self.honoured} is honoured",
                 )
@@ -75,7 +75,7 @@
             away = due and not ready(self.world, daemon)
             steps = self.unready_steps[daemon.name] = self.unready_steps.get(daemon.name, 0) + 1 if away else 0
             if steps == READY_STEPS:
-                yield Broken("READY", f"{daemon.name} is in touch and not ready at {round(self.world.now_ms())}")
+                yield Violation("READY", f"{daemon.name} is in touch and not ready at {round(self.world.now_ms())}")
 
 
 def served_past_lease(world, tries):
@@ -85,7 +85,7 @@
         request = tries.get(run.try_id)
         for alone in world.notes.isolations if request is not None else ():
             if request.edge == alone.edge and alone.from_ms + lease_ms + SLACK_MS < run.came_ms < alone.until_ms:
-                yield Broken(
+                yield Violation(
                     "LEASE",
                     f"{run.try_id} reached {run.runner} at {round(run.came_ms)} from {alone.edge}, "
                     f"cut off since {round(alone.from_ms)}",
--- a/tests/fleet_simulator/linearizability.py
+++ b/tests/fleet_simulator/linearizability.py
@@ -1,26 +1,26 @@
-"""Linearizability of the configuration as a compare-and-set register, judged from the operators' recorded calls.
+"""Check that the recorded configuration calls are linearizable as operations on one compare-and-set register.
 
-The register holds one change. A change is taken only on top of the version that it names as its base, and versions
-rise, so what was taken forms one chain. The calls are linearizable if a chain exists that holds every acknowledged
-change and every change that was read and none that was refused, and if each change of it can be given a moment between
-its first sending and its first acknowledgement so that every read and refusal fits one moment of its own call. A call
-without a clear answer stays open to the end: its change may be taken at any later moment, or never.
+An accepted change names the current version as its base and has a higher version, so accepted changes form one chain.
+A history is linearizable if a chain exists that contains every change acknowledged or read and none refused, and each
+change of it can take effect between its first request and its first acknowledgement such that every read and refusal is
+consistent with some moment of its own call. A change whose calls are inconclusive may take effect at any later moment,
+or never.
 """
 
 from collections import defaultdict
 
 from msgspec import Struct
 
-from .notes import NEVER_MS, Broken, Version
+from .notes import NEVER_MS, Version, Violation
 
 RULE = "LINEARIZABLE"
-UNCLEAR = (0, 408, 429)
-MOST_STEPS = 20000
-EMPTY = Version(0, -1, {}, {"issue": 0, "route-table": []}, -NEVER_MS)
+INCONCLUSIVE_STATUSES = (0, 408, 429)
+MAX_SEARCH_STEPS = 20000
+INITIAL_VERSION = Version(0, -1, {}, {"issue": 0, "route-table": []}, -NEVER_MS)
 
 
-class Order(Struct):
-    """A change with the calls that carried it. sent_ms: first sending; acked_ms: first acknowledgement."""
+class RecordedChange(Struct):
+    """A change and its refused calls. sent_ms: first request; acked_ms: first acknowledgement."""
 
     version: Version
     sent_ms: float
@@ -28,168 +28,179 @@
     refusals: list
 
 
-class Read(Struct):
-    """A whole configuration as read, and the orders that may have led to it."""
+class RecordedRead(Struct):
+    """A call that returned a configuration, and the changes that can have produced it."""
 
     call: object
-    orders: list
+    changes: list
 
 
-def clear(call):
-    """Whether a call got an answer that settles something."""
-    return call.status not in UNCLEAR and call.status < 500
+def is_conclusive(call):
+    """Whether the response of a call determines if its change was accepted."""
+    return call.status not in INCONCLUSIVE_STATUSES and call.status < 500
 
 
-def order_of(version, calls):
-    """A change and its calls as an `Order`."""
+def recorded_change(version, calls):
+    """Returns the `RecordedChange` of a version and the calls that carried it."""
     acked = [call.ended_ms for call in calls if call.status == 200]
-    refusals = [call for call in calls if clear(call) and call.status != 200]
+    refusals = [call for call in calls if is_conclusive(call) and call.status != 200]
     sent_ms = min((call.sent_ms for call in calls), default=version.sent_ms)
-    return Order(version, sent_ms, min(acked, default=NEVER_MS), refusals)
+    return RecordedChange(version, sent_ms, min(acked, default=NEVER_MS), refusals)
 
 
 def routes_by_name(document):
-    """The routes of a document, in any order."""
+    """The routes of a document, keyed by name."""
     return {route["name"]: route for route in document.get("route-table", ())}
 
 
 def same_document(document, version):
-    """Whether a document that was read is the one that a change led to."""
+    """Whether a document that was read is the result of a version."""
     return document["issue"] == version.issue and routes_by_name(document) == routes_by_name(version.document)
 
 
-def contradictions(orders):
-    """Changes both acknowledged and refused, invalid ones acknowledged, and valid ones called invalid."""
-    for order in orders:
-        issue, statuses = order.version.issue, [call.status for call in order.refusals]
-        if order.acked_ms < NEVER_MS and order.refusals:
-            yield Broken(
-                RULE, f"change {issue} was acknowledged at {round(order.acked_ms)} and refused with {statuses}"
+def contradictions(changes):
+    """Yields violations by changes acknowledged and refused, invalid but acknowledged, or valid but called invalid."""
+    for change in changes:
+        issue, statuses = change.version.issue, [call.status for call in change.refusals]
+        if change.acked_ms < NEVER_MS and change.refusals:
+            yield Violation(
+                RULE, f"change {issue} was acknowledged at {round(change.acked_ms)} and refused with {statuses}"
             )
-        if order.acked_ms < NEVER_MS and not order.version.valid:
-            yield Broken(RULE, f"change {issue} is invalid and was acknowledged")
-        if order.version.valid and any(status != 412 for status in statuses):
-            yield Broken(RULE, f"change {issue} is valid and was refused with {statuses}")
-
-
-def candidates_by_base(orders, reads):
-    """Changes that a chain may hold, by their base: not refused, and not at odds with what was acknowledged or read."""
-    acked, read = defaultdict(list), defaultdict(list)
-    for order in orders:
-        if order.acked_ms < NEVER_MS:
-            acked[order.version.issue].append(order)
-    for found in reads:
-        read[found.call.document["issue"]].append(found.orders)
-    on_base = defaultdict(list)
-    for order in orders:
-        version = order.version
-        if not version.valid or order.refusals or version.issue <= version.base:
+        if change.acked_ms < NEVER_MS and not change.version.valid:
+            yield Violation(RULE, f"change {issue} is invalid and was acknowledged")
+        if change.version.valid and any(status != 412 for status in statuses):
+            yield Violation(RULE, f"change {issue} is valid and was refused with {statuses}")
+
+
+def candidates_by_base(changes, reads):
+    """Changes that a chain may contain, by base: not refused, and consistent with all acknowledgements and reads."""
+    acked_by_issue, reads_by_issue = defaultdict(list), defaultdict(list)
+    for change in changes:
+        if change.acked_ms < NEVER_MS:
+            acked_by_issue[change.version.issue].append(change)
+    for read in reads:
+        reads_by_issue[read.call.document["issue"]].append(read.changes)
+    candidates = defaultdict(list)
+    for change in changes:
+        version = change.version
+        if not version.valid or change.refusals or version.issue <= version.base:
             continue
-        if all(other is order for other in acked[version.issue]) and all(
-            order in known for known in read[version.issue]
+        if all(other is change for other in acked_by_issue[version.issue]) and all(
+            change in possible for possible in reads_by_issue[version.issue]
         ):
-            on_base[version.base].append(order)
-    return on_base
+            candidates[version.base].append(change)
+    return candidates
 
 
-def chains(root, orders, reads):
-    """Lists of orders, each on top of the one before it, that hold all versions that were acknowledged or read."""
-    on_base = candidates_by_base(orders, reads)
-    needed = sorted(
-        {order.version.issue for order in orders if order.acked_ms < NEVER_MS}
+def chains(root, changes, reads):
+    """Yields chains from `root`, depth first, that contain every version that was acknowledged or read."""
+    candidates = candidates_by_base(changes, reads)
+    required_issues = sorted(
+        {change.version.issue for change in changes if change.acked_ms < NEVER_MS}
         | {read.call.document["issue"] for read in reads}
     )
     stack, steps = [[root]], 0
-    while stack and steps < MOST_STEPS:
+    while stack and steps < MAX_SEARCH_STEPS:
         chain, steps = stack.pop(), steps + 1
         last = chain[-1].version.issue
-        due = next((issue for issue in needed if issue > last), None)
-        if due is None:
+        next_required = next((issue for issue in required_issues if issue > last), None)
+        if next_required is None:
             yield chain
-        after = [order for order in on_base[last] if due is None or order.version.issue <= due]
-        stack.extend([*chain, order] for order in sorted(after, key=lambda order: order.acked_ms < NEVER_MS))
+        extensions = [
+            change for change in candidates[last] if next_required is None or change.version.issue <= next_required
+        ]
+        stack.extend([*chain, change] for change in sorted(extensions, key=lambda change: change.acked_ms < NEVER_MS))
 
 
-def bounds(chain, reads):
-    """Per change of a chain, the earliest and the latest moment at which it can have been taken."""
+def effect_intervals(chain, reads):
+    """Returns the earliest and the latest times, in ms, at which each change of a chain can have taken effect."""
     calls_of = defaultdict(list)
-    held = {id(order) for order in chain}
+    included = {id(change) for change in chain}
     for read in reads:
-        calls_of[next(id(order) for order in read.orders if id(order) in held)].append(read.call)
+        calls_of[next(id(change) for change in read.changes if id(change) in included)].append(read.call)
     lows, highs, low_ms, high_ms = [], [], -NEVER_MS, NEVER_MS
-    for order in chain:
-        low_ms = max(low_ms, order.sent_ms)
+    for change in chain:
+        low_ms = max(low_ms, change.sent_ms)
         lows.append(low_ms)
-        low_ms = max([low_ms, *(call.sent_ms for call in calls_of[id(order)])])
-    for order in reversed(chain):
-        high_ms = min([high_ms, order.acked_ms, *(call.ended_ms for call in calls_of[id(order)])])
+        low_ms = max([low_ms, *(call.sent_ms for call in calls_of[id(change)])])
+    for change in reversed(chain):
+        high_ms = min([high_ms, change.acked_ms, *(call.ended_ms for call in calls_of[id(change)])])
         highs.append(high_ms)
     return lows, highs[::-1]
 
 
-def misfits(chain, orders, reads):
-    """Why the moments of a chain's changes don't fit the calls."""
-    lows, highs = bounds(chain, reads)
-    for order, low_ms, high_ms in zip(chain, lows, highs, strict=True):
+def timing_violations(chain, changes, reads):
+    """Yields violations of real-time order for a chain of changes."""
+    lows, highs = effect_intervals(chain, reads)
+    for change, low_ms, high_ms in zip(chain, lows, highs, strict=True):
         if low_ms > high_ms:
-            yield Broken(
+            yield Violation(
                 RULE,
-                f"version {order.version.issue} was in force by {round(high_ms)}, though an older one was "
-                f"read, or this one first sent, at {round(low_ms)}",
+                f"version {change.version.issue} took effect by {round(high_ms)}, but an older one was "
+                f"read, or this one first requested, at {round(low_ms)}",
             )
-    periods = {order.version.issue: (highs[at], (*lows, NEVER_MS)[at + 1]) for at, order in enumerate(chain)}
-    for order in orders:
-        for call in order.refusals if order.version.valid else ():
-            from_ms, until_ms = periods.get(order.version.base, (NEVER_MS, NEVER_MS))
+    current_periods = {
+        change.version.issue: (highs[index], (*lows, NEVER_MS)[index + 1]) for index, change in enumerate(chain)
+    }
+    for change in changes:
+        for call in change.refusals if change.version.valid else ():
+            from_ms, until_ms = current_periods.get(change.version.base, (NEVER_MS, NEVER_MS))
             if from_ms <= call.sent_ms and call.ended_ms < until_ms:
-                yield Broken(
+                yield Violation(
                     RULE,
-                    f"change {order.version.issue} was refused by {call.daemon} at {round(call.ended_ms)} "
-                    f"while its base {order.version.base} was the current version",
+                    f"change {change.version.issue} was refused by {call.daemon} at {round(call.ended_ms)} "
+                    f"while its base {change.version.base} was the current version",
                 )
 
 
-def reads_of(root, orders, calls):
-    """The reads among the calls, and what nobody sent, as (list of Read, list of Broken)."""
-    reads, found = [], []
+def recorded_reads(root, changes, calls):
+    """Returns the reads among the calls, and violations for documents that no version produces."""
+    reads, violations = [], []
     for call in calls:
         if call.document is None:
             continue
-        known = [order for order in (root, *orders) if same_document(call.document, order.version)]
-        if known:
-            reads.append(Read(call, known))
+        matching = [change for change in (root, *changes) if same_document(call.document, change.version)]
+        if matching:
+            reads.append(RecordedRead(call, matching))
         else:
-            found.append(Broken(RULE, f"{call.daemon} told a version {call.document['issue']} that nobody sent"))
-    return reads, found
+            violations.append(
+                Violation(RULE, f"{call.daemon} returned version {call.document['issue']}, which no operator sent")
+            )
+    return reads, violations
 
 
 def linearizable(versions, calls):
-    """Yield `Broken` where the recorded calls of all operators don't fit one register."""
+    """Yields violations if the recorded calls of all operators are not linearizable."""
     calls_of = defaultdict(list)
     for call in calls:
         calls_of[id(call.version)].append(call)
-    orders = [order_of(version, calls_of[id(version)]) for version in versions]
-    root = Order(EMPTY, -NEVER_MS, -NEVER_MS, [])
-    reads, unsent = reads_of(root, orders, calls)
-    broken = [*contradictions(orders), *unsent]
-    yield from broken or unexplained(root, orders, reads)
+    changes = [recorded_change(version, calls_of[id(version)]) for version in versions]
+    root = RecordedChange(INITIAL_VERSION, -NEVER_MS, -NEVER_MS, [])
+    reads, unsent_versions = recorded_reads(root, changes, calls)
+    violations = [*contradictions(changes), *unsent_versions]
+    yield from violations or unexplained_calls(root, changes, reads)
 
 
-def unexplained(root, orders, reads):
-    """Nothing if one chain fits, else why the first one doesn't."""
+def unexplained_calls(root, changes, reads):
+    """Yields nothing if a chain is consistent with all calls, otherwise the violations of the first chain."""
     first = None
-    for chain in chains(root, orders, reads):
-        why = list(misfits(chain, orders, reads))
-        if not why:
+    for chain in chains(root, changes, reads):
+        violations = list(timing_violations(chain, changes, reads))
+        if not violations:
             return
-        first = first or why
-    yield from first or [Broken(RULE, f"no chain of changes explains the answers: {forks(orders)}")]
+        first = first or violations
+    yield from first or [Violation(RULE, f"no chain of changes explains the responses: {conflicting_bases(changes)}")]
 
 
-def forks(orders):
-    """Bases on which more than one change was acknowledged, or that no change that wasn't refused led to."""
-    acked, issues = defaultdict(list), {0, *(order.version.issue for order in orders if not order.refusals)}
-    for order in orders:
-        if order.acked_ms < NEVER_MS:
-            acked[order.version.base].append(order.version.issue)
-    return [(base, held) for base, held in sorted(acked.items()) if len(held) > 1 or base not in issues]
+def conflicting_bases(changes):
+    """Bases with more than one acknowledged change, or that no accepted change can have produced."""
+    acked_by_base, reachable = (
+        defaultdict(list),
+        {0, *(change.version.issue for change in changes if not change.refusals)},
+    )
+    for change in changes:
+        if change.acked_ms < NEVER_MS:
+            acked_by_base[change.version.base].append(change.version.issue)
+    return [
+        (base, issues) for base, issues in sorted(acked_by_base.items()) if len(issues) > 1 or base not in reachable
+    ]
--- a/tests/fleet_simulator/notes.py
+++ b/tests/fleet_simulator/notes.py
@@ -1,17 +1,19 @@
-"""What clients, runners, the operator and the platform have seen on their sockets."""
+"""Records of the requests, executions, configuration changes and faults of a simulated day."""
 
 from msgspec import Struct
 
 NEVER_MS = 1e12
 
 
-class Broken(Struct, frozen=True):
+class Violation(Struct, frozen=True):
+    """A violated invariant. rule: identifier of the invariant; text: description of the case."""
+
     rule: str
     text: str
 
 
 class Try(Struct):
-    """One request of a client and what came back."""
+    """One attempt of a client to send a request, and its response."""
 
     try_id: str
     kind: str
@@ -42,8 +44,10 @@
 
 
 class Run(Struct):
-    """A request that a runner began to work on. pieces: data of the events made; done: the answer was
-    sent whole; broke: the runner itself broke off."""
+    """The execution of a request by a runner.
+
+    pieces: data of the events produced; done: the complete response was sent; broke: the runner aborted it.
+    """
 
     try_id: str
     runner: str
@@ -68,7 +72,11 @@
 
 
 class Version(Struct):
-    """A change that an operator sent. paths: prefix -> services of the whole configuration under it."""
+    """A configuration change sent by an operator.
+
+    paths: services by path prefix in the resulting configuration; no: status of the refusal; unclear: number of
+    inconclusive calls.
+    """
 
     issue: int
     base: int
@@ -82,8 +90,10 @@
 
 
 class ControlCall(Struct):
-    """One call of an operator at one daemon, open to the end while it has no clear answer. version: the change that it
-    carried, None for others; document: the configuration that was read."""
+    """One call of an operator to one daemon; it stays open until its response arrives.
+
+    version: the change it carries, or None; document: the configuration it returned.
+    """
 
     name: str
     daemon: str
@@ -96,6 +106,8 @@
 
 
 class Trouble(Struct):
+    """An injected fault or planned work, and the names of the daemons concerned."""
+
     kind: str
     names: tuple
     from_ms: float
@@ -103,7 +115,7 @@
 
 
 class Isolation(Struct):
-    """An edge that no storage machine hears or reaches, while clients and runners do."""
+    """A partition between one edge and all storage daemons; clients and runners still reach the edge."""
 
     edge: str
     from_ms: float
@@ -111,7 +123,10 @@
 
 
 class Notes:
-    """sheet: the deployment's figures in ms. shown: (at_ms, runner id, state) as the list came to show it."""
+    """Everything recorded in one simulated day.
+
+    sheet: the deployment's time limits in ms, by name; shown: (at_ms, runner id, state) for each change of the list.
+    """
 
     def __init__(self, sheet):
         self.sheet, self.tries, self.runs, self.versions, self.troubles = sheet, [], [], [], []
@@ -120,16 +135,16 @@
         self.isolations, self.acknowledged_by, self.on_acknowledged = [], "", lambda control: None
 
     def end_isolations(self, now_ms):
-        """All cuts are over, or a storage machine has come that none of them holds off."""
-        for alone in self.isolations:
-            alone.until_ms = min(alone.until_ms, now_ms)
+        """End all partitions, because they are healed or a reachable storage daemon was added."""
+        for isolation in self.isolations:
+            isolation.until_ms = min(isolation.until_ms, now_ms)
 
     def acknowledged(self, control):
-        """A change was acknowledged by the daemon at this address."""
+        """Record an acknowledgement by the daemon at the address `control`."""
         self.acknowledged_by = control
         self.on_acknowledged(control)
 
     def add_version(self, version):
-        """Note a change that is sent, once however often that is."""
+        """Record a change, once even if it is sent repeatedly."""
         if not any(known is version for known in reversed(self.versions)):
             self.versions.append(version)
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -15,7 +15,7 @@
 from .kinds import KINDS, strike
 from .leases import LeaseMonitor, served_past_lease
 from .linearizability import linearizable
-from .notes import Broken
+from .notes import Violation
 from .stage import await_, crowd_of, open_, probe, settle
 
 STORM_MS = 16000
@@ -118,7 +118,7 @@
     try:
         world, operators, status, took_ms = open_(seed, shape, prepare)
         if status != 200 or took_ms < 0:
-            broken.append(Broken("FOUND", f"first configuration {status}, all ready after {took_ms}"))
+            broken.append(Violation("FOUND", f"first configuration {status}, all ready after {took_ms}"))
         random = Random(seed * 7919 + 1)
         for runner in world.runners.values():
             runner.odds = dict(odds)
@@ -140,7 +140,7 @@
         back_ms = settle(world, world.notes.sheet["recovery"])
         if back_ms < 0:
             broken.append(
-                Broken("RECOVER", f"not all edges ready {world.notes.sheet['recovery']} ms after the healing")
+                Violation("RECOVER", f"not all edges ready {world.notes.sheet['recovery']} ms after the healing")
             )
         world.run(max(world.now_ms(), healed_ms + world.notes.sheet["recovery"]))
         first = len(world.notes.tries)
@@ -150,7 +150,9 @@
         late = world.notes.tries[first:]
         served = sum(t.whole and 200 <= t.status < 300 for t in late) / max(1, len(late))
         if served < 0.25:
-            broken.append(Broken("RECOVER", f"{served:.2f} of {len(late)} served: {Counter(t.status for t in late)}"))
+            broken.append(
+                Violation("RECOVER", f"{served:.2f} of {len(late)} served: {Counter(t.status for t in late)}")
+            )
         document = await_(world, operators[0].read(world.now_ms() + 5000), 6000)
         broken += [*judged(world, document), *monitor.broken]
         odd = [*inner(world), *failures]
