--- a/tests/fleet_simulator/operator.py
+++ b/tests/fleet_simulator/operator.py
@@ -1,4 +1,4 @@
-"""Operators: they change the configuration, sometimes two at once, and ask for storage machines to be emptied."""
+"""Simulated operators that read and change the configuration and retire storage daemons."""
 
 from random import Random
 
@@ -9,12 +9,14 @@
 from .notes import ControlCall, Try, Version
 from .routes import broken_change, change_of, first_document, paths_of
 
-SILENCE_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
 
 
 class Operator:
-    """controls() -> (host, port) pairs of daemons as the operator's list shows them. lost: share of answers that
-    never arrive."""
+    """Client of the control API.
+
+    controls: callable that returns the (host, port) pairs of the control daemons; lost: fraction of lost responses.
+    """
 
     def __init__(self, host, notes, random, controls, tag):
         self.host, self.notes, self.random, self.controls, self.tag = host, notes, random, controls, tag
@@ -24,13 +26,13 @@
         return self.host.seconds() * 1000
 
     def pause(self, wait_s):
-        woken = Deferred()
-        self.host.callLater(wait_s, woken.callback, None)
-        return woken
+        elapsed = Deferred()
+        self.host.callLater(wait_s, elapsed.callback, None)
+        return elapsed
 
     @inlineCallbacks
     def call(self, control, method, path, document=None, version=None):
-        """The answer of one daemon as a Try; status 0 where there was none. version: the change that it carries."""
+        """Call one daemon and record the call. Returns a `Try`, with status 0 if there was no response."""
         self.serial += 1
         call = ControlCall(path, control[0], self.now_ms(), version)
         self.notes.control_calls.append(call)
@@ -45,7 +47,7 @@
 
     @inlineCallbacks
     def send(self, control, method, path, document, version):
-        """Send a call and wait for its answer, for as long as an operator does."""
+        """Send a request and wait up to `RESPONSE_TIMEOUT_S` for its response."""
         headers = [(b"Content-Type", b"application/json")]
         if version is not None:
             headers.append((b"X-Base-Revision", b"%d" % version.base))
@@ -56,9 +58,9 @@
             line = yield dial(self, control)
         except Exception:
             return request
-        timer = self.host.callLater(SILENCE_S, line.give_up)
-        answer = line.start(request)
-        yield answer
+        timer = self.host.callLater(RESPONSE_TIMEOUT_S, line.give_up)
+        response = line.start(request)
+        yield response
         if timer.active():
             timer.cancel()
         if not line.lost:
@@ -68,45 +70,48 @@
         return request
 
     @inlineCallbacks
-    def insist(self, method, path, document=None, version=None, until_ms=1e12, on_sent=None):
-        """Call one daemon after another until one answers clearly; the answer, or the last one."""
+    def call_until_conclusive(self, method, path, document=None, version=None, until_ms=1e12, on_inconclusive=None):
+        """Call one daemon after another until a response is conclusive. Returns the last response."""
         pause_s, request = 0.1, None
         controls = list(self.controls())
         self.random.shuffle(controls)
-        at = 0
+        index = 0
         while self.now_ms() < until_ms:
             if not controls:
                 controls = list(self.controls())
             if controls:
-                request = yield self.call(controls[at % len(controls)], method, path, document, version)
-                at += 1
+                request = yield self.call(controls[index % len(controls)], method, path, document, version)
+                index += 1
                 if request.status and request.status < 500 and request.status not in (408, 429):
                     return request
-                if on_sent is not None:
-                    on_sent()
+                if on_inconclusive is not None:
+                    on_inconclusive()
             yield self.pause(pause_s)
             pause_s = min(1.0, pause_s * 1.6)
         return request
 
     @inlineCallbacks
     def change(self, version, kind, change, until_ms):
+        """Send a change until a response is conclusive. Returns its status, 0 if there was none."""
         self.notes.add_version(version)
 
-        def unclear():
+        def count_inconclusive():
             version.unclear += 1
 
-        answer = yield self.insist("POST", f"Configuration.{kind}", change, version, until_ms, unclear)
-        status = answer.status if answer is not None else 0
+        response = yield self.call_until_conclusive(
+            "POST", f"Configuration.{kind}", change, version, until_ms, count_inconclusive
+        )
+        status = response.status if response is not None else 0
         if status == 200:
             version.acked_ms = self.now_ms() if version.acked_ms < 0 else version.acked_ms
-            self.notes.acknowledged(answer.edge)
+            self.notes.acknowledged(response.edge)
         elif 400 <= status < 500:
             version.no = status
         return status
 
     @inlineCallbacks
     def found(self):
-        """The first configuration, sent until it is taken."""
+        """Send the first configuration until it is accepted."""
         document = first_document()
         version = Version(3, 0, paths_of(document), document, self.now_ms())
         status = yield self.change(version, "Replace", document, 1e12)
@@ -114,14 +119,15 @@
 
     @inlineCallbacks
     def read(self, until_ms=1e12):
-        answer = yield self.insist("GET", "Configuration.Query", until_ms=until_ms)
-        if answer is None or answer.status != 200:
+        """Returns the current configuration, or None."""
+        response = yield self.call_until_conclusive("GET", "Configuration.Query", until_ms=until_ms)
+        if response is None or response.status != 200:
             return None
-        return json.decode(answer.got)
+        return json.decode(response.got)
 
     @inlineCallbacks
     def modify(self, until_ms):
-        """Read the newest configuration and change it."""
+        """Read the current configuration and send a random change of it; some changes are invalid."""
         document = yield self.read(until_ms)
         if document is None:
             return 0
@@ -130,21 +136,23 @@
             version = Version(issue, document["issue"], {"/bad/": ("tools",)}, {}, self.now_ms(), valid=False)
             status = yield self.change(version, "Modify", broken_change(self.random, issue), until_ms)
             return status
-        change, after = change_of(document, issue, self.random, self.tag)
-        version = Version(issue, document["issue"], paths_of(after), after, self.now_ms())
+        change, changed_document = change_of(document, issue, self.random, self.tag)
+        version = Version(issue, document["issue"], paths_of(changed_document), changed_document, self.now_ms())
         kind = self.random.choice(("Modify", "Modify", "Replace"))
-        status = yield self.change(version, kind, change if kind == "Modify" else after, until_ms)
+        status = yield self.change(version, kind, change if kind == "Modify" else changed_document, until_ms)
         return status
 
     @inlineCallbacks
     def retire(self, name, until_ms):
-        """-> whether the daemon came to be emptied."""
-        answer = yield self.insist("POST", f"Retire.Initiate/{name}", {"deadline-s": 10}, until_ms=until_ms)
-        if answer is None or answer.status != 200:
+        """Retire a storage daemon. Returns whether the retirement completed."""
+        response = yield self.call_until_conclusive(
+            "POST", f"Retire.Initiate/{name}", {"deadline-s": 10}, until_ms=until_ms
+        )
+        if response is None or response.status != 200:
             return False
         while self.now_ms() < until_ms:
-            answer = yield self.insist("GET", f"Retire.Query/{name}", until_ms=until_ms)
-            if answer is not None and answer.status == 200 and json.decode(answer.got)["state"] == "completed":
+            response = yield self.call_until_conclusive("GET", f"Retire.Query/{name}", until_ms=until_ms)
+            if response is not None and response.status == 200 and json.decode(response.got)["state"] == "completed":
                 return True
             yield self.pause(0.3)
         return False
--- a/tests/fleet_simulator/race_day.py
+++ b/tests/fleet_simulator/race_day.py
@@ -1,4 +1,4 @@
-"""A day on which operators contend for the configuration while leaders, readers and seeds are lost and cut off."""
+"""A simulated day of concurrent configuration changes while daemons fail and are partitioned."""
 
 from collections import Counter
 from random import Random
@@ -27,11 +27,11 @@
     "after_ack_kill",
     "wipe",
 )
-PATIENCE_MS = 9000
+CHANGE_TIMEOUT_MS = 9000
 
 
 class RaceReport(Struct):
-    """What became of the day's changes. resent: statuses of acknowledged ones that were sent again at the end."""
+    """Result of a day. resent: statuses of acknowledged changes that were resent at the end, with counts."""
 
     seed: int
     broken: list
@@ -43,7 +43,7 @@
 
 
 def race_day(seed, shape=None, lost=0.2, ms=20000, gap_ms=45, kinds=CONTROL_KINDS, trouble_gap_ms=3000, closing=""):
-    """Play a day of contending operators -> (world, RaceReport). lost: share of the answers that never arrive."""
+    """Simulate a day of concurrent operators. Returns (world, RaceReport). lost: fraction of lost responses."""
     world, operators, _, _ = open_(seed, shape)
     random, races, trace = Random(f"{seed}race day"), Races(world, lost), []
     crowd, until_ms = crowd_of(world, "c"), world.now_ms() + ms
@@ -57,13 +57,13 @@
     world.run(until_ms)
     heal(world)
     settle(world, world.notes.sheet["recovery"])
-    world.run(world.now_ms() + PATIENCE_MS)
+    world.run(world.now_ms() + CHANGE_TIMEOUT_MS)
     if closing:
-        fallen_ms = world.now_ms() + troubles.all_down(world, random, closing == "power")
-        world.run(fallen_ms + 10)
+        down_ms = world.now_ms() + troubles.all_down(world, random, closing == "power")
+        world.run(down_ms + 10)
         settle(world, world.notes.sheet["recovery"])
-    statuses = await_(world, races.resend_all(world.now_ms() + PATIENCE_MS), PATIENCE_MS + 2000)
-    document = await_(world, operators[0].read(world.now_ms() + PATIENCE_MS), PATIENCE_MS)
+    statuses = await_(world, races.resend_all(world.now_ms() + CHANGE_TIMEOUT_MS), CHANGE_TIMEOUT_MS + 2000)
+    document = await_(world, operators[0].read(world.now_ms() + CHANGE_TIMEOUT_MS), CHANGE_TIMEOUT_MS)
     calls = Counter(call.status for call in world.notes.control_calls)
     resent = Counter(status for _, status in statuses or ())
     report = RaceReport(
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -67,7 +67,9 @@
     until_ms, asked = world.now_ms() + EMPTIED_MS, False
     while world.now_ms() < until_ms:
         if not asked:
-            call = operator.insist("POST", f"Retire.Initiate/{daemon.name}", {"deadline-s": 10}, until_ms=until_ms)
+            call = operator.call_until_conclusive(
+                "POST", f"Retire.Initiate/{daemon.name}", {"deadline-s": 10}, until_ms=until_ms
+            )
             answer = await_(world, call, EMPTIED_MS)
             asked = answer is not None and answer.status == 200
         if daemon.owner.ctx.core.ledger.program_ledger.retiring.get(daemon.name) == "completed":
--- a/tests/fleet_simulator/works.py
+++ b/tests/fleet_simulator/works.py
@@ -1,4 +1,4 @@
-"""Work that is planned on the machines, and what befalls the runners and their list."""
+"""Planned work on the daemons, and faults of the runners and of the runner list."""
 
 from types import SimpleNamespace
 
@@ -12,17 +12,18 @@
 
 
 def add_storage(world, random):
+    """Add a storage daemon, up to a limit."""
     if len(world.of("storage")) > 6:
         return
     world.serial += 1
-    fresh = worlds.add(world, f"storage-x{world.serial}", "storage", random.choice(world.zones))
-    fresh.first = False
+    added = worlds.add(world, f"storage-x{world.serial}", "storage", random.choice(world.zones))
+    added.first = False
     trouble = troubles.begin(world, "add", [])
-    world.later(500, troubles.back, world, fresh, trouble)
+    world.later(500, troubles.back, world, added, trouble)
 
 
 def roll_edge(world, random):
-    """SIGTERM, and a start after the end."""
+    """Stop an edge daemon with SIGTERM and start it again."""
     edges = [d for d in world.of("edge") if d.host.alive and d.owner is not None and not d.owner.draining]
     if not edges:
         return
@@ -42,6 +43,7 @@
 
 
 def roll(world, random, role):
+    """Stop one daemon of a role with SIGTERM and start it again."""
     daemon = bearing.victim(world, random, role, how=random.choice(("", "leader")))
     if daemon is None:
         return
@@ -53,6 +55,7 @@
 
 
 def drain_runner(world, random):
+    """List a runner as draining, start a replacement, and stop the runner after the drain period."""
     runner = random.choice([r for r in world.runners.values() if not r.draining])
     listing, drain_ms = world.listing, world.notes.sheet["drain"]
     listing.change(runner, "draining")
@@ -63,7 +66,7 @@
 
 
 def stop_runner(runner, power):
-    """End a runner's process; what it works on is broken off by it and by nobody else."""
+    """Stop a runner; requests in progress count as aborted by the runner."""
     for job in runner.working:
         job.run.broke = True
     runner.host.die(power)
@@ -79,7 +82,7 @@
 
 
 def crash_runner(world, random):
-    """A runner dies and stays on the list for a while; another life starts elsewhere."""
+    """Crash a runner, which stays listed for a while, and start a replacement."""
     runner = random.choice([r for r in world.runners.values() if not r.draining])
     runner.draining = True
     stop_runner(runner, random.random() < 0.5)
@@ -96,76 +99,77 @@
 
 
 def list_down(world, random):
+    """Make the runner list unavailable for a while."""
     trouble = Trouble("list", (), world.now_ms())
     world.notes.list_troubles.append(trouble)
     world.listing.down = True
 
-    def up():
+    def restore():
         world.listing.down, trouble.until_ms = False, world.now_ms()
 
-    world.later(random.uniform(500, 9000), up)
+    world.later(random.uniform(500, 9000), restore)
 
 
 def config_change(world, random):
-    operate(world, 1)
+    change_configuration(world, 1)
 
 
 def config_race(world, random):
-    operate(world, 2)
+    change_configuration(world, 2)
 
 
-def operate(world, many):
+def change_configuration(world, count):
     if world.now_ms() < world.changes_until_ms:
-        for operator in world.operators[:many]:
+        for operator in world.operators[:count]:
             operator.modify(world.now_ms() + 6000)
 
 
 def seed_turnover(world, random):
-    """The settings name other control machines from now on."""
-    found = [f"{d.host.address}:{worlds.CONTROL}" for d in world.of("core")]
-    if found:
-        world.seeds[:] = random.sample(found, min(len(found), world.shape.seeds))
+    """Replace the seed addresses in the settings by those of the current control daemons."""
+    addresses = [f"{d.host.address}:{worlds.CONTROL}" for d in world.of("core")]
+    if addresses:
+        world.seeds[:] = random.sample(addresses, min(len(addresses), world.shape.seeds))
 
 
 def hup(world, random):
-    """Some machines are told to read their settings again."""
+    """Make some daemons reload their settings."""
     for daemon in world.daemons.values():
         if daemon.host.alive and daemon.owner is not None and random.random() < 0.3:
-            told = settings.from_document(worlds.document_of(world, daemon))
-            front = SimpleNamespace(reread=lambda told=told: told)
+            new_settings = settings.from_document(worlds.document_of(world, daemon))
+            front = SimpleNamespace(reread=lambda new_settings=new_settings: new_settings)
             world.later(random.uniform(0, 1000), daemon.host.enter, reload_settings, daemon.owner, front)
 
 
 def replace_planned(world, random):
-    """An empty machine comes first, then the old one is told to leave for good."""
+    """Start an empty daemon, then stop the one it replaces for good."""
     daemon = bearing.victim(world, random, "storage", "core")
     if daemon is None:
         return
     trouble = troubles.begin(world, "replace", [daemon.name])
     world.serial += 1
-    fresh = worlds.add(world, f"{daemon.role}-{daemon.zone}-x{world.serial}", daemon.role, daemon.zone)
-    fresh.first = False
-    trouble.names = (daemon.name, fresh.name)
-    worlds.start(world, fresh)
-    troubles.name_as_seed(world, daemon, fresh)
+    replacement = worlds.add(world, f"{daemon.role}-{daemon.zone}-x{world.serial}", daemon.role, daemon.zone)
+    replacement.first = False
+    trouble.names = (daemon.name, replacement.name)
+    worlds.start(world, replacement)
+    troubles.name_as_seed(world, daemon, replacement)
     world.later(1000, worlds.leave, world, daemon)
 
-    def gone():
+    def remove():
         worlds.wipe(world, daemon)
         daemon.gone = True
         troubles.over(world, trouble)
 
-    world.later(3500, gone)
+    world.later(3500, remove)
 
 
 def retire(world, random):
-    """A storage machine is emptied and taken away; now and then another loses its disk right after."""
+    """Retire and remove a storage daemon; sometimes another one loses its disk right after."""
     daemon = bearing.victim(world, random, "storage")
     if daemon is None or len(world.of("storage")) <= 2 * world.shape.tolerated + 1:
         return
 
-    def emptied(done):
-        if not done or daemon.gone:
+    def on_retired(completed):
+        if not completed or daemon.gone:
             return
         worlds.wipe(world, daemon)
         daemon.gone = True
@@ -173,4 +177,4 @@
         if random.random() < 0.4:
             troubles.wipe_one(world, random, "storage")
 
-    world.operators[1].retire(daemon.name, world.now_ms() + 9000).addCallback(emptied)
+    world.operators[1].retire(daemon.name, world.now_ms() + 9000).addCallback(on_retired)
