--- a/tests/fleet_simulator/crowd.py
+++ b/tests/fleet_simulator/crowd.py
@@ -1,4 +1,4 @@
-"""Clients' programs: lines of turns, helpers side by side, tools; tries again as the platform's clients do."""
+"""Simulated client programs: sequences of turns with concurrent subprograms and tool calls, and their retries."""
 
 from twisted.internet.defer import Deferred, DeferredList, inlineCallbacks
 
@@ -7,14 +7,17 @@
 from .routes import KINDS
 from .runners import EVENT_TOKENS
 
-PROMISES = (408, 421, 429, 503)
-FINAL = (400, 401, 402, 404, 413, 431)
-MOST_EVENTS = 7
-MOST_TOKENS = MOST_EVENTS * EVENT_TOKENS
+UNEXECUTED_STATUSES = (408, 421, 429, 503)
+FINAL_STATUSES = (400, 401, 402, 404, 413, 431)
+MAX_EVENTS = 7
+MOST_TOKENS = MAX_EVENTS * EVENT_TOKENS
 
 
 class Crowd:
-    """fronts(zone) -> (host, port) of the edges that get new connections there."""
+    """Clients that start programs.
+
+    fronts: callable that returns the (host, port) pairs of the edges that accept new connections in a zone.
+    """
 
     def __init__(self, host, notes, random, fronts, zones, tag):
         self.host, self.notes, self.random, self.fronts, self.zones = host, notes, random, fronts, zones
@@ -24,39 +27,40 @@
         return self.host.seconds() * 1000
 
     def pause(self, wait_s):
-        woken = Deferred()
-        self.host.callLater(wait_s, woken.callback, None)
-        return woken
+        elapsed = Deferred()
+        self.host.callLater(wait_s, elapsed.callback, None)
+        return elapsed
 
     @inlineCallbacks
-    def line(self, edge, fresh):
+    def connection(self, edge, fresh):
+        """Returns an idle connection to an edge, or a new one."""
         idle = self.idle.setdefault(edge, [])
         while idle:
-            found = idle.pop()
-            if not fresh and not found.lost and not found.close:
-                return found
-            if not found.lost:
-                found.transport.loseConnection()
-        found = yield dial(self, edge)
-        return found
+            candidate = idle.pop()
+            if not fresh and not candidate.lost and not candidate.close:
+                return candidate
+            if not candidate.lost:
+                candidate.transport.loseConnection()
+        candidate = yield dial(self, edge)
+        return candidate
 
     @inlineCallbacks
     def once(self, zone, request, fresh=False):
-        """One try; the Try, its status 0 without an answer."""
+        """Send a request once. Returns it, with status 0 if there was no response."""
         self.notes.tries.append(request)
         request.sent_ms = self.now_ms()
         fronts = self.fronts(zone)
-        kept = [e for e, lines in self.idle.items() if lines]
-        edge = self.random.choice(kept if kept and not fresh and self.random.random() < 0.2 else fronts)
+        connected = [e for e, connections in self.idle.items() if connections]
+        edge = self.random.choice(connected if connected and not fresh and self.random.random() < 0.2 else fronts)
         request.edge = edge[0]
         try:
-            line = yield self.line(edge, fresh or self.random.random() < 0.4)
-        except Exception as fault:
-            request.why, request.ended_ms = f"dial {type(fault).__name__}", self.now_ms()
+            line = yield self.connection(edge, fresh or self.random.random() < 0.4)
+        except Exception as error:
+            request.why, request.ended_ms = f"dial {type(error).__name__}", self.now_ms()
             return request
-        timers = [self.host.callLater(request.left_ms / 1000 + 0.05, self.leave, line, request)]
+        timers = [self.host.callLater(request.left_ms / 1000 + 0.05, self.abandon, line, request)]
         if self.random.random() < 0.03:
-            timers.append(self.host.callLater(self.random.uniform(0, 0.2), self.leave, line, request))
+            timers.append(self.host.callLater(self.random.uniform(0, 0.2), self.abandon, line, request))
         yield line.start(request)
         for timer in timers:
             if timer.active():
@@ -67,11 +71,13 @@
             line.transport.loseConnection()
         return request
 
-    def leave(self, line, request):
+    def abandon(self, line, request):
+        """Close the connection if the request is still in progress on it."""
         if line.current is request:
             line.give_up()
 
     def make(self, path, program, **more):
+        """Returns a `Try` with random body and time limit and the headers of its options."""
         self.serial += 1
         kind = KINDS.get(path[: path.find("/", 1) + 1], "unsafe")
         body = more.pop("body", f"b{self.serial};".encode() * self.random.randint(1, 4))
@@ -100,15 +106,20 @@
         return request
 
     @inlineCallbacks
-    def tried(self, zone, path, program, tries, **more):
-        """Tries of one request; the last of them."""
+    def send_with_retries(self, zone, path, program, tries, **more):
+        """Send a request with retries. Returns the last attempt."""
         request = None
         for number in range(tries):
             request = yield self.once(zone, self.make(path, program, **more), number > 0)
-            if request.whole and (200 <= request.status < 300 or request.status in FINAL):
+            if request.whole and (200 <= request.status < 300 or request.status in FINAL_STATUSES):
                 return request
-            unread = request.written_ms < 0
-            if not (unread or request.whole and request.status in PROMISES or request.kind in ("safe", "idempotent")):
+            unsent = request.written_ms < 0
+            if not (
+                unsent
+                or request.whole
+                and request.status in UNEXECUTED_STATUSES
+                or request.kind in ("safe", "idempotent")
+            ):
                 return request
             yield self.pause(min(0.6, max(0.02, request.retry_ms / 1000)))
             if request.kind == "idempotent" and self.random.random() < 0.3:
@@ -117,64 +128,70 @@
 
     @inlineCallbacks
     def turn(self, zone, program, budget, previous):
-        """-> the Try that ended whole, or None."""
+        """Send a turn with retries. Returns the `Try` that succeeded, or None."""
         for _ in range(3):
-            request = yield self.tried(zone, "/chat/x", program, 2, previous=previous, budget=budget, most=MOST_TOKENS)
+            request = yield self.send_with_retries(
+                zone, "/chat/x", program, 2, previous=previous, budget=budget, most=MOST_TOKENS
+            )
             if request.whole and request.status == 200:
                 self.turns.append(request)
                 self.notes.tap(request)
                 return request
-            if request.status in FINAL:
+            if request.status in FINAL_STATUSES:
                 return None
             yield self.pause(self.random.uniform(0.1, 0.4))
         return None
 
     @inlineCallbacks
     def tool(self, zone, program):
+        """Call a random tool; sometimes repeat a call with an operation key within or after its window."""
         path = self.random.choice(("/safe/a?q=1", "/unsafe/b", "/keyed/c", "/keyed/c", "/free/d", "/moved/e"))
         more = {}
         if path.startswith("/keyed"):
             more = {"key": f"k{self.random.getrandbits(40):x}", "body": b"once"}
         if path.startswith("/free"):
             more = {"most": MOST_TOKENS}
-        request = yield self.tried(zone, path, program, 3 if "key" in more else 2, **more)
+        request = yield self.send_with_retries(zone, path, program, 3 if "key" in more else 2, **more)
         if "key" in more and self.random.random() < 0.4:
             window_s = (request.sent_ms + self.notes.sheet["window"] - self.now_ms()) / 1000
             yield self.pause(self.random.choice((0.05, 0.5, 2, 5, max(0, window_s - self.random.uniform(0.01, 0.6)))))
-            yield self.tried(self.random.choice(self.zones), path, program, 2, **more)
+            yield self.send_with_retries(self.random.choice(self.zones), path, program, 2, **more)
         return request
 
     @inlineCallbacks
-    def lines(self, zone, program, budget, previous, count, depth=0):
+    def turns_in_sequence(self, zone, program, budget, previous, count, depth=0):
+        """Send turns that each continue the previous one, with tool calls and concurrent branches."""
         for _ in range(count):
-            done = yield self.turn(zone, program, budget, previous)
-            if done is None:
+            completed = yield self.turn(zone, program, budget, previous)
+            if completed is None:
                 return
-            previous = done.try_id
+            previous = completed.try_id
             if self.random.random() < 0.5:
                 yield DeferredList([self.tool(zone, program) for _ in range(self.random.randint(1, 2))])
             if depth < 1 and self.random.random() < 0.25:
                 yield DeferredList(
                     [
-                        self.lines(zone, program, budget, previous, 2, depth + 1)
+                        self.turns_in_sequence(zone, program, budget, previous, 2, depth + 1)
                         for _ in range(self.random.randint(1, 3))
                     ]
                 )
 
     @inlineCallbacks
     def program(self):
+        """Run one program; it may continue an earlier session."""
         self.begun += 1
         random, zone = self.random, self.random.choice(self.zones)
-        previous, old = "", [t for t in self.turns if self.now_ms() - t.ended_ms < self.notes.sheet["keep"] - 50]
-        last = [t for t in old if self.now_ms() - t.ended_ms > self.notes.sheet["keep"] - 700]
-        if old and random.random() < 0.25:
-            previous = random.choice(last if last and random.random() < 0.5 else old).try_id
+        previous, retained = "", [t for t in self.turns if self.now_ms() - t.ended_ms < self.notes.sheet["keep"] - 50]
+        expiring = [t for t in retained if self.now_ms() - t.ended_ms > self.notes.sheet["keep"] - 700]
+        if retained and random.random() < 0.25:
+            previous = random.choice(expiring if expiring and random.random() < 0.5 else retained).try_id
         budget = random.choice((1, 3, 20)) * MOST_TOKENS
-        yield self.lines(zone, f"{self.tag}{self.begun}", budget, previous, random.randint(1, 4))
+        yield self.turns_in_sequence(zone, f"{self.tag}{self.begun}", budget, previous, random.randint(1, 4))
         self.ended += 1
 
     @inlineCallbacks
     def arrive(self, until_ms, gap_ms):
+        """Start programs until `until_ms`, `gap_ms` apart on average."""
         while self.now_ms() < until_ms:
             self.program()
             if self.random.random() < 0.4:
@@ -182,7 +199,7 @@
             yield self.pause(self.random.expovariate(1) * gap_ms / 1000)
 
     def probe(self):
-        """A request on a route of some version, in force or not."""
+        """Send a request on a route of a recent version, whether or not it is current."""
         versions = self.notes.versions
         if versions:
             paths = [p for p in self.random.choice(versions[-6:]).paths if p[:2] in ("/v", "/m", "/b")]
--- a/tests/fleet_simulator/judge.py
+++ b/tests/fleet_simulator/judge.py
@@ -89,7 +89,7 @@
     for event_id, data in pairs:
         expected += 1
         if event_id != str(expected):
-            yield Violation("ORDER", f"{request.try_id} got event {event_id}, expected {expected}")
+            yield Violation("ORDER", f"{request.try_id} got event {event_id} where {expected} was expected")
             return
         run = next(
             (r for r in runs if r.first <= expected < r.first + len(r.pieces) and r.pieces[expected - r.first] == data),
@@ -103,7 +103,9 @@
     if len(sources) > 1 and not request.uri.startswith(RESUMABLE_PREFIX):
         yield Violation("ORDER", f"{request.try_id} combines events of more than one run")
     if request.whole and (remainder or not runs or expected != runs[0].total):
-        yield Violation("ORDER", f"{request.try_id} completed after {expected} of {runs and runs[0].total} events")
+        yield Violation(
+            "ORDER", f"{request.try_id} completed after {expected} events, expected {runs and runs[0].total}"
+        )
 
 
 def mismatched_responses(world, runs_of, tries):
@@ -170,8 +172,8 @@
         if history is None or run.body != history + request.body or run.previous != request.previous:
             yield Violation(
                 "UNASKED",
-                f"{run.try_id} got a body of {len(run.body)} bytes, expected {history and len(history)} + "
-                f"{len(request.body)}",
+                f"{run.try_id} got a body of {len(run.body)} bytes, {history and len(history)} + "
+                f"{len(request.body)} were expected",
             )
 
 
--- a/tests/fleet_simulator/plants.py
+++ b/tests/fleet_simulator/plants.py
@@ -1,4 +1,4 @@
-"""Faults planted in the product's code, each of which the judge has to catch."""
+"""Faults injected into the product's code, each of which the invariant checks must detect."""
 
 from msgspec import structs
 from twisted.internet.defer import succeed
@@ -58,19 +58,19 @@
 
 
 def chain_reversed():
-    kept = turn.fetch
+    original = turn.fetch
 
     def fetch(agent, turns, wait_ms):
-        return kept(agent, tuple(reversed(turns)), wait_ms)
+        return original(agent, tuple(reversed(turns)), wait_ms)
 
     return [(turn, "fetch", fetch)]
 
 
 def drain_ignored():
-    kept = runner_list.parse_runner
+    original = runner_list.parse_runner
 
     def parse_runner(entry):
-        runner = kept(entry)
+        runner = original(entry)
         return runner and structs.replace(runner, draining=False)
 
     return [(runner_list, "parse_runner", parse_runner)]
@@ -89,13 +89,13 @@
 
 
 def resumed_always():
-    kept = stream.attempts_for
+    original = stream.attempts_for
 
     def may_resume(route, state, outcome):
         return isinstance(outcome, Broken) and not state.diverged
 
     def attempts_for(route, repeatable):
-        return kept(route, True)
+        return original(route, True)
 
     return [(stream, "may_resume", may_resume), (stream, "attempts_for", attempts_for)]
 
@@ -108,17 +108,17 @@
 
 
 def tokens_forgotten():
-    kept = turns.close_attempt
+    original = turns.close_attempt
 
     def close(program_ledger, name, tokens):
-        return kept(program_ledger, name, 0)
+        return original(program_ledger, name, 0)
 
     return [(turns, "close_attempt", close)]
 
 
 def every_voter():
     def majorities(primary, present):
-        return all(v in present for v in primary.voters)
+        return all(voter in present for voter in primary.voters)
 
     return [(module, "has_quorums", majorities) for module in (primary_component, recovery)]
 
@@ -134,18 +134,18 @@
 
 
 def lease_stretched():
-    """A leader grants leases from its own belief that it leads, and not from what a majority of the voters gave it."""
+    """A leader grants leases for longer than the majority of the voters granted its own."""
     return [(agent_sessions, "lease_remaining_ms", lambda synchrony, now_ms: 2 * synchrony.bounds.lease_ms)]
 
 
 def leases_not_waited_out():
-    """A new leader tells a routing as honoured though leases of the one before it still run."""
-    kept = agent_sessions.honoured_version
+    """A new leader reports a routing version as honoured while leases of its predecessor are still valid."""
+    original = agent_sessions.honoured_version
 
     def honoured(ctx, sessions):
         installed_ms, ctx.core.synchrony.installed_ms = ctx.core.synchrony.installed_ms, -(1 << 40)
         try:
-            return kept(ctx, sessions)
+            return original(ctx, sessions)
         finally:
             ctx.core.synchrony.installed_ms = installed_ms
 
@@ -153,26 +153,26 @@
 
 
 def released_early():
-    """A replica that is emptied goes before its copies are counted, and before leases have run out."""
+    """A retiring replica is released before its data is replicated and before leases have expired."""
 
-    def emptied(ctx, changes):
+    def releasable_without_checks(ctx, changes):
         retiring, voters = ctx.core.ledger.program_ledger.retiring, voter_reconfiguration.voters_of(ctx)
         return [name for name, state in retiring.items() if state == "in_service" and name not in voters]
 
-    return [(voter_reconfiguration, "releasable_replicas", emptied)]
+    return [(voter_reconfiguration, "releasable_replicas", releasable_without_checks)]
 
 
 def fetched_in_rounds():
-    """Missing bodies are asked for in rounds only."""
+    """Missing bodies are requested only in periodic rounds."""
     return [(repair, "schedule_requests", lambda replica: None)]
 
 
 def vote_kept():
-    """A voter that ends in order takes its vote with it."""
-    kept = voter_reconfiguration.replica_view
+    """A draining voter keeps its vote."""
+    original = voter_reconfiguration.replica_view
 
     def view(ctx, changes, name, regions):
-        return structs.replace(kept(ctx, changes, name, regions), draining=False)
+        return structs.replace(original(ctx, changes, name, regions), draining=False)
 
     return [
         (voter_reconfiguration, "is_dispensable_voter", lambda ctx, settings: False),
@@ -181,12 +181,12 @@
 
 
 def orders_forgotten():
-    """A change that was taken isn't known again."""
+    """An accepted change is not recognized when it is sent again."""
     return [(accepted_changes, "was_accepted", lambda program_ledger, version, digest: False)]
 
 
 def orders_counted():
-    """Only the last few changes that were taken are known again; older ones are refused."""
+    """Only the last few accepted changes are recognized when sent again; older ones are refused."""
     return [
         (accepted_changes, "MAX_RETAINED_CHANGES", 64),
         (accepted_changes, "may_have_been_evicted", lambda program_ledger, version: False),
@@ -194,7 +194,7 @@
 
 
 def read_from_copy():
-    """A control daemon tells the configuration that it holds itself."""
+    """A control daemon answers reads from its own copy of the configuration."""
 
     def handle_query(agent, request):
         reply(request, 200, routing.document_from_body(agent.routing_body))
@@ -204,19 +204,19 @@
 
 
 def read_from_leader():
-    """The leader answers a read from its own state, unordered."""
-    kept = agent_sessions.on_operation_request
+    """The leader answers a read from its own state without ordering it."""
+    original = agent_sessions.on_operation_request
 
-    def asked(ctx, sessions, address, message):
+    def answer_directly(ctx, sessions, address, message):
         op = operation_server.decode_operation(message.payload)
         if not isinstance(op, ReadRouting):
-            return kept(ctx, sessions, address, message)
-        verdict = routing_versions.read_routing(ctx.core.ledger.program_ledger, 0, op)
+            return original(ctx, sessions, address, message)
+        outcome = routing_versions.read_routing(ctx.core.ledger.program_ledger, 0, op)
         return ctx.links["send"](
-            address, OperationReply(message.incarnation, message.number, operation_server.encode(verdict))
+            address, OperationReply(message.incarnation, message.number, operation_server.encode(outcome))
         )
 
-    return [(agent_sessions, "on_operation_request", asked)]
+    return [(agent_sessions, "on_operation_request", answer_directly)]
 
 
 PLANTS = {
@@ -242,7 +242,7 @@
 
 
 def never_refilled():
-    """A replica that comes back empty never gets the ledger, and acknowledges from memory for ever."""
+    """A replica that restarts empty never requests the ledger entries it is missing."""
     return [(catch_up, "request_missing", lambda synchrony, out: None)]
 
 
@@ -256,5 +256,5 @@
 
 
 def planted(name):
-    """Context manager: put a planted error into the code; nothing for the empty name."""
+    """Returns a context manager that injects the named fault; an empty name injects none."""
     return patched_attributes((PLANTS | COPY_PLANTS | LEASE_PLANTS)[name]() if name else [])
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -1,4 +1,4 @@
-"""One seeded day: founding, traffic, troubles, a closing fault, and the judgement."""
+"""Simulate one seeded day: first configuration, traffic, faults, a closing fault and the invariant checks."""
 
 from collections import Counter, defaultdict
 from random import Random
@@ -36,30 +36,33 @@
 
 
 def changes(world, random, operators, until_ms):
-    """Operators change the configuration again and again, now and then both at once."""
+    """Change the configuration repeatedly, sometimes by both operators at once."""
 
-    def next_():
+    def schedule_next():
         if world.now_ms() < until_ms:
             for operator in operators if random.random() < 0.4 else operators[:1]:
                 operator.modify(world.now_ms() + 6000)
-            world.later(random.uniform(1500, 4500), next_)
+            world.later(random.uniform(1500, 4500), schedule_next)
 
-    next_()
+    schedule_next()
 
 
 def storm(world, random, operators, kinds, until_ms, gap_ms, trace):
-    def next_():
+    """Inject random faults of the given kinds until `until_ms`, at most `gap_ms` apart."""
+
+    def schedule_next():
         if world.now_ms() >= until_ms:
             return
         kind = random.choice(kinds)
         trace.append((round(world.now_ms()), kind))
         strike(world, random, kind)
-        world.later(random.uniform(100, gap_ms), next_)
+        world.later(random.uniform(100, gap_ms), schedule_next)
 
-    world.later(random.uniform(300, 1500), next_)
+    world.later(random.uniform(300, 1500), schedule_next)
 
 
 def heal(world):
+    """End all faults and start all daemons that were not removed."""
     world.net.cuts.clear()
     world.cuts.clear()
     world.notes.end_isolations(world.now_ms())
@@ -81,6 +84,7 @@
 
 
 def judged(world, document):
+    """Returns the violations of all invariants. document: the configuration read at the end."""
     tries = {t.try_id: t for t in world.notes.tries}
     runs_of = defaultdict(list)
     for run in world.notes.runs:
@@ -107,7 +111,7 @@
 def play(
     seed, shape=None, kinds=None, storm_ms=STORM_MS, gap_ms=2500, closing=None, load_ms=150, odds=ODDS, prepare=None
 ):
-    """-> world, Report. closing: power, kill, wipe or none for the end of the day; drawn from the seed if not given."""
+    """Simulate a day. Returns (world, Report). closing: power, kill, wipe or none; by default drawn from the seed."""
     failures, trace, broken = [], [], []
 
     def observe(event):
@@ -140,24 +144,26 @@
         back_ms = settle(world, world.notes.sheet["recovery"])
         if back_ms < 0:
             broken.append(
-                Violation("RECOVER", f"not all edges ready {world.notes.sheet['recovery']} ms after the healing")
+                Violation("RECOVER", f"not all edges ready {world.notes.sheet['recovery']} ms after the faults ended")
             )
         world.run(max(world.now_ms(), healed_ms + world.notes.sheet["recovery"]))
         first = len(world.notes.tries)
         crowd.arrive(world.now_ms() + 3000, 100)
         acked = await_(world, operators[0].modify(world.now_ms() + world.notes.sheet["ack"] + 2000), 8000)
         world.run(world.now_ms() + 9000)
-        late = world.notes.tries[first:]
-        served = sum(t.whole and 200 <= t.status < 300 for t in late) / max(1, len(late))
+        final_tries = world.notes.tries[first:]
+        served = sum(t.whole and 200 <= t.status < 300 for t in final_tries) / max(1, len(final_tries))
         if served < 0.25:
             broken.append(
-                Violation("RECOVER", f"{served:.2f} of {len(late)} served: {Counter(t.status for t in late)}")
+                Violation(
+                    "RECOVER", f"{served:.2f} of {len(final_tries)} served: {Counter(t.status for t in final_tries)}"
+                )
             )
         document = await_(world, operators[0].read(world.now_ms() + 5000), 6000)
         broken += [*judged(world, document), *monitor.broken]
         odd = [*inner(world), *failures]
         if not acked or acked not in (200, 400):
-            odd.append(f"a change in calm times got {acked}")
+            odd.append(f"a change without faults got {acked}")
     finally:
         log.removeObserver(observe)
     acks = Counter("acked" if v.acked_ms >= 0 else str(v.no or "unclear") for v in world.notes.versions)
@@ -176,26 +182,26 @@
 
 
 def close(world, random, operators, crowd, closing, trace):
-    """A closing fault right after a change or a turn was acknowledged."""
+    """Inject the closing fault right after a change or a turn was acknowledged."""
     if closing == "none":
         return
     world.run(world.now_ms() + 5000)
     while bearing.lost(world):
         world.run(world.now_ms() + 200)
     crowd.arrive(world.now_ms() + 1500, 100)
-    fallen, wiped = [], min(world.shape.tolerated if closing == "wipe" else 0, len(world.of("storage")) - 1)
+    down_until_ms, wiped = [], min(world.shape.tolerated if closing == "wipe" else 0, len(world.of("storage")) - 1)
 
-    def fall(request=None):
-        if not fallen and (request is None or random.random() < 0.2):
-            fallen.append(world.now_ms() + troubles.all_down(world, random, closing != "kill", wiped))
+    def stop_all(request=None):
+        if not down_until_ms and (request is None or random.random() < 0.2):
+            down_until_ms.append(world.now_ms() + troubles.all_down(world, random, closing != "kill", wiped))
             trace.append((round(world.now_ms()), f"all down {closing}"))
 
     if random.random() < 0.5:
-        world.notes.tap = fall
+        world.notes.tap = stop_all
         world.run(world.now_ms() + 1500)
         world.notes.tap = lambda request: None
     else:
         await_(world, operators[0].modify(world.now_ms() + 5000), 6000)
-    fall()
-    world.run(fallen[0] + 10)
+    stop_all()
+    world.run(down_until_ms[0] + 10)
     crowd.arrive(world.now_ms() + 1000, 200)
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -1,4 +1,4 @@
-"""Steps of stories about copies: machines replaced, emptied and wiped, and what became of what was acknowledged."""
+"""Steps of replication scenarios: replace, retire and wipe daemons, then check that acknowledged data survived."""
 
 from frostpost.cluster.agent_sessions import is_sequencer
 from frostpost.daemon.event_loop import submit
@@ -11,44 +11,44 @@
 from .play import judged
 from .stage import await_, crowd_of, open_, settle
 
-EMPTIED_MS = 9000
-FOLLOW_MARGIN_MS = 3000
-FOLLOWED = 12
-FILL_TURNS = 400
+RETIRE_TIMEOUT_MS = 9000
+CONTINUE_TIMEOUT_MS = 3000
+CONTINUED_TURNS = 12
+FILL_BATCH_TURNS = 400
 
 
-def quiet(seed, shape=None):
-    """A deployment that has founded itself, with an operator and a crowd; no trouble and no odd runners."""
+def open_without_faults(seed, shape=None):
+    """Returns (world, operator, crowd) of a configured deployment without faults."""
     world, operators, status, took_ms = open_(seed, shape)
     assert status == 200 and took_ms >= 0
     world.run(world.now_ms() + 1000)
     return world, operators[0], crowd_of(world, "c")
 
 
-def join(world, zone, wait_ms=0):
-    """An empty storage machine that joins."""
+def add_storage(world, zone, wait_ms=0):
+    """Add an empty storage daemon."""
     world.serial += 1
-    fresh = worlds.add(world, f"storage-{zone}-x{world.serial}", "storage", zone)
-    fresh.first = False
-    world.later(wait_ms, worlds.start, world, fresh)
-    return fresh
+    added = worlds.add(world, f"storage-{zone}-x{world.serial}", "storage", zone)
+    added.first = False
+    world.later(wait_ms, worlds.start, world, added)
+    return added
 
 
-def lose(world, daemon):
-    """A machine is gone for good, its disk with it."""
+def remove(world, daemon):
+    """Remove a daemon and its disk for good."""
     worlds.wipe(world, daemon)
     daemon.gone = True
 
 
 def wipe(world, daemon, back_ms):
-    """A machine loses its power and its disk, and comes back empty."""
+    """Power off a daemon, wipe its disk and start it again after `back_ms`."""
     worlds.wipe(world, daemon)
     world.later(back_ms, worlds.start, world, daemon)
 
 
 def replace(world, daemon, wait_ms=200):
-    lose(world, daemon)
-    return join(world, daemon.zone, wait_ms)
+    remove(world, daemon)
+    return add_storage(world, daemon.zone, wait_ms)
 
 
 def power_off(world, daemons, back_ms):
@@ -57,89 +57,91 @@
         world.later(back_ms, worlds.start, world, daemon)
 
 
-def caught_up(world):
-    """Run on until a loss that has just been made good is over."""
+def run_until_caught_up(world):
+    """Run for the time in which a new or wiped replica catches up."""
     world.run(world.now_ms() + bearing.CATCH_UP_MS)
 
 
-def emptied(world, operator, daemon):
-    """Ask for a machine to be emptied until enough others are there, and run until it may go; -> whether it came."""
-    until_ms, asked = world.now_ms() + EMPTIED_MS, False
+def retire(world, operator, daemon):
+    """Retire a daemon, repeating the request until it is accepted. Returns whether the retirement completed."""
+    until_ms, accepted = world.now_ms() + RETIRE_TIMEOUT_MS, False
     while world.now_ms() < until_ms:
-        if not asked:
+        if not accepted:
             call = operator.call_until_conclusive(
                 "POST", f"Retire.Initiate/{daemon.name}", {"deadline-s": 10}, until_ms=until_ms
             )
-            answer = await_(world, call, EMPTIED_MS)
-            asked = answer is not None and answer.status == 200
+            response = await_(world, call, RETIRE_TIMEOUT_MS)
+            accepted = response is not None and response.status == 200
         if daemon.owner.ctx.core.ledger.program_ledger.retiring.get(daemon.name) == "completed":
             return True
         world.run(world.now_ms() + 5)
     return False
 
 
-def steady(world, crowd, zone, gap_ms, until_ms):
-    """Turns of a program of their own each, one every gap_ms."""
+def start_turns(world, crowd, zone, gap_ms, until_ms):
+    """Start a turn of a new program every `gap_ms`."""
 
-    def next_(number=0):
+    def send_next(number=0):
         if world.now_ms() < until_ms:
             crowd.turn(zone, f"{zone}-p{world.now_ms():.0f}", 20 * MOST_TOKENS, "")
-            world.later(gap_ms, next_, number + 1)
+            world.later(gap_ms, send_next, number + 1)
 
-    next_()
+    send_next()
 
 
-def kept_turns(world, crowd):
-    """Turns that were acknowledged and stay inside retention for a while."""
-    since_ms = world.now_ms() - world.notes.sheet["keep"] + FOLLOW_MARGIN_MS
-    kept = [turn for turn in crowd.turns if turn.ended_ms > since_ms]
-    assert kept
-    return kept
+def retained_turns(world, crowd):
+    """Returns the acknowledged turns that remain within retention for `CONTINUE_TIMEOUT_MS`."""
+    since_ms = world.now_ms() - world.notes.sheet["keep"] + CONTINUE_TIMEOUT_MS
+    retained = [turn for turn in crowd.turns if turn.ended_ms > since_ms]
+    assert retained
+    return retained
 
 
 def holders(world, turn):
-    """Storage machines that hold a turn's body on disk."""
+    """Returns the names of the storage daemons that store a turn's body."""
     return [d.name for d in world.of("storage") if d.owner is not None and turn.try_id in d.owner.turn_store.index]
 
 
-def follow(world, crowd, turn):
-    """Whether a turn can be followed; a crowd that presses is waited out."""
-    until_ms = world.now_ms() + FOLLOW_MARGIN_MS
+def can_continue(world, crowd, turn):
+    """Whether a turn can be continued; retries while the deployment is overloaded."""
+    until_ms = world.now_ms() + CONTINUE_TIMEOUT_MS
     while world.now_ms() < until_ms:
-        followed = crowd.turn(world.zones[0], f"f-{turn.try_id}", 20 * MOST_TOKENS, turn.try_id)
-        if await_(world, followed, FOLLOW_MARGIN_MS) is not None:
+        continuation = crowd.turn(world.zones[0], f"f-{turn.try_id}", 20 * MOST_TOKENS, turn.try_id)
+        if await_(world, continuation, CONTINUE_TIMEOUT_MS) is not None:
             return True
     return False
 
 
-def unfollowed(world, crowd, taken=()):
-    """Kept turns that no machine holds, and of the newest and of those in `taken` the ones that can't be followed."""
-    kept = kept_turns(world, crowd)
-    lost = [turn.try_id for turn in kept if not holders(world, turn)]
+def lost_turns(world, crowd, taken=()):
+    """Returns retained turns without a copy, and those of the newest and of `taken` that cannot be continued."""
+    retained = retained_turns(world, crowd)
+    lost = [turn.try_id for turn in retained if not holders(world, turn)]
     return lost + [
-        f"{turn.try_id} not followed" for turn in (*taken, *kept[-FOLLOWED:]) if not follow(world, crowd, turn)
+        f"{turn.try_id} cannot be continued"
+        for turn in (*taken, *retained[-CONTINUED_TURNS:])
+        if not can_continue(world, crowd, turn)
     ]
 
 
-def verdict(world, operator, crowd, taken=()):
-    """What is wrong after a story: not back, turns lost, rules broken."""
+def failures(world, operator, crowd, taken=()):
+    """Returns what failed in a scenario: recovery, lost turns or violated invariants."""
     if settle(world, world.notes.sheet["recovery"]) < 0:
-        return ["not back"]
-    lost = [f"lost {turn}" for turn in unfollowed(world, crowd, taken)]
+        return ["not recovered"]
+    lost = [f"lost {turn}" for turn in lost_turns(world, crowd, taken)]
     document = await_(world, operator.read(world.now_ms() + 5000), 6000)
-    return lost + [f"{b.rule} {b.text}" for b in judged(world, document)]
+    return lost + [f"{violation.rule} {violation.text}" for violation in judged(world, document)]
 
 
 def sequencer_of(world):
-    """The storage machine that orders."""
+    """Returns the storage daemon that is the sequencer."""
     return next(d for d in world.of("storage") if d.owner is not None and is_sequencer(d.owner.ctx))
 
 
 def fill(world, count, keep_ms, data=b"b" * 3000):
-    """Put that many ended turns, and their bodies, where the traffic of a minute and more would have put them."""
+    """Store `count` completed turns and their bodies directly in the ledger and the turn stores."""
     leader, turns = sequencer_of(world).owner.ctx, [f"filled{number}" for number in range(count)]
-    for at in range(0, count, FILL_TURNS):
-        for turn in turns[at : at + FILL_TURNS]:
+    for start in range(0, count, FILL_BATCH_TURNS):
+        for turn in turns[start : start + FILL_BATCH_TURNS]:
             submit(leader, BeginAttempt(turn, f"p-{turn}", 0, 1, "", 60000, (Candidate("filler", 1 << 20),)), 5000)
             submit(leader, EndAttempt(turn, 1, retention_ms=keep_ms), 5000)
             for daemon in world.of("storage"):
--- a/tests/fleet_simulator/troubles.py
+++ b/tests/fleet_simulator/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that befall the machines, and work that is planned on them."""
+"""Faults injected into daemons: crashes, pauses, lost disks, disk faults and replacements."""
 
 from frostpost.simulator import drives
 
@@ -10,6 +10,7 @@
 
 
 def begin(world, kind, names):
+    """Record the start of a fault or planned work on the named daemons."""
     trouble = Trouble(kind, tuple(names), world.now_ms())
     world.notes.troubles.append(trouble)
     return trouble
@@ -20,6 +21,7 @@
 
 
 def back(world, daemon, trouble):
+    """Start a daemon again and record the end of its fault."""
     worlds.start(world, daemon)
     over(world, trouble)
 
@@ -92,35 +94,35 @@
 
 
 def disk_well(world, daemon, trouble):
-    """The disk is quick and whole again; the trouble is over when the last slow call has ended."""
+    """Restore normal disk operation; the fault ends once the last slow call has completed."""
     setattr(daemon.drive, worlds.DELAY, worlds.DISK_MS)
     daemon.drive.room = worlds.DISK_ROOM
     daemon.drive.broken.clear()
-    slow = list(daemon.host.jobs)
+    slow_jobs = list(daemon.host.jobs)
 
-    def look():
-        if any(job in daemon.host.jobs for job in slow):
-            world.later(50, look)
+    def check():
+        if any(job in daemon.host.jobs for job in slow_jobs):
+            world.later(50, check)
         else:
             over(world, trouble)
 
-    look()
+    check()
 
 
-def name_as_seed(world, daemon, fresh):
-    """Settings written from some time later on name the successor of a control machine."""
+def name_as_seed(world, daemon, replacement):
+    """Replace the seed address of a control daemon by its successor's after `SEED_LAG_MS`."""
     if daemon.role != "core":
         return
-    old, new = f"{daemon.host.address}:{worlds.CONTROL}", f"{fresh.host.address}:{worlds.CONTROL}"
+    old, new = f"{daemon.host.address}:{worlds.CONTROL}", f"{replacement.host.address}:{worlds.CONTROL}"
 
-    def rename():
+    def replace_seed():
         world.seeds[:] = [new if seed == old else seed for seed in world.seeds]
 
-    world.later(SEED_LAG_MS, rename)
+    world.later(SEED_LAG_MS, replace_seed)
 
 
 def replace_one(world, random):
-    """A machine gives way to an empty one at another address."""
+    """Replace a daemon by an empty one at another address."""
     daemon = victim(world, random, "storage", "core")
     if daemon is None:
         return
@@ -128,17 +130,17 @@
     trouble = begin(world, "replace", [daemon.name])
     daemon.gone = True
     world.serial += 1
-    fresh = worlds.add(world, f"{daemon.role}-{daemon.zone}-x{world.serial}", daemon.role, daemon.zone)
-    fresh.first = False
-    trouble.names = (daemon.name, fresh.name)
-    name_as_seed(world, daemon, fresh)
-    world.later(random.uniform(300, 3000), back, world, fresh, trouble)
+    replacement = worlds.add(world, f"{daemon.role}-{daemon.zone}-x{world.serial}", daemon.role, daemon.zone)
+    replacement.first = False
+    trouble.names = (daemon.name, replacement.name)
+    name_as_seed(world, daemon, replacement)
+    world.later(random.uniform(300, 3000), back, world, replacement, trouble)
 
 
 def after_ack(world, random):
-    """Right after a turn has ended whole, a machine loses power, or its disk too."""
+    """Power off or wipe a daemon right after a turn completed."""
 
-    def told(request):
+    def on_completed(request):
         world.notes.tap = lambda request: None
         daemon = victim(world, random, "storage", "edge")
         if daemon is None:
@@ -150,11 +152,11 @@
             worlds.kill(world, daemon, True)
         world.later(random.uniform(200, 2000), back, world, daemon, trouble)
 
-    world.notes.tap = told
+    world.notes.tap = on_completed
 
 
 def storage_power(world, random):
-    """All storage machines lose power at once and come back; nothing is wiped."""
+    """Power off all storage daemons at once and restart them with their disks intact."""
     daemons = [d for d in world.of("storage") if d.host.alive]
     trouble = begin(world, "storage power", [d.name for d in daemons])
     for daemon in daemons:
@@ -171,15 +173,16 @@
 
 
 def all_down(world, random, power, wiped=0):
+    """Stop all daemons at once and wipe some storage disks. Returns the ms until the last one restarts."""
     trouble = begin(world, "all down", [d.name for d in world.daemons.values()])
     daemons = [d for d in world.daemons.values() if not d.gone]
     for daemon in daemons:
         worlds.kill(world, daemon, power)
-    ready = [d for d in daemons if d.role == "storage"]
-    for daemon in random.sample(ready, wiped):
+    storage_daemons = [d for d in daemons if d.role == "storage"]
+    for daemon in random.sample(storage_daemons, wiped):
         drives.wipe(daemon.drive)
-    waits_ms = [random.uniform(200, 2000) for _ in daemons]
-    for daemon, wait_ms in zip(daemons, waits_ms, strict=True):
-        world.later(wait_ms, worlds.start, world, daemon)
-    world.later(max(waits_ms), over, world, trouble)
-    return max(waits_ms)
+    delays_ms = [random.uniform(200, 2000) for _ in daemons]
+    for daemon, delay_ms in zip(daemons, delays_ms, strict=True):
+        world.later(delay_ms, worlds.start, world, daemon)
+    world.later(max(delays_ms), over, world, trouble)
+    return max(delays_ms)
--- a/tests/test_fleet_simulator_copies.py
+++ b/tests/test_fleet_simulator_copies.py
@@ -19,74 +19,74 @@
 
 def story_of_an_emptied_holder(seed):
     """Edges reach only two of the replicas: the one that is emptied, and one whose disk is lost right after it."""
-    world, operator, crowd = stories.quiet(seed)
+    world, operator, crowd = stories.open_without_faults(seed)
     holder, unreached, leaver = world.of("storage")
-    newcomer = stories.join(world, leaver.zone)
+    newcomer = stories.add_storage(world, leaver.zone)
     for edge in world.of("edge"):
         cut_apart(world, edge, unreached)
         cut_apart(world, edge, newcomer)
-    stories.steady(world, crowd, "z0", 10, world.now_ms() + 6000)
-    assert stories.emptied(world, operator, leaver)
-    stories.lose(world, leaver)
+    stories.start_turns(world, crowd, "z0", 10, world.now_ms() + 6000)
+    assert stories.retire(world, operator, leaver)
+    stories.remove(world, leaver)
     stories.power_off(world, [d for d in world.of("storage", "core", "edge") if d is not holder], 600)
     stories.wipe(world, holder, 600)
     world.net.cuts.clear()
     world.run(world.now_ms() + 4000)
-    return stories.verdict(world, operator, crowd)
+    return stories.failures(world, operator, crowd)
 
 
 def story_of_two_replacements(seed):
     """At the largest ledger one machine is replaced, and the next one as soon as the first is made good."""
-    world, operator, crowd = stories.quiet(seed)
+    world, operator, crowd = stories.open_without_faults(seed)
     filled = stories.fill(world, LARGEST_TURNS, FILLED_KEPT_MS)
-    stories.steady(world, crowd, "z1", 40, world.now_ms() + 3000)
+    stories.start_turns(world, crowd, "z1", 40, world.now_ms() + 3000)
     newcomer = stories.replace(world, world.of("storage")[seed % 3])
     world.run(world.now_ms() + 200)
-    stories.caught_up(world)
+    stories.run_until_caught_up(world)
     stories.replace(world, next(d for d in world.of("storage") if d is not newcomer))
     world.run(world.now_ms() + 200)
-    stories.caught_up(world)
+    stories.run_until_caught_up(world)
     gone = [turn for turn in filled if any(turn not in d.owner.turn_store.index for d in world.of("storage"))]
-    return [f"{len(gone)} bodies not held by all"] * bool(gone) + stories.verdict(world, operator, crowd)
+    return [f"{len(gone)} bodies not held by all"] * bool(gone) + stories.failures(world, operator, crowd)
 
 
 def story_of_a_planned_replacement(seed, wait_ms):
     """The newcomer first, then SIGTERM for the old machine, which is removed; then another is lost for good."""
-    world, operator, crowd = stories.quiet(seed)
-    stories.steady(world, crowd, "z1", 40, world.now_ms() + 4000)
+    world, operator, crowd = stories.open_without_faults(seed)
+    stories.start_turns(world, crowd, "z1", 40, world.now_ms() + 4000)
     old, other = world.of("storage")[seed % 3], world.of("storage")[(seed + 1) % 3]
-    stories.join(world, old.zone)
-    stories.caught_up(world)
+    stories.add_storage(world, old.zone)
+    stories.run_until_caught_up(world)
     worlds.leave(world, old)
     while old.host.alive:
         world.run(world.now_ms() + 5)
     old.gone = True
     world.run(world.now_ms() + wait_ms)
     stories.replace(world, other)
-    stories.caught_up(world)
-    return stories.verdict(world, operator, crowd)
+    stories.run_until_caught_up(world)
+    return stories.failures(world, operator, crowd)
 
 
 def story_of_all_down_while_replacing(seed, wait_ms):
     """One machine is replaced; wait_ms after the newcomer's start everything loses power."""
-    world, operator, crowd = stories.quiet(seed)
-    stories.steady(world, crowd, "z1", 30, world.now_ms() + 3000)
+    world, operator, crowd = stories.open_without_faults(seed)
+    stories.start_turns(world, crowd, "z1", 30, world.now_ms() + 3000)
     world.run(world.now_ms() + 500)
     stories.replace(world, world.of("storage")[seed % 3])
     world.run(world.now_ms() + 200 + wait_ms)
     for daemon in world.of("storage", "core", "edge"):
         stories.power_off(world, [daemon], world.random.uniform(200, 2000))
-    stories.caught_up(world)
-    return stories.verdict(world, operator, crowd)
+    stories.run_until_caught_up(world)
+    return stories.failures(world, operator, crowd)
 
 
 def story_of_a_wipe_after_an_order(seed, wait_ms):
     """A wiped machine has caught up; wait_ms after a change of the configuration was sent another loses its disk."""
-    world, operator, crowd = stories.quiet(seed)
+    world, operator, crowd = stories.open_without_faults(seed)
     stories.wipe(world, world.of("storage")[(seed + 1) % 3], 300)
     world.run(world.now_ms() + 300)
-    stories.caught_up(world)
-    stories.steady(world, crowd, "z1", 20, world.now_ms() + 1500)
+    stories.run_until_caught_up(world)
+    stories.start_turns(world, crowd, "z1", 20, world.now_ms() + 1500)
     world.run(world.now_ms() + 1000)
     operator.modify(world.now_ms() + 5000)
     world.run(world.now_ms() + wait_ms)
@@ -96,8 +96,8 @@
 
 def story_of_a_wipe_after_a_turn(seed):
     """A machine loses its disk at the very moment when a client's turn was taken, the others lose power."""
-    world, operator, crowd = stories.quiet(seed)
-    stories.steady(world, crowd, "z1", 20, world.now_ms() + 1500)
+    world, operator, crowd = stories.open_without_faults(seed)
+    stories.start_turns(world, crowd, "z1", 20, world.now_ms() + 1500)
     world.run(world.now_ms() + 1000)
     for daemon in world.of("storage"):
         daemon.drive.delay_ms = SLOW_SYNC_MS
@@ -126,11 +126,11 @@
     """What is wrong once all is back; a key asked for twice runs once."""
     keyed = {"key": f"k{seed}", "body": b"once"}
     world.run(world.now_ms() + 2000)
-    crowd.tried("z0", "/keyed/c", "p", 3, **keyed)
+    crowd.send_with_retries("z0", "/keyed/c", "p", 3, **keyed)
     world.run(world.now_ms() + 1500)
-    crowd.tried("z1", "/keyed/c", "p", 3, **keyed)
-    stories.caught_up(world)
-    return stories.verdict(world, operator, crowd, taken)
+    crowd.send_with_retries("z1", "/keyed/c", "p", 3, **keyed)
+    stories.run_until_caught_up(world)
+    return stories.failures(world, operator, crowd, taken)
 
 
 @pytest.mark.parametrize("seed", [2, 3])
--- a/tests/test_fleet_simulator_edges.py
+++ b/tests/test_fleet_simulator_edges.py
@@ -42,7 +42,7 @@
     for number, phase_ms in enumerate(PHASES_MS):
 
         def ask(key=f"k{number}"):
-            return crowd.tried("z0", "/keyed/c", "p", 1, key=key, body=b"once")
+            return crowd.send_with_retries("z0", "/keyed/c", "p", 1, key=key, body=b"once")
 
         for wait_ms in (0, world.notes.sheet["window"] - 60):
             world.later(1000 * number + phase_ms + wait_ms, ask)
