--- a/tests/fleet_simulator/config.py
+++ b/tests/fleet_simulator/config.py
@@ -2,7 +2,7 @@
 
 from collections import Counter, defaultdict
 
-from .judge import in_touch, prefix_of
+from .judge import in_contact, prefix_of
 from .notes import Violation
 
 
@@ -31,7 +31,7 @@
         path = prefix_of(run.uri)
         held = may_hold(world, request.sent_ms, run.at_ms)
         if not any(run.service in v.paths.get(path, ()) for v in held):
-            touch = "in touch" if in_touch(world, request.edge, run.at_ms) else "out of touch"
+            touch = "in touch" if in_contact(world, request.edge, run.at_ms) else "out of touch"
             yield Violation(
                 "CONFIG",
                 f"{run.try_id} {path} ran at {run.service} at {round(run.at_ms)}, sent {round(request.sent_ms)} "
--- a/tests/fleet_simulator/judge.py
+++ b/tests/fleet_simulator/judge.py
@@ -38,7 +38,7 @@
     return begins or ends or fault.kind not in STABLE_WHILE_ACTIVE
 
 
-def in_touch(world, edge, at_ms):
+def in_contact(world, edge, at_ms):
     """Whether neither the edge nor the core was disrupted during the contact time before `at_ms`."""
     since_ms = at_ms - world.notes.sheet["contact"]
     return not any(disrupts(world, fault, edge, since_ms, at_ms) for fault in world.notes.troubles)
@@ -233,7 +233,7 @@
         list_unavailable = any(
             fault.from_ms <= run.at_ms and fault.until_ms >= listed_ms for fault in world.notes.list_troubles
         )
-        if not list_unavailable and in_touch(world, request.edge, run.at_ms):
+        if not list_unavailable and in_contact(world, request.edge, run.at_ms):
             yield Violation(
                 "DRAIN",
                 f"{run.try_id} reached {run.runner} {round(run.at_ms - listed_ms)} ms after its drain was listed",
--- a/tests/fleet_simulator/leases.py
+++ b/tests/fleet_simulator/leases.py
@@ -4,7 +4,7 @@
 from frostpost.cluster import lease_client as leases
 from frostpost.virtual_synchrony.leases import lease_remaining_ms
 
-from .judge import in_touch
+from .judge import in_contact
 from .notes import Violation
 from .stage import ready
 
@@ -72,14 +72,14 @@
     def unready_edges(self):
         """Yields violations for edges in contact that are not ready for `READY_STEPS` consecutive steps."""
         for daemon in self.world.of("edge"):
-            must_be_ready = self.list_available() and in_touch(self.world, daemon.host.address, self.world.now_ms())
+            must_be_ready = self.list_available() and in_contact(self.world, daemon.host.address, self.world.now_ms())
             unready = must_be_ready and not ready(self.world, daemon)
             steps = self.unready_steps[daemon.name] = self.unready_steps.get(daemon.name, 0) + 1 if unready else 0
             if steps == READY_STEPS:
                 yield Violation("READY", f"{daemon.name} is in contact and not ready at {round(self.world.now_ms())}")
 
 
-def served_past_lease(world, tries):
+def forwarded_past_lease(world, tries):
     """Yields violations for requests forwarded by an edge that was isolated for longer than a lease."""
     lease_ms = world.notes.sheet["lease"]
     for run in world.notes.runs:
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -13,7 +13,7 @@
 from .config import acknowledgements, handled, read_back, reverts
 from .inner import inner
 from .kinds import KINDS, strike
-from .leases import LeaseMonitor, served_past_lease
+from .leases import LeaseMonitor, forwarded_past_lease
 from .linearizability import linearizable
 from .notes import Violation
 from .stage import await_, crowd_of, open_, probe, settle
@@ -83,7 +83,7 @@
         runner.odds = {}
 
 
-def judged(world, document):
+def invariant_violations(world, document):
     """Returns the violations of all invariants. document: the configuration read at the end."""
     tries = {t.try_id: t for t in world.notes.tries}
     runs_of = defaultdict(list)
@@ -99,7 +99,7 @@
         *judge.lost_sessions(world, tries),
         *judge.dispatches_after_drain(world, tries),
         *judge.interrupted_requests(world, runs_of, tries),
-        *served_past_lease(world, tries),
+        *forwarded_past_lease(world, tries),
         *linearizable(world.notes.versions, world.notes.control_calls),
         *acknowledgements(world),
         *handled(world, tries),
@@ -160,7 +160,7 @@
                 )
             )
         document = await_(world, operators[0].read(world.now_ms() + 5000), 6000)
-        broken += [*judged(world, document), *monitor.broken]
+        broken += [*invariant_violations(world, document), *monitor.broken]
         odd = [*inner(world), *failures]
         if not acked or acked not in (200, 400):
             odd.append(f"a change without faults got {acked}")
--- a/tests/fleet_simulator/race_day.py
+++ b/tests/fleet_simulator/race_day.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from . import troubles
-from .play import heal, judged, storm
+from .play import heal, invariant_violations, storm
 from .races import Races, acknowledged
 from .stage import await_, crowd_of, open_, probe, settle
 
@@ -67,6 +67,12 @@
     calls = Counter(call.status for call in world.notes.control_calls)
     resent = Counter(status for _, status in statuses or ())
     report = RaceReport(
-        seed, judged(world, document), acknowledged(world), len(world.notes.versions), dict(calls), dict(resent), trace
+        seed,
+        invariant_violations(world, document),
+        acknowledged(world),
+        len(world.notes.versions),
+        dict(calls),
+        dict(resent),
+        trace,
     )
     return world, report
--- a/tests/fleet_simulator/races.py
+++ b/tests/fleet_simulator/races.py
@@ -153,6 +153,6 @@
     return sum(version.acked_ms >= 0 for version in world.notes.versions)
 
 
-def opened_ms(call):
+def call_duration_ms(call):
     """Returns the duration of a call in ms, `NEVER_MS` without a response."""
     return call.ended_ms - call.sent_ms if call.ended_ms < NEVER_MS else NEVER_MS
--- a/tests/fleet_simulator/stories.py
+++ b/tests/fleet_simulator/stories.py
@@ -8,7 +8,7 @@
 from . import bearing
 from . import world as worlds
 from .crowd import MOST_TOKENS
-from .play import judged
+from .play import invariant_violations
 from .stage import await_, crowd_of, open_, settle
 
 RETIRE_TIMEOUT_MS = 9000
@@ -129,7 +129,7 @@
         return ["not recovered"]
     lost = [f"lost {turn}" for turn in lost_turns(world, crowd, taken)]
     document = await_(world, operator.read(world.now_ms() + 5000), 6000)
-    return lost + [f"{violation.rule} {violation.text}" for violation in judged(world, document)]
+    return lost + [f"{violation.rule} {violation.text}" for violation in invariant_violations(world, document)]
 
 
 def sequencer_of(world):
--- a/tests/test_fleet_simulator_cuts.py
+++ b/tests/test_fleet_simulator_cuts.py
@@ -8,7 +8,7 @@
 from fleet_simulator import stage as plays
 from fleet_simulator import world as worlds
 from fleet_simulator.config import handled, reverts
-from fleet_simulator.leases import LeaseMonitor, served_past_lease
+from fleet_simulator.leases import LeaseMonitor, forwarded_past_lease
 from fleet_simulator.notes import Isolation
 from fleet_simulator.plants import planted
 from fleet_simulator.shapes import SHAPES
@@ -82,7 +82,7 @@
 
     def faults(self):
         tries = {t.try_id: t for t in self.world.notes.tries}
-        found = [*self.monitor.broken, *served_past_lease(self.world, tries), *handled(self.world, tries)]
+        found = [*self.monitor.broken, *forwarded_past_lease(self.world, tries), *handled(self.world, tries)]
         return [b.text for b in (*found, *reverts(self.world, tries))]
 
     def read_everywhere(self):
--- a/tests/test_fleet_simulator_plants.py
+++ b/tests/test_fleet_simulator_plants.py
@@ -1,9 +1,11 @@
+"""Each fault planted in the product violates the invariant that guards against it."""
+
 import pytest
 from fleet_simulator.plants import PLANTS, planted
 from fleet_simulator.play import play
-from test_fleet_simulator_races import FAULTS
+from test_fleet_simulator_races import SEEDS_BY_FAULT
 
-CAUGHT = {
+DETECTION = {
     "claim_skipped": ("TWICE", [1], {}),
     "promise_broken": ("REFUSED", [1], {}),
     "echo_unread": ("MIXED", [2, 1], {}),
@@ -21,18 +23,18 @@
 }
 
 
-def test_every_plant_has_its_rule():
-    assert set(CAUGHT) | set(FAULTS) == set(PLANTS)
+def test_every_plant_has_an_expected_rule():
+    assert set(DETECTION) | set(SEEDS_BY_FAULT) == set(PLANTS)
 
 
-@pytest.mark.parametrize("plant", sorted(CAUGHT))
-def test_a_planted_fault_breaks_its_rule(plant):
-    rule, seeds, more = CAUGHT[plant]
-    seen = set()
+@pytest.mark.parametrize("plant", sorted(DETECTION))
+def test_planted_fault_violates_its_rule(plant):
+    rule, seeds, options = DETECTION[plant]
+    reported = set()
     for seed in seeds:
         with planted(plant):
-            _, report = play(seed, **{"kinds": [], "closing": "none", "storm_ms": 8000, **more})
-        seen |= {b.rule for b in report.broken}
-        if rule in seen:
+            _, report = play(seed, **{"kinds": [], "closing": "none", "storm_ms": 8000, **options})
+        reported |= {violation.rule for violation in report.broken}
+        if rule in reported:
             return
-    raise AssertionError(f"{plant} was not caught; seen {seen}")
+    raise AssertionError(f"{plant} was not detected; reported {reported}")
--- a/tests/test_fleet_simulator_slow_disks.py
+++ b/tests/test_fleet_simulator_slow_disks.py
@@ -46,9 +46,9 @@
     return sum(t.whole and t.status == 200 for t in sent) / len(sent)
 
 
-def judged(world, operator):
+def invariant_violations(world, operator):
     document = plays.await_(world, operator.read(world.now_ms() + 5000), 6000)
-    return [b.text for b in play.judged(world, document)]
+    return [b.text for b in play.invariant_violations(world, document)]
 
 
 @pytest.mark.parametrize("shape", ["three", "two"])
@@ -66,7 +66,7 @@
     assert longest_rest_ms(world, slow_ms, slow_ms + SLOW_FOR_MS) < LONGEST_REST_MS
     calm, slow = (served_ratio(world, at_ms, at_ms + SLOW_FOR_MS) for at_ms in (calm_ms, slow_ms))
     assert slow > calm - MOST_WORSE
-    assert judged(world, operators[0]) == []
+    assert invariant_violations(world, operators[0]) == []
 
 
 @pytest.mark.parametrize("seed", [7, 8, 9])
@@ -87,4 +87,4 @@
     world.run(lost_ms + 12000)
     assert longest_rest_ms(world, lost_ms, lost_ms + 5000) < 2000
     assert served_ratio(world, lost_ms + 1500, lost_ms + 5000) > 0.85
-    assert judged(world, operators[0]) == []
+    assert invariant_violations(world, operators[0]) == []
