--- a/tests/fleet_simulator/clock.py
+++ b/tests/fleet_simulator/clock.py
@@ -1,4 +1,4 @@
-"""One clock for all simulated machines, and a machine's reactor on it."""
+"""Virtual clock shared by all simulated hosts, and the reactor of a host."""
 
 from heapq import heappop, heappush
 
@@ -12,7 +12,7 @@
 from . import wires as fleet_simulator_wires
 
 
-class Wheel:
+class VirtualClock:
     __slots__ = ("now_s", "heap", "serial")
 
     def __init__(self):
@@ -21,9 +21,9 @@
     def seconds(self):
         return self.now_s
 
-    def callLater(self, delay_s, call, *args, **facts):
+    def callLater(self, delay_s, call, *args, **kwargs):
         delayed = DelayedCall(
-            self.now_s + max(0.0, delay_s), call, args, facts, lambda _: None, self.push, self.seconds
+            self.now_s + max(0.0, delay_s), call, args, kwargs, lambda _: None, self.push, self.seconds
         )
         self.push(delayed)
         return delayed
@@ -43,7 +43,7 @@
             self.now_s = max(self.now_s, at_s)
             host = getattr(delayed, "host", None)
             if host is not None and host.alive and host.frozen:
-                host.late.append(delayed)
+                host.overdue.append(delayed)
                 continue
             fire(delayed)
         self.now_s = max(self.now_s, until_s)
@@ -54,8 +54,8 @@
     delayed.func(*delayed.args, **delayed.kw)
 
 
-class Numbers:
-    """Resolves IP numbers only."""
+class NumericResolver:
+    """Name resolver for IP address literals only."""
 
     def resolveHostName(self, receiver, hostName, portNumber=0, addressTypes=None, transportSemantics="TCP"):
         receiver.resolutionBegan(self)
@@ -65,24 +65,24 @@
 
 
 @implementer(IReactorPluggableNameResolver)
-class Rig(Host):
-    """A machine: its timers go on at a thaw, before or after what came in meanwhile."""
+class SimulatedHost(Host):
+    """Simulated host. On a thaw, overdue timers run before or after the queued input, in random order."""
 
-    __slots__ = ("nameResolver", "late")
+    __slots__ = ("nameResolver", "overdue")
 
     def __init__(self, net, name, address, zone="a"):
-        self.nameResolver, self.late = Numbers(), []
+        self.nameResolver, self.overdue = NumericResolver(), []
         super().__init__(net, name, address, zone)
 
     def boot(self):
         super().boot()
-        self.late = []
+        self.overdue = []
 
     def seconds(self):
         return self.net.clock.seconds()
 
-    def callLater(self, delay_s, call, *args, **facts):
-        delayed = self.net.clock.callLater(delay_s, self.guarded, self.life, call, args, facts)
+    def callLater(self, delay_s, call, *args, **kwargs):
+        delayed = self.net.clock.callLater(delay_s, self.guarded, self.life, call, args, kwargs)
         delayed.host = self
         return delayed
 
@@ -104,14 +104,14 @@
         if not self.frozen:
             return
         self.frozen = False
-        late, self.late = self.late, []
+        overdue, self.overdue = self.overdue, []
         queue, self.queue = self.queue, []
-        timers = [lambda d=d: self.ring(d) for d in late]
-        reads = [lambda q=q: self.guarded(*q, {}) for q in queue]
+        timers = [lambda delayed=delayed: self.run_overdue(delayed) for delayed in overdue]
+        reads = [lambda entry=entry: self.guarded(*entry, {}) for entry in queue]
         for job in timers + reads if self.net.random.random() < 0.5 else reads + timers:
             job()
 
-    def ring(self, delayed):
+    def run_overdue(self, delayed):
         if delayed.cancelled or delayed.called:
             return
         if delayed.getTime() > self.seconds():
--- a/tests/fleet_simulator/dial.py
+++ b/tests/fleet_simulator/dial.py
@@ -1,17 +1,17 @@
-"""Clients' connections: one request at a time, and whether its answer came whole."""
+"""Client connections that carry one request at a time and record whether the response was complete."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory, Protocol
 
-from .http import NoMessageError, Reader, write
+from .http import InvalidMessageError, Reader, write
 
 CONNECT_S = 1.0
 
 
-class Dial(Protocol):
+class ClientConnection(Protocol):
     def __init__(self, crowd, edge):
-        self.crowd, self.edge, self.current, self.answered, self.lost, self.close = (
+        self.crowd, self.edge, self.current, self.response, self.lost, self.close = (
             crowd,
             edge,
             None,
@@ -19,10 +19,10 @@
             False,
             False,
         )
-        self.reader, self.dialled_ms = Reader(self.ended, self.came, answers=True), crowd.now_ms()
+        self.reader, self.dialled_ms = Reader(self.message_received, self.body_received, answers=True), crowd.now_ms()
 
     def start(self, request):
-        self.current, self.answered = request, Deferred()
+        self.current, self.response = request, Deferred()
         request.written_ms, request.dialled_ms = self.crowd.now_ms(), self.dialled_ms
         fields = [
             (b"Host", request.host.encode()),
@@ -32,7 +32,7 @@
             (b"Content-Length", b"%d" % len(request.body)),
         ]
         self.transport.write(write(f"{request.method} {request.uri} HTTP/1.1".encode(), fields, request.body))
-        return self.answered
+        return self.response
 
     def dataReceived(self, data):
         if self.current is None:
@@ -41,54 +41,54 @@
             return self.transport.abortConnection()
         try:
             self.reader.feed(data)
-        except NoMessageError as fault:
-            self.crowd.notes.strays.append(("noise", self.edge, str(fault)))
+        except InvalidMessageError as error:
+            self.crowd.notes.strays.append(("noise", self.edge, str(error)))
             self.transport.abortConnection()
         return None
 
-    def came(self, message, data):
-        self.take(message)
+    def body_received(self, message, data):
+        self.copy_response(message)
 
-    def take(self, message):
+    def copy_response(self, message):
         request, fields = self.current, message.fields
         request.status = int(message.start.split(b" ")[1])
         request.seal, request.echo = (fields.get(n, b"").decode() for n in (b"x-server-seal", b"x-attempt-id"))
         request.retry_ms = float(fields.get(b"retry-after", b"0")) * 1000
         request.got = bytes(message.body)
 
-    def ended(self, message):
-        self.take(message)
+    def message_received(self, message):
+        self.copy_response(message)
         self.close = message.fields.get(b"connection") == b"close"
-        self.over(True, "")
+        self.finish(True, "")
 
     def connectionLost(self, reason):
         self.lost = True
         if self.current is not None:
             message = self.reader.message
             if message is not None:
-                self.take(message)
+                self.copy_response(message)
                 if self.reader.state == "rest" and reason.type.__name__ == "ConnectionDone":
-                    return self.over(True, "")
-            self.over(False, reason.type.__name__)
+                    return self.finish(True, "")
+            self.finish(False, reason.type.__name__)
         return None
 
     def give_up(self):
         if self.current is not None and not self.lost:
             self.lost = True
             if self.reader.message is not None:
-                self.take(self.reader.message)
-            self.over(False, "gave up")
+                self.copy_response(self.reader.message)
+            self.finish(False, "gave up")
             self.transport.abortConnection()
 
-    def over(self, whole, why):
-        request, answered = self.current, self.answered
-        self.current = self.answered = None
+    def finish(self, whole, why):
+        request, response = self.current, self.response
+        self.current = self.response = None
         request.whole, request.why, request.ended_ms = whole, why, self.crowd.now_ms()
-        answered.callback(request)
+        response.callback(request)
 
 
 def dial(crowd, edge):
-    """Deferred[Dial] to an edge's (host, port)."""
-    factory = Factory.forProtocol(lambda: Dial(crowd, edge))
+    """Connect to the (host, port) of an edge. Returns a Deferred of the ClientConnection."""
+    factory = Factory.forProtocol(lambda: ClientConnection(crowd, edge))
     factory.noisy = False
     return TCP4ClientEndpoint(crowd.host, edge[0], edge[1], timeout=CONNECT_S).connect(factory)
--- a/tests/fleet_simulator/http.py
+++ b/tests/fleet_simulator/http.py
@@ -1,10 +1,10 @@
-"""A small reader and writer of HTTP/1.1 messages, for the stand-ins on both sides of a front."""
+"""Minimal HTTP/1.1 parser and serializer for simulated clients, runners and platform services."""
 
 from msgspec import Struct
 
 
-class NoMessageError(Exception):
-    """Bytes that are no message."""
+class InvalidMessageError(Exception):
+    """The received bytes are not a valid HTTP/1.1 message."""
 
 
 class Message(Struct):
@@ -15,102 +15,105 @@
 
 
 class Reader:
-    """Tells on_data(message, bytes) and on_end(message); a body without a length ends with the connection."""
+    """Incremental parser that calls on_data(message, bytes) and on_end(message).
+
+    A response body without a length ends with the connection.
+    """
 
     def __init__(self, on_end, on_data=lambda message, data: None, answers=False):
         self.on_end, self.on_data, self.answers = on_end, on_data, answers
-        self.held, self.state, self.left, self.message = b"", "head", 0, None
+        self.buffer, self.state, self.remaining, self.message = b"", "head", 0, None
 
     def feed(self, data):
-        self.held += data
-        while self.held and getattr(self, "in_" + self.state)():
+        self.buffer += data
+        while self.buffer and getattr(self, "in_" + self.state)():
             pass
 
-    def line(self, mark):
-        head, found, rest = self.held.partition(mark)
+    def read_until(self, delimiter):
+        head, found, rest = self.buffer.partition(delimiter)
         if not found:
             return None
-        self.held = rest
+        self.buffer = rest
         return head
 
     def in_head(self):
         if not self.answers:
-            self.held = self.held.lstrip(b"\r\n")
-        head = self.line(b"\r\n\r\n")
+            self.buffer = self.buffer.lstrip(b"\r\n")
+        head = self.read_until(b"\r\n\r\n")
         if head is None:
-            if self.answers and not b"HTTP/1.1 "[: len(self.held)] == self.held[:9]:
-                raise NoMessageError(self.held[:40])
+            if self.answers and not b"HTTP/1.1 "[: len(self.buffer)] == self.buffer[:9]:
+                raise InvalidMessageError(self.buffer[:40])
             return False
         start, *lines = head.split(b"\r\n")
         if self.answers and not start.startswith(b"HTTP/1."):
-            raise NoMessageError(start[:40])
+            raise InvalidMessageError(start[:40])
         fields = {}
         for line in lines:
             name, found, value = line.partition(b":")
             if not found:
-                raise NoMessageError(line[:40])
+                raise InvalidMessageError(line[:40])
             fields[name.strip().lower()] = value.strip()
         self.message = Message(start, fields, bytearray())
         if fields.get(b"transfer-encoding") == b"chunked":
             self.state = "size"
         elif b"content-length" in fields:
-            self.left, self.state = int(fields[b"content-length"]), "length"
-            if not self.left:
-                return self.end()
+            self.remaining, self.state = int(fields[b"content-length"]), "length"
+            if not self.remaining:
+                return self.finish_message()
         elif self.answers:
             self.state = "rest"
         else:
-            return self.end()
+            return self.finish_message()
         return True
 
-    def take(self):
-        data, self.held = self.held[: self.left], self.held[self.left :]
-        self.left -= len(data)
+    def consume_body(self):
+        data, self.buffer = self.buffer[: self.remaining], self.buffer[self.remaining :]
+        self.remaining -= len(data)
         self.message.body += data
         self.on_data(self.message, data)
 
     def in_length(self):
-        self.take()
-        return self.end() if not self.left else False
+        self.consume_body()
+        return self.finish_message() if not self.remaining else False
 
     def in_rest(self):
-        self.left = len(self.held)
-        self.take()
+        self.remaining = len(self.buffer)
+        self.consume_body()
         return False
 
     def in_size(self):
-        line = self.line(b"\r\n")
+        line = self.read_until(b"\r\n")
         if line is None:
             return False
         try:
-            self.left = int(line, 16)
+            self.remaining = int(line, 16)
         except ValueError:
-            raise NoMessageError(line[:40]) from None
-        self.state = "chunk" if self.left else "trailer"
+            raise InvalidMessageError(line[:40]) from None
+        self.state = "chunk" if self.remaining else "trailer"
         return True
 
     def in_chunk(self):
-        self.take()
-        if self.left:
+        self.consume_body()
+        if self.remaining:
             return False
         self.state = "gap"
         return True
 
     def in_gap(self):
-        if len(self.held) < 2:
+        if len(self.buffer) < 2:
             return False
-        if self.held[:2] != b"\r\n":
-            raise NoMessageError(self.held[:40])
-        self.held, self.state = self.held[2:], "size"
+        if self.buffer[:2] != b"\r\n":
+            raise InvalidMessageError(self.buffer[:40])
+        self.buffer, self.state = self.buffer[2:], "size"
         return True
 
     def in_trailer(self):
-        line = self.line(b"\r\n")
+        line = self.read_until(b"\r\n")
         if line is None:
             return False
-        return True if line else self.end()
+        return True if line else self.finish_message()
 
-    def end(self):
+    def finish_message(self):
         message, self.message, self.state = self.message, None, "head"
         message.whole = True
         self.on_end(message)
@@ -127,7 +130,7 @@
 
 
 def events_of(body):
-    """(id, data) pairs of the whole events, and the bytes after the last one."""
+    """Return the (id, data) pairs of the complete server-sent events and the bytes after the last one."""
     *whole, rest = bytes(body).split(b"\n\n")
     pairs = []
     for raw in whole:
--- a/tests/fleet_simulator/list.py
+++ b/tests/fleet_simulator/list.py
@@ -1,4 +1,4 @@
-"""The platform's list of runners, some time behind."""
+"""Simulated cloud API that lists runners with a propagation lag."""
 
 from msgspec import json
 from twisted.internet.protocol import Factory, Protocol
@@ -9,7 +9,7 @@
 
 
 class Listing:
-    """history: (at_ms, entries by runner id), newest last."""
+    """Runner list with its history of (at_ms, entries by runner id), newest last."""
 
     __slots__ = ("host", "notes", "history", "lag_ms", "down", "calls", "reader")
 
@@ -42,23 +42,23 @@
         return next(entries for at_ms, entries in reversed(self.history) if at_ms <= self.now_ms() - self.lag_ms)
 
 
-class Line(Protocol):
+class ListingConnection(Protocol):
     def __init__(self, listing):
-        self.listing, self.reader = listing, Reader(self.asked)
+        self.listing, self.reader = listing, Reader(self.request_received)
 
     def dataReceived(self, data):
         self.reader.feed(data)
 
-    def asked(self, message):
+    def request_received(self, message):
         listing = self.listing
         if listing.down:
             return
         listing.calls += 1
         listing.reader = self.transport.getPeer().host
         token = message.start.decode().partition("page-token=")[2].split(" ")[0]
-        entries, first = [e for _, e in sorted(listing.shown().items())], int(token or 0)
-        after = first + PAGE if first + PAGE < len(entries) else None
-        body = json.encode({"instances": entries[first : first + PAGE], "next-token": after and str(after)})
+        entries, start = [e for _, e in sorted(listing.shown().items())], int(token or 0)
+        next_start = start + PAGE if start + PAGE < len(entries) else None
+        body = json.encode({"instances": entries[start : start + PAGE], "next-token": next_start and str(next_start)})
         self.transport.write(
             write(
                 b"HTTP/1.1 200 OK",
@@ -68,8 +68,8 @@
         )
 
 
-def raise_listing(host, notes, lag_ms, port=80):
+def start_listing(host, notes, lag_ms, port=80):
     listing, factory = Listing(host, notes, lag_ms), Factory()
-    factory.buildProtocol = lambda _: Line(listing)
+    factory.buildProtocol = lambda _: ListingConnection(listing)
     host.listenTCP(port, factory)
     return listing
--- a/tests/fleet_simulator/machines.py
+++ b/tests/fleet_simulator/machines.py
@@ -1,38 +1,38 @@
-"""Troubles of one machine or many: slow, stepped clocks, full and stalled disks, resets, herds."""
+"""Machine faults: slow CPUs, clock steps, full and stalled disks, connection resets, mass restarts."""
 
 from . import bearing, returns
 from . import world as worlds
 from .troubles import back, begin, disk_well, over
 
-STUTTER_MS = 100
+FREEZE_PERIOD_MS = 100
 
 
 def node_slow(world, random):
-    """A machine gets a fraction of its processor: it stands still for most of each tenth of a second."""
+    """Starve a machine of CPU by freezing it for a part of every FREEZE_PERIOD_MS."""
     daemon = bearing.victim(world, random, "storage", "core", "edge", "edge")
     if daemon is None:
         return
     trouble, life = begin(world, "slow", [daemon.name]), daemon.host.life
     until_ms = world.now_ms() + bearing.lasting_ms(random)
-    stopped_ms = random.choice((30, 60, 80))
+    frozen_ms = random.choice((30, 60, 80))
 
-    def stutter():
+    def freeze_repeatedly():
         if daemon.host.life != life or world.now_ms() >= until_ms or trouble.until_ms < world.now_ms():
             over(world, trouble)
             return
         daemon.host.freeze()
-        world.later(stopped_ms, resume)
-        world.later(STUTTER_MS, stutter)
+        world.later(frozen_ms, resume)
+        world.later(FREEZE_PERIOD_MS, freeze_repeatedly)
 
     def resume():
         if daemon.host.life == life:
             daemon.host.thaw()
 
-    stutter()
+    freeze_repeatedly()
 
 
 def clock_step(world, random):
-    """The time of day jumps on some machines, and back again later."""
+    """Step the wall clock of some machines and step it back later."""
     daemons = [d for d in world.daemons.values() if random.random() < 0.3]
     step_s, for_ms = random.choice((-2.0, 2.0, 3600.0, -3600.0)), bearing.lasting_ms(random)
     for daemon in daemons:
@@ -45,81 +45,83 @@
 
 
 def disk_slow(world, random):
-    disk_trouble(
+    inject_disk_fault(
         world, random, "slow disk", lambda drive: setattr(drive, worlds.DELAY, random.choice((50, 150, 400, 2000)))
     )
 
 
 def disk_stall(world, random):
-    """A disk answers nothing for seconds."""
-    disk_trouble(world, random, "slow disk", lambda drive: setattr(drive, worlds.DELAY, random.uniform(2000, 6000)))
+    """Stall a disk for several seconds."""
+    inject_disk_fault(
+        world, random, "slow disk", lambda drive: setattr(drive, worlds.DELAY, random.uniform(2000, 6000))
+    )
 
 
 def disk_full(world, random):
-    disk_trouble(world, random, "bad disk", lambda drive: setattr(drive, "room", worlds.drives.used(drive)))
+    inject_disk_fault(world, random, "bad disk", lambda drive: setattr(drive, "room", worlds.drives.used(drive)))
 
 
-def disk_trouble(world, random, kind, strike):
+def inject_disk_fault(world, random, kind, inject):
     daemon = bearing.victim(world, random, "storage", "core", how=random.choice(("", "leader")))
     if daemon is None:
         return
     trouble = begin(world, kind, [daemon.name])
-    strike(daemon.drive)
+    inject(daemon.drive)
     world.later(bearing.lasting_ms(random), disk_well, world, daemon, trouble)
 
 
 def reset_conns(world, random):
-    """Half of some machines' connections are reset, again and again for a while."""
+    """Repeatedly reset about half of the connections of some machines."""
     daemons = [d for d in world.daemons.values() if d.host.alive and random.random() < 0.2]
-    counted = [d.name for d in daemons if d.role != "edge"]
-    if not bearing.bears(world, bearing.lost(world) | set(counted)):
+    core_names = [d.name for d in daemons if d.role != "edge"]
+    if not bearing.bears(world, bearing.lost(world) | set(core_names)):
         daemons = [d for d in daemons if d.role == "edge"]
     trouble = begin(world, "resets", [d.name for d in daemons])
     until_ms = world.now_ms() + random.uniform(200, 5000)
 
-    def strike():
+    def inject():
         for daemon in daemons:
             for wire in list(daemon.host.wires):
                 if daemon.host.alive and not daemon.host.frozen and random.random() < 0.5:
                     wire.abortConnection()
         if world.now_ms() < until_ms:
-            world.later(random.uniform(300, 1000), strike)
+            world.later(random.uniform(300, 1000), inject)
         else:
             over(world, trouble)
 
-    strike()
+    inject()
 
 
 def herd_kill(world, random):
-    """A share of the edges, or all counted machines, are killed at once; their disks come back."""
+    """Kill a share of the edges, or all storage and core machines, at once; disks survive."""
     core = random.random() < 0.4
     daemons = world.of("storage", "core") if core else [d for d in world.of("edge") if random.random() < 0.6]
-    kill_all(world, random, [d for d in daemons if d.host.alive], random.random() < 0.5)
+    kill_and_restart(world, random, [d for d in daemons if d.host.alive], random.random() < 0.5)
 
 
 def herd_power_taken(world, random):
-    """All counted machines lose power right after a client's work was accepted."""
+    """Cut the power of all storage and core machines right after a client request was accepted."""
 
-    def strike(_):
+    def inject(_):
         world.notes.tap = lambda request: None
-        kill_all(world, random, [d for d in world.of("storage", "core") if d.host.alive], True)
+        kill_and_restart(world, random, [d for d in world.of("storage", "core") if d.host.alive], True)
 
-    world.notes.tap = strike
+    world.notes.tap = inject
 
 
-def kill_all(world, random, daemons, power):
+def kill_and_restart(world, random, daemons, power):
     if not daemons:
         return
-    trouble, waits_ms = begin(world, "all down", [d.name for d in daemons]), []
+    trouble, restart_delays_ms = begin(world, "all down", [d.name for d in daemons]), []
     for daemon in daemons:
         worlds.kill(world, daemon, power)
-        waits_ms.append(random.uniform(100, 2500))
-        world.later(waits_ms[-1], worlds.start, world, daemon)
-    world.later(max(waits_ms), over, world, trouble)
+        restart_delays_ms.append(random.uniform(100, 2500))
+        world.later(restart_delays_ms[-1], worlds.start, world, daemon)
+    world.later(max(restart_delays_ms), over, world, trouble)
 
 
 def node_kill(world, random, how=None):
-    """A machine is killed or loses power; on return a change may meet it."""
+    """Kill a machine or cut its power; a configuration change may coincide with its return."""
     how = random.choice(("", "", "leader", "reader", "seed")) if how is None else how
     roles = random.choice((("storage", "core"), ("edge",), ("storage", "core", "edge")))
     daemon = bearing.victim(world, random, *roles, how=how)
@@ -137,7 +139,7 @@
 
 
 def zone_lost(world, random):
-    """All machines of a zone are down or cut off, where the deployment is to bear that."""
+    """Stop or partition all machines of a zone, if the deployment tolerates the loss of a zone."""
     zone = random.choice(world.zones)
     daemons = [d for d in world.daemons.values() if d.zone == zone and not d.gone]
     names = {d.name for d in daemons if d.role != "edge"}
@@ -147,8 +149,8 @@
     if random.random() < 0.5:
         from .machine_cuts import addresses, cut, pairs_between
 
-        rest = [d for d in world.daemons.values() if d not in daemons]
-        cut(world, pairs_between(random, addresses(daemons), addresses(rest), False), trouble, for_ms)
+        others = [d for d in world.daemons.values() if d not in daemons]
+        cut(world, pairs_between(random, addresses(daemons), addresses(others), False), trouble, for_ms)
         return
     for daemon in daemons:
         worlds.kill(world, daemon, random.random() < 0.5)
@@ -156,31 +158,31 @@
 
 
 def after_ack(world, random, wiped):
-    """The machine that acknowledges a change, or counted ones drawn by lot, lose power at once or soon after."""
-    count, timed = random.choice((1, 1, max(1, world.shape.tolerated))), random.random() < 0.4
+    """Fail the core that acknowledged a change, or random storage and core machines, at once or soon after."""
+    count, delayed = random.choice((1, 1, max(1, world.shape.tolerated))), random.random() < 0.4
 
-    def strike(control):
+    def inject(control):
         world.notes.on_acknowledged = lambda control: None
-        acker = next((d for d in world.of("core") if d.host.address == control), None)
-        drawn = [acker] if acker is not None and not wiped else []
+        acknowledging_core = next((d for d in world.of("core") if d.host.address == control), None)
+        candidates = [acknowledging_core] if acknowledging_core is not None and not wiped else []
         for _ in range(count):
-            daemon = drawn.pop() if drawn else bearing.victim(world, random, "storage", "core")
+            daemon = candidates.pop() if candidates else bearing.victim(world, random, "storage", "core")
             if daemon is not None and daemon.host.alive and bearing.may_fall(world, daemon):
-                fall(daemon)
+                fail(daemon)
 
-    def fall(daemon):
+    def fail(daemon):
         trouble = begin(world, "after ack", [daemon.name])
         (worlds.wipe if wiped else worlds.kill)(world, daemon, *(() if wiped else (True,)))
         world.later(random.uniform(200, 3000), back, world, daemon, trouble)
 
-    if timed:
-        world.later(random.uniform(5, 400), strike, "")
-        change_now(world)
+    if delayed:
+        world.later(random.uniform(5, 400), inject, "")
+        modify_configuration(world)
     else:
-        world.notes.on_acknowledged = strike
+        world.notes.on_acknowledged = inject
 
 
-def change_now(world):
+def modify_configuration(world):
     if world.now_ms() < world.changes_until_ms:
         world.operators[0].modify(world.now_ms() + 6000)
 
--- a/tests/fleet_simulator/routes.py
+++ b/tests/fleet_simulator/routes.py
@@ -1,4 +1,4 @@
-"""Configurations as operators send them, and what each of them allows."""
+"""Configuration documents and changes that the simulated operators send."""
 
 from .runners import EVENT_TOKENS
 
@@ -9,7 +9,7 @@
 KINDS = {"/chat/": "streaming", "/free/": "streaming", "/safe/": "safe", "/unsafe/": "unsafe", "/keyed/": "idempotent"}
 
 
-def item(prefix, kind, target, **more):
+def make_route(prefix, kind, target, **fields):
     return {
         "name": "r" + prefix.strip("/"),
         "host": HOST,
@@ -20,18 +20,18 @@
         "precedence": 1,
         "target": target,
         "max-attempts": MOST_ATTEMPTS,
-        **more,
+        **fields,
     }
 
 
 def first_document():
     routes = [
-        item("/chat/", "streaming", "model", **{"retained": True, "retention-s": KEEP_S}),
-        item("/free/", "streaming", "model2", resumable=True),
-        item("/safe/", "safe", "tools"),
-        item("/unsafe/", "unsafe", "tools"),
-        item("/keyed/", "idempotent", "tools"),
-        item("/moved/", "unsafe", "tools"),
+        make_route("/chat/", "streaming", "model", **{"retained": True, "retention-s": KEEP_S}),
+        make_route("/free/", "streaming", "model2", resumable=True),
+        make_route("/safe/", "safe", "tools"),
+        make_route("/unsafe/", "unsafe", "tools"),
+        make_route("/keyed/", "idempotent", "tools"),
+        make_route("/moved/", "unsafe", "tools"),
     ]
     services = [
         {"name": name, "health-path": "/health", "max-connections": 64, "self-dedup": False} for name in SERVICES
@@ -47,27 +47,36 @@
 
 
 def paths_of(document):
-    return {r["path-prefix"]: (r["target"],) for r in document["route-table"]}
+    return {route["path-prefix"]: (route["target"],) for route in document["route-table"]}
 
 
 def change_of(document, issue, random, tag):
-    """A change that moves one route, adds one and removes an old one; -> (change, the document after it)."""
-    routes = {r["name"]: r for r in document["route-table"]}
+    """Build a change that moves a route, adds one and may remove an old one.
+
+    Returns (change, the document after it).
+    """
+    routes = {route["name"]: route for route in document["route-table"]}
     moved = dict(routes["rmoved"], target=random.choice(("tools", "tools2")))
-    added = item(f"/v{issue}{tag}/", "unsafe", random.choice(("tools", "tools2")))
+    added = make_route(f"/v{issue}{tag}/", "unsafe", random.choice(("tools", "tools2")))
     old = [name for name in routes if name.startswith("rv")]
-    gone = [random.choice(old)] if len(old) > 3 else []
-    change = {"issue": issue, "upsert": {"route-table": [moved, added]}, "remove": {"route-table": gone}}
-    after = {n: r for n, r in routes.items() if n not in gone} | {moved["name"]: moved, added["name"]: added}
+    removed = [random.choice(old)] if len(old) > 3 else []
+    change = {"issue": issue, "upsert": {"route-table": [moved, added]}, "remove": {"route-table": removed}}
+    after = {name: route for name, route in routes.items() if name not in removed} | {
+        moved["name"]: moved,
+        added["name"]: added,
+    }
     return change, dict(document, issue=issue, **{"route-table": list(after.values())})
 
 
 def broken_change(random, issue):
     return random.choice(
         (
-            {"issue": issue, "upsert": {"route-table": [item("/bad/", "unsafe", "nobody")]}},
-            {"issue": issue, "upsert": {"route-table": [dict(item("/bad/", "unsafe", "tools"), **{"guard-ms": 0})]}},
-            {"issue": 1, "upsert": {"route-table": [item("/bad/", "unsafe", "tools")]}},
-            {"issue": issue, "upsert": {"route-table": [dict(item("/chat/", "unsafe", "tools"), name="rbad")]}},
+            {"issue": issue, "upsert": {"route-table": [make_route("/bad/", "unsafe", "nobody")]}},
+            {
+                "issue": issue,
+                "upsert": {"route-table": [dict(make_route("/bad/", "unsafe", "tools"), **{"guard-ms": 0})]},
+            },
+            {"issue": 1, "upsert": {"route-table": [make_route("/bad/", "unsafe", "tools")]}},
+            {"issue": issue, "upsert": {"route-table": [dict(make_route("/chat/", "unsafe", "tools"), name="rbad")]}},
         )
     )
--- a/tests/fleet_simulator/runners.py
+++ b/tests/fleet_simulator/runners.py
@@ -1,4 +1,4 @@
-"""Runners: they work on some requests at once, queue a few, and fail in the ways of real ones."""
+"""Simulated runners with limited concurrency, a short queue and injectable faults."""
 
 from collections import deque
 
@@ -13,7 +13,7 @@
 
 
 class Runner(Struct):
-    """odds: share of requests on which each trouble falls."""
+    """Runner state; `odds` maps each fault to the share of requests that it affects."""
 
     id: str
     service: str
@@ -34,17 +34,23 @@
     tells_load: bool = True
 
 
-def raise_runner(runner):
+def start_runner(runner):
     runner.queue = deque()
     factory = Factory()
-    factory.buildProtocol = lambda _: Line(runner)
+    factory.buildProtocol = lambda _: RunnerConnection(runner)
     runner.host.listenTCP(runner.port, factory)
     return runner
 
 
-class Line(Protocol):
+class RunnerConnection(Protocol):
     def __init__(self, runner):
-        self.runner, self.reader, self.job, self.gone, self.late = runner, Reader(self.asked), None, False, b""
+        self.runner, self.reader, self.job, self.gone, self.late = (
+            runner,
+            Reader(self.request_received),
+            None,
+            False,
+            b"",
+        )
 
     def connectionMade(self):
         self.runner.lines.add(self)
@@ -60,7 +66,7 @@
         if self.job is not None:
             self.job.dropped()
 
-    def asked(self, message):
+    def request_received(self, message):
         if self.job is not None:
             self.runner.notes.strays.append(("pipelined", self.runner.id))
         self.job = Job(self, message)
@@ -68,7 +74,7 @@
         self.surplus()
 
     def surplus(self):
-        """Bytes that belong to an earlier request come in the place of this one's answer."""
+        """Send bytes left over from an earlier request in place of this response."""
         if self.late and self.job is not None and self.job.run is not None:
             self.job.run.broke = True
             self.transport.write(self.late)
--- a/tests/fleet_simulator/servers.py
+++ b/tests/fleet_simulator/servers.py
@@ -1,9 +1,9 @@
-"""Troubles and planned work of the runners: crashes, slowness, grey failures, scaling, reuse of addresses."""
+"""Runner faults and planned maintenance: crashes, slow responses, grey failures, scaling, rollouts."""
 
 from . import works
 from . import world as worlds
 
-GREY = {
+GREY_FAILURES = {
     "errors": {"fail": 0.4},
     "shed": {"shed": 0.4},
     "busy": {"shed": 0.8},
@@ -13,37 +13,39 @@
 }
 
 
-def some(world, random, share):
-    """A share of one service's runners that are in use, one at least."""
+def random_runners(world, random, share):
+    """Return a random share, at least one, of the runners of a random service that are not draining."""
     service = random.choice(sorted({r.service for r in world.runners.values()}))
-    found = [r for r in world.runners.values() if r.service == service and not r.draining]
-    return [r for n, r in enumerate(found) if n == 0 or random.random() < share]
+    candidates = [r for r in world.runners.values() if r.service == service and not r.draining]
+    return [runner for index, runner in enumerate(candidates) if index == 0 or random.random() < share]
 
 
-def spoil(world, random, odds, for_ms):
-    for runner in some(world, random, 0.4):
-        kept = runner.odds
-        runner.odds = {**kept, **odds}
-        world.later(for_ms, setattr, runner, "odds", kept)
+def change_odds(world, random, odds, for_ms):
+    for runner in random_runners(world, random, 0.4):
+        original = runner.odds
+        runner.odds = {**original, **odds}
+        world.later(for_ms, setattr, runner, "odds", original)
 
 
 def srv_grey(world, random):
-    spoil(world, random, GREY[random.choice(sorted(GREY))], random.uniform(500, 6000))
+    change_odds(world, random, GREY_FAILURES[random.choice(sorted(GREY_FAILURES))], random.uniform(500, 6000))
 
 
 def answer_lost(world, random):
-    spoil(world, random, {"lose": 0.06}, random.uniform(1000, 6000))
+    change_odds(world, random, {"lose": 0.06}, random.uniform(1000, 6000))
 
 
 def garble(world, random):
-    spoil(world, random, random.choice(({"cut": 0.1}, {"noise": 0.1}, {"surplus": 0.1})), random.uniform(1000, 6000))
+    change_odds(
+        world, random, random.choice(({"cut": 0.1}, {"noise": 0.1}, {"surplus": 0.1})), random.uniform(1000, 6000)
+    )
 
 
 def srv_slow(world, random):
-    for runner in some(world, random, 0.3):
-        kept = runner.pace_ms
-        runner.pace_ms = kept * random.choice((4, 8))
-        world.later(random.uniform(1000, 8000), setattr, runner, "pace_ms", kept)
+    for runner in random_runners(world, random, 0.3):
+        original = runner.pace_ms
+        runner.pace_ms = original * random.choice((4, 8))
+        world.later(random.uniform(1000, 8000), setattr, runner, "pace_ms", original)
 
 
 def srv_crash(world, random):
@@ -52,7 +54,7 @@
 
 
 def scale_out(world, random):
-    for number, runner in enumerate(some(world, random, 0.3)):
+    for number, runner in enumerate(random_runners(world, random, 0.3)):
         world.later(
             number * 400,
             worlds.add_runner,
@@ -67,13 +69,13 @@
 
 
 def release(world, random):
-    """Runners of all services are replaced one after another, the new one first."""
+    """Roll out replacements for several runners, each started before the old one drains."""
     for number in range(random.randint(2, 5)):
         world.later(number * random.uniform(500, 1500), works.drain_runner, world, random)
 
 
 def spot(world, random):
-    """A runner is gone two seconds after its notice; another comes later."""
+    """Reclaim a runner two seconds after its notice, as for a spot instance, and add another later."""
     runner = random.choice([r for r in world.runners.values() if not r.draining])
     world.listing.change(runner, "draining")
     runner.draining = True
--- a/tests/fleet_simulator/stage.py
+++ b/tests/fleet_simulator/stage.py
@@ -1,4 +1,4 @@
-"""A deployment brought up: daemons started, a first configuration taken, edges ready."""
+"""Helpers that bring up a simulated deployment and wait until its edges are ready."""
 
 from random import Random
 
@@ -12,29 +12,29 @@
 
 
 def probe(world, crowd, daemon):
-    """The platform asks each edge whether it is ready, every second."""
+    """Probe the readiness endpoint of an edge every second, as the platform load balancer does."""
     request = Try("probe", "probe", "/frostpost/readiness", b"", 1000, [], method="GET")
 
-    def missed(_=None):
+    def record_failure(_=None):
         world.out[daemon.name] = world.out.get(daemon.name, 0) + 1
 
-    def told(answered):
-        if answered.whole and answered.status == 200:
+    def record_response(response):
+        if response.whole and response.status == 200:
             world.out[daemon.name] = 0
         else:
-            missed()
-        if not line_of[0].lost:
-            line_of[0].transport.loseConnection()
+            record_failure()
+        if not connections[0].lost:
+            connections[0].transport.loseConnection()
 
-    line_of = []
+    connections = []
 
-    def up(line):
-        line_of.append(line)
-        crowd.host.callLater(0.9, line.give_up)
-        return line.start(request).addCallback(told)
+    def send_probe(connection):
+        connections.append(connection)
+        crowd.host.callLater(0.9, connection.give_up)
+        return connection.start(request).addCallback(record_response)
 
     if not daemon.gone:
-        dial(crowd, (daemon.host.address, worlds.READINESS)).addCallbacks(up, missed)
+        dial(crowd, (daemon.host.address, worlds.READINESS)).addCallbacks(send_probe, record_failure)
         world.later(1000, probe, world, crowd, daemon)
 
 
@@ -43,7 +43,7 @@
 
 
 def settle(world, wait_ms):
-    """Until all edges are ready; -> ms it took, or -1."""
+    """Run until all edges are ready. Returns the elapsed milliseconds, or -1 after `wait_ms`."""
     from_ms = world.now_ms()
     while world.now_ms() < from_ms + wait_ms:
         world.run(world.now_ms() + 50)
@@ -53,12 +53,12 @@
 
 
 def await_(world, deferred, wait_ms):
-    box = []
-    deferred.addCallbacks(box.append, lambda f: box.append(f))
+    results = []
+    deferred.addCallbacks(results.append, lambda failure: results.append(failure))
     until_ms = world.now_ms() + wait_ms
-    while not box and world.now_ms() < until_ms:
+    while not results and world.now_ms() < until_ms:
         world.run(world.now_ms() + 20)
-    return box[0] if box else None
+    return results[0] if results else None
 
 
 def operator_of(world, tag):
@@ -67,21 +67,26 @@
 
 def crowd_of(world, tag):
     return Crowd(
-        world.callers, world.notes, Random(f"{world.seed}{tag}"), lambda z: worlds.fronts(world, z), world.zones, tag
+        world.callers,
+        world.notes,
+        Random(f"{world.seed}{tag}"),
+        lambda zone: worlds.fronts(world, zone),
+        world.zones,
+        tag,
     )
 
 
 def open_(seed, shape=None, prepare=None, wait_ms=15000):
-    """A deployment that has founded itself and holds the first configuration."""
+    """Bootstrap a deployment and apply the first configuration. Returns (world, operators, status, elapsed ms)."""
     world = worlds.make(seed, shape)
     if prepare:
         prepare(world)
     for daemon in list(world.daemons.values()):
         world.later(world.random.uniform(0, 400), worlds.start, world, daemon)
     operators = [operator_of(world, "a"), operator_of(world, "b")]
-    founded = operators[0].found()
-    status = await_(world, founded, wait_ms)
-    took_ms = settle(world, wait_ms)
+    bootstrapped = operators[0].found()
+    status = await_(world, bootstrapped, wait_ms)
+    elapsed_ms = settle(world, wait_ms)
     for daemon in world.daemons.values():
         daemon.first = False
-    return world, operators, status, took_ms
+    return world, operators, status, elapsed_ms
--- a/tests/fleet_simulator/wires.py
+++ b/tests/fleet_simulator/wires.py
@@ -1,4 +1,4 @@
-"""Connections that tell of their own abort only in the next turn and send again as a kernel does."""
+"""Simulated TCP connections that report a local abort asynchronously and retransmit with backoff."""
 
 import socket
 
@@ -11,8 +11,8 @@
 FIRST_RETRY_S, CONNECT_RETRY_S = 0.2, 1.0
 
 
-class Handle:
-    """A connection's socket, as far as the product sets options of it."""
+class SocketHandle:
+    """Socket handle that supports the options set by the daemons."""
 
     def __init__(self, wire):
         self.wire = wire
@@ -22,14 +22,14 @@
             self.wire.patience_s = value / 1000
 
 
-class Strand(wires.Wire):
+class RetransmittingWire(wires.Wire):
     __slots__ = ()
 
     def getHandle(self):
-        return Handle(self)
+        return SocketHandle(self)
 
     def retry_s(self):
-        """Twice as long each time, and no longer than the connection's patience lasts."""
+        """Return the retransmission delay: doubled on each retry, capped by the remaining TCP user timeout."""
         left_s = self.patience_s - self.stuck_s
         return min(max(FIRST_RETRY_S, self.stuck_s), max(0.0, left_s) + 0.001)
 
@@ -47,11 +47,11 @@
             self.host.callLater(0, wire_flow.ended, self, Failure(ConnectionLost()))
 
 
-class Dialler(nets.Connector):
+class RetryingConnector(nets.Connector):
     __slots__ = ()
 
     def again(self):
-        """A kernel sends its first packet again after a second."""
+        """Retransmit the SYN after CONNECT_RETRY_S, or fail once the connect timeout has passed."""
         wait_s = min(CONNECT_RETRY_S, self.end_s - self.net.clock.seconds())
         if wait_s <= 0:
             return self.fail(TimeoutError())
@@ -68,15 +68,15 @@
         if port is None:
             return self.fail(ConnectionRefusedError())
         self.net.serial += 1
-        mine = Strand(self.net, self.host, (here, self.net.serial), self.there)
-        other = Strand(self.net, target, self.there, (here, self.net.serial))
-        mine.other, other.other, self.wire, self.state = other, mine, mine, "answered"
-        target.enter(nets.serve, port.factory, other)
+        local = RetransmittingWire(self.net, self.host, (here, self.net.serial), self.there)
+        remote = RetransmittingWire(self.net, target, self.there, (here, self.net.serial))
+        local.other, remote.other, self.wire, self.state = remote, local, local, "answered"
+        target.enter(nets.serve, port.factory, remote)
         self.net.clock.callLater(self.net.link_delay_s(there, here), self.made)
         return None
 
 
 def connect(net, host, address, port, factory, wait_s):
-    dialler = Dialler(net, host, (address, port), factory, wait_s)
-    dialler.connect()
-    return dialler
+    connector = RetryingConnector(net, host, (address, port), factory, wait_s)
+    connector.connect()
+    return connector
--- a/tests/fleet_simulator/world.py
+++ b/tests/fleet_simulator/world.py
@@ -1,4 +1,4 @@
-"""A deployment on the users' machines: real storage, core and edge daemons on simulated machines."""
+"""Simulated deployment that runs the real storage, core and edge daemons on simulated hosts."""
 
 import os
 from contextlib import contextmanager
@@ -16,13 +16,13 @@
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import BodyFiles
 
-from .clock import Rig, Wheel
-from .list import raise_listing
+from .clock import SimulatedHost, VirtualClock
+from .list import start_listing
 from .notes import Notes
-from .runners import Runner, raise_runner
+from .runners import Runner, start_runner
 
 FRONT, READINESS, CONTROL, INNER, RUNNER = 8149, 8141, 8144, 7380, 9000
-SHEET = {
+DEFAULT_TIMERS = {
     "contact": 3000,
     "ack": 4000,
     "drain": 3000,
@@ -38,7 +38,7 @@
 
 
 class Shape(Struct):
-    """Counts are per zone."""
+    """Size and failure tolerance of a deployment; machine counts are per zone."""
 
     zones: int = 3
     edges: int = 1
@@ -70,17 +70,17 @@
     def __init__(self, seed, shape):
         self.seed, self.shape, self.random = seed, shape, Random(seed)
         self.net = Net(Random(seed * 31 + 7))
-        self.net.clock = Wheel()
-        self.notes, self.daemons, self.runners, self.out = Notes(dict(SHEET)), {}, {}, {}
-        self.zones, self.starts, self.serial = [f"z{n}" for n in range(shape.zones)], [], 0
-        self.listing = raise_listing(self.add_host("platform", "z0"), self.notes, 800)
+        self.net.clock = VirtualClock()
+        self.notes, self.daemons, self.runners, self.out = Notes(dict(DEFAULT_TIMERS)), {}, {}, {}
+        self.zones, self.starts, self.serial = [f"z{index}" for index in range(shape.zones)], [], 0
+        self.listing = start_listing(self.add_host("platform", "z0"), self.notes, 800)
         self.callers = self.add_host("callers", "z0")
-        self.regions = {zone: f"r{n % shape.regions}" for n, zone in enumerate(self.zones)}
+        self.regions = {zone: f"r{index % shape.regions}" for index, zone in enumerate(self.zones)}
         self.seeds, self.settled_ms, self.cuts = [], 0.0, []
         self.operators, self.crowd, self.changes_until_ms = [], None, 1e12
 
     def controls(self):
-        """The control addresses that the operator's list shows."""
+        """Return the control addresses that operators are configured with."""
         return [(d.host.address, CONTROL) for d in self.of("core")]
 
     def now_ms(self):
@@ -94,7 +94,7 @@
 
     def add_host(self, name, zone, address=None):
         address = address or f"10.0.{len(self.net.hosts) // 200}.{len(self.net.hosts) % 200 + 1}"
-        host = self.net.hosts[address] = Rig(self.net, name, address, zone)
+        host = self.net.hosts[address] = SimulatedHost(self.net, name, address, zone)
         return host
 
     def of(self, *roles):
@@ -103,15 +103,15 @@
 
 def make(seed, shape=None, pools=POOLS):
     world = World(seed, shape or Shape())
-    for role, many in (("core", world.shape.cores), ("storage", world.shape.storages), ("edge", world.shape.edges)):
+    for role, count in (("core", world.shape.cores), ("storage", world.shape.storages), ("edge", world.shape.edges)):
         for zone in world.zones:
-            for n in range(many):
-                add(world, f"{role}-{zone}-{n + 1}", role, zone)
-    cores = [d for n in range(world.shape.cores) for d in world.of("core") if d.name.endswith(f"-{n + 1}")]
+            for index in range(count):
+                add(world, f"{role}-{zone}-{index + 1}", role, zone)
+    cores = [d for index in range(world.shape.cores) for d in world.of("core") if d.name.endswith(f"-{index + 1}")]
     world.seeds = [f"{d.host.address}:{CONTROL}" for d in cores[: world.shape.seeds]]
-    for service, many, slots, streams in pools:
-        for n in range(many):
-            add_runner(world, service, slots, streams, world.zones[n % len(world.zones)])
+    for service, count, slots, streams in pools:
+        for index in range(count):
+            add_runner(world, service, slots, streams, world.zones[index % len(world.zones)])
     for _, runner_id, _ in world.notes.shown:
         world.listing.history[0][1].update({runner_id: world.listing.history[-1][1][runner_id]})
     return world
@@ -146,14 +146,14 @@
         pace_ms=world.random.uniform(8, 30),
         tells_load=world.random.random() < 0.5,
     )
-    world.runners[runner.id] = raise_runner(runner)
+    world.runners[runner.id] = start_runner(runner)
     world.listing.change(runner, "available")
     return runner
 
 
 def document_of(world, daemon):
     address, sheet = daemon.host.address, world.notes.sheet
-    bound = {"edge": {"front": FRONT, "readiness": READINESS}, "core": {"control": CONTROL}, "storage": {}}
+    listening_ports = {"edge": {"front": FRONT, "readiness": READINESS}, "core": {"control": CONTROL}, "storage": {}}
     serves = {"edge": ["edge"], "core": ["control"], "storage": ["storage"]}
     return {
         "node-name": daemon.name,
@@ -164,7 +164,7 @@
         "zone": daemon.zone,
         "region": world.regions[daemon.zone],
         "zones": dict(world.regions),
-        "bind-addresses": {k: f"{address}:{p}" for k, p in bound[daemon.role].items()},
+        "bind-addresses": {name: f"{address}:{port}" for name, port in listening_ports[daemon.role].items()},
         "port-range": [INNER, INNER + 15],
         "seeds": list(world.seeds),
         "initial-start": daemon.first,
@@ -209,23 +209,23 @@
 
 
 @contextmanager
-def silo_on(files):
-    """The ring opens its turn_store on the real disk; here it is to be the simulated one."""
-    kept, replica_daemon.store = (
+def simulated_turn_store(files):
+    """Make the replica daemon open its turn store on the simulated disk instead of the real one."""
+    original_store, replica_daemon.store = (
         replica_daemon.store,
         SimpleNamespace(
-            open_store=lambda folder, machine, **more: store.open_store(folder, machine, files=files, **more),
+            open_store=lambda folder, machine, **options: store.open_store(folder, machine, files=files, **options),
             expire=store.expire,
         ),
     )
     try:
         yield
     finally:
-        replica_daemon.store = kept
+        replica_daemon.store = original_store
 
 
 def start(world, daemon):
-    """Start a daemon's process on its disk."""
+    """Start the process of a daemon with the current contents of its disk."""
     if daemon.gone or daemon.host.alive and daemon.owner is not None:
         return
     host, token = daemon.host, Random(world.random.random())
@@ -235,7 +235,7 @@
     world.starts.append((host.address, world.now_ms()))
 
     def stop(code):
-        host.callLater(0, ended, world, daemon, life, code)
+        host.callLater(0, handle_exit, world, daemon, life, code)
 
     machine = Machine(
         seconds=host.seconds,
@@ -245,21 +245,21 @@
         sleep=lambda wait_s: None,
         files=files,
     )
-    told = settings.from_document(document_of(world, daemon)).ok
+    parsed_settings = settings.from_document(document_of(world, daemon)).ok
     try:
         if daemon.role == "storage":
-            with silo_on(files):
-                daemon.owner = replica_daemon.assemble(told, host, machine, stop)
+            with simulated_turn_store(files):
+                daemon.owner = replica_daemon.assemble(parsed_settings, host, machine, stop)
             host.enter(replica_daemon.start, daemon.owner)
         else:
             front = listening.make_front()
-            daemon.owner = assembly.make_agent(told, front, host, machine)
+            daemon.owner = assembly.make_agent(parsed_settings, front, host, machine)
             host.enter(assembly.start_agent, daemon.owner, front, stop)
-    except OSError as fault:
-        ended(world, daemon, life, type(fault).__name__)
+    except OSError as error:
+        handle_exit(world, daemon, life, type(error).__name__)
 
 
-def ended(world, daemon, life, code):
+def handle_exit(world, daemon, life, code):
     if daemon.host.life != life or not daemon.host.alive:
         return
     daemon.exits.append((world.now_ms(), code))
@@ -283,13 +283,13 @@
 
 
 def leave(world, daemon):
-    """SIGTERM."""
+    """Drain a daemon as on SIGTERM."""
     if not daemon.host.alive or daemon.owner is None:
         return
     life, host = daemon.host.life, daemon.host
 
     def stop(code):
-        host.callLater(0, ended, world, daemon, life, code)
+        host.callLater(0, handle_exit, world, daemon, life, code)
 
     host.enter(
         *(
@@ -301,13 +301,13 @@
 
 
 def fronts(world, zone):
-    """Edges that the platform passes new connections to."""
+    """Return the edge addresses to which the platform load balancer sends new connections from a zone."""
     edges = world.of("edge")
-    here = [d for d in edges if d.zone == zone]
-    good = [d for d in here if world.out.get(d.name, 0) < 2]
-    if len(good) * 2 < len(here):
-        good = here if good else [d for d in edges if world.out.get(d.name, 0) < 2] or here
-    return [(d.host.address, FRONT) for d in good or edges]
+    in_zone = [d for d in edges if d.zone == zone]
+    healthy = [d for d in in_zone if world.out.get(d.name, 0) < 2]
+    if len(healthy) * 2 < len(in_zone):
+        healthy = in_zone if healthy else [d for d in edges if world.out.get(d.name, 0) < 2] or in_zone
+    return [(d.host.address, FRONT) for d in healthy or edges]
 
 
 def controls(world):
--- a/tests/test_platform_control_cuts.py
+++ b/tests/test_platform_control_cuts.py
@@ -65,7 +65,7 @@
     assert_linearizable(world)
 
 
-@pytest.mark.parametrize("direction", cuts.WAYS)
+@pytest.mark.parametrize("direction", cuts.DIRECTIONS)
 @pytest.mark.parametrize(
     "shape, role", [("three", "reader"), ("three", "leader's side"), ("seed", "reader"), ("many", "reader")]
 )
@@ -87,7 +87,7 @@
     assert_recovered(world, caller)
 
 
-@pytest.mark.parametrize("direction", cuts.WAYS)
+@pytest.mark.parametrize("direction", cuts.DIRECTIONS)
 def test_partitioned_leader_is_replaced_and_serves_no_stale_state(direction):
     world = open_world()
     started_ms, old_leader = world.now_ms(), cuts.leader(world)
@@ -166,7 +166,7 @@
         assert_recovered(world, caller)
 
 
-@pytest.mark.parametrize("direction", cuts.WAYS)
+@pytest.mark.parametrize("direction", cuts.DIRECTIONS)
 @pytest.mark.parametrize("offset_ms", [-900, -400, -100, -1, 0, 1, 100, 400])
 def test_call_around_the_healing_reads_no_stale_state(offset_ms, direction):
     world = open_world()
