--- a/tests/test_fleet_simulator_edges.py
+++ b/tests/test_fleet_simulator_edges.py
@@ -1,4 +1,4 @@
-"""The ends of windows, and one loss right after another was made good."""
+"""Requests at the end of their time windows, and a second machine loss right after recovery from the first."""
 
 from collections import defaultdict
 from random import Random
@@ -20,7 +20,7 @@
 
 
 @pytest.fixture
-def opened():
+def deployment():
     world, operators, status, took_ms = plays.open_(5)
     assert status == 200 and took_ms >= 0
     return world, plays.crowd_of(world, "c")
@@ -31,42 +31,42 @@
 
 
 def runs_of(world):
-    found = defaultdict(list)
+    runs = defaultdict(list)
     for run in world.notes.runs:
-        found[run.try_id].append(run)
-    return found
+        runs[run.try_id].append(run)
+    return runs
 
 
-def test_a_repeat_at_the_end_of_its_window_runs_nothing(opened):
-    world, crowd = opened
+def test_repeat_at_the_end_of_the_key_window_does_not_run_again(deployment):
+    world, crowd = deployment
     for number, phase_ms in enumerate(PHASES_MS):
 
-        def ask(key=f"k{number}"):
+        def send(key=f"k{number}"):
             return crowd.send_with_retries("z0", "/keyed/c", "p", 1, key=key, body=b"once")
 
         for wait_ms in (0, world.notes.sheet["window"] - 60):
-            world.later(1000 * number + phase_ms + wait_ms, ask)
+            world.later(1000 * number + phase_ms + wait_ms, send)
     world.run(world.now_ms() + 6000 + world.notes.sheet["window"] + 2000)
     assert len(world.notes.runs) >= len(PHASES_MS)
-    assert [b.text for b in judge.duplicate_executions(world, runs_of(world), tries_of(world))] == []
+    assert [violation.text for violation in judge.duplicate_executions(world, runs_of(world), tries_of(world))] == []
 
 
-def test_a_turn_may_be_followed_until_its_retention_ends(opened):
-    world, crowd = opened
+def test_turn_can_be_resumed_until_its_retention_ends(deployment):
+    world, crowd = deployment
 
-    def follow(done):
-        world.later(world.notes.sheet["keep"] - 60, crowd.turn, "z1", "q", 20 * MOST_TOKENS, done.try_id)
+    def resume(request):
+        world.later(world.notes.sheet["keep"] - 60, crowd.turn, "z1", "q", 20 * MOST_TOKENS, request.try_id)
 
     for number, phase_ms in enumerate(PHASES_MS):
-        world.later(700 * number + phase_ms, lambda: crowd.turn("z0", "p", 20 * MOST_TOKENS, "").addCallback(follow))
+        world.later(700 * number + phase_ms, lambda: crowd.turn("z0", "p", 20 * MOST_TOKENS, "").addCallback(resume))
     world.run(world.now_ms() + 6000 + world.notes.sheet["keep"] + 2000)
     assert len(crowd.turns) >= len(PHASES_MS)
-    assert [b.text for b in judge.lost_sessions(world, tries_of(world))] == []
+    assert [violation.text for violation in judge.lost_sessions(world, tries_of(world))] == []
 
 
 @pytest.mark.parametrize("outage_ms", [2000, 5000, 12000, 13500])
-def test_drains_are_seen_in_time_after_the_list_was_down(opened, outage_ms):
-    world, crowd = opened
+def test_drains_are_honoured_in_time_after_a_listing_outage(deployment, outage_ms):
+    world, crowd = deployment
     world.run(world.now_ms() + 1000)
     trouble = Trouble("list", (), world.now_ms())
     world.notes.list_troubles.append(trouble)
@@ -76,44 +76,44 @@
     works.drain_runner(world, Random(2))
     crowd.arrive(world.now_ms() + 8000, 80)
     world.run(world.now_ms() + 13000)
-    assert [b.text for b in judge.dispatches_after_drain(world, tries_of(world))] == []
+    assert [violation.text for violation in judge.dispatches_after_drain(world, tries_of(world))] == []
 
 
 def replace(world, daemon):
     worlds.wipe(world, daemon)
     daemon.gone = True
     world.serial += 1
-    fresh = worlds.add(world, f"storage-x{world.serial}", "storage", daemon.zone)
-    fresh.first = False
-    world.later(200, worlds.start, world, fresh)
-    return fresh
+    replacement = worlds.add(world, f"storage-x{world.serial}", "storage", daemon.zone)
+    replacement.first = False
+    world.later(200, worlds.start, world, replacement)
+    return replacement
 
 
 @pytest.mark.parametrize("gap_ms", [50, 300, 1000])
 @pytest.mark.parametrize("first", [0, 1])
-def test_a_second_storage_machine_may_be_replaced_once_the_first_is_made_good(opened, first, gap_ms):
-    world, crowd = opened
+def test_second_storage_machine_can_be_replaced_after_the_first_has_caught_up(deployment, first, gap_ms):
+    world, crowd = deployment
     world.run(world.now_ms() + 3000)
-    fresh = replace(world, world.of("storage")[first])
+    replacement = replace(world, world.of("storage")[first])
     world.run(world.now_ms() + 200 + bearing.CATCH_UP_MS + gap_ms)
-    replace(world, next(d for d in world.of("storage") if d is not fresh))
+    replace(world, next(d for d in world.of("storage") if d is not replacement))
     world.run(world.now_ms() + 5000)
     assert plays.settle(world, 7000) >= 0
 
 
 @pytest.mark.parametrize("gap_ms", [700, 1200, 1800, 2500])
-def test_a_newcomer_that_is_lost_again_while_it_catches_up_stops_nothing_for_good(opened, gap_ms):
-    world, crowd = opened
+def test_deployment_recovers_when_a_replacement_is_wiped_during_catch_up(deployment, gap_ms):
+    world, crowd = deployment
     world.run(world.now_ms() + 3000)
-    fresh = replace(world, world.of("storage")[0])
+    replacement = replace(world, world.of("storage")[0])
     world.run(world.now_ms() + 200 + gap_ms)
-    worlds.wipe(world, fresh)
-    world.later(300, worlds.start, world, fresh)
+    worlds.wipe(world, replacement)
+    world.later(300, worlds.start, world, replacement)
     world.run(world.now_ms() + 6000)
     assert plays.settle(world, 6000) >= 0
 
 
-def test_an_end_handed_in_again_is_decided_as_before():
+def test_repeated_end_of_an_attempt_gets_the_same_result():
     program_ledger = ProgramLedger()
     begun = apply_operation(program_ledger, 0, (), (), BeginAttempt("a", "p", 100, 10, "", 1000, (Candidate("r", 4),)))
     assert isinstance(begun, AttemptBegun)
--- a/tests/test_fleet_simulator_founding.py
+++ b/tests/test_fleet_simulator_founding.py
@@ -6,20 +6,20 @@
 from fleet_simulator.world import Shape
 
 
-def founded(seed, waits_ms, shape=None):
-    """A deployment whose daemons start when waits_ms(daemon) says."""
+def bootstrapped(seed, start_delay_ms, shape=None):
+    """Bootstrap a deployment whose daemons each start after `start_delay_ms(daemon)`."""
     world = worlds.make(seed, shape or Shape())
     for daemon in list(world.daemons.values()):
-        world.later(waits_ms(daemon), worlds.start, world, daemon)
+        world.later(start_delay_ms(daemon), worlds.start, world, daemon)
     operator = plays.operator_of(world, "a")
     status = plays.await_(world, operator.found(), 40000)
     assert status == 200 and plays.settle(world, 15000) >= 0
     return world, operator
 
 
-def charters(world):
-    found = {d.owner.bootstrap_voters for d in world.daemons.values() if d.owner is not None and d.host.alive}
-    return found - {()}
+def bootstrap_voter_sets(world):
+    voter_sets = {d.owner.bootstrap_voters for d in world.daemons.values() if d.owner is not None and d.host.alive}
+    return voter_sets - {()}
 
 
 def voters(world):
@@ -32,26 +32,30 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_daemons_found_one_fleet_in_any_order_of_starts(seed):
+def test_one_fleet_is_bootstrapped_in_any_start_order(seed):
     random = Random(seed)
-    world, _ = founded(seed, lambda daemon: random.uniform(0, 600))
-    assert len(charters(world)) == 1 and voters(world) == {tuple(sorted(d.name for d in world.of("storage")))}
+    world, _ = bootstrapped(seed, lambda daemon: random.uniform(0, 600))
+    assert len(bootstrap_voter_sets(world)) == 1 and voters(world) == {
+        tuple(sorted(d.name for d in world.of("storage")))
+    }
 
 
 @pytest.mark.parametrize("role", ["storage", "core", "edge"])
-def test_a_role_may_start_long_after_the_others(role):
-    world, _ = founded(7, lambda daemon: 6000 if daemon.role == role else 0)
-    assert len(charters(world)) == 1
+def test_bootstrap_completes_when_one_role_starts_late(role):
+    world, _ = bootstrapped(7, lambda daemon: 6000 if daemon.role == role else 0)
+    assert len(bootstrap_voter_sets(world)) == 1
 
 
 @pytest.mark.parametrize("late", ["storage-z0-1", "storage-z2-1", "core-z0-1"])
-def test_one_late_starter_is_waited_for_or_taken_in(late):
-    world, _ = founded(8, lambda daemon: 3000 if daemon.name == late else 50)
+def test_daemon_that_starts_late_joins_the_fleet(late):
+    world, _ = bootstrapped(8, lambda daemon: 3000 if daemon.name == late else 50)
     world.run(world.now_ms() + 6000)
-    assert len(charters(world)) == 1 and voters(world) == {tuple(sorted(d.name for d in world.of("storage")))}
+    assert len(bootstrap_voter_sets(world)) == 1 and voters(world) == {
+        tuple(sorted(d.name for d in world.of("storage")))
+    }
 
 
-def test_a_storage_daemon_killed_while_the_fleet_is_founded_is_no_hindrance():
+def test_bootstrap_completes_when_a_storage_daemon_is_killed_and_restarted():
     world = worlds.make(9)
     for daemon in list(world.daemons.values()):
         worlds.start(world, daemon)
@@ -64,22 +68,22 @@
 
 @pytest.mark.parametrize("first", [True, False])
 @pytest.mark.parametrize("role", ["storage", "core"])
-def test_a_wiped_disk_founds_no_second_fleet(role, first):
-    world, operator = founded(10, lambda daemon: 0)
-    held = charters(world)
+def test_wiped_disk_does_not_bootstrap_a_second_fleet(role, first):
+    world, operator = bootstrapped(10, lambda daemon: 0)
+    initial_voter_sets = bootstrap_voter_sets(world)
     for daemon in world.of(role)[:1]:
         worlds.wipe(world, daemon)
         world.later(500, restart, world, daemon, first)
     world.run(world.now_ms() + 8000)
     document = plays.await_(world, operator.read(), 5000)
-    assert document["issue"] == 3 and charters(world) <= held
+    assert document["issue"] == 3 and bootstrap_voter_sets(world) <= initial_voter_sets
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_wiped_disks_beside_one_that_sleeps_found_nothing(first):
-    world, operator = founded(11, lambda daemon: 0)
-    keeper, *others = world.of("storage")
-    worlds.kill(world, keeper)
+def test_wiped_storage_does_not_bootstrap_while_the_survivor_is_down(first):
+    world, operator = bootstrapped(11, lambda daemon: 0)
+    survivor, *others = world.of("storage")
+    worlds.kill(world, survivor)
     for daemon in others:
         worlds.wipe(world, daemon)
         world.later(500, restart, world, daemon, first)
@@ -88,8 +92,8 @@
     assert not any(plays.ready(world, d) for d in world.of("edge"))
 
 
-def test_all_power_lost_and_back_in_any_order_keeps_the_routing():
-    world, operator = founded(12, lambda daemon: 0)
+def test_configuration_survives_a_power_loss_of_all_machines():
+    world, operator = bootstrapped(12, lambda daemon: 0)
     random = Random(3)
     for daemon in world.daemons.values():
         worlds.kill(world, daemon, True)
@@ -99,12 +103,12 @@
     assert plays.await_(world, operator.read(), 5000)["issue"] == 3
 
 
-def test_a_deployment_with_one_storage_machine_founds_itself():
-    founded(13, lambda daemon: 0, Shape(1, 2, 1, 1, tolerated=0))
+def test_deployment_with_one_storage_machine_bootstraps():
+    bootstrapped(13, lambda daemon: 0, Shape(1, 2, 1, 1, tolerated=0))
 
 
-def test_a_storage_machine_that_is_left_alone_serves_again_after_a_loss_of_power():
-    world, operator = founded(14, lambda daemon: 0, Shape(1, 2, 2, 1, tolerated=0))
+def test_last_storage_machine_recovers_from_a_power_loss():
+    world, operator = bootstrapped(14, lambda daemon: 0, Shape(1, 2, 2, 1, tolerated=0))
     assert plays.await_(world, operator.retire("storage-z0-2", world.now_ms() + 8000), 9000) is True
     worlds.wipe(world, world.daemons["storage-z0-2"])
     world.daemons["storage-z0-2"].gone = True
@@ -114,38 +118,38 @@
     assert plays.settle(world, 12000) >= 0
 
 
-def test_the_founders_disk_and_a_storage_machines_lost_at_first_start_found_no_second_fleet():
-    """The settings still say first start, and the machines that remember are out of the founder's reach."""
-    world, operator = founded(15, lambda daemon: 0)
-    held = charters(world)
-    founder, wiped = world.of("core")[0], world.of("storage")[0]
-    worlds.wipe(world, founder)
+def test_no_second_fleet_when_bootstrapper_and_a_storage_machine_lose_their_disks():
+    """The settings still request an initial start, and the bootstrapper cannot reach the machines with state."""
+    world, operator = bootstrapped(15, lambda daemon: 0)
+    initial_voter_sets = bootstrap_voter_sets(world)
+    bootstrapper, wiped = world.of("core")[0], world.of("storage")[0]
+    worlds.wipe(world, bootstrapper)
     worlds.wipe(world, wiped)
-    apart = [d for d in world.of("storage") if d is not wiped]
-    for other in apart:
-        for here in (founder, wiped):
-            world.net.cuts |= {(here.host.address, other.host.address), (other.host.address, here.host.address)}
-    for daemon in (founder, wiped):
+    unreachable = [d for d in world.of("storage") if d is not wiped]
+    for other in unreachable:
+        for isolated in (bootstrapper, wiped):
+            world.net.cuts |= {(isolated.host.address, other.host.address), (other.host.address, isolated.host.address)}
+    for daemon in (bootstrapper, wiped):
         world.later(500, restart, world, daemon, True)
     world.run(world.now_ms() + 9000)
-    assert charters(world) <= held
+    assert bootstrap_voter_sets(world) <= initial_voter_sets
     world.net.cuts.clear()
     world.run(world.now_ms() + 4000)
-    assert plays.settle(world, 12000) >= 0 and charters(world) <= held
+    assert plays.settle(world, 12000) >= 0 and bootstrap_voter_sets(world) <= initial_voter_sets
     assert plays.await_(world, operator.read(), 5000)["issue"] == 3
 
 
-def test_no_second_fleet_is_founded_by_a_founder_that_reaches_no_other_seed():
-    world, _ = founded(16, lambda daemon: 0)
-    held = charters(world)
-    founder, *seeds = world.of("core")
-    wiped, *apart = world.of("storage")
-    worlds.wipe(world, founder)
+def test_wiped_bootstrapper_that_reaches_no_other_seed_does_not_bootstrap():
+    world, _ = bootstrapped(16, lambda daemon: 0)
+    initial_voter_sets = bootstrap_voter_sets(world)
+    bootstrapper, *seeds = world.of("core")
+    wiped, *unreachable = world.of("storage")
+    worlds.wipe(world, bootstrapper)
     worlds.wipe(world, wiped)
-    for other in (*seeds, *apart):
-        for here in (founder, wiped):
-            world.net.cuts |= {(here.host.address, other.host.address), (other.host.address, here.host.address)}
-    for daemon in (founder, wiped):
+    for other in (*seeds, *unreachable):
+        for isolated in (bootstrapper, wiped):
+            world.net.cuts |= {(isolated.host.address, other.host.address), (other.host.address, isolated.host.address)}
+    for daemon in (bootstrapper, wiped):
         world.later(500, restart, world, daemon, True)
     world.run(world.now_ms() + 9000)
-    assert charters(world) <= held
+    assert bootstrap_voter_sets(world) <= initial_voter_sets
