--- a/tests/fleet_simulator/routes.py
+++ b/tests/fleet_simulator/routes.py
@@ -61,7 +61,7 @@
     old = [name for name in routes if name.startswith("rv")]
     removed = [random.choice(old)] if len(old) > 3 else []
     change = {"issue": issue, "upsert": {"route-table": [moved, added]}, "remove": {"route-table": removed}}
-    after = {name: route for name, route in routes.items() if name not in removed} | {
+    after = {route_name: route for route_name, route in routes.items() if route_name not in removed} | {
         moved["name"]: moved,
         added["name"]: added,
     }
--- a/tests/test_fleet_simulator_cuts.py
+++ b/tests/test_fleet_simulator_cuts.py
@@ -21,8 +21,8 @@
 LEADERLESS_LIMIT_MS = DETECT_MS + 300
 
 
-class Deployment:
-    """Deployment under light traffic whose operator changes the configuration every 2.5 s."""
+class Fleet:
+    """Fleet under light traffic whose operator changes the configuration every 2.5 s."""
 
     def __init__(self, shape="three", seed=5):
         self.world, self.operators, status, took_ms = plays.open_(seed, SHAPES[shape])
@@ -98,154 +98,147 @@
             assert document is not None and document["issue"] >= newest
 
 
-def isolate(deployment, daemon, direction="both", for_ms=LONG_MS):
+def isolate(fleet, daemon, direction="both", for_ms=LONG_MS):
     """Partition a storage or core machine from the other ones."""
     sources = [daemon.host.address]
-    targets = [d.host.address for d in cuts.storage_and_cores(deployment.world) if d is not daemon]
-    outward, inward = (
-        {(source, target) for source in sources for target in targets},
-        {(target, source) for source in sources for target in targets},
-    )
+    peers = [d.host.address for d in cuts.storage_and_cores(fleet.world) if d is not daemon]
+    outward, inward = {(src, dst) for src in sources for dst in peers}, {(dst, src) for src in sources for dst in peers}
     pairs = {"both": outward | inward, "out": outward, "in": inward}[direction]
-    cuts.cut(deployment.world, pairs, troubles.begin(deployment.world, "core cut", [daemon.name]), for_ms)
+    cuts.cut(fleet.world, pairs, troubles.begin(fleet.world, "core cut", [daemon.name]), for_ms)
 
 
-def assert_served_and_recovered(deployment, started_ms, excluded, leaderless_ms):
-    others = [d for d in deployment.world.of("edge") if d not in excluded]
+def assert_served_and_healed(fleet, started_ms, excluded, leaderless_ms):
+    others = [d for d in fleet.world.of("edge") if d not in excluded]
     assert leaderless_ms <= LEADERLESS_LIMIT_MS
-    assert deployment.served(started_ms + 1500, started_ms + LONG_MS, others) > 0.8
-    assert deployment.recovery_ms() <= CONTACT_MS
-    order = deployment.operators[1].modify(deployment.world.now_ms() + 4000)
-    assert plays.await_(deployment.world, order, 5000) in (200, 400, 412)
-    deployment.read_everywhere()
-    assert deployment.violations() == []
+    assert fleet.served(started_ms + 1500, started_ms + LONG_MS, others) > 0.8
+    assert fleet.recovery_ms() <= CONTACT_MS
+    order = fleet.operators[1].modify(fleet.world.now_ms() + 4000)
+    assert plays.await_(fleet.world, order, 5000) in (200, 400, 412)
+    fleet.read_everywhere()
+    assert fleet.violations() == []
 
 
 @pytest.mark.parametrize("direction", ["both", "out", "in"])
 @pytest.mark.parametrize("role", ["storage", "core"])
 def test_service_continues_when_the_leader_is_partitioned(role, direction):
-    deployment = Deployment()
-    daemon, started_ms = bearing.leader(deployment.world, role), deployment.world.now_ms()
-    isolate(deployment, daemon, direction)
-    assert_served_and_recovered(deployment, started_ms, [daemon], deployment.leaderless_ms(LONG_MS + 10, [daemon]))
+    fleet = Fleet()
+    daemon, started_ms = bearing.leader(fleet.world, role), fleet.world.now_ms()
+    isolate(fleet, daemon, direction)
+    assert_served_and_healed(fleet, started_ms, [daemon], fleet.leaderless_ms(LONG_MS + 10, [daemon]))
 
 
 @pytest.mark.parametrize("how", ["reader", "seed", "follower"])
 def test_service_continues_when_another_machine_is_partitioned(how):
-    deployment = Deployment()
-    started_ms, leader = deployment.world.now_ms(), bearing.leader(deployment.world, "storage")
+    fleet = Fleet()
+    started_ms, leader = fleet.world.now_ms(), bearing.leader(fleet.world, "storage")
     found = {
-        "reader": lambda: bearing.reader(deployment.world),
-        "seed": lambda: bearing.seeds(deployment.world)[0],
-        "follower": lambda: next(d for d in deployment.world.of("storage") if d is not leader),
+        "reader": lambda: bearing.reader(fleet.world),
+        "seed": lambda: bearing.seeds(fleet.world)[0],
+        "follower": lambda: next(d for d in fleet.world.of("storage") if d is not leader),
     }[how]()
     if found.role == "edge":
         pairs = cuts.pairs_between(
-            deployment.random, [found.host.address], cuts.addresses(cuts.storage_and_cores(deployment.world)), False
+            fleet.random, [found.host.address], cuts.addresses(cuts.storage_and_cores(fleet.world)), False
         )
-        cuts.cut(deployment.world, pairs, troubles.begin(deployment.world, "cut", [found.name]), LONG_MS)
-        deployment.world.notes.isolations.append(Isolation(found.host.address, started_ms, started_ms + LONG_MS))
+        cuts.cut(fleet.world, pairs, troubles.begin(fleet.world, "cut", [found.name]), LONG_MS)
+        fleet.world.notes.isolations.append(Isolation(found.host.address, started_ms, started_ms + LONG_MS))
     else:
-        isolate(deployment, found)
-    deployment.run(LEASE_MS + 100)
+        isolate(fleet, found)
+    fleet.run(LEASE_MS + 100)
     assert found.role == "storage" or not holds_lease(found.owner)
-    assert_served_and_recovered(
-        deployment, started_ms, [found], deployment.leaderless_ms(LONG_MS - LEASE_MS - 90, [found])
-    )
+    assert_served_and_healed(fleet, started_ms, [found], fleet.leaderless_ms(LONG_MS - LEASE_MS - 90, [found]))
 
 
 @pytest.mark.parametrize("restart_others", [False, True])
 @pytest.mark.parametrize("role", ["storage", "core"])
 def test_service_continues_when_the_partitioned_machine_restarts(role, restart_others):
-    deployment = Deployment()
-    daemon, started_ms = bearing.leader(deployment.world, role), deployment.world.now_ms()
-    isolate(deployment, daemon)
-    deployment.world.later(6000, worlds.kill, deployment.world, daemon, restart_others)
-    deployment.world.later(6500, worlds.start, deployment.world, daemon)
-    others = [d for d in cuts.storage_and_cores(deployment.world) if d is not daemon]
+    fleet = Fleet()
+    daemon, started_ms = bearing.leader(fleet.world, role), fleet.world.now_ms()
+    isolate(fleet, daemon)
+    fleet.world.later(6000, worlds.kill, fleet.world, daemon, restart_others)
+    fleet.world.later(6500, worlds.start, fleet.world, daemon)
+    others = [d for d in cuts.storage_and_cores(fleet.world) if d is not daemon]
     if restart_others:
-        deployment.world.later(9000, cuts.restart_all, deployment.world, deployment.random, others)
-    leaderless_ms = deployment.leaderless_ms(LONG_MS + 10, [daemon])
+        fleet.world.later(9000, cuts.restart_all, fleet.world, fleet.random, others)
+    leaderless_ms = fleet.leaderless_ms(LONG_MS + 10, [daemon])
     if restart_others:
         assert leaderless_ms <= 900 + LEADERLESS_LIMIT_MS
         leaderless_ms = 0.0
-    assert_served_and_recovered(deployment, started_ms, [daemon], leaderless_ms)
+    assert_served_and_healed(fleet, started_ms, [daemon], leaderless_ms)
 
 
 def test_service_continues_during_two_overlapping_partitions():
-    deployment = Deployment("two")
-    started_ms, first = deployment.world.now_ms(), bearing.leader(deployment.world, "storage")
-    isolate(deployment, first, "both", LONG_MS)
-    deployment.run(7000)
-    second = bearing.leader(deployment.world, "storage")
-    second = second if second is not first else next(d for d in deployment.world.of("storage") if d is not first)
-    isolate(deployment, second, "both", LONG_MS - 7000)
-    assert_served_and_recovered(
-        deployment, started_ms, [first, second], deployment.leaderless_ms(LONG_MS - 6990, [first, second])
-    )
+    fleet = Fleet("two")
+    started_ms, first = fleet.world.now_ms(), bearing.leader(fleet.world, "storage")
+    isolate(fleet, first, "both", LONG_MS)
+    fleet.run(7000)
+    second = bearing.leader(fleet.world, "storage")
+    second = second if second is not first else next(d for d in fleet.world.of("storage") if d is not first)
+    isolate(fleet, second, "both", LONG_MS - 7000)
+    assert_served_and_healed(fleet, started_ms, [first, second], fleet.leaderless_ms(LONG_MS - 6990, [first, second]))
 
 
 @pytest.mark.parametrize("role", ["storage", "core"])
 def test_service_continues_when_the_leader_freezes(role):
-    deployment = Deployment()
-    daemon, started_ms = bearing.leader(deployment.world, role), deployment.world.now_ms()
-    trouble = troubles.begin(deployment.world, "freeze", [daemon.name])
+    fleet = Fleet()
+    daemon, started_ms = bearing.leader(fleet.world, role), fleet.world.now_ms()
+    trouble = troubles.begin(fleet.world, "freeze", [daemon.name])
     daemon.host.freeze()
-    deployment.world.later(LONG_MS, troubles.thaw, deployment.world, daemon, daemon.host.life, trouble)
-    assert_served_and_recovered(deployment, started_ms, [daemon], deployment.leaderless_ms(LONG_MS + 10, [daemon]))
+    fleet.world.later(LONG_MS, troubles.thaw, fleet.world, daemon, daemon.host.life, trouble)
+    assert_served_and_healed(fleet, started_ms, [daemon], fleet.leaderless_ms(LONG_MS + 10, [daemon]))
 
 
 @pytest.mark.parametrize("delay_ms", [60, 3000])
 def test_service_continues_when_the_disk_of_the_leader_is_slow(delay_ms):
-    deployment = Deployment()
-    daemon, started_ms = bearing.leader(deployment.world, "storage"), deployment.world.now_ms()
-    trouble = troubles.begin(deployment.world, "slow disk", [daemon.name])
+    fleet = Fleet()
+    daemon, started_ms = bearing.leader(fleet.world, "storage"), fleet.world.now_ms()
+    trouble = troubles.begin(fleet.world, "slow disk", [daemon.name])
     daemon.drive.delay_ms = delay_ms
-    deployment.world.later(LONG_MS, troubles.disk_well, deployment.world, daemon, trouble)
-    leaderless_ms = deployment.leaderless_ms(LONG_MS + 10, [])
-    while trouble.until_ms > deployment.world.now_ms():
-        deployment.run(STEP_MS)
-    assert_served_and_recovered(deployment, started_ms, [], leaderless_ms)
+    fleet.world.later(LONG_MS, troubles.disk_well, fleet.world, daemon, trouble)
+    leaderless_ms = fleet.leaderless_ms(LONG_MS + 10, [])
+    while trouble.until_ms > fleet.world.now_ms():
+        fleet.run(STEP_MS)
+    assert_served_and_healed(fleet, started_ms, [], leaderless_ms)
 
 
 @pytest.mark.parametrize("step_s", [-3600.0, -2.0, 2.0, 3600.0])
 def test_wall_clock_steps_have_no_effect(step_s):
-    deployment = Deployment()
-    started_ms = deployment.world.now_ms()
-    for daemon in deployment.world.daemons.values():
-        if deployment.random.random() < 0.5:
+    fleet = Fleet()
+    started_ms = fleet.world.now_ms()
+    for daemon in fleet.world.daemons.values():
+        if fleet.random.random() < 0.5:
             daemon.wall_offset_s += step_s
-            deployment.world.later(LONG_MS, machines.step_back, daemon, step_s)
-    assert_served_and_recovered(deployment, started_ms, [], deployment.leaderless_ms(LONG_MS + 10, []))
+            fleet.world.later(LONG_MS, machines.step_back, daemon, step_s)
+    assert_served_and_healed(fleet, started_ms, [], fleet.leaderless_ms(LONG_MS + 10, []))
 
 
 def test_change_sent_when_a_partition_heals_is_judged_by_the_newest_state():
-    deployment = Deployment()
-    daemon = bearing.leader(deployment.world, "core")
-    isolate(deployment, daemon)
-    deployment.run(LONG_MS)
-    operator = plays.operator_of(deployment.world, "m")
+    fleet = Fleet()
+    daemon = bearing.leader(fleet.world, "core")
+    isolate(fleet, daemon)
+    fleet.run(LONG_MS)
+    operator = plays.operator_of(fleet.world, "m")
     operator.controls = lambda: [(daemon.host.address, worlds.CONTROL)]
-    assert plays.await_(deployment.world, operator.modify(deployment.world.now_ms() + 4000), 5000) in (200, 400, 412)
-    assert deployment.recovery_ms() <= CONTACT_MS
-    assert deployment.violations() == []
+    assert plays.await_(fleet.world, operator.modify(fleet.world.now_ms() + 4000), 5000) in (200, 400, 412)
+    assert fleet.recovery_ms() <= CONTACT_MS
+    assert fleet.violations() == []
 
 
 def edge_partitioned_with_leader(plant):
     """Partition the leader together with an edge during changes. Returns the rules that the lease monitor reports."""
     with planted(plant):
-        deployment = Deployment()
-        leader, edge = bearing.leader(deployment.world, "storage"), deployment.world.of("edge")[0]
+        fleet = Fleet()
+        leader, edge = bearing.leader(fleet.world, "storage"), fleet.world.of("edge")[0]
         side = [leader, edge]
-        rest = [d for d in deployment.world.daemons.values() if d not in side]
-        pairs = cuts.pairs_between(deployment.random, cuts.addresses(side), cuts.addresses(rest), False)
-        cuts.cut(deployment.world, pairs, troubles.begin(deployment.world, "core cut", [d.name for d in side]), 6000)
+        rest = [d for d in fleet.world.daemons.values() if d not in side]
+        pairs = cuts.pairs_between(fleet.random, cuts.addresses(side), cuts.addresses(rest), False)
+        cuts.cut(fleet.world, pairs, troubles.begin(fleet.world, "core cut", [d.name for d in side]), 6000)
         for number in range(24):
-            operator = plays.operator_of(deployment.world, f"o{number}")
-            deployment.world.later(number * 120, operator.modify, deployment.world.now_ms() + 5000)
-        deployment.run(9000)
-        assert max(v.acked_ms for v in deployment.world.notes.versions) > deployment.world.now_ms() - 9000
-        return {violation.rule for violation in deployment.monitor.broken}
+            operator = plays.operator_of(fleet.world, f"o{number}")
+            fleet.world.later(number * 120, operator.modify, fleet.world.now_ms() + 5000)
+        fleet.run(9000)
+        assert max(v.acked_ms for v in fleet.world.notes.versions) > fleet.world.now_ms() - 9000
+        return {violation.rule for violation in fleet.monitor.broken}
 
 
 def test_edge_partitioned_with_the_leader_serves_no_superseded_configuration():
