--- a/frostpost/simulator/arguments.py
+++ b/frostpost/simulator/arguments.py
@@ -8,7 +8,7 @@
 
 @cappa.command(name="simulate", help="Play seeded storms of faults against the daemons' code under a virtual clock.")
 class Simulate(Struct, kw_only=True):
-    """Arguments of simulate; an unknown shape, fault or plant is answered with those that there are."""
+    """Arguments of `simulate`; for an unknown shape, fault or plant, the known ones are printed."""
 
     first: Annotated[int, cappa.Arg(long=True, help="first seed")] = 1
     seeds: Annotated[int, cappa.Arg(long=True, help="how many seeds")] = 100
--- a/frostpost/simulator/wires.py
+++ b/frostpost/simulator/connections.py
@@ -1,4 +1,4 @@
-"""Simulated TCP connections: buffers, flow control, delays, resets and power cuts."""
+"""Ends of simulated TCP connections and listening ports, with the interfaces of Twisted's transports."""
 
 from collections import deque
 
@@ -8,44 +8,56 @@
 from twisted.internet.interfaces import IConsumer, IPushProducer, ITCPTransport
 from zope.interface import implementer
 
-from .wire_flow import KERNEL, PATIENCE_S, RETRY_S, pump, reset
+from .data_transfer import KERNEL_BUFFER_BYTES, RETRY_DELAY_S, SEND_TIMEOUT_S, reset, schedule_transfer
 
 
 @implementer(ITCPTransport, IConsumer, IPushProducer)
-class Wire:
-    """One end of a connection, with Twisted's transport interface."""
+class Connection:
+    """One end of a connection; `peer` is the other end."""
 
     __slots__ = (
         "net",
         "host",
-        "life",
-        "here",
-        "there",
-        "other",
+        "generation",
+        "local_address",
+        "remote_address",
+        "peer",
         "protocol",
-        "out",
-        "out_bytes",
-        "busy",
+        "send_buffer",
+        "buffered_bytes",
+        "transfer_scheduled",
         "closing",
         "connected",
         "producer",
         "streaming",
-        "held",
+        "producer_paused",
         "paused",
         "reading",
         "fin",
-        "stuck_s",
-        "patience_s",
+        "stalled_s",
+        "send_timeout_s",
         "__weakref__",
     )
 
-    def __init__(self, net, host, here, there):
-        self.net, self.host, self.life, self.here, self.there = net, host, host.life, here, there
-        self.other = self.protocol = self.producer = None
-        self.out, self.out_bytes, self.busy, self.closing, self.connected = deque(), 0, False, False, True
-        self.streaming = self.held = self.fin = False
-        self.paused, self.reading, self.stuck_s, self.patience_s = False, True, 0.0, PATIENCE_S
-        host.wires.append(self)
+    def __init__(self, net, host, local_address, remote_address):
+        self.net, self.host, self.generation, self.local_address, self.remote_address = (
+            net,
+            host,
+            host.generation,
+            local_address,
+            remote_address,
+        )
+        self.peer = self.protocol = self.producer = None
+        self.send_buffer, self.buffered_bytes, self.transfer_scheduled, self.closing, self.connected = (
+            deque(),
+            0,
+            False,
+            False,
+            True,
+        )
+        self.streaming = self.producer_paused = self.fin = False
+        self.paused, self.reading, self.stalled_s, self.send_timeout_s = False, True, 0.0, SEND_TIMEOUT_S
+        host.connections.append(self)
 
     @property
     def disconnecting(self):
@@ -54,36 +66,36 @@
 
     @property
     def finishing(self):
-        """Whether all was written and the end may be sent."""
-        return self.closing and (self.producer is None or self.streaming and not self.held)
+        """Whether the connection is closing and its producer has nothing more to write."""
+        return self.closing and (self.producer is None or self.streaming and not self.producer_paused)
 
-    def retry_s(self):
-        """How long the kernel waits until it sends again what was not acknowledged."""
-        return RETRY_S
+    def retry_delay_s(self):
+        """Return the delay in seconds before the kernel retransmits unacknowledged data."""
+        return RETRY_DELAY_S
 
     def write(self, data):
-        """Queue bytes; pause the producer if the buffer is full."""
+        """Buffer data for sending; pause the producer if the buffer is full."""
         if not self.connected or self.finishing or not data:
             return
-        self.out.append(bytes(data))
-        self.out_bytes += len(data)
-        if self.producer is not None and self.out_bytes > KERNEL and not self.held:
-            self.held = True
+        self.send_buffer.append(bytes(data))
+        self.buffered_bytes += len(data)
+        if self.producer is not None and self.buffered_bytes > KERNEL_BUFFER_BYTES and not self.producer_paused:
+            self.producer_paused = True
             self.producer.pauseProducing()
-        pump(self)
+        schedule_transfer(self)
 
     def writeSequence(self, parts):
-        """Queue several byte strings."""
+        """Buffer several byte strings for sending."""
         self.write(b"".join(parts))
 
     def loseConnection(self):
-        """Close once all is sent."""
+        """Close the connection once all buffered data is sent."""
         if self.connected and not self.closing:
             self.closing = True
-            pump(self)
+            schedule_transfer(self)
 
     def loseWriteConnection(self):
-        """Close once all is sent."""
+        """Close the connection; half-closed connections are not simulated."""
         self.loseConnection()
 
     def abortConnection(self):
@@ -92,46 +104,46 @@
             reset(self, ConnectionLost())
 
     def registerProducer(self, producer, streaming):
-        """Connect a producer for flow control."""
+        """Register a producer, which is paused while the buffer is full."""
         if not self.connected:
             producer.stopProducing()
             return
-        self.producer, self.streaming, self.held = producer, streaming, False
+        self.producer, self.streaming, self.producer_paused = producer, streaming, False
         if not streaming:
             producer.resumeProducing()
 
     def unregisterProducer(self):
-        """Disconnect the producer."""
+        """Unregister the producer."""
         self.producer = None
-        pump(self)
+        schedule_transfer(self)
 
     def pauseProducing(self):
-        """Stop reading."""
+        """Stop reading from the peer."""
         self.reading = False
 
     def resumeProducing(self):
-        """Read again."""
+        """Resume reading from the peer."""
         if not self.reading:
             self.reading = True
-            if self.other is not None:
-                pump(self.other)
+            if self.peer is not None:
+                schedule_transfer(self.peer)
 
     def stopProducing(self):
         """Close the connection."""
         self.loseConnection()
 
     def stopConsuming(self):
-        """Disconnect the producer and close."""
+        """Unregister the producer and close the connection."""
         self.unregisterProducer()
         self.loseConnection()
 
     def getPeer(self):
-        """Return the other end's address."""
-        return IPv4Address("TCP", *self.there)
+        """Return the address of the remote end."""
+        return IPv4Address("TCP", *self.remote_address)
 
     def getHost(self):
-        """Return this end's address."""
-        return IPv4Address("TCP", *self.here)
+        """Return the address of the local end."""
+        return IPv4Address("TCP", *self.local_address)
 
     def setTcpNoDelay(self, on):
         """Do nothing."""
--- a/frostpost/simulator/core_faults.py
+++ b/frostpost/simulator/core_faults.py
@@ -21,7 +21,7 @@
     """Kill one node and restart it later. power: cut its power, so that unsynced records may be lost."""
     name = random.choice(sorted(world.nodes))
     worlds.kill(world, name, power)
-    worlds.at(world, random.uniform(50, 3000), "call", restart, name)
+    worlds.schedule(world, random.uniform(50, 3000), "call", restart, name)
 
 
 def power_off_node(world, random):
@@ -33,61 +33,61 @@
     """Cut the power of all nodes."""
     for name in world.nodes:
         worlds.kill(world, name, True)
-        worlds.at(world, random.uniform(100, 1500), "call", restart, name)
+        worlds.schedule(world, random.uniform(100, 1500), "call", restart, name)
 
 
 def power_off_storage(world):
     """Cut the power of all storage nodes."""
     for name in storage_names(world):
         worlds.kill(world, name, True)
-        worlds.at(world, 100 + 10 * len(name), "call", restart, name)
+        worlds.schedule(world, 100 + 10 * len(name), "call", restart, name)
 
 
 def power_off_after_decision(world, random):
     """Cut the power of all storage nodes right after the next operation is decided, with slow disks until later."""
-    world.trap = True
+    world.power_cut_pending = True
     for name in storage_names(world):
         world.nodes[name].disk.delay_ms = 40
-        worlds.at(world, 1500, "call", reset_disk_speed, name)
+        worlds.schedule(world, 1500, "call", reset_disk_speed, name)
 
 
 def freeze_node(world, random):
     """Freeze one node and resume it later."""
     name = random.choice(sorted(world.nodes))
     worlds.freeze(world, name)
-    worlds.at(world, random.uniform(50, 3500), "call", worlds.thaw, name)
+    worlds.schedule(world, random.uniform(50, 3500), "call", worlds.thaw, name)
 
 
 def partition_in_two(world, random):
     """Partition the network in two."""
     left, right = random_split(random, world.nodes)
-    worlds.cut(world, left, right, one_way=random.random() < 0.3)
-    worlds.at(world, random.uniform(100, 3000), "call", restore_network)
+    worlds.cut_links(world, left, right, one_way=random.random() < 0.3)
+    worlds.schedule(world, random.uniform(100, 3000), "call", restore_network)
 
 
 def partition_pairs(world, random):
     """Block the links between a few pairs of nodes."""
     for _ in range(random.randint(1, 4)):
         left, right = random.sample(sorted(world.nodes), 2)
-        worlds.cut(world, [left], [right], one_way=random.random() < 0.5)
-    worlds.at(world, random.uniform(100, 4000), "call", restore_network)
+        worlds.cut_links(world, [left], [right], one_way=random.random() < 0.5)
+    worlds.schedule(world, random.uniform(100, 4000), "call", restore_network)
 
 
 def isolate_zone(world, random):
     """Cut one zone off from the others."""
     zone = random.choice("abc")
     inside = [n.name for n in world.nodes.values() if n.zone == zone]
-    worlds.cut(world, inside, [n for n in world.nodes if n not in inside])
-    worlds.at(world, random.uniform(100, 4000), "call", restore_network)
+    worlds.cut_links(world, inside, [n for n in world.nodes if n not in inside])
+    worlds.schedule(world, random.uniform(100, 4000), "call", restore_network)
 
 
 def partition_in_three(world, random):
     """Partition the network in three."""
     left, others = random_split(random, world.nodes)
-    worlds.cut(world, left, others)
+    worlds.cut_links(world, left, others)
     if len(others) > 1:
-        worlds.cut(world, *random_split(random, others))
-    worlds.at(world, random.uniform(100, 3000), "call", restore_network)
+        worlds.cut_links(world, *random_split(random, others))
+    worlds.schedule(world, random.uniform(100, 3000), "call", restore_network)
 
 
 def restore_network(world):
@@ -99,14 +99,14 @@
 def lose_messages(world, random):
     """Lose a fraction of all messages for a while."""
     world.loss_rate = random.uniform(0.01, 0.2)
-    worlds.at(world, random.uniform(100, 2000), "call", restore_network)
+    worlds.schedule(world, random.uniform(100, 2000), "call", restore_network)
 
 
 def slow_disk(world, random):
     """Slow down one storage node's disk for a while."""
     name = random.choice(storage_names(world))
     world.nodes[name].disk.delay_ms = random.choice([50, 400, 1500])
-    worlds.at(world, random.uniform(200, 2500), "call", reset_disk_speed, name)
+    worlds.schedule(world, random.uniform(200, 2500), "call", reset_disk_speed, name)
 
 
 def reset_disk_speed(world, name):
@@ -132,8 +132,8 @@
         return
     name = random.choice(complete)
     worlds.kill(world, name, True)
-    world.nodes[name].disk.lasting = []
-    worlds.at(world, random.uniform(50, 2000), "call", restart, name)
+    world.nodes[name].disk.synced_records = []
+    worlds.schedule(world, random.uniform(50, 2000), "call", restart, name)
 
 
 FAULTS = {
--- a/frostpost/simulator/costs.py
+++ b/frostpost/simulator/costs.py
@@ -1,4 +1,4 @@
-"""Count what ordering costs, by members and rate, under the virtual clock."""
+"""Costs of ordering operations and of configuration changes, by members and rate, under the virtual clock."""
 
 import sys
 from collections import Counter
@@ -17,96 +17,101 @@
 from .storm import encode, serves
 
 FLEETS = {4: (0, 3, 1), 8: (3, 3, 2), 16: (8, 3, 5), 32: (22, 3, 7)}
-SPAN_MS = 4000
+DURATION_MS = 4000
 
 
-def count(world, tally):
-    """Return a send function that counts messages and heartbeats."""
+def counting_send(world, message_counts):
+    """Return a send function that counts messages, periodic ones (heartbeats, discovery updates) separately."""
     send = worlds.send
 
-    def counted(world, node, target, body):
-        quiet = isinstance(body, (Heartbeat, DiscoveryUpdate))
-        tally["beats" if quiet else "messages"] += 1
+    def send_counted(world, node, target, body):
+        is_periodic = isinstance(body, (Heartbeat, DiscoveryUpdate))
+        message_counts["beats" if is_periodic else "messages"] += 1
         send(world, node, target, body)
 
-    return counted
+    return send_counted
 
 
-def flow(world, random, per_second, asked, until_ms):
-    """Submit operations at a rate."""
+def submit_at_rate(world, random, per_second, submitted_ms, until_ms):
+    """Submit an operation at a random node and schedule the next one."""
     if world.now_ms >= until_ms:
         return
-    worlds.at(world, random.expovariate(per_second / 1000), "call", flow, random, per_second, asked, until_ms)
+    worlds.schedule(
+        world, random.expovariate(per_second / 1000), "call", submit_at_rate, random, per_second, submitted_ms, until_ms
+    )
     node = random.choice([n for n in world.nodes.values() if serves(world, n)])
-    asked[(node.endpoint.member, node.core.synchrony.last_operation_number + 1)] = world.now_ms
-    worlds.feed(world, node.name, OperationSubmitted(worlds.clock(world, node), encode(Look())))
+    submitted_ms[(node.endpoint.member, node.core.synchrony.last_operation_number + 1)] = world.now_ms
+    worlds.deliver_input(world, node.name, OperationSubmitted(worlds.clock_ms(world, node), encode(Look())))
 
 
 def measure(members, per_second, seed=1):
-    """Return messages, syncs and latency per ordered operation."""
-    world = worlds.make(seed, *FLEETS[members])
+    """Return messages and syncs per ordered operation, and latencies in milliseconds."""
+    world = worlds.create_world(seed, *FLEETS[members])
     worlds.run(world, 3000)
-    tally, asked, took = Counter(), {}, []
+    message_counts, submitted_ms, latencies_ms = Counter(), {}, []
 
-    def heard(world, node, answer):
-        if isinstance(answer, OperationDecided):
-            took.append(world.now_ms - asked[(node.endpoint.member, answer.number)])
+    def on_notification(world, node, notification):
+        if isinstance(notification, OperationDecided):
+            latencies_ms.append(world.now_ms - submitted_ms[(node.endpoint.member, notification.number)])
 
-    world.tap = heard
-    kept, worlds.send = worlds.send, count(world, tally)
-    syncs = sum(n.disk.syncs for n in world.nodes.values())
+    world.on_notification = on_notification
+    original_send, worlds.send = worlds.send, counting_send(world, message_counts)
+    syncs_before = sum(n.disk.sync_count for n in world.nodes.values())
     counts = Counter()
     for node in world.nodes.values():
         counts.subtract(node.core.synchrony.counts)
     try:
-        flow(world, Random(seed), per_second, asked, world.now_ms + SPAN_MS)
-        worlds.run(world, world.now_ms + SPAN_MS + 500)
+        submit_at_rate(world, Random(seed), per_second, submitted_ms, world.now_ms + DURATION_MS)
+        worlds.run(world, world.now_ms + DURATION_MS + 500)
     finally:
-        worlds.send = kept
+        worlds.send = original_send
     for node in world.nodes.values():
         counts.update(node.core.synchrony.counts)
-    took.sort()
-    many = len(took)
+    latencies_ms.sort()
+    ordered_count = len(latencies_ms)
     return {
         "members": members,
         "per_second": per_second,
-        "ordered": many,
-        "messages_each": round(tally["messages"] / many, 2),
+        "ordered": ordered_count,
+        "messages_each": round(message_counts["messages"] / ordered_count, 2),
         "batches": counts["batches"],
-        "entries_aBatch": round(many / counts["batches"], 2),
-        "syncs_each": round((sum(n.disk.syncs for n in world.nodes.values()) - syncs) / many, 2),
-        "heartbeats_per_s": round(tally["beats"] / (SPAN_MS + 500) * 1000),
-        "virtual_ms": {"median": round(took[many // 2], 1), "99": round(took[int(many * 0.99)], 1)},
+        "entries_aBatch": round(ordered_count / counts["batches"], 2),
+        "syncs_each": round((sum(n.disk.sync_count for n in world.nodes.values()) - syncs_before) / ordered_count, 2),
+        "heartbeats_per_s": round(message_counts["beats"] / (DURATION_MS + 500) * 1000),
+        "virtual_ms": {
+            "median": round(latencies_ms[ordered_count // 2], 1),
+            "99": round(latencies_ms[int(ordered_count * 0.99)], 1),
+        },
     }
 
 
-def whole(world):
-    """Tell whether all nodes are in one configuration and serve."""
+def all_serve(world):
+    """Return whether all running nodes are in one configuration and serve."""
     alive = [n for n in world.nodes.values() if n.core is not None]
     ids = {n.core.synchrony.configuration.id for n in alive}
     return len(ids) == 1 and all(serves(world, n) for n in alive)
 
 
 def view_change(members, victim, seed=1):
-    """Return how long it takes to install a configuration and to serve after a node is killed."""
-    world = worlds.make(seed, *FLEETS[members])
+    """Return the times from a node's kill until a new configuration is installed and until all nodes serve."""
+    world = worlds.create_world(seed, *FLEETS[members])
     worlds.run(world, 3000)
-    from_ms = world.now_ms
+    killed_ms = world.now_ms
     worlds.kill(world, victim)
-    done = []
+    installed_ms = []
 
-    def heard(world, node, answer):
-        if isinstance(answer, ConfigurationChanged) and not answer.transitional:
-            done.append(world.now_ms)
+    def on_notification(world, node, notification):
+        if isinstance(notification, ConfigurationChanged) and not notification.transitional:
+            installed_ms.append(world.now_ms)
 
-    world.tap = heard
-    while not done or not whole(world):
+    world.on_notification = on_notification
+    while not installed_ms or not all_serve(world):
         worlds.run(world, world.now_ms + 1)
     return {
         "members": members,
         "killed": victim,
-        "installed_ms": round(done[0] - from_ms),
-        "served_ms": round(world.now_ms - from_ms),
+        "installed_ms": round(installed_ms[0] - killed_ms),
+        "served_ms": round(world.now_ms - killed_ms),
     }
 
 
@@ -118,7 +123,7 @@
 
 
 def main():
-    """Print the costs as JSON lines."""
+    """Run the command line; print the costs as JSON lines."""
     command = cappa.parse(Costs)
     for members in FLEETS:
         for per_second in (20, 200, 1000):
--- a/frostpost/simulator/fleet_calls.py
+++ b/frostpost/simulator/fleet_calls.py
@@ -1,19 +1,19 @@
-"""Calls into a simulated fleet: its addresses, whether a daemon is ready, one call, a crowd of callers."""
+"""Requests to a simulated fleet: single calls and simulated callers; addresses and readiness of its daemons."""
 
 from msgspec import json
 
 from frostpost.testbed import callers
 
-from .fleet import HTTP, clock_ms
+from .fleet import HTTP_PORT, clock_ms
 
 
-def doors(fleet):
+def edge_addresses(fleet):
     """Return the HTTP addresses of the edge daemons."""
-    return [f"{d.host.address}:{HTTP}" for n, d in fleet.daemons.items() if d.settings.role == "edge"]
+    return [f"{d.host.address}:{HTTP_PORT}" for n, d in fleet.daemons.items() if d.settings.role == "edge"]
 
 
-def ready(fleet, name):
-    """Tell whether a daemon serves."""
+def is_ready(fleet, name):
+    """Return whether a daemon runs, holds a lease and has applied the configuration that it needs."""
     from frostpost.daemon.core import holds_lease
 
     daemon = fleet.daemons[name]
@@ -28,37 +28,39 @@
     )
 
 
-def crowd(fleet, seconds, factor, tag="p"):
-    """Start stand-in callers."""
-    fleet.callers.catch_up()
-    fleet.crowd = callers.CallerGroup(fleet.callers, doors(fleet), fleet.seed, fleet.notes, tag)
-    over = []
-    callers.run_arrivals(fleet.crowd, seconds, factor, lambda: over.append(True))
-    return over
+def start_callers(fleet, seconds, factor, tag="p"):
+    """Start simulated callers; returns a list that receives an item once all arrivals are done."""
+    fleet.callers.run_due_calls()
+    fleet.crowd = callers.CallerGroup(fleet.callers, edge_addresses(fleet), fleet.seed, fleet.notes, tag)
+    finished = []
+    callers.run_arrivals(fleet.crowd, seconds, factor, lambda: finished.append(True))
+    return finished
 
 
 def call(fleet, name, path, method="GET", document=None, headers=None):
-    """Send an HTTP request; returns a list that receives (status, body)."""
+    """Send an HTTP request; returns a list that receives (status, body), or (0, error name) if the request fails."""
     from treq.client import HTTPClient
     from twisted.web.client import Agent
 
     from frostpost.http_api.http_client import NumericEndpointFactory
 
-    host, box = fleet.callers, []
-    host.catch_up()
+    host, responses = fleet.callers, []
+    host.run_due_calls()
     client = HTTPClient(Agent.usingEndpointFactory(host, NumericEndpointFactory(host, 1)))
     daemon = fleet.daemons[name]
-    done = client.request(
+    deferred = client.request(
         method,
-        f"http://{daemon.host.address}:{HTTP}{path}",
+        f"http://{daemon.host.address}:{HTTP_PORT}{path}",
         data=None if document is None else callers.request_body(host, json.encode(document)),
         headers=headers or {},
         timeout=20,
         reactor=host,
     )
 
-    def body(response):
-        return response.content().addCallback(lambda raw: box.append((response.code, raw)))
+    def append_response(response):
+        return response.content().addCallback(lambda body: responses.append((response.code, body)))
 
-    done.addCallback(body).addErrback(lambda f: box.append((0, f.type.__name__.encode())))
-    return box
+    deferred.addCallback(append_response).addErrback(
+        lambda failure: responses.append((0, failure.type.__name__.encode()))
+    )
+    return responses
--- a/frostpost/simulator/fleet_disk_faults.py
+++ b/frostpost/simulator/fleet_disk_faults.py
@@ -1,75 +1,75 @@
-"""Faults of the whole-path simulation that strike disks."""
+"""Disk faults of the whole-path simulation."""
 
-from . import drives
-from .fleet import kill, later, revive
+from . import simulated_disk
+from .fleet import kill, schedule, start_if_down
 
 
 def any_daemon(fleet, random, role=None):
-    """Return the name of a random daemon, of a role if one is given."""
+    """Return the name of a random daemon, of the given role if any."""
     return random.choice([n for n, d in fleet.daemons.items() if role in (None, d.settings.role)])
 
 
-def whole(fleet, lost):
-    """Tell whether a majority of storage daemons without one holds full copies."""
-    full = [
+def has_majority_without(fleet, excluded):
+    """Return whether the storage daemons other than `excluded` that hold full copies are a majority."""
+    ready = [
         n
         for n, d in fleet.daemons.items()
         if d.settings.role == "storage"
-        and n != lost
+        and n != excluded
         and d.host.alive
         and d.ctx is not None
         and d.ctx.core.synchrony.primary.ready
         and d.ctx.core.synchrony.primary.opened
     ]
-    return len(full) * 2 > sum(d.settings.role == "storage" for d in fleet.daemons.values())
+    return len(ready) * 2 > sum(d.settings.role == "storage" for d in fleet.daemons.values())
 
 
 def lose_disk(fleet, random):
-    """Replace one storage daemon's disk by an empty one."""
+    """Replace a storage daemon's disk by an empty one."""
     name = any_daemon(fleet, random, "storage")
-    if not whole(fleet, name):
+    if not has_majority_without(fleet, name):
         return
     kill(fleet, name, True)
-    drives.wipe(fleet.daemons[name].drive)
-    later(fleet, random.uniform(50, 2000), revive, fleet, name)
+    simulated_disk.wipe(fleet.daemons[name].disk)
+    schedule(fleet, random.uniform(50, 2000), start_if_down, fleet, name)
 
 
-def rot_disk(fleet, random):
-    """Damage a file on one storage daemon's disk."""
+def corrupt_disk(fleet, random):
+    """Corrupt a file on a storage daemon's disk."""
     name = any_daemon(fleet, random, "storage")
-    if not whole(fleet, name):
+    if not has_majority_without(fleet, name):
         return
     kill(fleet, name)
-    drives.rot(fleet.daemons[name].drive, f"/{name}/{random.choice(('log', 'bodies'))}", random)
-    later(fleet, random.uniform(50, 1000), revive, fleet, name)
+    simulated_disk.corrupt(fleet.daemons[name].disk, f"/{name}/{random.choice(('log', 'bodies'))}", random)
+    schedule(fleet, random.uniform(50, 1000), start_if_down, fleet, name)
 
 
-def disk_faults(fleet, random):
-    """Let the next calls to one disk fail."""
+def fail_disk_calls(fleet, random):
+    """Make the next one to three calls of a kind to a storage daemon's disk fail."""
     name = any_daemon(fleet, random, "storage")
-    if whole(fleet, name):
-        fleet.daemons[name].drive.broken[random.choice(("write", "sync", "open", "replace"))] = random.randint(1, 3)
+    if has_majority_without(fleet, name):
+        fleet.daemons[name].disk.failing[random.choice(("write", "sync", "open", "replace"))] = random.randint(1, 3)
 
 
-def full_disk(fleet, random):
-    """Fill one disk for a while."""
-    drive = fleet.daemons[any_daemon(fleet, random, "storage")].drive
-    drive.room = drives.used(drive) + random.randint(0, 200)
-    later(fleet, random.uniform(300, 3000), make_room, drive)
+def fill_disk(fleet, random):
+    """Fill a storage daemon's disk for a while."""
+    disk = fleet.daemons[any_daemon(fleet, random, "storage")].disk
+    disk.capacity_bytes = simulated_disk.used_bytes(disk) + random.randint(0, 200)
+    schedule(fleet, random.uniform(300, 3000), reset_disk_capacity, disk)
 
 
-def make_room(drive):
-    """Give a disk its room back."""
-    drive.room = 1 << 40
+def reset_disk_capacity(disk):
+    """Restore a disk's capacity."""
+    disk.capacity_bytes = 1 << 40
 
 
-def slow_disk(fleet, random):
-    """Slow down one disk for a while."""
-    drive = fleet.daemons[any_daemon(fleet, random)].drive
-    drive.delay_ms = random.choice([50, 400, 1500, 3500])
-    later(fleet, random.uniform(500, 4500), quick_disk, drive)
+def slow_down_disk(fleet, random):
+    """Slow down a daemon's disk for a while."""
+    disk = fleet.daemons[any_daemon(fleet, random)].disk
+    disk.delay_ms = random.choice([50, 400, 1500, 3500])
+    schedule(fleet, random.uniform(500, 4500), reset_disk_speed, disk)
 
 
-def quick_disk(drive):
-    """Give a disk its normal speed back."""
-    drive.delay_ms = 3.0
+def reset_disk_speed(disk):
+    """Restore a disk's normal speed."""
+    disk.delay_ms = 3.0
--- a/frostpost/simulator/fleet_events.py
+++ b/frostpost/simulator/fleet_events.py
@@ -1,4 +1,4 @@
-"""Operators' and runners' events of the whole-path simulation."""
+"""Events of the whole-path simulation that operators and runners cause."""
 
 from msgspec import json
 
@@ -7,118 +7,118 @@
 
 from . import fleet as fleets
 from . import fleet_calls
-from .fleet import later
-from .fleet_faults import show
+from .fleet import schedule
+from .fleet_faults import publish_runners
 
 MODES = (*DISCONNECT_MODES, "stall", "bare503", "endless")
 
 
 def any_runner(fleet, random):
-    """Return (host, runner) of a random runner."""
-    address = random.choice(sorted(fleet.backs))
-    return fleet.net.hosts[address], fleet.backs[address]
+    """Return the host and the state of a random runner."""
+    address = random.choice(sorted(fleet.runners))
+    return fleet.net.hosts[address], fleet.runners[address]
 
 
 def misbehave(fleet, random, mode=None):
     """Make a runner misbehave for a while."""
     _, runner = any_runner(fleet, random)
     runner.mode = mode or random.choice(MODES)
-    later(fleet, random.uniform(200, 1500), behave, runner)
+    schedule(fleet, random.uniform(200, 1500), reset_mode, runner)
 
 
-def behave(runner):
-    """Make a runner behave again."""
+def reset_mode(runner):
+    """End a runner's misbehaviour."""
     runner.mode = "well"
 
 
-def replace(fleet, random, careless=None):
-    """Replace a runner by another under its address."""
+def replace_runner(fleet, random, careless=None):
+    """Replace a runner by another one at the same address, possibly of another pool."""
     host, old = any_runner(fleet, random)
-    others = [r for r in fleet.backs.values() if r.pool != old.pool]
-    last = not any(r is not old and r.pool == old.pool and not r.away for r in fleet.backs.values())
-    host.die()
+    other_pool_runners = [runner for runner in fleet.runners.values() if runner.pool != old.pool]
+    is_last = not any(r is not old and r.pool == old.pool and not r.away for r in fleet.runners.values())
+    host.terminate()
     host.boot()
-    pool = random.choice(others).pool if random.random() < 0.5 and not last else old.pool
+    pool = random.choice(other_pool_runners).pool if random.random() < 0.5 and not is_last else old.pool
     careless = random.random() < 0.5 if careless is None else careless
     name = f"{pool}-{len(fleet.runner_notes.lines)}"
-    fleets.raise_runner(fleet, host, name, pool, old.room, careless=careless and pool != old.pool)
-    later(fleet, random.uniform(0, 1500), show, fleet)
+    fleets.start_runner(fleet, host, name, pool, old.room, careless=careless and pool != old.pool)
+    schedule(fleet, random.uniform(0, 1500), publish_runners, fleet)
 
 
-def leave(fleet, random):
-    """Let a runner report that it leaves."""
+def shut_down_runner(fleet, random):
+    """Make a runner report that it is shutting down; replace it after 5 s."""
     _, runner = any_runner(fleet, random)
-    if sum(r.pool == runner.pool and not r.away for r in fleet.backs.values()) < 2:
+    if sum(r.pool == runner.pool and not r.away for r in fleet.runners.values()) < 2:
         return
     runner.leaving = runner.away = True
     fleet.runner_notes.record("changed", runner=runner.name, mode=runner.mode, leaving=True)
-    later(fleet, 5000, stay, fleet, runner)
+    schedule(fleet, 5000, start_replacement, fleet, runner)
 
 
-def stay(fleet, runner):
-    """Put a new instance in the place of a runner that left."""
-    row = next((r for r in fleet.rows if r["name"] == runner.name), None)
+def start_replacement(fleet, runner):
+    """Start a new runner at the address of one that shut down or was drained."""
+    row = next((r for r in fleet.listed_runners if r["name"] == runner.name), None)
     if row is not None:
         host = fleet.net.hosts[row["host"]]
-        host.die()
+        host.terminate()
         host.boot()
-        fleets.raise_runner(fleet, host, f"{runner.pool}-{len(fleet.runner_notes.lines)}", runner.pool, runner.room)
-        show(fleet)
+        fleets.start_runner(fleet, host, f"{runner.pool}-{len(fleet.runner_notes.lines)}", runner.pool, runner.room)
+        publish_runners(fleet)
 
 
-def drain(fleet, random):
-    """Let an operator drain a runner."""
+def drain_runner(fleet, random):
+    """Drain a runner through the operators' interface; replace it after 6 s."""
     _, runner = any_runner(fleet, random)
-    if sum(r.pool == runner.pool and not r.away for r in fleet.backs.values()) < 2:
+    if sum(r.pool == runner.pool and not r.away for r in fleet.runners.values()) < 2:
         return
     runner.away = True
-    operator(
+    send_operator_request(
         fleet, random, f"/v1/runners/{runner.name}/drain", "POST", {"leaving": True}, "drained", runner=runner.name
     )
-    later(fleet, 6000, stay, fleet, runner)
+    schedule(fleet, 6000, start_replacement, fleet, runner)
 
 
-def operator(fleet, random, path, method, document, kind, headers=None, door=None, **facts):
-    """Send an operator's request and record its response."""
-    door = door or random.choice(list(fleet.daemons))
+def send_operator_request(fleet, random, path, method, document, kind, headers=None, daemon=None, **details):
+    """Send an operator's request to a daemon and record its response in the notes once it is there."""
+    daemon = daemon or random.choice(list(fleet.daemons))
     asked_ms = int(fleets.clock_ms(fleet))
-    box = fleet_calls.call(fleet, door, path, method, document, headers)
+    responses = fleet_calls.call(fleet, daemon, path, method, document, headers)
 
-    def look():
-        if not box:
-            return later(fleet, 5, look)
-        status, raw = box[0]
-        said = json.decode(raw) if raw[:1] == b"{" else {}
+    def record_response():
+        if not responses:
+            return schedule(fleet, 5, record_response)
+        status, body = responses[0]
+        answer = json.decode(body) if body[:1] == b"{" else {}
         fleet.notes.record(
             kind,
             status=status,
             asked_ms=asked_ms,
-            version=said.get("version"),
-            error=said.get("error"),
-            door=door,
-            **facts,
+            version=answer.get("version"),
+            error=answer.get("error"),
+            door=daemon,
+            **details,
         )
 
-    look()
-    return box
+    record_response()
+    return responses
 
 
-def value_of(fleet):
+def next_value(fleet):
     """Return a parameter value that was not used before."""
-    fleet.amends += 1
-    return 1000 + fleet.amends
+    fleet.parameter_changes += 1
+    return 1000 + fleet.parameter_changes
 
 
-def amend(fleet, random, two=True):
-    """Change a tenant's parameter, twice at once against one version if `two`."""
+def change_parameter(fleet, random, concurrently=True):
+    """Change a tenant's parameter; if `concurrently`, send two changes at once that require the same version."""
     version = max((n["version"] or 0 for n in fleet.notes.lines if n["kind"] == "configured"), default=1)
-    headers = {"if-match": f'"{version}"'} if two else None
-    if_match = version if two else None
-    for _ in range(2 if two else 1):
-        value = value_of(fleet)
+    headers = {"if-match": f'"{version}"'} if concurrently else None
+    if_match = version if concurrently else None
+    for _ in range(2 if concurrently else 1):
+        value = next_value(fleet)
         parameters = {**TENANTS["hlidar"]["parameters"], "check_output": value}
         if random.random() < 0.5:
-            operator(
+            send_operator_request(
                 fleet,
                 random,
                 "/v1/config/tenants/hlidar",
@@ -130,7 +130,7 @@
                 if_match=if_match,
             )
         else:
-            operator(
+            send_operator_request(
                 fleet,
                 random,
                 "/v1/config/tenants/hlidar",
@@ -143,10 +143,10 @@
             )
 
 
-def wrong(fleet, random):
-    """Send an invalid change."""
-    value = value_of(fleet)
-    operator(
+def send_invalid_config(fleet, random):
+    """Send an invalid change of a tenant."""
+    value = next_value(fleet)
+    send_operator_request(
         fleet,
         random,
         "/v1/config/tenants/hlidar",
@@ -157,17 +157,17 @@
     )
 
 
-def large(fleet, random):
+def send_large_template(fleet, random):
     """Send a large template."""
-    template = {**TEMPLATES["clerks"], "notes": {"n": "x" * 600000, "at": fleet.amends}}
-    operator(fleet, random, "/v1/config/templates/clerks", "PUT", template, "enlarged")
+    template = {**TEMPLATES["clerks"], "notes": {"n": "x" * 600000, "at": fleet.parameter_changes}}
+    send_operator_request(fleet, random, "/v1/config/templates/clerks", "PUT", template, "enlarged")
 
 
-def whole_set(fleet, random):
-    """Send all documents as one change."""
-    value, asked_ms = value_of(fleet), fleets.clock_ms(fleet)
+def replace_config(fleet, random):
+    """Replace all templates and tenants in one change."""
+    value, asked_ms = next_value(fleet), fleets.clock_ms(fleet)
     parameters = {**TENANTS["hlidar"]["parameters"], "check_output": value}
-    box = fleet_calls.call(
+    responses = fleet_calls.call(
         fleet,
         random.choice(list(fleet.daemons)),
         "/v1/config",
@@ -175,35 +175,35 @@
         {"templates": TEMPLATES, "tenants": {**TENANTS, "hlidar": {**TENANTS["hlidar"], "parameters": parameters}}},
     )
 
-    def look():
-        if not box:
-            return later(fleet, 5, look)
-        status, raw = box[0]
-        version = json.decode(raw).get("versions", {}).get("tenants/hlidar") if status == 200 else None
+    def record_response():
+        if not responses:
+            return schedule(fleet, 5, record_response)
+        status, body = responses[0]
+        version = json.decode(body).get("versions", {}).get("tenants/hlidar") if status == 200 else None
         fleet.notes.record(
             "configured", status=status, asked_ms=int(asked_ms), version=version, value=value, if_match=None
         )
 
-    look()
+    record_response()
 
 
-def voters(fleet, random):
-    """Add or remove a voter."""
-    standing = [n for n, d in fleet.daemons.items() if d.settings.role == "storage"]
-    held = fleet.daemons[standing[0]].ctx.core.ledger.voters
-    spare = [n for n in standing if n not in held]
-    change = {"add": spare[0]} if spare else {"remove": random.choice(standing)}
-    operator(fleet, random, "/v1/voters", "POST", change, "voted")
+def change_voters(fleet, random):
+    """Add a storage daemon that doesn't vote as a voter, or remove a random one."""
+    storage_names = [n for n, d in fleet.daemons.items() if d.settings.role == "storage"]
+    current = fleet.daemons[storage_names[0]].ctx.core.ledger.voters
+    candidates = [n for n in storage_names if n not in current]
+    change = {"add": candidates[0]} if candidates else {"remove": random.choice(storage_names)}
+    send_operator_request(fleet, random, "/v1/voters", "POST", change, "voted")
 
 
-CHORES = {
-    "whole_set": whole_set,
-    "voters": voters,
+OPERATOR_AND_RUNNER_EVENTS = {
+    "whole_set": replace_config,
+    "voters": change_voters,
     "misbehave": misbehave,
-    "replace": replace,
-    "runner_leaves": leave,
-    "drain": drain,
-    "amend": amend,
-    "wrong_config": wrong,
-    "large_config": large,
+    "replace": replace_runner,
+    "runner_leaves": shut_down_runner,
+    "drain": drain_runner,
+    "amend": change_parameter,
+    "wrong_config": send_invalid_config,
+    "large_config": send_large_template,
 }
--- a/frostpost/simulator/fleet_faults.py
+++ b/frostpost/simulator/fleet_faults.py
@@ -2,213 +2,217 @@
 
 from frostpost.testbed import platform as platforms
 
-from . import drives, fleet_calls
 from . import fleet as fleets
-from .fleet import kill, later, revive, warn
+from . import fleet_calls, simulated_disk
+from .fleet import kill, schedule, shut_down, start_if_down
 from .fleet_disk_faults import (
     any_daemon,
-    disk_faults,
-    full_disk,
+    corrupt_disk,
+    fail_disk_calls,
+    fill_disk,
+    has_majority_without,
     lose_disk,
-    make_room,
-    quick_disk,
-    rot_disk,
-    slow_disk,
-    whole,
+    reset_disk_capacity,
+    reset_disk_speed,
+    slow_down_disk,
 )
 
 
 def kill_one(fleet, random, power=False):
-    """Kill one daemon and start it again later."""
+    """Kill a daemon, or cut its power, and start it again later."""
     name = any_daemon(fleet, random)
     kill(fleet, name, power)
-    later(fleet, random.uniform(50, 3000), revive, fleet, name)
+    schedule(fleet, random.uniform(50, 3000), start_if_down, fleet, name)
 
 
-def power_one(fleet, random):
-    """Cut one daemon's power."""
+def cut_power_of_one(fleet, random):
+    """Cut a daemon's power and start it again later."""
     kill_one(fleet, random, True)
 
 
-def all_down(fleet, random):
-    """Take all daemons down, with or without power, and maybe lose one disk."""
+def stop_all(fleet, random):
+    """Kill all daemons or cut their power, and in half of the cases lose one disk."""
     power = random.random() < 0.5
     lost = any_daemon(fleet, random, "storage")
     for name in fleet.daemons:
         kill(fleet, name, power)
-        later(fleet, random.uniform(100, 1500), revive, fleet, name)
-    if random.random() < 0.5 and whole(fleet, lost):
-        drives.wipe(fleet.daemons[lost].drive)
+        schedule(fleet, random.uniform(100, 1500), start_if_down, fleet, name)
+    if random.random() < 0.5 and has_majority_without(fleet, lost):
+        simulated_disk.wipe(fleet.daemons[lost].disk)
 
 
 def freeze_one(fleet, random):
-    """Freeze one daemon for a while."""
+    """Freeze a daemon for a while."""
     host = fleet.daemons[any_daemon(fleet, random)].host
     host.freeze()
-    later(fleet, random.uniform(50, 4000), host.thaw)
+    schedule(fleet, random.uniform(50, 4000), host.thaw)
 
 
 def freeze_edge(fleet, random):
-    """Freeze one edge daemon for longer than a lease."""
+    """Freeze an edge daemon for longer than a lease."""
     host = fleet.daemons[any_daemon(fleet, random, "edge")].host
     host.freeze()
-    later(fleet, random.uniform(3000, 7000), host.thaw)
+    schedule(fleet, random.uniform(3000, 7000), host.thaw)
 
 
-def power_after_end(fleet, random):
+def cut_power_after_turn(fleet, random):
     """Cut the power of all storage daemons right after the next turn is answered."""
 
-    def told(note):
-        if note["kind"] == "answered" and note["status"] == 200 and "end" in (note["lines"] or [{}])[-1]:
+    def on_event(event):
+        if event["kind"] == "answered" and event["status"] == 200 and "end" in (event["lines"] or [{}])[-1]:
             fleet.notes.on_event = None
-            later(fleet, 0, every_voter_down, fleet, random)
+            schedule(fleet, 0, cut_power_of_storage, fleet, random)
 
-    fleet.notes.on_event = told
+    fleet.notes.on_event = on_event
 
 
-def every_voter_down(fleet, random):
+def cut_power_of_storage(fleet, random):
     """Cut the power of all storage daemons."""
     for name, daemon in fleet.daemons.items():
         if daemon.settings.role == "storage":
             kill(fleet, name, True)
-            later(fleet, random.uniform(50, 500), revive, fleet, name)
+            schedule(fleet, random.uniform(50, 500), start_if_down, fleet, name)
 
 
 def freeze_runner(fleet, random):
-    """Freeze one runner for a while."""
-    address = random.choice(sorted(fleet.backs))
+    """Freeze a runner for a while."""
+    address = random.choice(sorted(fleet.runners))
     fleet.net.hosts[address].freeze()
-    fleet.backs[address].frozen_ms = int(fleets.clock_ms(fleet))
-    later(fleet, random.uniform(50, 4000), thaw_runner, fleet, address)
+    fleet.runners[address].frozen_ms = int(fleets.clock_ms(fleet))
+    schedule(fleet, random.uniform(50, 4000), thaw_runner, fleet, address)
 
 
 def thaw_runner(fleet, address):
-    """Let a frozen runner go on."""
+    """Unfreeze a runner."""
     fleet.net.hosts[address].thaw()
-    later(fleet, 60, awake, fleet.backs[address])
+    schedule(fleet, 60, clear_frozen_time, fleet.runners[address])
 
 
-def awake(runner):
-    """Forget that a runner was frozen."""
+def clear_frozen_time(runner):
+    """Clear the time at which a runner was frozen."""
     runner.frozen_ms = 0
 
 
-def cut(fleet, left, right, one_way=False):
-    """Cut the links between two groups of daemons."""
-    for a in left:
-        for b in right:
-            x, y = fleet.daemons[a].host.address, fleet.daemons[b].host.address
-            fleet.net.cuts |= {(x, y)} if one_way else {(x, y), (y, x)}
+def cut_links(fleet, left, right, one_way=False):
+    """Cut the links between two groups of daemons, or only those from the first to the second."""
+    for sender in left:
+        for receiver in right:
+            source, destination = fleet.daemons[sender].host.address, fleet.daemons[receiver].host.address
+            fleet.net.cuts |= {(source, destination)} if one_way else {(source, destination), (destination, source)}
 
 
-def cut_some(fleet, random):
-    """Cut the network in two."""
+def partition(fleet, random):
+    """Partition the network into two random groups of daemons for a while."""
     names = list(fleet.daemons)
     random.shuffle(names)
-    at = random.randint(1, len(names) - 1)
-    cut(fleet, names[:at], names[at:], random.random() < 0.3)
-    later(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
+    split_index = random.randint(1, len(names) - 1)
+    cut_links(fleet, names[:split_index], names[split_index:], random.random() < 0.3)
+    schedule(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
 
 
 def cut_pairs(fleet, random):
-    """Cut a few links between pairs."""
+    """Cut the links between a few pairs of daemons for a while."""
     for _ in range(random.randint(1, 3)):
-        a, b = random.sample(sorted(fleet.daemons), 2)
-        cut(fleet, [a], [b], random.random() < 0.5)
-    later(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
+        left, right = random.sample(sorted(fleet.daemons), 2)
+        cut_links(fleet, [left], [right], random.random() < 0.5)
+    schedule(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
 
 
-def cut_zone(fleet, random):
-    """Cut one zone off."""
+def isolate_zone(fleet, random):
+    """Isolate a zone for a while."""
     zone = random.choice("abc")
     inside = [n for n, d in fleet.daemons.items() if d.settings.zone == zone]
-    cut(fleet, inside, [n for n in fleet.daemons if n not in inside])
-    later(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
+    cut_links(fleet, inside, [n for n in fleet.daemons if n not in inside])
+    schedule(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
 
 
-def cut_core(fleet, random):
-    """Cut the core daemons off."""
+def isolate_core(fleet, random):
+    """Isolate the core daemons for a while."""
     core = [n for n, d in fleet.daemons.items() if d.settings.role == "core"]
-    cut(fleet, core, [n for n in fleet.daemons if n not in core])
-    later(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
+    cut_links(fleet, core, [n for n in fleet.daemons if n not in core])
+    schedule(fleet, random.uniform(100, 4000), fleet.net.cuts.clear)
 
 
 def jump_clock(fleet, random):
-    """Let one daemon's wall clock jump."""
+    """Shift a daemon's wall clock."""
     daemon = fleet.daemons[any_daemon(fleet, random)]
-    daemon.wall_s += random.choice((-7200, -30, 30, 7200))
+    daemon.wall_offset_s += random.choice((-7200, -30, 30, 7200))
 
 
-def roll(fleet, random):
-    """Restart one daemon as in a roll-out."""
+def restart_one(fleet, random):
+    """Restart a daemon as in a rolling update: shut it down, kill it after 32 s, and start it once it has exited."""
     name = any_daemon(fleet, random)
-    if all(fleet_calls.ready(fleet, n) for n in fleet.daemons):
-        warn(fleet, name)
-        later(fleet, 32000, kill, fleet, name)
-        follow(fleet, name)
+    if all(fleet_calls.is_ready(fleet, n) for n in fleet.daemons):
+        shut_down(fleet, name)
+        schedule(fleet, 32000, kill, fleet, name)
+        start_after_exit(fleet, name)
 
 
-def follow(fleet, name):
-    """Start a daemon again once it has stopped."""
+def start_after_exit(fleet, name):
+    """Start a daemon once it has exited."""
     if fleet.daemons[name].host.alive:
-        later(fleet, 200, follow, fleet, name)
+        schedule(fleet, 200, start_after_exit, fleet, name)
     else:
         fleets.start(fleet, name)
 
 
-def platform_stale(fleet, random):
-    """Let the platform's list lag for a while."""
+def delay_platform_list(fleet, random):
+    """Make the platform's runner list stale for a while."""
     fleet.platform.lag_s = random.choice((0.5, 3.0, 6.0))
-    later(fleet, random.uniform(500, 5000), platform_well, fleet)
+    schedule(fleet, random.uniform(500, 5000), reset_platform, fleet)
 
 
-def platform_well(fleet):
-    """Let the platform's list be normal again."""
+def reset_platform(fleet):
+    """Restore the normal lag and rate limit of the platform's runner list."""
     fleet.platform.lag_s, fleet.platform.per_second = 0.5, 4.0
 
 
-def platform_busy(fleet, random):
-    """Let the platform refuse most requests for a while."""
+def limit_platform_rate(fleet, random):
+    """Make the platform refuse most requests for a while."""
     fleet.platform.per_second = fleet.platform.tokens = 0.2
-    later(fleet, random.uniform(500, 4000), platform_well, fleet)
+    schedule(fleet, random.uniform(500, 4000), reset_platform, fleet)
 
 
-def show(fleet):
-    """Publish the current list of runners."""
-    platforms.publish(fleet.platform, list(fleet.rows))
+def publish_runners(fleet):
+    """Publish the current runner list on the platform."""
+    platforms.publish(fleet.platform, list(fleet.listed_runners))
 
 
-CORE = {
+DAEMON_FAULTS = {
     "kill": kill_one,
-    "power": power_one,
-    "all_down": all_down,
+    "power": cut_power_of_one,
+    "all_down": stop_all,
     "lose_disk": lose_disk,
-    "rot_disk": rot_disk,
-    "disk_faults": disk_faults,
-    "full_disk": full_disk,
-    "slow_disk": slow_disk,
+    "rot_disk": corrupt_disk,
+    "disk_faults": fail_disk_calls,
+    "full_disk": fill_disk,
+    "slow_disk": slow_down_disk,
     "freeze": freeze_one,
-    "cut": cut_some,
+    "cut": partition,
     "pairs": cut_pairs,
-    "zone": cut_zone,
-    "cut_core": cut_core,
+    "zone": isolate_zone,
+    "cut_core": isolate_core,
     "jump_clock": jump_clock,
     "freeze_edge": freeze_edge,
-    "power_after_end": power_after_end,
+    "power_after_end": cut_power_after_turn,
+}
+PLATFORM_FAULTS = {
+    "platform_stale": delay_platform_list,
+    "platform_busy": limit_platform_rate,
+    "freeze_runner": freeze_runner,
 }
-PLATFORM = {"platform_stale": platform_stale, "platform_busy": platform_busy, "freeze_runner": freeze_runner}
 
 
 def heal(fleet):
-    """End all faults and start every daemon."""
+    """End all faults and start the daemons that are down."""
     fleet.net.cuts.clear()
-    platform_well(fleet)
+    reset_platform(fleet)
     for name, daemon in fleet.daemons.items():
-        quick_disk(daemon.drive)
-        make_room(daemon.drive)
-        daemon.drive.broken.clear()
+        reset_disk_speed(daemon.disk)
+        reset_disk_capacity(daemon.disk)
+        daemon.disk.failing.clear()
         daemon.host.thaw()
-        revive(fleet, name)
-    for address, runner in fleet.backs.items():
+        start_if_down(fleet, name)
+    for address, runner in fleet.runners.items():
         thaw_runner(fleet, address)
         runner.mode = "well"
--- a/frostpost/simulator/hosts.py
+++ b/frostpost/simulator/hosts.py
@@ -1,15 +1,15 @@
-"""A simulated machine that stands in for Twisted's reactor."""
+"""Simulated machines that implement the parts of Twisted's reactor that the daemons use."""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
+from . import connections, data_transfer
 from . import net as nets
-from . import wire_flow, wires
 
 
 class Host:
-    """A machine with its own clock, network, ports and threads; it can freeze, die and boot again."""
+    """A machine with its own clock, ports, connections and threads; it can be frozen, terminated and booted again."""
 
     __slots__ = (
         "net",
@@ -19,121 +19,121 @@
         "frozen",
         "alive",
         "powered",
-        "life",
+        "generation",
         "queue",
         "ports",
-        "wires",
+        "connections",
         "jobs",
         "thread_ms",
         "zone",
-        "breaks",
+        "tracebacks",
     )
 
     def __init__(self, net, name, address, zone="a"):
         self.net, self.name, self.address, self.zone = net, name, address, zone
-        self.life, self.alive, self.powered = 0, False, True
-        self.thread_ms, self.breaks = (lambda: 1.0), []
+        self.generation, self.alive, self.powered = 0, False, True
+        self.thread_ms, self.tracebacks = (lambda: 1.0), []
         self.boot()
 
     def boot(self):
-        """Start with an empty event loop."""
-        self.life += 1
+        """Start the machine with an empty event loop."""
+        self.generation += 1
         self.clock, self.frozen, self.queue = Clock(), False, []
         self.clock.rightNow = self.net.clock.seconds()
-        self.ports, self.wires, self.jobs = {}, [], []
+        self.ports, self.connections, self.jobs = {}, [], []
         self.alive = self.powered = True
 
     def seconds(self):
         """Return the machine's monotonic clock in seconds."""
         return self.clock.seconds()
 
-    def callLater(self, delay_s, call, *args, **facts):
-        """Schedule a call in this boot of the machine."""
-        return self.clock.callLater(delay_s, self.guarded, self.life, call, args, facts)
+    def callLater(self, delay_s, call, *args, **kwargs):
+        """Schedule a call that is dropped if the machine reboots."""
+        return self.clock.callLater(delay_s, self.run_guarded, self.generation, call, args, kwargs)
 
-    def guarded(self, life, call, args, facts):
-        """Run a call if it belongs to the current boot; keep the traceback if it raises."""
-        if life == self.life and self.alive:
+    def run_guarded(self, generation, call, args, kwargs):
+        """Run a call if it belongs to the current boot; record the traceback if it raises."""
+        if generation == self.generation and self.alive:
             try:
-                call(*args, **facts)
+                call(*args, **kwargs)
             except Exception:
-                self.breaks.append(Failure().getTraceback()[-1500:])
+                self.tracebacks.append(Failure().getTraceback()[-1500:])
 
     def getDelayedCalls(self):
         """Return the scheduled calls."""
         return self.clock.getDelayedCalls()
 
-    def due_s(self):
-        """Return when the next call is due, None if nothing can run."""
+    def next_call_s(self):
+        """Return the time of the next scheduled call in seconds, None if nothing can run."""
         if not self.alive or self.frozen or not self.clock.calls:
             return None
         return self.clock.calls[0].getTime()
 
-    def catch_up(self):
-        """Run all calls that are due."""
-        behind = self.net.clock.seconds() - self.clock.seconds()
-        if behind >= 0 and self.alive and not self.frozen:
-            self.clock.advance(max(0.0, behind))
+    def run_due_calls(self):
+        """Advance the machine's clock to the network's and run all calls that are due."""
+        elapsed_s = self.net.clock.seconds() - self.clock.seconds()
+        if elapsed_s >= 0 and self.alive and not self.frozen:
+            self.clock.advance(max(0.0, elapsed_s))
 
-    def enter(self, call, *args):
-        """Run a call on this machine now, or once it goes on."""
+    def dispatch(self, call, *args):
+        """Run a call on this machine now, or when it is thawed."""
         if not self.alive:
             return
         if self.frozen:
             self.queue.append((call, args))
             return
-        self.catch_up()
-        self.guarded(self.life, call, args, {})
+        self.run_due_calls()
+        self.run_guarded(self.generation, call, args, {})
 
     def freeze(self):
-        """Stop the machine; its connections stay open."""
+        """Freeze the machine; its connections stay open."""
         if self.alive:
             self.frozen = True
 
     def thaw(self):
-        """Let the machine go on."""
+        """Unfreeze the machine: run the calls that are due, then the queued ones."""
         if not self.frozen:
             return
         self.frozen, queue, self.queue = False, self.queue, []
-        self.catch_up()
+        self.run_due_calls()
         for call, args in queue:
-            self.enter(call, *args)
+            self.dispatch(call, *args)
 
     def in_thread(self, call, *args):
-        """Run a job as in a thread; Deferred of its result."""
-        done = Deferred()
+        """Run a job as in a thread after a simulated delay; returns a Deferred of its result."""
+        deferred = Deferred()
         job = (call, args)
         self.jobs.append(job)
 
-        def work():
+        def run_job():
             self.jobs.remove(job)
             try:
                 result = call(*args)
             except Exception:
-                done.errback(Failure())
+                deferred.errback(Failure())
                 return
-            done.callback(result)
+            deferred.callback(result)
 
-        self.callLater(self.thread_ms() / 1000, work)
-        return done
+        self.callLater(self.thread_ms() / 1000, run_job)
+        return deferred
 
-    def die(self, power=False):
-        """Kill the process or cut the power; return the jobs that were under way."""
+    def terminate(self, power=False):
+        """Kill the process or cut power; returns the jobs that were unfinished."""
         if not self.alive:
             return []
         jobs, self.jobs = self.jobs, []
         self.alive, self.frozen, self.queue, self.powered = False, False, [], not power
-        held, self.wires, self.ports = self.wires, [], {}
-        for wire in held:
-            wire_flow.orphan(wire, power)
+        open_connections, self.connections, self.ports = self.connections, [], {}
+        for connection in open_connections:
+            data_transfer.detach(connection, power)
         for call in list(self.clock.calls):
             call.cancel()
         return jobs
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
-        """Open a simulated connection."""
+        """Open a simulated connection; returns its connector."""
         return nets.connect(self.net, self, host, port, factory, timeout)
 
     def listenTCP(self, port, factory, backlog=50, interface=""):
-        """Listen on a simulated port."""
-        return wires.Port(self, port, factory)
+        """Listen on a simulated port; returns it."""
+        return connections.Port(self, port, factory)
--- a/frostpost/simulator/net.py
+++ b/frostpost/simulator/net.py
@@ -1,124 +1,140 @@
-"""A simulated network: hosts, cut links, delays and connects."""
+"""A simulated network: hosts, cut links, link delays and connection attempts."""
 
 from twisted.internet.error import ConnectionRefusedError, TimeoutError, UserError
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from . import wires
+from . import connections
 
 
 class Net:
     """All hosts and the links between them."""
 
-    __slots__ = ("clock", "random", "hosts", "cuts", "serial", "connects")
+    __slots__ = ("clock", "random", "hosts", "cuts", "last_port", "connect_count")
 
     def __init__(self, random):
         self.clock, self.random, self.hosts = Clock(), random, {}
-        self.cuts, self.serial, self.connects = set(), 30000, 0
+        self.cuts, self.last_port, self.connect_count = set(), 30000, 0
 
-    def barred(self, here, there):
-        """Tell whether the link from one address to another is cut."""
-        return (here, there) in self.cuts
+    def is_cut(self, source, destination):
+        """Return whether the link from one address to another is cut."""
+        return (source, destination) in self.cuts
 
-    def link_delay_s(self, here, there):
-        """Return a random delay of a link in seconds."""
-        a, b = self.hosts.get(here), self.hosts.get(there)
-        base_ms = 0.5 if a and b and a.zone != b.zone else 0.1
+    def link_delay_s(self, source, destination):
+        """Return a random link delay in seconds, longer between zones."""
+        sender, receiver = self.hosts.get(source), self.hosts.get(destination)
+        base_ms = 0.5 if sender and receiver and sender.zone != receiver.zone else 0.1
         return (base_ms + self.random.expovariate(5)) / 1000
 
 
-def connect(net, host, address, port, factory, wait_s):
-    """Start a connect and return its connector."""
-    connector = Connector(net, host, (address, port), factory, wait_s)
+def connect(net, host, address, port, factory, timeout_s):
+    """Start a connection attempt and return its connector."""
+    connector = Connector(net, host, (address, port), factory, timeout_s)
     connector.connect()
     return connector
 
 
 class Connector:
-    """One connect, with the interface of Twisted's connectors."""
-
-    __slots__ = ("net", "host", "there", "factory", "wait_s", "life", "state", "wire", "end_s")
-
-    def __init__(self, net, host, there, factory, wait_s):
-        self.net, self.host, self.there, self.factory, self.wait_s = net, host, there, factory, wait_s
-        self.life, self.state, self.wire, self.end_s = host.life, "new", None, 0.0
+    """A connection attempt, with the interface of Twisted's connectors."""
+
+    __slots__ = (
+        "net",
+        "host",
+        "remote_address",
+        "factory",
+        "timeout_s",
+        "generation",
+        "state",
+        "connection",
+        "deadline_s",
+    )
+
+    def __init__(self, net, host, remote_address, factory, timeout_s):
+        self.net, self.host, self.remote_address, self.factory, self.timeout_s = (
+            net,
+            host,
+            remote_address,
+            factory,
+            timeout_s,
+        )
+        self.generation, self.state, self.connection, self.deadline_s = host.generation, "new", None, 0.0
 
     def connect(self):
-        """Start the connect."""
-        self.state, self.end_s = "connecting", self.net.clock.seconds() + self.wait_s
-        self.net.connects += 1
+        """Start the attempt."""
+        self.state, self.deadline_s = "connecting", self.net.clock.seconds() + self.timeout_s
+        self.net.connect_count += 1
         self.factory.doStart()
         self.factory.startedConnecting(self)
-        self.net.clock.callLater(self.net.link_delay_s(self.host.address, self.there[0]), self.arrive)
+        self.net.clock.callLater(self.net.link_delay_s(self.host.address, self.remote_address[0]), self.reach_target)
 
     def stopConnecting(self):
-        """Give the connect up."""
+        """Give up the attempt."""
         self.fail(UserError())
 
     def disconnect(self):
-        """Give the connect up, or close the connection."""
+        """Give up the attempt, or close the connection."""
         if self.state == "connecting":
             self.stopConnecting()
-        elif self.wire is not None:
-            self.wire.loseConnection()
+        elif self.connection is not None:
+            self.connection.loseConnection()
 
     def getDestination(self):
         """Return the address to connect to."""
-        return self.there
+        return self.remote_address
 
     def fail(self, reason):
-        """Fail the connect."""
-        if self.state in ("connecting", "answered") and self.life == self.host.life:
+        """Report the failure of the attempt to the factory."""
+        if self.state in ("connecting", "answered") and self.generation == self.host.generation:
             self.state = "failed"
-            self.host.enter(self.factory.clientConnectionFailed, self, Failure(reason))
+            self.host.dispatch(self.factory.clientConnectionFailed, self, Failure(reason))
 
-    def arrive(self):
-        """Reach the other host: refused, accepted, or tried again if it is silent."""
-        if self.state != "connecting" or self.life != self.host.life or not self.host.alive:
+    def reach_target(self):
+        """Connect to the remote host, which accepts or refuses; retry if it cannot be reached."""
+        if self.state != "connecting" or self.generation != self.host.generation or not self.host.alive:
             return
-        target = self.net.hosts.get(self.there[0])
-        here, there = self.host.address, self.there[0]
-        silent = target is None or not target.powered
-        if silent or self.net.barred(here, there) or self.net.barred(there, here):
-            return self.again()
-        port = target.ports.get(self.there[1]) if target.alive else None
+        target = self.net.hosts.get(self.remote_address[0])
+        source, destination = self.host.address, self.remote_address[0]
+        unavailable = target is None or not target.powered
+        if unavailable or self.net.is_cut(source, destination) or self.net.is_cut(destination, source):
+            return self.retry()
+        port = target.ports.get(self.remote_address[1]) if target.alive else None
         if port is None:
             return self.fail(ConnectionRefusedError())
-        self.net.serial += 1
-        mine = wires.Wire(self.net, self.host, (here, self.net.serial), self.there)
-        other = wires.Wire(self.net, target, self.there, (here, self.net.serial))
-        mine.other, other.other, self.wire, self.state = other, mine, mine, "answered"
-        target.enter(serve, port.factory, other)
-        self.net.clock.callLater(self.net.link_delay_s(there, here), self.made)
-
-    def again(self):
-        """Try again until the timeout."""
-        if self.net.clock.seconds() >= self.end_s:
+        self.net.last_port += 1
+        local = connections.Connection(self.net, self.host, (source, self.net.last_port), self.remote_address)
+        remote = connections.Connection(self.net, target, self.remote_address, (source, self.net.last_port))
+        local.peer, remote.peer, self.connection, self.state = remote, local, local, "answered"
+        target.dispatch(accept, port.factory, remote)
+        self.net.clock.callLater(self.net.link_delay_s(destination, source), self.on_accepted)
+
+    def retry(self):
+        """Repeat the attempt until the timeout."""
+        if self.net.clock.seconds() >= self.deadline_s:
             return self.fail(TimeoutError())
-        self.net.clock.callLater(min(0.1, self.wait_s / 4), self.arrive)
+        self.net.clock.callLater(min(0.1, self.timeout_s / 4), self.reach_target)
 
-    def made(self):
-        """Learn that the connect was accepted."""
-        self.host.enter(self.begin)
+    def on_accepted(self):
+        """Start the protocol on the connecting host."""
+        self.host.dispatch(self.start_protocol)
 
-    def begin(self):
-        """Start the protocol."""
-        if self.life != self.host.life:
+    def start_protocol(self):
+        """Build the protocol and connect it, unless the host restarted or the attempt was given up."""
+        if self.generation != self.host.generation:
             return
         if self.state != "answered":
-            return self.wire.abortConnection()
+            return self.connection.abortConnection()
         self.state = "connected"
-        self.wire.protocol = self.factory.buildProtocol(self.wire.getPeer())
-        if self.wire.protocol is None or not self.wire.connected:
+        self.connection.protocol = self.factory.buildProtocol(self.connection.getPeer())
+        if self.connection.protocol is None or not self.connection.connected:
             self.state = "connecting"
             return self.fail(ConnectionRefusedError())
-        self.wire.protocol.makeConnection(self.wire)
+        self.connection.protocol.makeConnection(self.connection)
 
 
-def serve(factory, wire):
+def accept(factory, connection):
     """Start the protocol of an accepted connection."""
-    wire.protocol = factory.buildProtocol(wire.getPeer())
-    if wire.protocol is None:
-        wire.abortConnection()
+    connection.protocol = factory.buildProtocol(connection.getPeer())
+    if connection.protocol is None:
+        connection.abortConnection()
     else:
-        wire.protocol.makeConnection(wire)
+        connection.protocol.makeConnection(connection)
--- a/frostpost/simulator/node.py
+++ b/frostpost/simulator/node.py
@@ -1,4 +1,4 @@
-"""One daemon of the core simulation: its core, its disk, and whether it runs."""
+"""A simulated daemon: its core, its disk and its process state."""
 
 from msgspec import Struct, field
 
@@ -7,19 +7,19 @@
 
 
 class Disk(Struct):
-    """A node's log: lasting records are synced, written ones are not yet."""
+    """The records of a node's log, by whether they are synced."""
 
-    lasting: list = []
-    written: list = []
-    syncing: int = 0
+    synced_records: list = []
+    unsynced_records: list = []
+    syncing_count: int = 0
     delay_ms: int = 3
     boots: int = 0
-    wrote: int = 0
-    syncs: int = 0
+    written_count: int = 0
+    sync_count: int = 0
 
 
 class Node(Struct):
-    """One daemon's core with its disk."""
+    """A simulated daemon; `generation` increases at each start and kill, so that old events can be discarded."""
 
     name: str
     role: str
@@ -27,7 +27,7 @@
     endpoint: Endpoint | None = None
     core: cores.Core | None = None
     disk: Disk = field(default_factory=Disk)
-    life: int = 0
+    generation: int = 0
     frozen: bool = False
     queue: list = []
     skew_ms: int = 0
--- a/frostpost/simulator/play.py
+++ b/frostpost/simulator/play.py
@@ -10,7 +10,7 @@
 from .core_faults import FAULTS, end_all_faults
 from .evs_checks import Violation, find_evs_violations
 from .ledger_checks import find_ledger_violations
-from .storm import BUDGET, Work, serves, storm, tap, watch, work
+from .storm import BUDGET, Load, observer, run_load, schedule_faults, serves, watch_leases
 
 STORM_MS = 14000
 RECOVERY_TIMEOUT_MS = 12000
@@ -48,15 +48,15 @@
     seed, edges=2, storages=3, cores=2, kinds=None, storm_ms=STORM_MS, bounds=None, prepare=None, gap_ms=2500, voters=0
 ):
     """Simulate one seeded run with faults for `storm_ms`, then without; return (world, Report)."""
-    world = worlds.make(seed, edges, storages, cores, bounds or (SMALL_BOUNDS if seed % 2 else None), voters)
+    world = worlds.create_world(seed, edges, storages, cores, bounds or (SMALL_BOUNDS if seed % 2 else None), voters)
     random = Random(seed * 7919 + 1)
-    load = Work(random, until_ms=storm_ms + 3000)
-    world.tap = tap(load)
+    load = Load(random, until_ms=storm_ms + 3000)
+    world.on_notification = observer(load)
     if prepare:
         prepare(world)
-    worlds.at(world, 1500, "call", work, load)
-    worlds.at(world, 1500, "call", watch, load)
-    storm(world, random, storm_ms, sorted(kinds or FAULTS), gap_ms)
+    worlds.schedule(world, 1500, "call", run_load, load)
+    worlds.schedule(world, 1500, "call", watch_leases, load)
+    schedule_faults(world, random, storm_ms, sorted(kinds or FAULTS), gap_ms)
     worlds.run(world, storm_ms)
     end_all_faults(world)
     healed_ms, recovery_ms = world.now_ms, -1.0
@@ -67,11 +67,13 @@
             break
     worlds.run(world, max(world.now_ms, load.until_ms) + 1500)
     violations = [
-        *load.breaks[:3],
-        *find_evs_violations(world.history, world.ordered),
+        *load.violations[:3],
+        *find_evs_violations(world.history, world.last_ordinals),
         *find_ledger_violations(world, BUDGET),
     ]
     if recovery_ms < 0:
         violations.append(Violation("back", f"not served again {RECOVERY_TIMEOUT_MS} ms after the healing"))
     installs = sum(n.core.synchrony.counts.get("installs", 0) for n in world.nodes.values() if n.core)
-    return world, Report(seed, violations, recovery_ms, load.asked, load.decided, world.sent, installs, world.trace)
+    return world, Report(
+        seed, violations, recovery_ms, load.submitted_count, load.decided_count, world.sent, installs, world.trace
+    )
--- a/frostpost/simulator/sweep.py
+++ b/frostpost/simulator/sweep.py
@@ -1,4 +1,4 @@
-"""Play many storms of the simulation in parallel and print a summary."""
+"""Run many seeds of the simulations in parallel and print a summary."""
 
 import sys
 import time
@@ -8,7 +8,7 @@
 
 from msgspec import json
 
-from . import whole
+from . import whole_path
 from .core_faults import FAULTS
 from .plants import PLANTS, planted
 from .play import play
@@ -16,8 +16,8 @@
 SHAPES = {"quick": (2, 3, 2), "full": (8, 3, 5), "voters": (2, 5, 2)}
 
 
-def one(job):
-    """Play one storm of the core simulation."""
+def run_core(job):
+    """Run one seed of the core simulation; returns its report."""
     seed, shape, kinds, gap_ms, plant = job
     edges, storages, cores = SHAPES[shape]
     with planted(plant):
@@ -25,69 +25,71 @@
     return report
 
 
-def one_whole(job):
-    """Play one storm of the whole-path simulation."""
+def run_whole_path(job):
+    """Run one seed of the whole-path simulation; returns its report."""
     seed, shape, planned, gap_ms, kinds = job
-    return whole.play(seed, *SHAPES[shape], kinds=kinds or None, planned=planned, gap_ms=gap_ms)[1]
+    return whole_path.play(seed, *SHAPES[shape], kinds=kinds or None, planned=planned, gap_ms=gap_ms)[1]
 
 
-def sweep_whole(command):
-    """Play many storms of the whole-path simulation and print a summary."""
+def sweep_whole_path(command):
+    """Run many seeds of the whole-path simulation, print failed reports and a summary; returns the exit status."""
     jobs = [
-        (s, command.shape, command.planned, min(command.gap_ms, 1800), command.kinds)
-        for s in range(command.first, command.first + command.seeds)
+        (seed, command.shape, command.planned, min(command.gap_ms, 1800), command.kinds)
+        for seed in range(command.first, command.first + command.seeds)
     ]
-    start_s, broken, backs, faults, tally = time.monotonic(), Counter(), [], 0, Counter()
+    start_s, violations, back_times_ms, fault_count, result_counts = time.monotonic(), Counter(), [], 0, Counter()
     with ProcessPoolExecutor(command.workers) as pool:
-        for report in pool.map(one_whole, jobs):
-            backs.append(report.back_ms)
-            faults += len(report.trace)
-            tally.update(report.callers["results"])
-            broken.update({b.never for b in report.broken})
+        for report in pool.map(run_whole_path, jobs):
+            back_times_ms.append(report.back_ms)
+            fault_count += len(report.trace)
+            result_counts.update(report.callers["results"])
+            violations.update({breach.never for breach in report.broken})
             if report.broken:
                 print(json.encode(report).decode()[:2500], flush=True)
-    backs.sort()
+    back_times_ms.sort()
     print(
         json.encode(
             {
                 "seeds": len(jobs),
-                "faults": faults,
-                "broken_seeds": dict(broken),
-                "results": dict(tally.most_common()),
-                "back_ms": {"median": backs[len(backs) // 2], "most": backs[-1]},
+                "faults": fault_count,
+                "broken_seeds": dict(violations),
+                "results": dict(result_counts.most_common()),
+                "back_ms": {"median": back_times_ms[len(back_times_ms) // 2], "most": back_times_ms[-1]},
                 "seconds": round(time.monotonic() - start_s, 1),
             }
         ).decode()
     )
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
-def unknown_words(command):
-    """Return what is unknown in the arguments, with the words that are known; an empty list if all is known."""
-    faults, plants = (whole.ALL, {}) if command.whole else (FAULTS, PLANTS)
+def unknown_values(command):
+    """Return a message for each unknown shape, fault or plant among the arguments."""
+    faults, plants = (whole_path.ALL_EVENTS, {}) if command.whole else (FAULTS, PLANTS)
     checks = (([command.shape], SHAPES), (command.kinds, faults), ([command.plant] if command.plant else [], plants))
-    return [f"{word}: known are {', '.join(known)}" for words, known in checks for word in words if word not in known]
+    return [
+        f"{value}: known are {', '.join(known)}" for values, known in checks for value in values if value not in known
+    ]
 
 
 def simulate(command):
-    """Play the storms that the arguments ask for; returns the exit status."""
-    unknown = unknown_words(command)
+    """Run the simulation that the arguments select; returns the exit status."""
+    unknown = unknown_values(command)
     if unknown:
         print(*(f"UnknownWord: {text}" for text in unknown), sep="\n", file=sys.stderr)
         return EX_USAGE
-    return sweep_whole(command) if command.whole else sweep_core(command)
+    return sweep_whole_path(command) if command.whole else sweep_core(command)
 
 
 def sweep_core(command):
-    """Play many storms of the core simulation and print a summary."""
+    """Run many seeds of the core simulation, print failed reports and a summary; returns the exit status."""
     jobs = [
-        (s, command.shape, command.kinds, command.gap_ms, command.plant)
-        for s in range(command.first, command.first + command.seeds)
+        (seed, command.shape, command.kinds, command.gap_ms, command.plant)
+        for seed in range(command.first, command.first + command.seeds)
     ]
-    start_s, broken, backs, totals = time.monotonic(), Counter(), [], Counter()
+    start_s, violations, back_times_ms, totals = time.monotonic(), Counter(), [], Counter()
     with ProcessPoolExecutor(command.workers) as pool:
-        for report in pool.map(one, jobs, chunksize=4):
-            backs.append(report.back_ms)
+        for report in pool.map(run_core, jobs, chunksize=4):
+            back_times_ms.append(report.back_ms)
             totals.update(
                 asked=report.asked,
                 decided=report.decided,
@@ -95,19 +97,19 @@
                 installs=report.installs,
                 faults=len(report.trace),
             )
-            broken.update({b.spec for b in report.broken})
+            violations.update({violation.spec for violation in report.broken})
             if report.broken:
                 print(json.encode(report).decode()[:1500])
-    backs.sort()
+    back_times_ms.sort()
     print(
         json.encode(
             {
                 "seeds": len(jobs),
-                "broken_seeds": dict(broken),
-                "back_ms": {"median": backs[len(backs) // 2], "most": backs[-1]},
+                "broken_seeds": dict(violations),
+                "back_ms": {"median": back_times_ms[len(back_times_ms) // 2], "most": back_times_ms[-1]},
                 **totals,
                 "seconds": round(time.monotonic() - start_s, 1),
             }
         ).decode()
     )
-    return 1 if broken else 0
+    return 1 if violations else 0
--- a/frostpost/simulator/traces.py
+++ b/frostpost/simulator/traces.py
@@ -53,15 +53,15 @@
 
 def recorders(name, runs):
     """Return replacements for `world.start` and `world.feed` that append each run of a node to `runs`."""
-    start, feed = worlds.start, worlds.feed
+    start, feed = worlds.start, worlds.deliver_input
 
     def record_start(world, node_name):
         if node_name == name:
-            runs.append([list(world.nodes[node_name].disk.lasting), []])
+            runs.append([list(world.nodes[node_name].disk.synced_records), []])
         start(world, node_name)
         if node_name == name:
             node = world.nodes[node_name]
-            runs[-1].insert(0, (node.endpoint, worlds.clock(world, node)))
+            runs[-1].insert(0, (node.endpoint, worlds.clock_ms(world, node)))
 
     def record_feed(world, node_name, input):
         node = world.nodes[node_name]
@@ -149,12 +149,12 @@
 def record_traces(note, name, simulate):
     """Run a simulation and return the traces of one node's runs."""
     runs = []
-    originals = worlds.start, worlds.feed
-    worlds.start, worlds.feed = recorders(name, runs)
+    originals = worlds.start, worlds.deliver_input
+    worlds.start, worlds.deliver_input = recorders(name, runs)
     try:
         world, _ = simulate()
     finally:
-        worlds.start, worlds.feed = originals
+        worlds.start, worlds.deliver_input = originals
     traces = []
     for (endpoint, now_ms), records, inputs in runs:
         seeds = tuple(f"@{n}:1" for n in list(world.nodes)[:3])
--- a/tests/behaviour_fingerprint.py
+++ b/tests/behaviour_fingerprint.py
@@ -1,13 +1,13 @@
-"""Digests of everything that leaves the code in seeded simulations: a refactoring must not move one byte of it.
+"""Digests of the output of seeded simulations, by which a refactoring can be shown to preserve behaviour.
 
-Three simulations are played: the daemons' core, the whole path of the own interface, and days of a deployment on the
-users' machines. A digest covers, in order and with the virtual time, inner messages as encoded, bytes written to every
-connection (frames between daemons, HTTP to clients, runners and the platform) and all disk writes. Log lines and the
-names of types and fields are outside of it.
+There are three simulations: the daemons' core, the whole path of our own interface, and days of a deployment on the
+users' machines. A digest covers, in order and with the virtual time, encoded internal messages, bytes written to every
+connection (frames between daemons, HTTP to clients, runners and the platform) and all disk writes. It does not cover
+log lines or the names of types and fields.
 
     PYTHONPATH=tests python -m behaviour_fingerprint            compare all recorded runs
-    PYTHONPATH=tests python -m behaviour_fingerprint --record   record them anew, after an intended change
-    PYTHONPATH=tests python -m behaviour_fingerprint RUN ...    compare some of them
+    PYTHONPATH=tests python -m behaviour_fingerprint --record   record all runs again, after an intended change
+    PYTHONPATH=tests python -m behaviour_fingerprint RUN ...    compare the given runs
 """
 
 import re
@@ -21,37 +21,37 @@
 from fleet_simulator import play as days
 from fleet_simulator.shapes import SHAPES
 
-from frostpost.simulator import drives, whole, wires
+from frostpost.simulator import connections, simulated_disk, whole_path
 from frostpost.simulator import play as storms
 from frostpost.simulator import world as worlds
 
 RECORDED = Path(__file__).parent / "data" / "behaviour_fingerprint.json"
 WORKERS = 4
-# Twisted's web server stamps its answers with the real time of day.
+# Twisted's web server sends the real time of day.
 WALL_CLOCK = re.compile(rb"(?i)^date: [^\r]*\r\n", re.MULTILINE)
 
 
 class Digest:
-    """A running hash of what leaves the code, and how many pieces went in."""
+    """A running hash of the output of a simulation, and the number of items added to it."""
 
     def __init__(self):
-        self.hash, self.pieces = sha256(), 0
+        self.hash, self.item_count = sha256(), 0
 
     def add(self, *parts):
-        """Add one piece: names, times and bytes."""
-        self.pieces += 1
+        """Add one item, which consists of names, times and bytes."""
+        self.item_count += 1
         for part in parts:
             data = part if isinstance(part, bytes) else str(part).encode()
             self.hash.update(len(data).to_bytes(8, "big") + data)
 
     def text(self):
-        """The digest as it is recorded."""
-        return f"{self.pieces}:{self.hash.hexdigest()[:32]}"
+        """Return the digest in its recorded form."""
+        return f"{self.item_count}:{self.hash.hexdigest()[:32]}"
 
 
 @contextmanager
 def patched(owner, name, replacement):
-    """Put a replacement in the place of an attribute for a while."""
+    """Replace an attribute of a module or class within a with block."""
     original = getattr(owner, name)
     setattr(owner, name, replacement(original))
     try:
@@ -60,8 +60,8 @@
         setattr(owner, name, original)
 
 
-def watched_send(digest):
-    """Digest each message between cores as its bytes in a frame."""
+def digesting_send(digest):
+    """Return a wrapper for `send` that adds each encoded message between cores."""
 
     def replacement(original):
         def send(world, node, target, body):
@@ -73,8 +73,8 @@
     return replacement
 
 
-def watched_perform(digest):
-    """Digest the records that a core writes."""
+def digesting_perform(digest):
+    """Return a wrapper for `perform` that adds the records that a core writes."""
 
     def replacement(original):
         def perform(world, node, out):
@@ -87,12 +87,14 @@
     return replacement
 
 
-def watched_write(digest):
-    """Digest the bytes written to a connection."""
+def digesting_write(digest):
+    """Return a wrapper for `write` that adds the bytes written to a connection."""
 
     def replacement(original):
         def write(self, data):
-            digest.add(self.net.clock.seconds(), *self.here, *self.there, WALL_CLOCK.sub(b"", bytes(data)))
+            digest.add(
+                self.net.clock.seconds(), *self.local_address, *self.remote_address, WALL_CLOCK.sub(b"", bytes(data))
+            )
             return original(self, data)
 
         return write
@@ -100,67 +102,67 @@
     return replacement
 
 
-def watched_files(digest):
-    """Digest the calls that change a simulated disk."""
+def digesting_files(digest):
+    """Return a wrapper for `files_of` that adds the calls that change a simulated disk."""
 
     def replacement(original):
-        def files_of(drive):
-            files = original(drive)
-            changes = {}
+        def files_of(disk):
+            files = original(disk)
+            wrapped = {}
             for name in ("write", "pwrite", "ftruncate", "replace"):
-                changes[name] = noting(digest, name, getattr(files, name))
-            return msgspec.structs.replace(files, **changes)
+                wrapped[name] = digesting_call(digest, name, getattr(files, name))
+            return msgspec.structs.replace(files, **wrapped)
 
         return files_of
 
     return replacement
 
 
-def noting(digest, name, call):
-    """A file operation that is digested with its arguments."""
+def digesting_call(digest, name, call):
+    """Return a wrapper for a file operation that adds its name and arguments."""
 
-    def noted(*arguments):
+    def call_digested(*arguments):
         digest.add(name, *(bytes(a) if isinstance(a, memoryview | bytearray) else a for a in arguments))
         return call(*arguments)
 
-    return noted
+    return call_digested
 
 
 def core_run(seed):
-    """A storm of the daemons' core."""
+    """Return the digest of a run of the daemons' core."""
     digest = Digest()
     with (
-        patched(worlds, "send", watched_send(digest)),
-        patched(worlds, "perform", watched_perform(digest)),
+        patched(worlds, "send", digesting_send(digest)),
+        patched(worlds, "perform", digesting_perform(digest)),
     ):
         storms.play(seed, 2, 3, 2, gap_ms=1200, storm_ms=9000)
     return digest.text()
 
 
 def whole_run(seed):
-    """A storm of the whole path of the own interface."""
+    """Return the digest of a run of the whole path of our own interface."""
     digest = Digest()
     with (
-        patched(wires.Wire, "write", watched_write(digest)),
-        patched(drives, "files_of", watched_files(digest)),
+        patched(connections.Connection, "write", digesting_write(digest)),
+        patched(simulated_disk, "files_of", digesting_files(digest)),
     ):
-        whole.play(seed, storm_ms=4000)
+        whole_path.play(seed, storm_ms=4000)
     return digest.text()
 
 
 def fleet_run(seed, shape):
-    """A day of a deployment on the users' machines."""
+    """Return the digest of a day of a deployment on the users' machines."""
     digest = Digest()
     with (
-        patched(wires.Wire, "write", watched_write(digest)),
-        patched(drives, "files_of", watched_files(digest)),
+        patched(connections.Connection, "write", digesting_write(digest)),
+        patched(simulated_disk, "files_of", digesting_files(digest)),
     ):
         days.play(seed, SHAPES[shape], storm_ms=5000, gap_ms=1500)
     return digest.text()
 
 
 KINDS = {"core": core_run, "whole": whole_run, "fleet": fleet_run}
-# Played in CI; the others by hand with the command above.
+# The runs that CI compares.
 SLICE = ("core/1", "core/2", "whole/3", "fleet/1/three", "fleet/2/spare")
 RUNS = (
     *(f"core/{seed}" for seed in range(1, 13)),
@@ -170,33 +172,33 @@
 
 
 def fingerprint(run):
-    """The digest of one run by its name: kind, seed and, for fleets, shape."""
+    """Return the digest of a run, which is named by its kind, seed and, for fleets, shape."""
     kind, seed, *shape = run.split("/")
     return KINDS[kind](int(seed), *shape)
 
 
 def recorded():
-    """The recorded digests by run."""
+    """Return the recorded digests by run."""
     return msgspec.json.decode(RECORDED.read_bytes(), type=dict[str, str])
 
 
 def compare(runs, record):
-    """Play runs and compare them with the recorded ones, or record them; status 1 if one differs."""
+    """Compare the digests of runs with the recorded ones, or record them; returns exit status 1 if one differs."""
     with ProcessPoolExecutor(WORKERS) as pool:
-        found = dict(zip(runs, pool.map(fingerprint, runs), strict=True))
+        actual = dict(zip(runs, pool.map(fingerprint, runs), strict=True))
     if record:
-        RECORDED.write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=2) + b"\n")
+        RECORDED.write_bytes(msgspec.json.format(msgspec.json.encode(actual), indent=2) + b"\n")
         return 0
-    known = recorded()
-    different = [run for run in runs if known.get(run) != found[run]]
+    expected = recorded()
+    different = [run for run in runs if expected.get(run) != actual[run]]
     for run in different:
-        print(f"{run}: recorded {known.get(run)}, now {found[run]}")
+        print(f"{run}: recorded {expected.get(run)}, now {actual[run]}")
     print(f"{len(runs) - len(different)} of {len(runs)} runs as recorded")
     return 1 if different else 0
 
 
 def main(arguments):
-    """Run the command line; -> the exit status."""
+    """Run the command line; returns the exit status."""
     runs = [argument for argument in arguments if argument != "--record"] or RUNS
     return compare(runs, "--record" in arguments)
 
--- a/tests/fleet_simulator/inner.py
+++ b/tests/fleet_simulator/inner.py
@@ -7,7 +7,7 @@
 
 def inner(world):
     for host in world.net.hosts.values():
-        for text in host.breaks[:2]:
+        for text in host.tracebacks[:2]:
             yield f"{host.name}: {text}"
     for daemon in world.daemons.values():
         disk_faults = [
--- a/tests/fleet_simulator/play.py
+++ b/tests/fleet_simulator/play.py
@@ -68,8 +68,8 @@
     world.notes.end_isolations(world.now_ms())
     world.listing.down = False
     for daemon in list(world.daemons.values()):
-        daemon.drive.delay_ms, daemon.drive.room = worlds.DISK_MS, worlds.DISK_ROOM
-        daemon.drive.broken.clear()
+        daemon.disk.delay_ms, daemon.disk.capacity_bytes = worlds.DISK_MS, worlds.DISK_ROOM
+        daemon.disk.failing.clear()
         daemon.host.thaw()
         if not daemon.gone:
             daemon.host.powered = True
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -18,7 +18,7 @@
 from msgspec import Struct, msgpack
 
 from frostpost.cluster import replica_context as replicas
-from frostpost.simulator import drives
+from frostpost.simulator import simulated_disk
 
 RECORDED = Path(__file__).parent / "data" / "stored_disks.msgpack.gz"
 SEED, CHANGES, SNAPSHOT_ENTRIES, TRAFFIC_MS = 5, 12, 150, 6000
@@ -97,7 +97,7 @@
     for daemon in world.daemons.values():
         worlds.kill(world, daemon)
     return {
-        daemon.name: {path: bytes(sheet.data) for path, sheet in daemon.drive.names.items()}
+        daemon.name: {path: bytes(sheet.data) for path, sheet in daemon.disk.names.items()}
         for daemon in world.daemons.values()
     }
 
@@ -111,8 +111,10 @@
     """A deployment of the same machines, started from the recorded disks."""
     world = worlds.make(SEED)
     for name, daemon in world.daemons.items():
-        sheets = {path: drives.Sheet(bytearray(data), len(data)) for path, data in stored.files[name].items()}
-        daemon.drive.names, daemon.drive.lasting, daemon.first = sheets, dict(sheets), False
+        sheets = {
+            path: simulated_disk.SimulatedFile(bytearray(data), len(data)) for path, data in stored.files[name].items()
+        }
+        daemon.disk.names, daemon.disk.durable_names, daemon.first = sheets, dict(sheets), False
     start_times = Random(1)
     for daemon in list(world.daemons.values()):
         world.later(start_times.uniform(0, 300), worlds.start, world, daemon)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -7,7 +7,7 @@
 from frostpost.ledger.operations import SetConfig
 from frostpost.simulator import world as worlds
 from frostpost.simulator.ledger_checks import find_ledger_violations
-from frostpost.simulator.storm import ask, serves
+from frostpost.simulator.storm import serves, submit
 from frostpost.virtual_synchrony.bounds import Bounds
 
 DOCUMENTS = 300
@@ -17,10 +17,10 @@
 
 def busy_world(seed=1, **bounds):
     """A world whose ledger contains many documents, one of which an operator changes every few milliseconds."""
-    world = worlds.make(seed, 0, 4, 0, Bounds(**{**BOUNDS, **bounds}), voters=3)
+    world = worlds.create_world(seed, 0, 4, 0, Bounds(**{**BOUNDS, **bounds}), voters=3)
     worlds.run(world, 1500)
     decided_ms = []
-    world.tap = lambda world, node, answer: (
+    world.on_notification = lambda world, node, answer: (
         decided_ms.append(world.now_ms) if isinstance(answer, OperationDecided) else None
     )
     for number in range(DOCUMENTS):
@@ -34,18 +34,18 @@
     node = next((candidate for candidate in world.nodes.values() if serves(world, candidate)), None)
     if node is not None:
         current = node.core.ledger.configs.get(path)
-        ask(world, node.name, SetConfig(path, "d" * 40, 1, current.version if current else 0, "me", 1, ()))
+        submit(world, node.name, SetConfig(path, "d" * 40, 1, current.version if current else 0, "me", 1, ()))
 
 
 def keep_changing(world):
     change(world, "templates/t0")
-    worlds.at(world, CHANGE_INTERVAL_MS, "call", keep_changing)
+    worlds.schedule(world, CHANGE_INTERVAL_MS, "call", keep_changing)
 
 
 def wipe(world, names):
     for name in names:
         worlds.kill(world, name, True)
-        world.nodes[name].disk.lasting = []
+        world.nodes[name].disk.synced_records = []
 
 
 def complete_after_ms(world, names, wait_ms):
--- a/tests/test_cluster_bootstrap.py
+++ b/tests/test_cluster_bootstrap.py
@@ -2,7 +2,7 @@
 
 import pytest
 from test_cluster_lease_client import endpoint_of
-from test_turn_store_drive import Threads, lose_unsynced
+from test_turn_store_disk import Threads, lose_unsynced
 from twisted.internet.task import Clock
 
 from frostpost.cluster import agent as assembly
@@ -10,7 +10,7 @@
 from frostpost.cluster.agent_context import AgentContext
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon.machine import Machine
-from frostpost.simulator import drives
+from frostpost.simulator import simulated_disk
 from frostpost.virtual_synchrony.agent_messages import (
     BootstrapReply,
     BootstrapRequest,
@@ -27,15 +27,17 @@
 
 
 class Core:
-    """A core daemon on a simulated drive that can lose power."""
+    """A core daemon on a simulated disk that can lose power."""
 
-    def __init__(self, address=FIRST, first_start=True, drive=None, clock=None, tolerated=1, copies=None):
+    def __init__(self, address=FIRST, first_start=True, disk=None, clock=None, tolerated=1, copies=None):
         self.clock, self.threads, self.out = clock or Clock(), Threads(), []
-        self.drive = drive or drives.Drive(Random(7), {}, {}, {})
+        self.disk = disk or simulated_disk.SimulatedDisk(Random(7), {}, {}, {})
         settings = DaemonSettings(
             "c1", "core", "z", *address, seeds=SEEDS, first_start=first_start, data="/data", tolerated=tolerated
         )
-        machine = Machine(seconds=self.clock.seconds, in_thread=self.threads.run, files=drives.files_of(self.drive))
+        machine = Machine(
+            seconds=self.clock.seconds, in_thread=self.threads.run, files=simulated_disk.files_of(self.disk)
+        )
         self.agent = AgentContext(settings, self.clock, endpoint_of("c1", "core"), machine)
         self.copies = {seed: () for seed in SEEDS if seed != f"{address[0]}:{address[1]}"} if copies is None else copies
         self.silent = set()
@@ -129,12 +131,12 @@
     core = Core()
     core.request_record("s1", "s2", "s3")
     voters = core.advance(QUIET_S)
-    lose_unsynced(core.drive)
-    restarted = Core(drive=core.drive, clock=core.clock)
+    lose_unsynced(core.disk)
+    restarted = Core(disk=core.disk, clock=core.clock)
     assert restarted.agent.bootstrap_voters == voters
     restarted.request_record("s7", "s8", "s9")
     assert restarted.advance(QUIET_S) == voters
-    assert Core(SECOND, first_start=False, drive=core.drive).agent.bootstrap_voters == voters
+    assert Core(SECOND, first_start=False, disk=core.disk).agent.bootstrap_voters == voters
 
 
 def test_power_loss_before_the_sync_leaves_no_record():
@@ -142,18 +144,18 @@
     core.threads.is_paused = True
     core.request_record("s1", "s2", "s3")
     core.advance(QUIET_S)
-    lose_unsynced(core.drive)
-    assert Core(drive=core.drive).agent.bootstrap_voters == ()
+    lose_unsynced(core.disk)
+    assert Core(disk=core.disk).agent.bootstrap_voters == ()
 
 
 def test_a_record_whose_sync_failed_is_not_handed_out_and_is_written_again():
     core = Core()
-    core.drive.broken = {"sync": 1}
+    core.disk.failing = {"sync": 1}
     core.request_record("s1", "s2", "s3")
     assert core.advance(QUIET_S) == () and core.agent.attachments["founding"].writing is False
     assert core.advance(QUIET_S) == ("s1", "s2", "s3")
-    lose_unsynced(core.drive)
-    assert Core(drive=core.drive).agent.bootstrap_voters == ("s1", "s2", "s3")
+    lose_unsynced(core.disk)
+    assert Core(disk=core.disk).agent.bootstrap_voters == ("s1", "s2", "s3")
 
 
 def test_no_record_is_proposed_before_all_other_seeds_have_replied():
@@ -201,8 +203,8 @@
     assembly.on_frame(core.agent, Frame(1, founder, "", BootstrapRequest()))
     assembly.on_frame(core.agent, Frame(1, founder, "", BootstrapRequest(NAMES)))
     assert core.out == [BootstrapReply(()), BootstrapReply(NAMES)]
-    lose_unsynced(core.drive)
-    restarted = Core(SECOND, drive=core.drive)
+    lose_unsynced(core.disk)
+    restarted = Core(SECOND, disk=core.disk)
     assembly.on_frame(restarted.agent, Frame(1, founder, "", BootstrapRequest()))
     restarted.request_record("s1")
     assert restarted.out == [BootstrapReply(NAMES), DirectoryReply((), ())]
--- a/tests/test_cluster_replica_daemon.py
+++ b/tests/test_cluster_replica_daemon.py
@@ -2,7 +2,7 @@
 
 import pytest
 from test_cluster_lease_client import endpoint_of
-from test_turn_store_drive import Threads, files_of
+from test_turn_store_disk import Threads, files_of
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
@@ -10,7 +10,7 @@
 from frostpost.cluster.settings import DaemonSettings
 from frostpost.daemon import disk as disks
 from frostpost.daemon.machine import Machine
-from frostpost.simulator import drives
+from frostpost.simulator import simulated_disk
 from frostpost.virtual_synchrony.agent_messages import DirectoryReply, DirectoryRequest, LeaseRequest
 from frostpost.virtual_synchrony.configuration import ConfigurationId
 from frostpost.virtual_synchrony.events import ConfigurationRecord, PromiseRecord
@@ -23,9 +23,12 @@
 
 
 def new_replica(monkeypatch, records=(), first_start=True):
-    clock, out, drive = Clock(), [], drives.Drive(Random(7), {}, {}, {})
+    clock, out, disk = Clock(), [], simulated_disk.SimulatedDisk(Random(7), {}, {}, {})
     machine = Machine(
-        seconds=clock.seconds, in_thread=Threads().run, token=lambda size: "0a" * size, files=drives.files_of(drive)
+        seconds=clock.seconds,
+        in_thread=Threads().run,
+        token=lambda size: "0a" * size,
+        files=simulated_disk.files_of(disk),
     )
     monkeypatch.setattr(replica_daemon, "listen", lambda ctx, on_frame: succeed(None))
     monkeypatch.setattr(replica_daemon, "make_links", lambda ctx: lambda to, body: out.append((to, body)))
@@ -33,7 +36,7 @@
     monkeypatch.setattr(
         replica_daemon.store,
         "open_store",
-        lambda data, machine, **options: open_store(data, machine, files_of(drive), **options),
+        lambda data, machine, **options: open_store(data, machine, files_of(disk), **options),
     )
     if records:
         write_ahead_log, _, _ = disks.open_log("/data", machine.files)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -16,7 +16,7 @@
 
 def test_a_crowd_is_shed_by_urgency_at_once_and_leaves_no_trace():
     fleet = started_fleet(doors={"in_flight": 10})
-    over = fleet_calls.crowd(fleet, 2.5, 2.5)
+    over = fleet_calls.start_callers(fleet, 2.5, 2.5)
     advance(fleet, 2500)
     peak = list(read_requests(fleet.notes.lines).values())
     advance(fleet, 12000)
@@ -36,7 +36,7 @@
     ledger = fleet.daemons["s1"].ctx.core.ledger
     assert not ledger.reservations and not ledger.running
     seen = len(fleet.notes.lines)
-    fleet_calls.crowd(fleet, 1.0, 0.2, tag="z")
+    fleet_calls.start_callers(fleet, 1.0, 0.2, tag="z")
     advance(fleet, 5000)
     after = read_requests(fleet.notes.lines[seen:])
     assert sum(a.status == 200 for a in after.values()) >= 0.9 * len(after) > 0
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -26,7 +26,7 @@
 
     def __init__(self, monkeypatch):
         self.updates = []
-        self.world = worlds.make(5, 0, 3, 0)
+        self.world = worlds.create_world(5, 0, 3, 0)
         for node in self.world.nodes.values():
             node.core.synchrony.seeds += (SEED,)
         perform = worlds.perform
@@ -81,7 +81,7 @@
 def test_replica_outside_a_primary_announces_in_every_period(monkeypatch):
     group = RecordedGroup(monkeypatch)
     group.play(20_000)
-    worlds.cut(group.world, ["s3"], ["s1", "s2"])
+    worlds.cut_links(group.world, ["s3"], ["s1", "s2"])
     rows = [row for row in group.play(40_000, from_ms=30_000) if row[1] == "s3"]
     for receiver_name, endpoint_count in ((SEED, 1), ("s1", 3), ("s2", 3)):
         sent = [body for _, _, receiver, body in rows if receiver == receiver_name]
--- a/tests/test_fence_stories.py
+++ b/tests/test_fence_stories.py
@@ -111,7 +111,7 @@
             *judge.unsolicited_executions(self.world, tries),
             *judge.lost_sessions(self.world, tries),
         ]
-        assert not self.edge.host.breaks
+        assert not self.edge.host.tracebacks
         return [f"{b.rule} {b.text}" for b in violations]
 
 
--- a/tests/test_fleet_simulator_copies.py
+++ b/tests/test_fleet_simulator_copies.py
@@ -100,7 +100,7 @@
     stories.start_turns(world, crowd, "z1", 20, world.now_ms() + 1500)
     world.run(world.now_ms() + 1000)
     for daemon in world.of("storage"):
-        daemon.drive.delay_ms = SLOW_SYNC_MS
+        daemon.disk.delay_ms = SLOW_SYNC_MS
     fallen = []
 
     def fall(request):
--- a/tests/test_fleet_simulator_slow_disks.py
+++ b/tests/test_fleet_simulator_slow_disks.py
@@ -20,10 +20,10 @@
 def slow_disk(world, daemon):
     """One disk turns slow, but never slow enough to be given up on."""
     trouble = troubles.begin(world, "slow disk", [daemon.name])
-    daemon.drive.delay_ms = SLOW_DISK_MS
+    daemon.disk.delay_ms = SLOW_DISK_MS
 
     def quick():
-        daemon.drive.delay_ms = worlds.DISK_MS
+        daemon.disk.delay_ms = worlds.DISK_MS
         troubles.over(world, trouble)
 
     world.later(SLOW_FOR_MS, quick)
--- a/tests/test_hundreds_of_changes.py
+++ b/tests/test_hundreds_of_changes.py
@@ -12,7 +12,7 @@
 from frostpost.simulator import world as worlds
 from frostpost.simulator.evs_checks import find_evs_violations
 from frostpost.simulator.ledger_checks import find_ledger_violations
-from frostpost.simulator.storm import Work, ask, serves, watch
+from frostpost.simulator.storm import Load, serves, submit, watch_leases
 from frostpost.virtual_synchrony import catch_up
 from frostpost.virtual_synchrony import leases as protocol_leases
 from frostpost.virtual_synchrony.bounds import Bounds
@@ -52,7 +52,7 @@
         node = able[self.asked % len(able)]
         self.asked += 1
         self.waiting = (node.endpoint.member, node.core.synchrony.last_operation_number + 1)
-        ask(world, node.name, SetConfig(PATH, str(self.asked), 1, self.version, "me", self.asked, ()))
+        submit(world, node.name, SetConfig(PATH, str(self.asked), 1, self.version, "me", self.asked, ()))
 
     def look(self, world):
         """No member serves that lacks what was acknowledged before its configuration was opened."""
@@ -72,7 +72,7 @@
 
 def every(world, wait_ms, call):
     call(world)
-    worlds.at(world, wait_ms, "call", lambda w: every(w, wait_ms, call))
+    worlds.schedule(world, wait_ms, "call", lambda w: every(w, wait_ms, call))
 
 
 def run_until(world, test, wait_ms):
@@ -97,11 +97,11 @@
     """-> what undoes it."""
     node = world.nodes[name]
     if kind == "cut":
-        worlds.cut(world, [name], [n for n in world.nodes if n != name])
+        worlds.cut_links(world, [name], [n for n in world.nodes if n != name])
         return world.cuts.clear
     worlds.kill(world, name, kind != "kill")
     if kind in ("wipe", "replace"):
-        node.disk.lasting = []
+        node.disk.synced_records = []
     return lambda: worlds.start(world, name)
 
 
@@ -115,7 +115,7 @@
             return
         after = (*before, spare) if len(before) == 3 else tuple(v for v in before if v != out)
         if leader and spare != out:
-            ask(world, leader.name, SetVoters(leader.core.synchrony.configuration.id, before, after))
+            submit(world, leader.name, SetVoters(leader.core.synchrony.configuration.id, before, after))
         worlds.run(world, world.now_ms + 50)
 
 
@@ -133,13 +133,13 @@
 def play(seed, rewrite_entries, changes=CHANGES, each=1):
     """-> world, operator, the longest time that a member took to be whole again."""
     bounds = Bounds(rewrite_entries=rewrite_entries, piece_bytes=300, batch=16, slice_records=2)
-    world, operator, longest = worlds.make(seed, 0, 4, 0, bounds, voters=3), Operator(), 0
-    world.tap = operator.heard
-    state = Work(world.random)
+    world, operator, longest = worlds.create_world(seed, 0, 4, 0, bounds, voters=3), Operator(), 0
+    world.on_notification = operator.heard
+    state = Load(world.random)
     state.until_ms = 1 << 40
     worlds.run(world, 1500)
     every(world, 10, operator.look)
-    watch(world, state)
+    watch_leases(world, state)
     turns = cycle([(name, kind) for kind in KINDS for name in world.nodes])
     while operator.acked < changes:
         name, kind = next(turns)
@@ -159,8 +159,8 @@
 def faults(world, operator, state):
     return [
         *operator.stale,
-        *state.breaks,
-        *find_evs_violations(world.history, world.ordered),
+        *state.violations,
+        *find_evs_violations(world.history, world.last_ordinals),
         *find_ledger_violations(world, 0),
     ]
 
--- a/tests/test_incidents.py
+++ b/tests/test_incidents.py
@@ -76,17 +76,17 @@
 
 @pytest.mark.parametrize("waits_ms", [(0, 70, 100), (0, 255, 378), (0, 460, 700)])
 def test_the_ring_is_whole_soon_after_the_last_machine_has_power_again(monkeypatch, waits_ms):
-    def again(connector):
+    def retry(connector):
         """A kernel sends its first packet again after a second."""
-        wait_s = min(KERNEL_RETRY_S, connector.end_s - connector.net.clock.seconds())
+        wait_s = min(KERNEL_RETRY_S, connector.deadline_s - connector.net.clock.seconds())
         if wait_s <= 0:
             return connector.fail(nets.TimeoutError())
-        return connector.net.clock.callLater(wait_s, connector.arrive)
+        return connector.net.clock.callLater(wait_s, connector.reach_target)
 
     world, _, _, _ = plays.open_(5)
     load(world, plays.crowd_of(world, "c"), 9000, 20)
     world.run(world.now_ms() + 2000)
-    monkeypatch.setattr(nets.Connector, "again", again)
+    monkeypatch.setattr(nets.Connector, "retry", retry)
     for daemon in world.of("storage"):
         worlds.kill(world, daemon, True)
     world.run(world.now_ms() + 700)
--- a/tests/test_sequencer.py
+++ b/tests/test_sequencer.py
@@ -7,7 +7,7 @@
 
 
 def test_all_members_use_the_proposed_sequencer_even_if_roles_are_unknown():
-    world = worlds.make(3, 2, 3, 2)
+    world = worlds.create_world(3, 2, 3, 2)
     send = worlds.send
 
     def send_without_roles(world, node, target, body):
@@ -31,7 +31,7 @@
 
 
 def test_operation_completed_elsewhere_does_not_delay_the_next():
-    world = worlds.make(3, 2, 3, 2)
+    world = worlds.create_world(3, 2, 3, 2)
     worlds.run(world, 4000)
     synchrony = world.nodes["c1"].core.synchrony
     for first_open, first in ((1, 2), (2, 2)):
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -5,7 +5,7 @@
 from frostpost.daemon.core import OperationDecided
 from frostpost.ledger.operations import SetConfig
 from frostpost.simulator import world as worlds
-from frostpost.simulator.storm import ask, serves
+from frostpost.simulator.storm import serves, submit
 from frostpost.virtual_synchrony.durable_log import replay
 from frostpost.virtual_synchrony.members import sequencer_of
 
@@ -18,7 +18,7 @@
 
 
 def serving_world(replica_count, seed=1):
-    world = worlds.make(seed, 0, replica_count, 0)
+    world = worlds.create_world(seed, 0, replica_count, 0)
     worlds.run(world, 1500)
     assert all(serves(world, node) for node in world.nodes.values())
     return world
@@ -31,11 +31,11 @@
 def decided_after_ms(world, name):
     """Return the time until an operation submitted by this member is decided; None if it is not."""
     decided, start_ms = [], world.now_ms
-    world.tap = lambda _, node, answer: (
+    world.on_notification = lambda _, node, answer: (
         decided.append(node.name) if isinstance(answer, OperationDecided) and node.name == name else None
     )
     current = world.nodes[name].core.ledger.configs.get("templates/t")
-    ask(world, name, SetConfig("templates/t", "d" * 40, 1, current.version if current else 0, "me", 1, ()))
+    submit(world, name, SetConfig("templates/t", "d" * 40, 1, current.version if current else 0, "me", 1, ()))
     while not decided and world.now_ms < start_ms + DECISION_TIMEOUT_MS:
         worlds.run(world, world.now_ms + STEP_MS)
     return world.now_ms - start_ms if decided else None
@@ -77,7 +77,7 @@
     for _ in range(20):
         assert decided_after_ms(world, leader) is not None
     applied = world.nodes[leader].core.synchrony.applied
-    synced = {name: replay(node.disk.lasting).length for name, node in world.nodes.items()}
+    synced = {name: replay(node.disk.synced_records).length for name, node in world.nodes.items()}
     assert sum(length >= applied for length in synced.values()) >= 2 and synced[slow] < applied
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -3,14 +3,14 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from frostpost.simulator import fleet as fleets
-from frostpost.simulator import fleet_calls, whole
-from frostpost.simulator.doorplants import planted
+from frostpost.simulator import fleet_calls, whole_path
+from frostpost.simulator.http_plants import planted
 from frostpost.testbed.templates import TEMPLATES
 
 
 def started_fleet(seed=1, **facts):
-    fleet = fleets.make(seed, **facts)
-    assert whole.settled(fleet, 12000) and whole.stamp_all(fleet)
+    fleet = fleets.create_fleet(seed, **facts)
+    assert whole_path.wait_until_ready(fleet, 12000) and whole_path.apply_config(fleet)
     return fleet
 
 
@@ -42,9 +42,9 @@
     factory = Factory.forProtocol(PausedReader)
     factory.made = []
     host = fleet.daemons["e1"].host.address
-    TCP4ClientEndpoint(fleet.callers, host, fleets.HTTP).connect(factory)
+    TCP4ClientEndpoint(fleet.callers, host, fleets.HTTP_PORT).connect(factory)
     advance(fleet, 100)
-    fleets.warn(fleet, "e1")
+    fleets.shut_down(fleet, "e1")
     advance(fleet, 3000)
     reader = factory.made[0]
     reader.transport.resumeProducing()
@@ -75,13 +75,13 @@
 
 def start_daemon(fleet, name, role, seeds, zone="b"):
     host = fleets.add_host(fleet, name, zone)
-    fleets.add(fleet, name, role, zone, host, seeds, ["s1", "s2", "s3"], {})
+    fleets.add_daemon(fleet, name, role, zone, host, seeds, ["s1", "s2", "s3"], {})
     fleets.start(fleet, name)
-    return f"{host.address}:{fleets.PORT}"
+    return f"{host.address}:{fleets.CONTROL_PORT}"
 
 
 def inner_address(fleet, name):
-    return f"{fleet.daemons[name].host.address}:{fleets.PORT}"
+    return f"{fleet.daemons[name].host.address}:{fleets.CONTROL_PORT}"
 
 
 def replace_seeds(fleet, name, seeds):
@@ -94,7 +94,7 @@
 def test_daemon_with_only_edges_as_seeds_joins_and_serves():
     fleet = started_fleet()
     start_daemon(fleet, "e9", "edge", [inner_address(fleet, "e1"), inner_address(fleet, "e2")])
-    assert whole.settled(fleet, 8000) and lookup_status(fleet, "e9") == 200
+    assert whole_path.wait_until_ready(fleet, 8000) and lookup_status(fleet, "e9") == 200
 
 
 def test_daemon_with_unreachable_seeds_is_found_by_the_others():
@@ -103,21 +103,21 @@
     fleets.kill(fleet, "e2")
     advance(fleet, 1500)
     fleets.start(fleet, "e2")
-    assert whole.settled(fleet, 8000) and lookup_status(fleet, "e2") == 200
+    assert whole_path.wait_until_ready(fleet, 8000) and lookup_status(fleet, "e2") == 200
 
 
 def test_all_seeds_are_replaced_while_the_fleet_runs():
     fleet = started_fleet(storages=3, cores=2)
     old_voters = [n for n in ("s1", "s2", "s3")]
     new_seeds = [start_daemon(fleet, n, "core", [inner_address(fleet, "e1")]) for n in ("c7", "c8", "c9")]
-    assert whole.settled(fleet, 8000)
+    assert whole_path.wait_until_ready(fleet, 8000)
     for name in fleet.daemons:
         replace_seeds(fleet, name, new_seeds)
-        fleets.warn(fleet, name)
+        fleets.shut_down(fleet, name)
         advance(fleet, 2500)
         assert fleet.daemons[name].exits[-1] == 0
         fleets.start(fleet, name)
-        assert whole.settled(fleet, 8000)
+        assert whole_path.wait_until_ready(fleet, 8000)
     assert lookup_status(fleet, "e1") == 200
     assert set(fleet.daemons["e1"].ctx.core.ledger.voters) == set(old_voters)
 
@@ -130,12 +130,12 @@
     history = call_daemon(fleet, "e2", "/v1/tenants/hlidar/programs/p")[1]["history"]
     for name in fleet.daemons:
         fleets.kill(fleet, name, True)
-    fleet.daemons["s2"].drive.names.clear()
-    fleet.daemons["s2"].drive.lasting.clear()
+    fleet.daemons["s2"].disk.names.clear()
+    fleet.daemons["s2"].disk.durable_names.clear()
     for name in fleet.daemons:
         fleets.start(fleet, name)
     start_ms = fleets.clock_ms(fleet)
-    assert whole.settled(fleet, 12000) and fleets.clock_ms(fleet) - start_ms < 12000
+    assert whole_path.wait_until_ready(fleet, 12000) and fleets.clock_ms(fleet) - start_ms < 12000
     assert call_daemon(fleet, "e1", "/v1/tenants/hlidar/programs/p")[1]["history"] == history and len(history) == 1
     assert lookup_status(fleet, "e2") == 200
 
@@ -163,17 +163,17 @@
 
 def test_stopped_reader_pauses_the_runner_and_is_aborted_at_its_deadline():
     fleet = started_fleet()
-    for runner in fleet.backs.values():
+    for runner in fleet.runners.values():
         runner.flood = 20000
     assert (
         call_daemon(fleet, "e1", "/v1/config/tenants/hlidar", "PATCH", {"parameters": {"check_output": 100}})[0] == 200
     )
     factory = Factory.forProtocol(StoppedReader)
     factory.made = []
-    TCP4ClientEndpoint(fleet.callers, fleet.daemons["e1"].host.address, fleets.HTTP).connect(factory)
+    TCP4ClientEndpoint(fleet.callers, fleet.daemons["e1"].host.address, fleets.HTTP_PORT).connect(factory)
     advance(fleet, 1500)
-    wire = factory.made[0].transport.other
-    assert wire.out_bytes < 400000
+    connection = factory.made[0].transport.peer
+    assert connection.buffered_bytes < 400000
     assert fleet.daemons["e1"].ctx.requests_in_flight == 1
     advance(fleet, 9000)
     assert fleet.daemons["e1"].ctx.requests_in_flight == 0
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -95,8 +95,8 @@
 
     def __init__(self, monkeypatch):
         self.omitted_count, self.ticks, self.effects = 0, 0, []
-        self.feed = worlds.feed
-        monkeypatch.setattr(worlds, "feed", self.observe)
+        self.feed = worlds.deliver_input
+        monkeypatch.setattr(worlds, "deliver_input", self.observe)
 
     def observe(self, world, name, input):
         node = world.nodes[name]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -5,7 +5,7 @@
 
 from frostpost.simulator.plants import planted
 from frostpost.simulator.traces import load, replay_violations
-from frostpost.simulator.world import make
+from frostpost.simulator.world import create_world
 from frostpost.virtual_synchrony import catch_up
 from frostpost.virtual_synchrony.state import PrimaryState
 
@@ -25,7 +25,7 @@
 
 
 def test_ready_voter_that_has_not_applied_its_base_fetches_nothing():
-    core = next(iter(make(1).nodes.values())).core
+    core = next(iter(create_world(1).nodes.values())).core
     core.synchrony.primary = PrimaryState(eligible=True, base=10, ready_record_number=5)
     assert core.synchrony.has_log and core.synchrony.applied < 10
     assert catch_up.first_missing_index(core.synchrony) == 0
--- a/tests/test_turn_store_client.py
+++ b/tests/test_turn_store_client.py
@@ -2,7 +2,7 @@
 
 import pytest
 from expression import Ok
-from test_turn_store_drive import machine_of, results_of
+from test_turn_store_disk import machine_of, results_of
 from twisted.internet.task import Clock
 
 from frostpost.cluster.agent_context import AgentContext
--- a/tests/test_turn_store_repair.py
+++ b/tests/test_turn_store_repair.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from test_turn_store_drive import machine_of
+from test_turn_store_disk import machine_of
 from test_turn_store_serving import Network, put_bodies
 from twisted.internet.defer import Deferred
 
--- a/tests/test_turn_store_serving.py
+++ b/tests/test_turn_store_serving.py
@@ -1,6 +1,6 @@
 from types import SimpleNamespace
 
-from test_turn_store_drive import new_drive, open_store
+from test_turn_store_disk import new_disk, open_store
 from twisted.internet.task import Clock
 
 from frostpost.turn_store import serving, store
@@ -23,7 +23,7 @@
             self.add(f"@s{n}:1")
 
     def add(self, address):
-        turn_store = open_store(new_drive(), self.clock)
+        turn_store = open_store(new_disk(), self.clock)
         self.replicas[address] = SimpleNamespace(
             turn_store=turn_store,
             reactor=self.clock,
--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -6,7 +6,7 @@
 import pytest
 
 from frostpost.daemon.machine import Files
-from frostpost.simulator import drives
+from frostpost.simulator import simulated_disk
 from frostpost.write_ahead_log import log
 from frostpost.write_ahead_log.records import HEADER, HEADER_V1, MAGIC_V1
 
@@ -99,13 +99,13 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_power_failure_at_any_call_keeps_synced_records(seed):
-    drive = drives.Drive(Random(seed))
-    write_ahead_log, _, _ = log.open_log("/d", "log", drives.files_of(drive))
-    drive.armed, synced = seed, []
-    with suppress(drives.PowerCutError):
+    disk = simulated_disk.SimulatedDisk(Random(seed))
+    write_ahead_log, _, _ = log.open_log("/d", "log", simulated_disk.files_of(disk))
+    disk.calls_left, synced = seed, []
+    with suppress(simulated_disk.PowerCutError):
         append_and_rewrite(write_ahead_log, synced)
-    drives.lose_power(drive, [])
-    _, payloads, damage = log.open_log("/d", "log", drives.files_of(drive))
+    simulated_disk.lose_power(disk, [])
+    _, payloads, damage = log.open_log("/d", "log", simulated_disk.files_of(disk))
     numbers = [p for p in payloads if p != b"state"]
     assert not isinstance(damage, log.Corrupt)
     assert numbers == [b"%d" % n for n in range(len(numbers))]
@@ -114,11 +114,11 @@
 
 @pytest.mark.parametrize("call", ("write", "sync", "open", "replace"))
 def test_failing_disk_call_loses_no_synced_record(call):
-    drive = drives.Drive(Random(1))
-    write_ahead_log, _, _ = log.open_log("/d", "log", drives.files_of(drive))
+    disk = simulated_disk.SimulatedDisk(Random(1))
+    write_ahead_log, _, _ = log.open_log("/d", "log", simulated_disk.files_of(disk))
     synced, errors = [], 0
     for number in range(12):
-        drive.broken[call] = number % 2
+        disk.failing[call] = number % 2
         try:
             append_and_rewrite(write_ahead_log, synced) if number == 3 else log.append(
                 write_ahead_log, [b"x%d" % number]
@@ -128,9 +128,9 @@
             errors += 1
             if isinstance(error, log.SyncLostError):
                 break
-    drive.broken.clear()
+    disk.failing.clear()
     assert errors
-    _, payloads, damage = log.open_log("/d", "log", drives.files_of(drive))
+    _, payloads, damage = log.open_log("/d", "log", simulated_disk.files_of(disk))
     assert damage is None and payloads
 
 
