--- a/frostpost/simulator/fleet_faults.py
+++ b/frostpost/simulator/fleet_faults.py
@@ -167,7 +167,7 @@
     fleet.platform.lag_s, fleet.platform.per_second = 0.5, 4.0
 
 
-def limit_platform_rate(fleet, random):
+def throttle_platform(fleet, random):
     """Make the platform refuse most requests for a while."""
     fleet.platform.per_second = fleet.platform.tokens = 0.2
     schedule(fleet, random.uniform(500, 4000), reset_platform, fleet)
@@ -198,7 +198,7 @@
 }
 PLATFORM_FAULTS = {
     "platform_stale": delay_platform_list,
-    "platform_busy": limit_platform_rate,
+    "platform_busy": throttle_platform,
     "freeze_runner": freeze_runner,
 }
 
