--- a/tests/fleet_simulator/clock.py
+++ b/tests/fleet_simulator/clock.py
@@ -82,23 +82,23 @@
         return self.net.clock.seconds()
 
     def callLater(self, delay_s, call, *args, **kwargs):
-        delayed = self.net.clock.callLater(delay_s, self.guarded, self.life, call, args, kwargs)
+        delayed = self.net.clock.callLater(delay_s, self.run_guarded, self.generation, call, args, kwargs)
         delayed.host = self
         return delayed
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
         return fleet_simulator_wires.connect(self.net, self, host, port, factory, timeout)
 
-    def catch_up(self):
+    def run_due_calls(self):
         return None
 
-    def enter(self, call, *args):
+    def dispatch(self, call, *args):
         if not self.alive:
             return
         if self.frozen:
-            self.queue.append((self.life, call, args))
+            self.queue.append((self.generation, call, args))
         else:
-            self.guarded(self.life, call, args, {})
+            self.run_guarded(self.generation, call, args, {})
 
     def thaw(self):
         if not self.frozen:
@@ -107,7 +107,7 @@
         overdue, self.overdue = self.overdue, []
         queue, self.queue = self.queue, []
         timers = [lambda delayed=delayed: self.run_overdue(delayed) for delayed in overdue]
-        reads = [lambda entry=entry: self.guarded(*entry, {}) for entry in queue]
+        reads = [lambda entry=entry: self.run_guarded(*entry, {}) for entry in queue]
         for job in timers + reads if self.net.random.random() < 0.5 else reads + timers:
             job()
 
--- a/tests/fleet_simulator/machines.py
+++ b/tests/fleet_simulator/machines.py
@@ -12,12 +12,12 @@
     daemon = bearing.victim(world, random, "storage", "core", "edge", "edge")
     if daemon is None:
         return
-    trouble, life = begin(world, "slow", [daemon.name]), daemon.host.life
+    trouble, life = begin(world, "slow", [daemon.name]), daemon.host.generation
     until_ms = world.now_ms() + bearing.lasting_ms(random)
     frozen_ms = random.choice((30, 60, 80))
 
     def freeze_repeatedly():
-        if daemon.host.life != life or world.now_ms() >= until_ms or trouble.until_ms < world.now_ms():
+        if daemon.host.generation != life or world.now_ms() >= until_ms or trouble.until_ms < world.now_ms():
             over(world, trouble)
             return
         daemon.host.freeze()
@@ -25,7 +25,7 @@
         world.later(FREEZE_PERIOD_MS, freeze_repeatedly)
 
     def resume():
-        if daemon.host.life == life:
+        if daemon.host.generation == life:
             daemon.host.thaw()
 
     freeze_repeatedly()
@@ -46,19 +46,19 @@
 
 def disk_slow(world, random):
     inject_disk_fault(
-        world, random, "slow disk", lambda drive: setattr(drive, worlds.DELAY, random.choice((50, 150, 400, 2000)))
+        world, random, "slow disk", lambda disk: setattr(disk, worlds.DELAY, random.choice((50, 150, 400, 2000)))
     )
 
 
 def disk_stall(world, random):
     """Stall a disk for several seconds."""
-    inject_disk_fault(
-        world, random, "slow disk", lambda drive: setattr(drive, worlds.DELAY, random.uniform(2000, 6000))
-    )
+    inject_disk_fault(world, random, "slow disk", lambda disk: setattr(disk, worlds.DELAY, random.uniform(2000, 6000)))
 
 
 def disk_full(world, random):
-    inject_disk_fault(world, random, "bad disk", lambda drive: setattr(drive, "room", worlds.drives.used(drive)))
+    inject_disk_fault(
+        world, random, "bad disk", lambda disk: setattr(disk, "capacity_bytes", worlds.simulated_disk.used_bytes(disk))
+    )
 
 
 def inject_disk_fault(world, random, kind, inject):
@@ -66,7 +66,7 @@
     if daemon is None:
         return
     trouble = begin(world, kind, [daemon.name])
-    inject(daemon.drive)
+    inject(daemon.disk)
     world.later(bearing.lasting_ms(random), disk_well, world, daemon, trouble)
 
 
@@ -81,7 +81,7 @@
 
     def inject():
         for daemon in daemons:
-            for wire in list(daemon.host.wires):
+            for wire in list(daemon.host.connections):
                 if daemon.host.alive and not daemon.host.frozen and random.random() < 0.5:
                     wire.abortConnection()
         if world.now_ms() < until_ms:
--- a/tests/fleet_simulator/troubles.py
+++ b/tests/fleet_simulator/troubles.py
@@ -1,6 +1,6 @@
 """Faults injected into daemons: crashes, pauses, lost disks, disk faults and replacements."""
 
-from frostpost.simulator import drives
+from frostpost.simulator import simulated_disk
 
 from . import world as worlds
 from .bearing import lasting_ms, victim
@@ -58,7 +58,7 @@
         return
     trouble = begin(world, "freeze", [daemon.name])
     daemon.host.freeze()
-    world.later(lasting_ms(random), thaw, world, daemon, daemon.host.life, trouble)
+    world.later(lasting_ms(random), thaw, world, daemon, daemon.host.generation, trouble)
 
 
 def freeze_storage(world, random):
@@ -70,7 +70,7 @@
 
 
 def thaw(world, daemon, life, trouble):
-    if daemon.host.life == life:
+    if daemon.host.generation == life:
         daemon.host.thaw()
     over(world, trouble)
 
@@ -80,7 +80,7 @@
     if daemon is None:
         return
     trouble = begin(world, "slow disk", [daemon.name])
-    daemon.drive.delay_ms = random.choice((50, 400, 2000))
+    daemon.disk.delay_ms = random.choice((50, 400, 2000))
     world.later(random.uniform(500, 4000), disk_well, world, daemon, trouble)
 
 
@@ -89,15 +89,15 @@
     if daemon is None:
         return
     trouble = begin(world, "bad disk", [daemon.name])
-    daemon.drive.broken[random.choice(("write", "sync", "open"))] = random.randint(1, 3)
+    daemon.disk.failing[random.choice(("write", "sync", "open"))] = random.randint(1, 3)
     world.later(2500, disk_well, world, daemon, trouble)
 
 
 def disk_well(world, daemon, trouble):
     """Restore normal disk operation; the fault ends once the last slow call has completed."""
-    setattr(daemon.drive, worlds.DELAY, worlds.DISK_MS)
-    daemon.drive.room = worlds.DISK_ROOM
-    daemon.drive.broken.clear()
+    setattr(daemon.disk, worlds.DELAY, worlds.DISK_MS)
+    daemon.disk.capacity_bytes = worlds.DISK_ROOM
+    daemon.disk.failing.clear()
     slow_jobs = list(daemon.host.jobs)
 
     def check():
@@ -169,7 +169,7 @@
         if random.random() < 0.4 and daemon.host.alive:
             trouble = begin(world, "freeze many", [daemon.name])
             daemon.host.freeze()
-            world.later(random.uniform(100, 4000), thaw, world, daemon, daemon.host.life, trouble)
+            world.later(random.uniform(100, 4000), thaw, world, daemon, daemon.host.generation, trouble)
 
 
 def all_down(world, random, power, wiped=0):
@@ -180,7 +180,7 @@
         worlds.kill(world, daemon, power)
     storage_daemons = [d for d in daemons if d.role == "storage"]
     for daemon in random.sample(storage_daemons, wiped):
-        drives.wipe(daemon.drive)
+        simulated_disk.wipe(daemon.disk)
     delays_ms = [random.uniform(200, 2000) for _ in daemons]
     for daemon, delay_ms in zip(daemons, delays_ms, strict=True):
         world.later(delay_ms, worlds.start, world, daemon)
--- a/tests/fleet_simulator/wires.py
+++ b/tests/fleet_simulator/wires.py
@@ -5,8 +5,8 @@
 from twisted.internet.error import ConnectionLost, ConnectionRefusedError, TimeoutError
 from twisted.python.failure import Failure
 
+from frostpost.simulator import connections, data_transfer
 from frostpost.simulator import net as nets
-from frostpost.simulator import wire_flow, wires
 
 FIRST_RETRY_S, CONNECT_RETRY_S = 0.2, 1.0
 
@@ -19,60 +19,63 @@
 
     def setsockopt(self, level, option, value):
         if (level, option) == (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT):
-            self.wire.patience_s = value / 1000
+            self.wire.send_timeout_s = value / 1000
 
 
-class RetransmittingWire(wires.Wire):
+class RetransmittingWire(connections.Connection):
     __slots__ = ()
 
     def getHandle(self):
         return SocketHandle(self)
 
-    def retry_s(self):
+    def retry_delay_s(self):
         """Return the retransmission delay: doubled on each retry, capped by the remaining TCP user timeout."""
-        left_s = self.patience_s - self.stuck_s
-        return min(max(FIRST_RETRY_S, self.stuck_s), max(0.0, left_s) + 0.001)
+        left_s = self.send_timeout_s - self.stalled_s
+        return min(max(FIRST_RETRY_S, self.stalled_s), max(0.0, left_s) + 0.001)
 
     def abortConnection(self):
         if not self.connected:
             return
         self.net.clock.callLater(
-            self.net.link_delay_s(self.here[0], self.there[0]), wire_flow.reset_there, self, self.other
+            self.net.link_delay_s(self.local_address[0], self.remote_address[0]),
+            data_transfer.reset_peer,
+            self,
+            self.peer,
         )
         self.connected = False
-        self.out.clear()
-        if self in self.host.wires:
-            self.host.wires.remove(self)
-        if self.life == self.host.life:
-            self.host.callLater(0, wire_flow.ended, self, Failure(ConnectionLost()))
+        self.send_buffer.clear()
+        if self in self.host.connections:
+            self.host.connections.remove(self)
+        if self.generation == self.host.generation:
+            self.host.callLater(0, data_transfer.notify_closed, self, Failure(ConnectionLost()))
 
 
 class RetryingConnector(nets.Connector):
     __slots__ = ()
 
-    def again(self):
+    def retry(self):
         """Retransmit the SYN after CONNECT_RETRY_S, or fail once the connect timeout has passed."""
-        wait_s = min(CONNECT_RETRY_S, self.end_s - self.net.clock.seconds())
+        wait_s = min(CONNECT_RETRY_S, self.deadline_s - self.net.clock.seconds())
         if wait_s <= 0:
             return self.fail(TimeoutError())
-        return self.net.clock.callLater(wait_s, self.arrive)
+        return self.net.clock.callLater(wait_s, self.reach_target)
 
-    def arrive(self):
-        if self.state != "connecting" or self.life != self.host.life or not self.host.alive:
+    def reach_target(self):
+        if self.state != "connecting" or self.generation != self.host.generation or not self.host.alive:
             return None
-        here, there = self.host.address, self.there[0]
+        here, there = self.host.address, self.remote_address[0]
         target = self.net.hosts.get(there)
-        if target is None or not target.powered or self.net.barred(here, there) or self.net.barred(there, here):
-            return self.again()
-        port = target.ports.get(self.there[1]) if target.alive else None
+        if target is None or not target.powered or self.net.is_cut(here, there) or self.net.is_cut(there, here):
+            return self.retry()
+        port = target.ports.get(self.remote_address[1]) if target.alive else None
         if port is None:
             return self.fail(ConnectionRefusedError())
-        self.net.serial += 1
-        local = RetransmittingWire(self.net, self.host, (here, self.net.serial), self.there)
-        remote = RetransmittingWire(self.net, target, self.there, (here, self.net.serial))
-        local.other, remote.other, self.wire, self.state = remote, local, local, "answered"
-        target.enter(nets.serve, port.factory, remote)
-        self.net.clock.callLater(self.net.link_delay_s(there, here), self.made)
+        self.net.last_port += 1
+        local = RetransmittingWire(self.net, self.host, (here, self.net.last_port), self.remote_address)
+        remote = RetransmittingWire(self.net, target, self.remote_address, (here, self.net.last_port))
+        local.peer, remote.peer, self.connection, self.state = remote, local, local, "answered"
+        target.dispatch(nets.accept, port.factory, remote)
+        self.net.clock.callLater(self.net.link_delay_s(there, here), self.on_accepted)
         return None
 
 
--- a/tests/fleet_simulator/works.py
+++ b/tests/fleet_simulator/works.py
@@ -69,7 +69,7 @@
     """Stop a runner; requests in progress count as aborted by the runner."""
     for job in runner.working:
         job.run.broke = True
-    runner.host.die(power)
+    runner.host.terminate(power)
 
 
 def end_runner(world, random, runner):
@@ -137,7 +137,7 @@
         if daemon.host.alive and daemon.owner is not None and random.random() < 0.3:
             new_settings = settings.from_document(worlds.document_of(world, daemon))
             front = SimpleNamespace(reread=lambda new_settings=new_settings: new_settings)
-            world.later(random.uniform(0, 1000), daemon.host.enter, reload_settings, daemon.owner, front)
+            world.later(random.uniform(0, 1000), daemon.host.dispatch, reload_settings, daemon.owner, front)
 
 
 def replace_planned(world, random):
--- a/tests/fleet_simulator/world.py
+++ b/tests/fleet_simulator/world.py
@@ -11,7 +11,7 @@
 from frostpost.cluster import replica_daemon
 from frostpost.daemon.machine import Machine
 from frostpost.platform import listening, settings
-from frostpost.simulator import drives
+from frostpost.simulator import simulated_disk
 from frostpost.simulator.net import Net
 from frostpost.turn_store import store
 from frostpost.turn_store.segments import BodyFiles
@@ -56,7 +56,7 @@
     role: str
     zone: str
     host: object
-    drive: drives.Drive
+    disk: simulated_disk.SimulatedDisk
     first: bool = True
     owner: object = None
     exits: list = []
@@ -122,10 +122,10 @@
         world.notes.end_isolations(world.now_ms())
     host = world.add_host(name, zone)
     host.alive = False
-    drive = drives.Drive(Random(world.random.random()))
-    drive.delay_ms = DISK_MS
-    host.thread_ms = lambda: drive.delay_ms * (0.5 + world.random.random())
-    daemon = world.daemons[name] = Daemon(name, role, zone, host, drive)
+    disk = simulated_disk.SimulatedDisk(Random(world.random.random()))
+    disk.delay_ms = DISK_MS
+    host.thread_ms = lambda: disk.delay_ms * (0.5 + world.random.random())
+    daemon = world.daemons[name] = Daemon(name, role, zone, host, disk)
     return daemon
 
 
@@ -191,20 +191,20 @@
     }
 
 
-def files_of(drive):
-    base = drives.files_of(drive)
+def files_of(disk):
+    base = simulated_disk.files_of(disk)
 
     def unlink(path):
-        drives.touch(drive, "unlink")
-        if path not in drive.names:
+        simulated_disk.begin_call(disk, "unlink")
+        if path not in disk.names:
             raise FileNotFoundError(path)
-        del drive.names[path]
+        del disk.names[path]
 
     return BodyFiles(
         **{field: getattr(base, field) for field in base.__struct_fields__},
         unlink=unlink,
-        pread=lambda fd, length, offset: bytes(drive.held[fd].data[offset : offset + length]),
-        listdir=lambda folder: [os.path.basename(p) for p in drive.names if os.path.dirname(p) == folder],
+        pread=lambda fd, length, offset: bytes(disk.handles[fd].data[offset : offset + length]),
+        listdir=lambda folder: [os.path.basename(p) for p in disk.names if os.path.dirname(p) == folder],
     )
 
 
@@ -231,7 +231,7 @@
     host, token = daemon.host, Random(world.random.random())
     host.boot()
     daemon.lives, daemon.since_ms = daemon.lives + 1, world.now_ms()
-    files, life = files_of(daemon.drive), host.life
+    files, life = files_of(daemon.disk), host.generation
     world.starts.append((host.address, world.now_ms()))
 
     def stop(code):
@@ -250,17 +250,17 @@
         if daemon.role == "storage":
             with simulated_turn_store(files):
                 daemon.owner = replica_daemon.assemble(parsed_settings, host, machine, stop)
-            host.enter(replica_daemon.start, daemon.owner)
+            host.dispatch(replica_daemon.start, daemon.owner)
         else:
             front = listening.make_front()
             daemon.owner = assembly.make_agent(parsed_settings, front, host, machine)
-            host.enter(assembly.start_agent, daemon.owner, front, stop)
+            host.dispatch(assembly.start_agent, daemon.owner, front, stop)
     except OSError as error:
         handle_exit(world, daemon, life, type(error).__name__)
 
 
 def handle_exit(world, daemon, life, code):
-    if daemon.host.life != life or not daemon.host.alive:
+    if daemon.host.generation != life or not daemon.host.alive:
         return
     daemon.exits.append((world.now_ms(), code))
     kill(world, daemon)
@@ -270,28 +270,28 @@
 
 def kill(world, daemon, power=False):
     if daemon.host.alive:
-        jobs = daemon.host.die(power)
-        (drives.lose_power if power else drives.kill)(daemon.drive, jobs)
+        jobs = daemon.host.terminate(power)
+        (simulated_disk.lose_power if power else simulated_disk.kill)(daemon.disk, jobs)
     elif power:
-        drives.lose_power(daemon.drive, [])
+        simulated_disk.lose_power(daemon.disk, [])
     daemon.owner, daemon.host.powered = None, not power
 
 
 def wipe(world, daemon):
     kill(world, daemon, True)
-    drives.wipe(daemon.drive)
+    simulated_disk.wipe(daemon.disk)
 
 
 def leave(world, daemon):
     """Drain a daemon as on SIGTERM."""
     if not daemon.host.alive or daemon.owner is None:
         return
-    life, host = daemon.host.life, daemon.host
+    life, host = daemon.host.generation, daemon.host
 
     def stop(code):
         host.callLater(0, handle_exit, world, daemon, life, code)
 
-    host.enter(
+    host.dispatch(
         *(
             (replica_daemon.drain, daemon.owner)
             if daemon.role == "storage"
--- a/tests/test_fleet_simulator_cuts.py
+++ b/tests/test_fleet_simulator_cuts.py
@@ -184,7 +184,7 @@
     daemon, started_ms = bearing.leader(fleet.world, role), fleet.world.now_ms()
     trouble = troubles.begin(fleet.world, "freeze", [daemon.name])
     daemon.host.freeze()
-    fleet.world.later(LONG_MS, troubles.thaw, fleet.world, daemon, daemon.host.life, trouble)
+    fleet.world.later(LONG_MS, troubles.thaw, fleet.world, daemon, daemon.host.generation, trouble)
     assert_served_and_healed(fleet, started_ms, [daemon], fleet.leaderless_ms(LONG_MS + 10, [daemon]))
 
 
@@ -193,7 +193,7 @@
     fleet = Fleet()
     daemon, started_ms = bearing.leader(fleet.world, "storage"), fleet.world.now_ms()
     trouble = troubles.begin(fleet.world, "slow disk", [daemon.name])
-    daemon.drive.delay_ms = delay_ms
+    daemon.disk.delay_ms = delay_ms
     fleet.world.later(LONG_MS, troubles.disk_well, fleet.world, daemon, trouble)
     leaderless_ms = fleet.leaderless_ms(LONG_MS + 10, [])
     while trouble.until_ms > fleet.world.now_ms():
