--- a/tests/fleet_simulator/wires.py
+++ b/tests/fleet_simulator/wires.py
@@ -73,7 +73,7 @@
         self.net.last_port += 1
         local = RetransmittingWire(self.net, self.host, (here, self.net.last_port), self.remote_address)
         remote = RetransmittingWire(self.net, target, self.remote_address, (here, self.net.last_port))
-        local.other, remote.other, self.wire, self.state = remote, local, local, "answered"
+        local.peer, remote.peer, self.connection, self.state = remote, local, local, "answered"
         target.dispatch(nets.accept, port.factory, remote)
         self.net.clock.callLater(self.net.link_delay_s(there, here), self.on_accepted)
         return None
