--- a/frostpost/background/config_bodies.py
+++ b/frostpost/background/config_bodies.py
@@ -101,7 +101,7 @@
     def on_error(failure):
         writer.is_writing = False
         log_event("DiskError", type=failure.type.__name__, file="bodies")
-        ctx.disk.turn(True)
+        ctx.disk.set_unhealthy(True)
         writer.queue = batch + writer.queue
         ctx.reactor.callLater(1, flush, ctx)
 
